--- a/core/jwinstance/curve_test.go
+++ b/core/jwinstance/curve_test.go
@@ -12,7 +12,7 @@
 // An engine takes 57 ms for a call and 11 ms for a thousand tokens, which rises
 // with the length of a prompt. Taken for one rate learned from short prompts, a
 // long one seems to last twice as long as it does, and was refused as too late.
-func TestCurveIsLearned(t *testing.T) {
+func TestLatencyModelFit(t *testing.T) {
 	cases := map[string]struct {
 		base, thousand, square float64
 		stall                  float64 // part of the samples that stall for a second
@@ -25,7 +25,7 @@
 	for name, x := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			var c curve
+			var c latencyModel
 			for range 2000 {
 				own := int(math.Exp(r.NormFloat64()*0.9+7.5)) % 60_000
 				ahead := 0
@@ -38,12 +38,12 @@
 				if r.Float64() < x.stall {
 					ms += 1000
 				}
-				c.learn(ahead, own, duration(ms))
+				c.observe(ahead, own, duration(ms))
 			}
 			for _, own := range []int{500, 5000, 20_000, 40_000} {
 				k := float64(own) / 1000
 				want := x.base + x.thousand*k + x.square*k*k/100
-				got := millis(c.expect(0, own))
+				got := millis(c.predict(0, own))
 				assert.Assert(t, math.Abs(got-want) < 0.2*want+20*x.stall*1000/100, "%d tokens: %.0f ms, learned %.0f", own, want, got)
 			}
 		})
@@ -52,26 +52,26 @@
 
 // All prompts of a service are equally long, or nothing was seen yet: what isn't
 // told by samples must stay sensible, as the choice of targets rests on it.
-func TestCurveWithLittleToLearnFrom(t *testing.T) {
-	var c curve
-	assert.Equal(t, c.expect(0, 10_000), firstBase+10*firstThousand)
+func TestLatencyModelWithFewSamples(t *testing.T) {
+	var c latencyModel
+	assert.Equal(t, c.predict(0, 10_000), initialBase+10*initialPerThousand)
 	for range 1000 {
-		c.learn(0, 2000, 80*time.Millisecond)
+		c.observe(0, 2000, 80*time.Millisecond)
 	}
-	got := millis(c.expect(0, 2000))
+	got := millis(c.predict(0, 2000))
 	assert.Assert(t, got > 70 && got < 90, "%.1f", got)
-	assert.Assert(t, c.expect(0, 20_000) > c.expect(0, 2000))
-	assert.Assert(t, c.expect(0, 20_000) < time.Second, "%s", c.expect(0, 20_000))
+	assert.Assert(t, c.predict(0, 20_000) > c.predict(0, 2000))
+	assert.Assert(t, c.predict(0, 20_000) < time.Second, "%s", c.predict(0, 20_000))
 	for range 1000 {
-		c.learn(0, 20_000, 0)
+		c.observe(0, 20_000, 0)
 	}
-	assert.Assert(t, c.expect(0, 0) >= leastBase)
-	assert.Assert(t, c.read(0, 1000) >= leastThousand)
+	assert.Assert(t, c.predict(0, 0) >= minBase)
+	assert.Assert(t, c.readTime(0, 1000) >= minPerThousand)
 }
 
-func BenchmarkCurveLearn(b *testing.B) {
-	var c curve
+func BenchmarkLatencyModelObserve(b *testing.B) {
+	var c latencyModel
 	for i := range b.N {
-		c.learn(i%3000, i%20_000, 100*time.Millisecond)
+		c.observe(i%3000, i%20_000, 100*time.Millisecond)
 	}
 }
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -20,7 +20,7 @@
 }
 
 // The store came back from a copy in which a target that has left since looks ready.
-func TestOlderCopyTakesNothingBack(t *testing.T) {
+func TestOlderStoreCopyIsIgnored(t *testing.T) {
 	at := func(era, number uint64, change func(*Instance)) Instance {
 		in := instance("a")
 		in.Revision, in.Born = rev(era, number), 10
@@ -48,11 +48,11 @@
 			c.known(table)
 			for ms := 1; ms < 5000; ms += 1000 { // read more than once, by other nodes too
 				table.Put(after(ms), c.copy)
-				assert.Equal(t, chosen(table, after(ms+1), Need{}), "")
+				assert.Equal(t, bestTargetID(table, after(ms+1), Need{}), "")
 			}
 			again := at(2, 7, func(in *Instance) { in.Born = 12 })
 			table.Put(after(6000), again)
-			assert.Equal(t, chosen(table, after(6001), Need{}), "a", "what it writes then counts")
+			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "what it writes then counts")
 		})
 	}
 	table := &Table{Region: "r"}
@@ -60,25 +60,25 @@
 	table.Put(after(0), at(1, 9, draining))
 	table.Put(after(1), at(2, 5, nil))
 	table.Put(after(2), at(2, 6, nil))
-	assert.Equal(t, chosen(table, after(3), Need{}), "a", "it wrote after the copy that it doesn't drain")
+	assert.Equal(t, bestTargetID(table, after(3), Need{}), "a", "it wrote after the copy that it doesn't drain")
 }
 
 // Copies, readings and views come in any order: an incarnation that is known to drain gets
 // nothing unless it has written since, in that era or after the copy of a later one.
-func TestCopiesOutOfOrder(t *testing.T) {
+func TestStoreCopiesOutOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}}
 		era, number := uint64(1), uint64(1)
-		ready, drains := instance("a"), instance("a")
+		ready, draining := instance("a"), instance("a")
 		ready.Revision, ready.Born = rev(era, number), 1
 		for _, table := range tables {
 			table.Put(t0, ready)
 		}
 		number = uint64(rapid.IntRange(2, 50).Draw(t, "lost"))
-		drains.Revision, drains.Born, drains.Draining = rev(era, number), 1, true
-		knows := rapid.IntRange(1, 2).Draw(t, "knows")
-		for _, table := range tables[:knows] {
-			table.Put(t0, drains)
+		draining.Revision, draining.Born, draining.Draining = rev(era, number), 1, true
+		informed := rapid.IntRange(1, 2).Draw(t, "knows")
+		for _, table := range tables[:informed] {
+			table.Put(t0, draining)
 		}
 		now := t0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -100,8 +100,8 @@
 					tables[i].Put(now, in)
 				}
 			}
-			for k := range tables[:knows] {
-				if chosen(tables[k], now, Need{}) != "" {
+			for k := range tables[:informed] {
+				if bestTargetID(tables[k], now, Need{}) != "" {
 					t.Fatalf("node %d sends to a target that drains", k)
 				}
 			}
--- a/core/jwinstance/estimate.go
+++ b/core/jwinstance/estimate.go
@@ -14,68 +14,68 @@
 	if !c.Fetch.IsValid() || spare <= 0 {
 		return 0
 	}
-	return time.Duration(float64(mostFetchCost) * float64(spare) / float64(n.Goal/2))
+	return time.Duration(float64(maxFetchCost) * float64(spare) / float64(n.Goal/2))
 }
 
 // expected returns the wait for the first event of an engine or the answer of
 // a plain service.
-func (p *pace) expected(x *Target, n Need, miss int, b load) time.Duration {
+func (s *serviceStats) expected(x *Target, n Need, miss int, l load) time.Duration {
 	slots := max(x.Slots, 1)
-	if n.Prompt.Tokens == 0 && !p.engine {
-		d := float64(p.plain) * max(1, float64(b.calls+1)/float64(slots))
-		return time.Duration(d * x.slow)
+	if n.Prompt.Tokens == 0 && !s.engine {
+		d := float64(s.plainLatency) * max(1, float64(l.calls+1)/float64(slots))
+		return time.Duration(d * x.slowdown)
 	}
-	d := p.curve.expect(b.work, miss) + p.batchDelay(slots, b.calls)
-	return time.Duration(float64(d) * x.slow)
+	d := s.firstEvent.predict(l.unreadAhead, miss) + s.batchDelay(slots, l.calls)
+	return time.Duration(float64(d) * x.slowdown)
 }
 
 // batchDelay returns what the calls at an engine add to the wait for a first event: each
 // that runs slows the steps of the batch, and of those beyond its slots each waits
 // until one ends.
-func (p *pace) batchDelay(slots, calls int) time.Duration {
+func (s *serviceStats) batchDelay(slots, calls int) time.Duration {
 	waiting := max(calls-slots+1, 0)
-	return time.Duration(calls)*slotDelay + time.Duration(waiting)*p.hold/time.Duration(slots)
+	return time.Duration(calls)*runningCallDelay + time.Duration(waiting)*s.slotTime/time.Duration(slots)
 }
 
 // later returns what counts beside the first event: the pace of the request's
 // own events, and the delay of all that run there while its prompt is read.
-func (p *pace) later(now time.Time, x *Target, n Need, miss int, b load) time.Duration {
+func (s *serviceStats) streamCost(now time.Time, x *Target, n Need, miss int, l load) time.Duration {
 	if n.Prompt.Tokens == 0 {
 		return 0
 	}
-	d := PaceWeight * float64(n.Events) * float64(x.gapNow(now))
-	d += InterferenceWeight * float64(b.calls) * float64(p.curve.read(0, miss))
-	if n.Capacity > 0 && float64(b.held+n.Prompt.held()) > fullShare*float64(n.Capacity) {
-		d += float64(fullDelay)
+	d := PaceWeight * float64(n.Events) * float64(x.estimatedGap(now))
+	d += InterferenceWeight * float64(l.calls) * float64(s.firstEvent.readTime(0, miss))
+	if n.Capacity > 0 && float64(l.memoryTokens+n.Prompt.memoryTokens()) > preemptionThreshold*float64(n.Capacity) {
+		d += float64(preemptionDelay)
 	}
 	return time.Duration(d)
 }
 
 // gapNow returns the estimated time between two events.
-func (x *Target) gapNow(now time.Time) time.Duration {
+func (x *Target) estimatedGap(now time.Time) time.Duration {
 	gap, at := x.gap, x.gapAt
 	if x.reportedGapAt.After(at) {
 		gap, at = x.reportedGap, x.reportedGapAt
 	}
 	if at.IsZero() {
-		return firstGap
+		return initialGap
 	}
-	if now.Sub(at) > 8*gapFade {
-		return firstGap
+	if now.Sub(at) > 8*gapDecay {
+		return initialGap
 	}
-	fade := math.Exp(-float64(now.Sub(at)) / float64(gapFade))
-	return firstGap + time.Duration(fade*float64(gap-firstGap))
+	fade := math.Exp(-float64(now.Sub(at)) / float64(gapDecay))
+	return initialGap + time.Duration(fade*float64(gap-initialGap))
 }
 
 // pace returns what calls showed of a service.
-func (t *Table) pace(service string) *pace {
-	if t.paces == nil {
-		t.paces = make(map[string]*pace)
+func (t *Table) statsOf(service string) *serviceStats {
+	if t.stats == nil {
+		t.stats = make(map[string]*serviceStats)
 	}
-	p := t.paces[service]
-	if p == nil {
-		p = &pace{plain: firstPlain, hold: firstHold}
-		t.paces[service] = p
+	s := t.stats[service]
+	if s == nil {
+		s = &serviceStats{plainLatency: initialPlainLatency, slotTime: initialSlotTime}
+		t.stats[service] = s
 	}
-	return p
+	return s
 }
--- a/core/jwinstance/instance.go
+++ b/core/jwinstance/instance.go
@@ -39,4 +39,4 @@
 
 // held is the memory that a request takes while it runs, in tokens: parts that the
 // target kept before can't yield meanwhile, so they count too.
-func (p Prompt) held() int { return p.Tokens + p.Output }
+func (p Prompt) memoryTokens() int { return p.Tokens + p.Output }
--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -16,28 +16,28 @@
 		return false
 	}
 	x.Leaving = true
-	t.declare(x)
-	t.slots = nil
+	t.markSelfReported(x)
+	t.usableSlots = nil
 	return true
 }
 
 // declare keeps that a target said something of itself that is to be reported: in a region
 // of thousands of targets only few do.
-func (t *Table) declare(x *Target) {
-	if t.declared == nil {
-		t.declared = make(map[string]bool)
+func (t *Table) markSelfReported(x *Target) {
+	if t.selfReported == nil {
+		t.selfReported = make(map[string]bool)
 	}
-	t.declared[x.ID] = true
+	t.selfReported[x.ID] = true
 }
 
 // declarers returns the targets that said something of themselves, and forgets those that
 // are gone or began anew.
-func (t *Table) declarers() iter.Seq[*Target] {
+func (t *Table) selfReporting() iter.Seq[*Target] {
 	return func(yield func(*Target) bool) {
-		for id := range t.declared {
+		for id := range t.selfReported {
 			x := t.targets[id]
-			if x == nil || !x.Leaving && x.limit.at.IsZero() {
-				delete(t.declared, id)
+			if x == nil || !x.Leaving && x.limit.answeredAt.IsZero() {
+				delete(t.selfReported, id)
 				continue
 			}
 			if !yield(x) {
@@ -53,7 +53,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var leaving map[string]int64
-	for x := range t.declarers() {
+	for x := range t.selfReporting() {
 		if !x.Leaving || x.Region != t.Region {
 			continue
 		}
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -10,33 +10,33 @@
 
 // A target says that it leaves, and what the store holds of it is older or late: the node
 // goes on sending.
-func TestLeavingStands(t *testing.T) {
+func TestLeavingOutlivesRegistrations(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
 	table.Put(after(0), instance("b"))
-	assert.Equal(t, chosen(table, after(1), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(1), Need{}), "a")
 	table.Leave(table.targets["a"])
-	assert.Equal(t, chosen(table, after(2), Need{}), "b")
+	assert.Equal(t, bestTargetID(table, after(2), Need{}), "b")
 	later := instance("a")
 	later.Revision, later.Slots = 7, 5
 	table.Put(after(3), later)
-	assert.Equal(t, chosen(table, after(4), Need{}), "b", "a later registration says nothing of it")
+	assert.Equal(t, bestTargetID(table, after(4), Need{}), "b", "a later registration says nothing of it")
 	assert.Equal(t, table.Regions("s")["r"], 4)
 	later.Born++
 	table.Put(after(5), later)
-	assert.Equal(t, chosen(table, after(6), Need{}), "a", "the next incarnation hasn't said so")
+	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation hasn't said so")
 }
 
 // Whatever registrations, views and reports of other nodes come, and in which order: an
 // incarnation that has said to a node that it leaves gets nothing more of that node.
-func TestLeavingIsNeverTakenBack(t *testing.T) {
+func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}, {Region: "r"}}
-		left := make([]map[int64]bool, len(tables)) // by node, the incarnations known to leave
+		leaving := make([]map[int64]bool, len(tables)) // by node, the incarnations known to leave
 		for i := range tables {
-			left[i] = make(map[int64]bool)
+			leaving[i] = make(map[int64]bool)
 		}
-		var seen []Instance // of the store, by revision
+		var written []Instance // of the store, by revision
 		now := t0
 		node := func() int { return rapid.IntRange(0, len(tables)-1).Draw(t, "node") }
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -46,34 +46,34 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0: // the target writes
 				in := instance("a")
-				in.Revision, in.Born = uint64(len(seen)+1), int64(len(seen)/8)
-				seen = append(seen, in)
+				in.Revision, in.Born = uint64(len(written)+1), int64(len(written)/8)
+				written = append(written, in)
 			case 1: // a node reads, maybe late
-				if len(seen) > 0 {
-					tables[i].Put(now, rapid.SampledFrom(seen).Draw(t, "registration"))
+				if len(written) > 0 {
+					tables[i].Put(now, rapid.SampledFrom(written).Draw(t, "registration"))
 				}
 			case 2:
-				tables[i].Remove(now, "a", uint64(rapid.IntRange(0, len(seen)+1).Draw(t, "revision")))
+				tables[i].Remove(now, "a", uint64(rapid.IntRange(0, len(written)+1).Draw(t, "revision")))
 			case 3:
 				if x != nil {
 					tables[i].Leave(x)
-					left[i][x.Born] = true
+					leaving[i][x.Born] = true
 				}
 			case 4: // a report
 				from := tables[node()].ReportLeaving()
 				for _, id := range tables[i].MergeLeaving(from) {
-					left[i][tables[i].targets[id].Born] = true
+					leaving[i][tables[i].targets[id].Born] = true
 				}
 			case 5: // a view
 				for _, in := range tables[node()].Instances(now) {
 					tables[i].Put(now, in)
 					if x := tables[i].targets["a"]; x.Leaving {
-						left[i][x.Born] = true
+						leaving[i][x.Born] = true
 					}
 				}
 			}
 			for k, table := range tables {
-				if x := table.targets["a"]; x != nil && left[k][x.Born] && chosen(table, now, Need{}) == "a" {
+				if x := table.targets["a"]; x != nil && leaving[k][x.Born] && bestTargetID(table, now, Need{}) == "a" {
 					t.Fatalf("node %d sends to the incarnation of %d", k, x.Born)
 				}
 			}
@@ -93,10 +93,10 @@
 	for _, in := range b.Instances(after(1)) {
 		c.Put(after(2), in)
 	}
-	assert.Equal(t, chosen(c, after(3), Need{}), "")
+	assert.Equal(t, bestTargetID(c, after(3), Need{}), "")
 	next := instance("x")
 	next.Born, next.Revision = 5, 2
 	b.Put(after(4), next)
 	assert.Equal(t, len(b.MergeLeaving(a.ReportLeaving())), 0, "it was another incarnation that left")
-	assert.Equal(t, chosen(b, after(5), Need{}), "x")
+	assert.Equal(t, bestTargetID(b, after(5), Need{}), "x")
 }
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -9,13 +9,13 @@
 
 const (
 	// limitEndAge is how long it is reported that a target names no limit any more.
-	limitEndAge = 5 * time.Second
+	limitEndReportPeriod = 5 * time.Second
 	// limitDrift is by how much another node's answer must be later than the last known
 	// one to count: ages that are reported lack the way between the nodes.
-	limitDrift = 100 * time.Millisecond
+	limitReportTolerance = 100 * time.Millisecond
 	// partAge is how long a node's part in a limit serves: to find the owner all nodes of the
 	// region are compared, and each request asks of each target.
-	partAge = 100 * time.Millisecond
+	partCacheDuration = 100 * time.Millisecond
 )
 
 // Limit is what a target says in its answers that it takes of all nodes together; the
@@ -28,11 +28,11 @@
 // targetLimit is what is known of a target's limit.
 type targetLimit struct {
 	Limit
-	at     time.Time // of the answer that said so, zero if none ever named a limit
-	own    bool      // this node had that answer
-	bucket jwbudget.LimitBucket
-	part   jwbudget.LimitPart // of this node
-	partAt time.Time          // when it was asked for
+	answeredAt time.Time // of the answer that said so, zero if none ever named a limit
+	direct     bool      // this node had that answer
+	bucket     jwbudget.LimitBucket
+	part       jwbudget.LimitPart // of this node
+	partAt     time.Time          // when it was asked for
 }
 
 // LimitReport is what a node reports of a target's limit.
@@ -47,23 +47,23 @@
 func (t *Table) Limited(now time.Time, x *Target, l Limit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !l.Named && x.limit.at.IsZero() {
+	if !l.Named && x.limit.answeredAt.IsZero() {
 		return false
 	}
-	t.declare(x)
-	return x.limit.take(now, now, l, true)
+	t.markSelfReported(x)
+	return x.limit.update(now, now, l, true)
 }
 
 // take keeps what an answer said at a time.
-func (k *targetLimit) take(now, at time.Time, l Limit, own bool) bool {
-	changed := k.Limit != l
-	if l.Named && !k.Named {
-		k.bucket = jwbudget.LimitBucket{Begun: now}
+func (lim *targetLimit) update(now, at time.Time, l Limit, own bool) bool {
+	changed := lim.Limit != l
+	if l.Named && !lim.Named {
+		lim.bucket = jwbudget.LimitBucket{Begun: now}
 	}
 	if changed {
-		k.partAt = time.Time{}
+		lim.partAt = time.Time{}
 	}
-	k.Limit, k.at, k.own = l, at, own
+	lim.Limit, lim.answeredAt, lim.direct = l, at, own
 	return changed
 }
 
@@ -73,19 +73,19 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var reports map[string]LimitReport
-	for x := range t.declarers() {
-		k := &x.limit
-		if k.Named {
-			t.limitRoom(now, x) // so that it is noticed in time whether this node owns it
+	for x := range t.selfReporting() {
+		lim := &x.limit
+		if lim.Named {
+			t.limitAllows(now, x) // so that it is noticed in time whether this node owns it
 		}
-		age := now.Sub(k.at)
-		if k.at.IsZero() || x.Region != t.Region || !k.own && !relay || !k.Named && age > limitEndAge {
+		age := now.Sub(lim.answeredAt)
+		if lim.answeredAt.IsZero() || x.Region != t.Region || !lim.direct && !relay || !lim.Named && age > limitEndReportPeriod {
 			continue
 		}
 		if reports == nil {
 			reports = make(map[string]LimitReport)
 		}
-		reports[x.ID] = LimitReport{Named: k.Named, Rate: k.Rate, Age: age.Milliseconds()}
+		reports[x.ID] = LimitReport{Named: lim.Named, Rate: lim.Rate, Age: age.Milliseconds()}
 	}
 	return reports
 }
@@ -96,9 +96,9 @@
 	defer t.mu.Unlock()
 	for id, r := range reports {
 		at := now.Add(-time.Duration(r.Age) * time.Millisecond)
-		if x := t.targets[id]; x != nil && at.Sub(x.limit.at) > limitDrift {
-			t.declare(x)
-			x.limit.take(now, at, Limit{r.Named, r.Rate}, false)
+		if x := t.targets[id]; x != nil && at.Sub(x.limit.answeredAt) > limitReportTolerance {
+			t.markSelfReported(x)
+			x.limit.update(now, at, Limit{r.Named, r.Rate}, false)
 		}
 	}
 }
@@ -108,8 +108,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for x := range t.declarers() {
-		if x.limit.Named && x.gone.IsZero() && x.Region == t.Region {
+	for x := range t.selfReporting() {
+		if x.limit.Named && x.goneAt.IsZero() && x.Region == t.Region {
 			n++
 		}
 	}
@@ -122,47 +122,47 @@
 func (t *Table) RoomWait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	least := time.Duration(0)
-	for _, x := range t.of(service) {
-		if x.Region != t.Region || !x.gone.IsZero() || x.Draining || x.Leaving || t.evacuated[x.DataCentre] {
+	shortest := time.Duration(0)
+	for _, x := range t.knownTargets(service) {
+		if x.Region != t.Region || !x.goneAt.IsZero() || x.Draining || x.Leaving || t.evacuated[x.DataCentre] {
 			continue
 		}
-		wait := max(x.closed.Sub(now), 0)
-		if x.limit.Named && !t.limitRoom(now, x) {
+		wait := max(x.closedUntil.Sub(now), 0)
+		if x.limit.Named && !t.limitAllows(now, x) {
 			wait = max(wait, x.limit.bucket.Wait(now, t.limitPart(now, x)))
 		}
-		if wait > 0 && (least == 0 || wait < least) {
-			least = wait
+		if wait > 0 && (shortest == 0 || wait < shortest) {
+			shortest = wait
 		}
 	}
-	return least, least > 0
+	return shortest, shortest > 0
 }
 
 // limitRoom reports whether this node may send one more request to a target that names a
 // limit.
-func (t *Table) limitRoom(now time.Time, x *Target) bool {
+func (t *Table) limitAllows(now time.Time, x *Target) bool {
 	return x.limit.bucket.Room(now, t.limitPart(now, x))
 }
 
 // limitPart returns this node's part in the limit of a target.
 func (t *Table) limitPart(now time.Time, x *Target) jwbudget.LimitPart {
-	k := &x.limit
+	lim := &x.limit
 	if t.LimitPart == nil {
-		return jwbudget.PartOf(k.Rate, true, 1)
+		return jwbudget.PartOf(lim.Rate, true, 1)
 	}
-	if age := now.Sub(k.partAt); k.partAt.IsZero() || age < 0 || age >= partAge {
-		k.part = t.LimitPart(k.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
-		k.partAt = now
+	if age := now.Sub(lim.partAt); lim.partAt.IsZero() || age < 0 || age >= partCacheDuration {
+		lim.part = t.LimitPart(lim.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
+		lim.partAt = now
 	}
-	return k.part
+	return lim.part
 }
 
 // knownBy reports whether a node of the region chooses among others and a target.
 func (t *Table) knownBy(x *Target, node string) bool {
 	k := subsetKey{x.Service, x.Region, node}
-	if list := t.subset(k); len(list) == len(t.places[k.service][k.region]) {
+	if list := t.subset(k); len(list) == len(t.byRegion[k.service][k.region]) {
 		return true
 	}
-	ranks := t.subsets[k].ranks
-	return jwtarget.Mix(x.key, jwtarget.NameKey(node)) >= ranks[len(ranks)-1]
+	scores := t.subsets[k].scores
+	return jwtarget.Mix(x.nameHash, jwtarget.NameKey(node)) >= scores[len(scores)-1]
 }
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -22,7 +22,7 @@
 )
 
 // Nodes of a region that each know a target's limit send it more than that together.
-func TestLimitOfATargetHoldsOverAllNodes(t *testing.T) {
+func TestTargetLimitHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 20).Draw(t, "rate")
 		tables := make([]*Table, rapid.IntRange(1, 100).Draw(t, "nodes"))
@@ -38,7 +38,7 @@
 		now := t0
 		for range rapid.IntRange(1, 400).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 100).Draw(t, "ms")) * time.Millisecond)
-			if chosen(tables[rapid.IntRange(0, len(tables)-1).Draw(t, "node")], now, Need{}) != "" {
+			if bestTargetID(tables[rapid.IntRange(0, len(tables)-1).Draw(t, "node")], now, Need{}) != "" {
 				sends = append(sends, now)
 			}
 			checkLimit(t, sends, now, rate)
@@ -62,16 +62,16 @@
 // limitNode is a node of TestLimitWhileNodesComeAndGo.
 type limitNode struct {
 	*Table
-	live    bool
-	settled time.Time // from when on it sends to a target that names a limit
-	learns  time.Time // when it learns of the last change
-	errs    time.Time // until when it takes the owner for dead and itself for the owner
-	nodes   int       // in its view
-	owner   int
+	live          bool
+	sendsFrom     time.Time // from when on it sends to a target that names a limit
+	learnsAt      time.Time // when it learns of the last change
+	mistakenUntil time.Time // until when it takes the owner for dead and itself for the owner
+	nodes         int       // in its view
+	owner         int
 }
 
 func (n *limitNode) part(rate float64, self int, now time.Time) jwbudget.LimitPart {
-	if now.Before(n.settled) {
+	if now.Before(n.sendsFrom) {
 		return jwbudget.LimitPart{}
 	}
 	return jwbudget.PartOf(rate, n.owner == self, n.nodes)
@@ -79,7 +79,7 @@
 
 // While nodes come and go they differ for some seconds in how many there are, and in which
 // of them owns the target; two owners, or an owner and even parts, would exceed the limit.
-func TestLimitWhileNodesComeAndGo(t *testing.T) {
+func TestTargetLimitWhileNodesComeAndGo(t *testing.T) {
 	const lag, settle = 3300 * time.Millisecond, 4 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 8).Draw(t, "rate")
@@ -94,15 +94,15 @@
 				n := &nodes[i]
 				live := rapid.IntRange(0, 3).Draw(t, "live") > 0
 				if live && !n.live {
-					*n = limitNode{Table: &Table{Region: "r"}, settled: now.Add(settle), nodes: before + 1, owner: i}
+					*n = limitNode{Table: &Table{Region: "r"}, sendsFrom: now.Add(settle), nodes: before + 1, owner: i}
 					n.LimitPart = func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart { return n.part(rate, i, now) }
 					n.Put(now, instance("a"))
 					n.Limited(now, n.targets["a"], Limit{Named: true, Rate: rate})
 				}
 				n.live = live
-				n.learns = now.Add(time.Duration(rapid.IntRange(0, int(lag/time.Millisecond)).Draw(t, "lag")) * time.Millisecond)
+				n.learnsAt = now.Add(time.Duration(rapid.IntRange(0, int(lag/time.Millisecond)).Draw(t, "lag")) * time.Millisecond)
 				if rapid.IntRange(0, 5).Draw(t, "errs") == 0 {
-					n.errs = now.Add(lag)
+					n.mistakenUntil = now.Add(lag)
 				}
 				if live {
 					counted[i] = true
@@ -114,10 +114,10 @@
 		report := func() {
 			for i := range nodes {
 				n := &nodes[i]
-				if !now.Before(n.learns) {
+				if !now.Before(n.learnsAt) {
 					n.nodes, n.owner = len(counted), owner
 				}
-				if now.Before(n.errs) {
+				if now.Before(n.mistakenUntil) {
 					n.owner = i
 				}
 				if n.live {
@@ -126,7 +126,7 @@
 			}
 		}
 		var sends []time.Time
-		next := now.Add(5 * time.Second)
+		nextChange := now.Add(5 * time.Second)
 		for range rapid.IntRange(50, 400).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(1, 100).Draw(t, "ms")) * time.Millisecond)
 			if rapid.IntRange(0, 40).Draw(t, "pause") == 0 {
@@ -135,15 +135,15 @@
 					report()
 				}
 			}
-			if now.After(next) {
-				next = now.Add(lag + time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds"))*time.Second)
+			if now.After(nextChange) {
+				nextChange = now.Add(lag + time.Duration(rapid.IntRange(1, 8).Draw(t, "seconds"))*time.Second)
 				change()
 			}
 			report()
-			one := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one") // none: all at once, as the target looks idle to each
+			sender := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one") // none: all at once, as the target looks idle to each
 			for i := range nodes {
 				n := &nodes[i]
-				if n.live && (one < 0 || one == i) && chosen(n.Table, now, Need{}) != "" {
+				if n.live && (sender < 0 || sender == i) && bestTargetID(n.Table, now, Need{}) != "" {
 					sends = append(sends, now)
 				}
 			}
@@ -153,7 +153,7 @@
 }
 
 // The nodes of a region learn of a limit, and of its end, from the one that had the answer.
-func TestLimitIsReported(t *testing.T) {
+func TestLimitIsReportedBetweenNodes(t *testing.T) {
 	a, b, c := &Table{Region: "r"}, &Table{Region: "r"}, &Table{Region: "r"}
 	for _, table := range []*Table{a, b, c} {
 		table.Put(t0, instance("x"))
@@ -177,40 +177,40 @@
 }
 
 // An incarnation knows nothing of the limit that the one before named.
-func TestLimitEndsWithTheIncarnation(t *testing.T) {
+func TestNewIncarnationHasNoLimit(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
 	table.Put(t0, in)
 	table.Limited(t0, table.targets["a"], Limit{Named: true, Rate: 1})
-	assert.Equal(t, chosen(table, after(0), Need{}), "")
+	assert.Equal(t, bestTargetID(table, after(0), Need{}), "")
 	d, ok := table.RoomWait(after(0), "s")
 	assert.Assert(t, ok)
 	assert.Equal(t, d, time.Second)
-	assert.Equal(t, chosen(table, after(1000), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(1000), Need{}), "a")
 	in.Born++
 	table.Put(after(1001), in)
-	assert.Equal(t, chosen(table, after(1002), Need{}), "a")
-	assert.Equal(t, chosen(table, after(1002), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 }
 
 // Two of three targets name a limit. Small prompts that come first would use it up, and the
 // large ones would all be read by the third.
-func TestLargePromptsGetTheRoomOfLimitedTargets(t *testing.T) {
+func TestLargePromptsUseLimitedTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b", "c"} {
 		table.Put(t0, instance(id))
 	}
 	small, large := Need{Prompt: Prompt{Tokens: 500}}, Need{Prompt: Prompt{Tokens: 8000}}
 	for range 100 {
-		chosen(table, t0, small)
-		chosen(table, t0, large)
+		bestTargetID(table, t0, small)
+		bestTargetID(table, t0, large)
 	}
 	for _, id := range []string{"a", "b"} {
 		table.Limited(t0, table.targets[id], Limit{Named: true, Rate: 1})
 	}
 	sent := map[string]int{}
 	for ms := 0; ms < 20_000; ms += 50 {
-		sent[chosen(table, after(ms), small)]++
+		sent[bestTargetID(table, after(ms), small)]++
 	}
 	assert.DeepEqual(t, sent, map[string]int{"c": 400})
 	clear(sent)
@@ -222,7 +222,7 @@
 	}
 	assert.DeepEqual(t, sent, map[string]int{"a": 1, "b": 1, "c": 1})
 	table.Remove(after(20_001), "c", 1)
-	assert.Assert(t, chosen(table, after(23_000), small) != "", "no other target is left")
+	assert.Assert(t, bestTargetID(table, after(23_000), small) != "", "no other target is left")
 }
 
 // All targets of a large region name a limit: each request asks for each of them whether
@@ -249,7 +249,7 @@
 		if c, ok := table.Best(now, n); ok {
 			table.Done(now, c.Target, c, 0)
 		}
-		table.placed = table.placed[:0]
+		table.placements = table.placements[:0]
 	}
 }
 
@@ -269,14 +269,14 @@
 		id := fmt.Sprintf("t%02d", i)
 		table.Put(t0, instance(id))
 		if id != "t07" {
-			loads = append(loads, NodeLoad{Target: id, Calls: 2, Held: 8000})
+			loads = append(loads, NodeLoad{Target: id, Calls: 2, MemoryTokens: 8000})
 		}
 	}
 	table.Limited(t0, table.targets["t07"], Limit{Named: true, Rate: rate})
 	sent := 0
 	for ms := 0; ms < 1000*(seconds+4); ms += 100 {
 		table.Merge(after(ms), "other", loads, nil)
-		if chosen(table, after(ms), Need{Prompt: Prompt{Tokens: 8000}}) == "t07" {
+		if bestTargetID(table, after(ms), Need{Prompt: Prompt{Tokens: 8000}}) == "t07" {
 			sent++
 		}
 	}
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -10,14 +10,14 @@
 func (t *Table) ReportToRelay(now time.Time) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.removeExpired(now)
 	t.expireReports(now)
-	sums := make(map[*Target]sum, len(t.targets))
-	for _, w := range t.reports {
-		if w.relay {
+	sums := make(map[*Target]loadSum, len(t.targets))
+	for _, r := range t.reports {
+		if r.fromRelay {
 			continue
 		}
-		for _, l := range w.loads {
+		for _, l := range r.loads {
 			s := sums[l.Target]
 			s.add(l.NodeLoad, 1)
 			sums[l.Target] = s
@@ -26,13 +26,13 @@
 	for _, x := range t.targets {
 		if x.calls > 0 {
 			s := sums[x]
-			s.add(NodeLoad{Calls: x.calls, Work: x.work, Held: x.tokens}, 1)
+			s.add(NodeLoad{Calls: x.calls, Unread: x.unread, MemoryTokens: x.memoryInUse}, 1)
 			sums[x] = s
 		}
 	}
 	loads := make([]NodeLoad, 0, len(sums))
 	for x, s := range sums {
-		loads = append(loads, x.load(now, s))
+		loads = append(loads, x.nodeLoad(now, s))
 	}
 	return loads
 }
@@ -42,21 +42,21 @@
 func (t *Table) ReportTo(now time.Time, node string) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.removeExpired(now)
 	t.expireReports(now)
-	t.index()
+	t.buildIndex()
 	own := make(map[*Target]NodeLoad)
 	for _, l := range t.reports[node].loads {
 		own[l.Target] = l.NodeLoad
 	}
 	var loads []NodeLoad
-	for service := range t.places {
+	for service := range t.byRegion {
 		for _, x := range t.subset(subsetKey{service, t.Region, node}) {
-			s := x.others
+			s := x.othersLoad
 			s.add(own[x], -1)
-			s.add(NodeLoad{Calls: x.calls, Work: x.work, Held: x.tokens}, 1)
+			s.add(NodeLoad{Calls: x.calls, Unread: x.unread, MemoryTokens: x.memoryInUse}, 1)
 			if s.calls > 0 {
-				loads = append(loads, x.load(now, s))
+				loads = append(loads, x.nodeLoad(now, s))
 			}
 		}
 	}
@@ -64,16 +64,16 @@
 }
 
 // load returns a sum of loads at a target as it is reported.
-func (x *Target) load(now time.Time, s sum) NodeLoad {
-	l := NodeLoad{Target: x.ID, Calls: s.calls, Work: s.work, Held: s.held}
-	if gap, at := x.lastGap(); now.Sub(at) < othersAge {
+func (x *Target) nodeLoad(now time.Time, s loadSum) NodeLoad {
+	l := NodeLoad{Target: x.ID, Calls: s.calls, Unread: s.unread, MemoryTokens: s.memoryTokens}
+	if gap, at := x.latestGap(); now.Sub(at) < reportMaxAge {
 		l.Gap = gap.Milliseconds()
 	}
 	return l
 }
 
 // lastGap returns the time between two events that was seen or reported last.
-func (x *Target) lastGap() (time.Duration, time.Time) {
+func (x *Target) latestGap() (time.Duration, time.Time) {
 	if x.reportedGapAt.After(x.gapAt) {
 		return x.reportedGap, x.reportedGapAt
 	}
@@ -88,32 +88,32 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	knows := t.knownTo(node, toRelay)
-	type place struct {
+	type placeKey struct {
 		target string
 		part   uint64
 	}
-	sent := make(map[place]bool)
+	seen := make(map[placeKey]bool)
 	var placed []Placement
-	for i := len(t.placed) - 1; i >= 0 && len(placed) < maxRelayed; i-- {
-		p := t.placed[i]
+	for i := len(t.placements) - 1; i >= 0 && len(placed) < maxRelayed; i-- {
+		p := t.placements[i]
 		if now.Sub(p.at) > age {
 			break
 		}
-		if len(p.Parts) == 0 || toRelay && (p.relayed || p.away) || knows != nil && !p.away && !knows[p.Target] {
+		if len(p.Parts) == 0 || toRelay && (p.relayed || p.remote) || knows != nil && !p.remote && !knows[p.Target] {
 			continue
 		}
 		shared := p.Parts
-		if !p.away { // of another region only the shared parts are reported
+		if !p.remote { // of another region only the shared parts are reported
 			shared = p.Parts[:len(p.Parts)-1]
 		}
 		if len(shared) == 0 {
 			continue
 		}
-		at := place{p.Target, shared[len(shared)-1].ID}
-		if sent[at] {
+		key := placeKey{p.Target, shared[len(shared)-1].ID}
+		if seen[key] {
 			continue
 		}
-		sent[at] = true
+		seen[key] = true
 		placed = append(placed, Placement{Target: p.Target, Parts: shared})
 	}
 	return placed
@@ -121,16 +121,16 @@
 
 // knownTo returns the targets of the own region that a node knows, nil for all.
 func (t *Table) knownTo(node string, relay bool) map[string]bool {
-	t.index()
-	most := 0
-	for _, regions := range t.places {
-		most = max(most, len(regions[t.Region]))
+	t.buildIndex()
+	maxTargets := 0
+	for _, regions := range t.byRegion {
+		maxTargets = max(maxTargets, len(regions[t.Region]))
 	}
-	if relay || most <= localSubset {
+	if relay || maxTargets <= localSubset {
 		return nil
 	}
 	known := make(map[string]bool)
-	for service := range t.places {
+	for service := range t.byRegion {
 		for _, x := range t.subset(subsetKey{service, t.Region, node}) {
 			known[x.ID] = true
 		}
@@ -141,11 +141,11 @@
 // Loads is a list of NodeLoad by columns, as nodes report it: a name of a column
 // is written once and not for each target.
 type Loads struct {
-	Targets []string `json:"targets"`
-	Calls   []int    `json:"calls"`
-	Work    []work   `json:"work"`
-	Held    []int    `json:"held"`
-	Gaps    []int64  `json:"gaps"`
+	Targets      []string           `json:"targets"`
+	Calls        []int              `json:"calls"`
+	Unread       []tokensByPriority `json:"work"`
+	MemoryTokens []int              `json:"held"`
+	Gaps         []int64            `json:"gaps"`
 }
 
 // Columns returns a list by columns, nil for an empty one.
@@ -154,11 +154,11 @@
 		return nil
 	}
 	c := &Loads{
-		Targets: make([]string, len(list)), Calls: make([]int, len(list)), Work: make([]work, len(list)),
-		Held: make([]int, len(list)), Gaps: make([]int64, len(list)),
+		Targets: make([]string, len(list)), Calls: make([]int, len(list)), Unread: make([]tokensByPriority, len(list)),
+		MemoryTokens: make([]int, len(list)), Gaps: make([]int64, len(list)),
 	}
 	for i, l := range list {
-		c.Targets[i], c.Calls[i], c.Work[i], c.Held[i], c.Gaps[i] = l.Target, l.Calls, l.Work, l.Held, l.Gap
+		c.Targets[i], c.Calls[i], c.Unread[i], c.MemoryTokens[i], c.Gaps[i] = l.Target, l.Calls, l.Unread, l.MemoryTokens, l.Gap
 	}
 	return c
 }
@@ -168,10 +168,10 @@
 	if c == nil {
 		return nil
 	}
-	n := min(len(c.Targets), len(c.Calls), len(c.Work), len(c.Held), len(c.Gaps))
+	n := min(len(c.Targets), len(c.Calls), len(c.Unread), len(c.MemoryTokens), len(c.Gaps))
 	list := make([]NodeLoad, n)
 	for i := range n {
-		list[i] = NodeLoad{Target: c.Targets[i], Calls: c.Calls[i], Work: c.Work[i], Held: c.Held[i], Gap: c.Gaps[i]}
+		list[i] = NodeLoad{Target: c.Targets[i], Calls: c.Calls[i], Unread: c.Unread[i], MemoryTokens: c.MemoryTokens[i], Gap: c.Gaps[i]}
 	}
 	return list
 }
--- a/core/jwinstance/relay_test.go
+++ b/core/jwinstance/relay_test.go
@@ -18,26 +18,26 @@
 func TestLoadsThroughRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		const centres, nodes = 2, 3
-		tables := make([][]*Table, centres)
+		const dataCentres, nodes = 2, 3
+		tables := make([][]*Table, dataCentres)
 		total := 0
 		own := make(map[*Table]int)
-		for d := range centres {
+		for d := range dataCentres {
 			for n := range nodes {
-				x := &Table{Region: "r"}
-				x.Put(now, Instance{ID: "t", Service: "s", Region: "r", Slots: 4})
+				table := &Table{Region: "r"}
+				table.Put(now, Instance{ID: "t", Service: "s", Region: "r", Slots: 4})
 				calls := rapid.IntRange(0, 5).Draw(t, fmt.Sprintf("calls %d %d", d, n))
 				for range calls {
-					_, ok := x.Best(now, Need{Service: "s"})
+					_, ok := table.Best(now, Need{Service: "s"})
 					assert.Assert(t, ok)
 				}
-				own[x], total = calls, total+calls
-				tables[d] = append(tables[d], x)
+				own[table], total = calls, total+calls
+				tables[d] = append(tables[d], table)
 			}
 		}
 		name := func(d, n int) string { return fmt.Sprintf("%d-%d", d, n) }
 		for range rapid.IntRange(2, 6).Draw(t, "rounds") {
-			for d := range centres {
+			for d := range dataCentres {
 				relay := tables[d][0]
 				for n := 1; n < nodes; n++ {
 					loads, _ := tables[d][n].Report(now)
@@ -48,20 +48,20 @@
 			tables[0][0].MergeRelay(now, name(1, 0), tables[1][0].ReportToRelay(now), nil)
 			tables[1][0].MergeRelay(now, name(0, 0), tables[0][0].ReportToRelay(now), nil)
 		}
-		for d := range centres {
+		for d := range dataCentres {
 			for n := range nodes {
-				x := tables[d][n]
-				if got := x.targets["t"].others.calls; got != total-own[x] && n == 0 {
-					t.Fatalf("relay %d counts %d calls of others, there are %d", d, got, total-own[x])
+				table := tables[d][n]
+				if got := table.targets["t"].othersLoad.calls; got != total-own[table] && n == 0 {
+					t.Fatalf("relay %d counts %d calls of others, there are %d", d, got, total-own[table])
 				}
 			}
 		}
-		for d := range centres { // the next exchange brings the rest to the others
+		for d := range dataCentres { // the next exchange brings the rest to the others
 			for n := 1; n < nodes; n++ {
-				x := tables[d][n]
-				x.MergeRelay(now, name(d, 0), tables[d][0].ReportTo(now, name(d, n)), nil)
-				if got := x.targets["t"].others.calls; got != total-own[x] {
-					t.Fatalf("node %s counts %d calls of others, there are %d", name(d, n), got, total-own[x])
+				table := tables[d][n]
+				table.MergeRelay(now, name(d, 0), tables[d][0].ReportTo(now, name(d, n)), nil)
+				if got := table.targets["t"].othersLoad.calls; got != total-own[table] {
+					t.Fatalf("node %s counts %d calls of others, there are %d", name(d, n), got, total-own[table])
 				}
 			}
 		}
@@ -69,11 +69,11 @@
 }
 
 // What relays tell each other of prompts must not go round between them.
-func TestPlacementsEndAtRelays(t *testing.T) {
+func TestPlacementsAreRelayedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
-	one := &Table{Region: "r"}
+	relay := &Table{Region: "r"}
 	for _, region := range []string{"r", "far"} {
-		one.Put(now, Instance{ID: "t-" + region, Service: "s", Region: region})
+		relay.Put(now, Instance{ID: "t-" + region, Service: "s", Region: region})
 	}
 	shared := []Part{{1, 500}, {2, 900}, {3, 10}}
 	placement := func(target string, first uint64) Placement {
@@ -81,8 +81,8 @@
 		parts[0].ID = first
 		return Placement{Target: target, Parts: parts}
 	}
-	one.Merge(now, "node", nil, []Placement{placement("t-r", 10)})
-	one.MergeRelay(now, "relay", nil, []Placement{placement("t-r", 20), placement("t-far", 30)})
+	relay.Merge(now, "node", nil, []Placement{placement("t-r", 10)})
+	relay.MergeRelay(now, "relay", nil, []Placement{placement("t-r", 20), placement("t-far", 30)})
 	firsts := func(list []Placement) string {
 		var ids []string
 		for _, p := range list {
@@ -91,10 +91,10 @@
 		slices.Sort(ids)
 		return strings.Join(ids, " ")
 	}
-	one.placed[1].Parts[1].ID = 4 // not the same part as the first
-	assert.Equal(t, firsts(one.Relayed(now, time.Second, "2", true)), "10")
-	assert.Equal(t, firsts(one.Relayed(now, time.Second, "2", false)), "10 20 30")
-	assert.Equal(t, len(one.Relayed(now.Add(2*time.Second), time.Second, "2", false)), 0)
+	relay.placements[1].Parts[1].ID = 4 // not the same part as the first
+	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", true)), "10")
+	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", false)), "10 20 30")
+	assert.Equal(t, len(relay.Relayed(now.Add(2*time.Second), time.Second, "2", false)), 0)
 }
 
 // Columns must bring back what they were made of, and never fail on what a node of
@@ -105,7 +105,7 @@
 		var places []Placement
 		for i := range rapid.IntRange(0, 5).Draw(t, "n") {
 			n := rapid.IntRange(0, 9).Draw(t, "figure")
-			loads = append(loads, NodeLoad{Target: fmt.Sprint(i), Calls: n, Work: work{n, 0, 1}, Held: n, Gap: int64(n)})
+			loads = append(loads, NodeLoad{Target: fmt.Sprint(i), Calls: n, Unread: tokensByPriority{n, 0, 1}, MemoryTokens: n, Gap: int64(n)})
 			p := Placement{Target: fmt.Sprint(n)}
 			for k := range n {
 				p.Parts = append(p.Parts, Part{uint64(k), k})
@@ -132,15 +132,15 @@
 
 // What a relay reports to one node at full size: 75 nodes of a region, half of them in its
 // data centre, 250 targets, three hundred placements since the last report.
-func BenchmarkRelayWord(b *testing.B) {
+func BenchmarkRelayReport(b *testing.B) {
 	now := time.Unix(1000, 0)
-	x := &Table{Region: "r"}
+	table := &Table{Region: "r"}
 	var loads []NodeLoad
 	for i := range 250 {
 		id := fmt.Sprintf("i-%010x", i)
-		x.Put(now, Instance{ID: id, Service: "s", Region: "r", Slots: 12})
+		table.Put(now, Instance{ID: id, Service: "s", Region: "r", Slots: 12})
 		if i%4 == 0 {
-			loads = append(loads, NodeLoad{Target: id, Calls: 1, Work: work{0, 0, 2890}, Held: 3000, Gap: 40})
+			loads = append(loads, NodeLoad{Target: id, Calls: 1, Unread: tokensByPriority{0, 0, 2890}, MemoryTokens: 3000, Gap: 40})
 		}
 	}
 	for n := range 37 {
@@ -151,7 +151,7 @@
 				Parts:  []Part{{uint64(i), 500}, {uint64(n*100 + i), 5000}, {uint64(n*1000 + i), 2000}},
 			})
 		}
-		x.Merge(now, fmt.Sprint(n), loads, placed)
+		table.Merge(now, fmt.Sprint(n), loads, placed)
 	}
 	b.ReportAllocs()
 	bytes := 0
@@ -159,7 +159,7 @@
 		raw, err := json.Marshal(struct {
 			Loads  *Loads
 			Placed *Places
-		}{Columns(x.ReportTo(now, "1")), PlaceColumns(x.Relayed(now, time.Second, "2", false))})
+		}{Columns(table.ReportTo(now, "1")), PlaceColumns(table.Relayed(now, time.Second, "2", false))})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -4,27 +4,27 @@
 
 const (
 	// othersAge is how long the load that another node reported counts.
-	othersAge = time.Second
+	reportMaxAge = time.Second
 	// placedAge is how long a placement is reported to the others: several
 	// exchanges, as one may be lost.
-	placedAge = 400 * time.Millisecond
+	placementMaxAge = 400 * time.Millisecond
 	// farAge is the same for nodes of other regions, which exchange state once a second.
-	farAge = 1300 * time.Millisecond
+	remotePlacementMaxAge = 1300 * time.Millisecond
 )
 
 // ranks is how many ranks of urgency are reported apart; all beyond are the last.
-const ranks = 3
+const priorityLevels = 3
 
 // work is prompt tokens by the rank of their requests.
-type work [ranks]int
+type tokensByPriority [priorityLevels]int
 
-func rank(priority int) int { return min(max(priority, 0), ranks-1) }
+func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
 // before returns the tokens that are read before a request of a priority: an
 // engine takes the more urgent ones first.
-func (w work) before(priority int) int {
+func (w tokensByPriority) upTo(priority int) int {
 	n := 0
-	for _, tokens := range w[:rank(priority)+1] {
+	for _, tokens := range w[:priorityLevel(priority)+1] {
 		n += tokens
 	}
 	return n
@@ -32,18 +32,18 @@
 
 // NodeLoad is what a node has in flight at one target.
 type NodeLoad struct {
-	Target string `json:"target"`
-	Calls  int    `json:"calls"`
-	Work   work   `json:"work"`           // prompt tokens without a first event
-	Held   int    `json:"held,omitempty"` // tokens of memory
-	Gap    int64  `json:"gap,omitempty"`  // milliseconds between two events
+	Target       string           `json:"target"`
+	Calls        int              `json:"calls"`
+	Unread       tokensByPriority `json:"work"`           // prompt tokens without a first event
+	MemoryTokens int              `json:"held,omitempty"` // tokens of memory
+	Gap          int64            `json:"gap,omitempty"`  // milliseconds between two events
 }
 
 // nodeReport is what another node of the region reported last.
 type nodeReport struct {
-	at    time.Time
-	relay bool // it is the report of a relay, with what others reported to it
-	loads []targetLoad
+	at        time.Time
+	fromRelay bool // it is the report of a relay, with what others reported to it
+	loads     []targetLoad
 }
 
 type targetLoad struct {
@@ -53,56 +53,58 @@
 
 // Placement says which parts of a prompt were sent to a target.
 type Placement struct {
-	Target  string `json:"target"`
-	Parts   []Part `json:"parts"`
-	at      time.Time
-	seenAt  bool // from another node of the region
-	relayed bool // from a relay, which passes it on to others itself
-	away    bool // at a target of another region
+	Target   string `json:"target"`
+	Parts    []Part `json:"parts"`
+	at       time.Time
+	received bool // from another node of the region
+	relayed  bool // from a relay, which passes it on to others itself
+	remote   bool // at a target of another region
 }
 
 // place notes that a prompt was sent to a target.
-func (t *Table) place(now time.Time, x *Target, p Prompt) {
+func (t *Table) recordPlacement(now time.Time, x *Target, p Prompt) {
 	if len(p.Parts) == 0 {
 		return
 	}
-	x.cache.use(p.Parts, x.capacity)
-	t.keep(now, Placement{Target: x.ID, Parts: p.Parts, at: now})
+	x.cache.markUsed(p.Parts, x.capacity)
+	t.addPlacement(now, Placement{Target: x.ID, Parts: p.Parts, at: now})
 }
 
 // keep holds a placement as long as it is reported to others.
-func (t *Table) keep(now time.Time, p Placement) {
-	t.placed = append(t.placed, p)
-	old := 0
-	for old < len(t.placed) && now.Sub(t.placed[old].at) > farAge {
-		old++
+func (t *Table) addPlacement(now time.Time, p Placement) {
+	t.placements = append(t.placements, p)
+	expired := 0
+	for expired < len(t.placements) && now.Sub(t.placements[expired].at) > remotePlacementMaxAge {
+		expired++
 	}
-	t.placed = append(t.placed[:0], t.placed[old:]...)
+	t.placements = append(t.placements[:0], t.placements[expired:]...)
 }
 
 // Report returns what goes to the other nodes of the region: this node's
 // load at each target, and where it sent which prompts a moment ago.
-func (t *Table) Report(now time.Time) ([]NodeLoad, []Placement) { return t.ReportSince(now, placedAge) }
+func (t *Table) Report(now time.Time) ([]NodeLoad, []Placement) {
+	return t.ReportSince(now, placementMaxAge)
+}
 
 // ReportSince returns the same with the placements of an age.
 func (t *Table) ReportSince(now time.Time, age time.Duration) ([]NodeLoad, []Placement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.removeExpired(now)
 	t.expireReports(now)
 	var loads []NodeLoad
 	for _, x := range t.targets {
 		if x.calls > 0 {
-			l := NodeLoad{Target: x.ID, Calls: x.calls, Work: x.work, Held: x.tokens}
-			if now.Sub(x.gapAt) < placedAge {
+			l := NodeLoad{Target: x.ID, Calls: x.calls, Unread: x.unread, MemoryTokens: x.memoryInUse}
+			if now.Sub(x.gapAt) < placementMaxAge {
 				l.Gap = x.gap.Milliseconds()
 			}
 			loads = append(loads, l)
 		}
 	}
 	var placed []Placement
-	for _, p := range t.placed {
-		if !p.seenAt && now.Sub(p.at) <= age {
+	for _, p := range t.placements {
+		if !p.received && now.Sub(p.at) <= age {
 			placed = append(placed, p)
 		}
 	}
@@ -117,14 +119,14 @@
 	defer t.mu.Unlock()
 	var placed []Placement
 	sent := make(map[uint64]bool)
-	for i := len(t.placed) - 1; i >= 0; i-- {
-		p := t.placed[i]
-		if now.Sub(p.at) > farAge || len(p.Parts) < 2 || p.away {
+	for i := len(t.placements) - 1; i >= 0; i-- {
+		p := t.placements[i]
+		if now.Sub(p.at) > remotePlacementMaxAge || len(p.Parts) < 2 || p.remote {
 			continue
 		}
 		shared := p.Parts[:len(p.Parts)-1] // the last one belongs to one caller
 		last := shared[len(shared)-1]
-		if sent[last.ID] || last.Tokens < leastFetch {
+		if sent[last.ID] || last.Tokens < minFetchTokens {
 			continue
 		}
 		sent[last.ID] = true
@@ -149,13 +151,13 @@
 	defer t.mu.Unlock()
 	t.dropReport(node)
 	t.expireReports(now)
-	report := nodeReport{at: now, relay: relay}
+	report := nodeReport{at: now, fromRelay: relay}
 	for _, l := range loads {
 		x := t.targets[l.Target]
 		if x == nil {
 			continue
 		}
-		x.others.add(l, 1)
+		x.othersLoad.add(l, 1)
 		if l.Gap > 0 {
 			x.reportedGap, x.reportedGapAt = time.Duration(l.Gap)*time.Millisecond, now
 		}
@@ -171,17 +173,17 @@
 			continue
 		}
 		if t.knows(x) {
-			x.cache.use(p.Parts, x.capacity)
+			x.cache.markUsed(p.Parts, x.capacity)
 		}
-		p.at, p.seenAt, p.relayed, p.away = now, true, relay, x.Region != t.Region
-		t.keep(now, p)
+		p.at, p.received, p.relayed, p.remote = now, true, relay, x.Region != t.Region
+		t.addPlacement(now, p)
 	}
 }
 
 // coldDrift is by how much a target must be colder by the report of another node
 // than by this one's: less is the way between them, and nodes that took each
 // other's report would keep it cold for ever.
-const coldDrift = 50 * time.Millisecond
+const coldReportTolerance = 50 * time.Millisecond
 
 // ReportCold returns how many milliseconds each cold target of the region stays
 // so: one that goes cold without a registration is noticed by one node only.
@@ -190,7 +192,7 @@
 	defer t.mu.Unlock()
 	var cold map[string]int64
 	for _, x := range t.targets {
-		if left := x.coldUntil.Sub(now); left > 0 && x.Region == t.Region && x.gone.IsZero() {
+		if left := x.coldUntil.Sub(now); left > 0 && x.Region == t.Region && x.goneAt.IsZero() {
 			if cold == nil {
 				cold = make(map[string]int64)
 			}
@@ -206,7 +208,7 @@
 	defer t.mu.Unlock()
 	for id, ms := range cold {
 		left := time.Duration(ms) * time.Millisecond
-		if x := t.targets[id]; x != nil && x.coldUntil.Sub(now) < left-coldDrift {
+		if x := t.targets[id]; x != nil && x.coldUntil.Sub(now) < left-coldReportTolerance {
 			x.coldUntil = now.Add(left)
 		}
 	}
@@ -224,7 +226,7 @@
 			continue
 		}
 		if x.limit.Named {
-			if !t.limitRoom(now, x) {
+			if !t.limitAllows(now, x) {
 				continue
 			}
 			x.limit.bucket.Take()
@@ -246,7 +248,7 @@
 // dropReport takes a node's loads out of the sums.
 func (t *Table) dropReport(node string) {
 	for _, l := range t.reports[node].loads {
-		l.Target.others.add(l.NodeLoad, -1)
+		l.Target.othersLoad.add(l.NodeLoad, -1)
 	}
 	delete(t.reports, node)
 }
@@ -254,7 +256,7 @@
 // expireReports forgets the nodes that have reported nothing for othersAge.
 func (t *Table) expireReports(now time.Time) {
 	for node, report := range t.reports {
-		if now.Sub(report.at) >= othersAge {
+		if now.Sub(report.at) >= reportMaxAge {
 			t.dropReport(node)
 		}
 	}
@@ -262,16 +264,16 @@
 
 // sum is what the other nodes of the region have at a target. It is kept, and
 // not added up for each decision: a region of full size has some 75 nodes.
-type sum struct {
-	calls int
-	work  work
-	held  int
+type loadSum struct {
+	calls        int
+	unread       tokensByPriority
+	memoryTokens int
 }
 
-func (s *sum) add(l NodeLoad, sign int) {
+func (s *loadSum) add(l NodeLoad, sign int) {
 	s.calls += sign * l.Calls
-	s.held += sign * l.Held
-	for i, tokens := range l.Work {
-		s.work[i] += sign * tokens
+	s.memoryTokens += sign * l.MemoryTokens
+	for i, tokens := range l.Unread {
+		s.unread[i] += sign * tokens
 	}
 }
--- a/core/jwinstance/subset.go
+++ b/core/jwinstance/subset.go
@@ -24,17 +24,17 @@
 
 // subset is the targets that a node knows, those that rank highest first.
 type subset struct {
-	ranks []uint64 // nil where it has all targets of the region
-	list  []*Target
+	scores []uint64 // nil where it has all targets of the region
+	list   []*Target
 }
 
 // of returns the targets of a service that this node knows: its subsets of all regions,
 // by name.
-func (t *Table) of(service string) []*Target {
-	t.index()
+func (t *Table) knownTargets(service string) []*Target {
+	t.buildIndex()
 	list, ok := t.known[service]
 	if !ok {
-		for region := range t.places[service] {
+		for region := range t.byRegion[service] {
 			list = append(list, t.subset(subsetKey{service, region, t.Node})...)
 		}
 		sortByID(list)
@@ -47,14 +47,14 @@
 // highest for it by rendezvous hashing, so that all nodes agree on them and few change
 // when a target comes or goes.
 func (t *Table) subset(k subsetKey) []*Target {
-	t.index()
-	all := t.places[k.service][k.region]
+	t.buildIndex()
+	all := t.byRegion[k.service][k.region]
 	if len(all) <= localSubset {
 		return all
 	}
 	s, ok := t.subsets[k]
 	if !ok {
-		s = t.rankAll(k, all)
+		s = t.selectSubset(k, all)
 		t.subsets[k] = s
 	}
 	return s.list
@@ -68,35 +68,35 @@
 	return remoteSubset
 }
 
-func (t *Table) rankAll(k subsetKey, all []*Target) *subset {
-	type ranked struct {
+func (t *Table) selectSubset(k subsetKey, all []*Target) *subset {
+	type scored struct {
 		rank uint64
 		x    *Target
 	}
 	node := jwtarget.NameKey(k.node)
-	order := make([]ranked, len(all))
+	order := make([]scored, len(all))
 	for i, x := range all {
-		order[i] = ranked{jwtarget.Mix(x.key, node), x}
+		order[i] = scored{jwtarget.Mix(x.nameHash, node), x}
 	}
-	slices.SortFunc(order, func(a, b ranked) int { return cmp.Compare(b.rank, a.rank) })
-	most := t.subsetSize(k.region)
-	s := &subset{ranks: make([]uint64, most), list: make([]*Target, most)}
-	for i := range most {
-		s.ranks[i], s.list[i] = order[i].rank, order[i].x
+	slices.SortFunc(order, func(a, b scored) int { return cmp.Compare(b.rank, a.rank) })
+	size := t.subsetSize(k.region)
+	s := &subset{scores: make([]uint64, size), list: make([]*Target, size)}
+	for i := range size {
+		s.scores[i], s.list[i] = order[i].rank, order[i].x
 	}
 	return s
 }
 
 // insert brings a new target into the order, and into the subsets that it ranks high for.
-func (t *Table) insert(x *Target) {
-	t.slots = nil
-	if t.places == nil {
+func (t *Table) addToIndex(x *Target) {
+	t.usableSlots = nil
+	if t.byRegion == nil {
 		return
 	}
-	regions := t.places[x.Service]
+	regions := t.byRegion[x.Service]
 	if regions == nil {
 		regions = make(map[string][]*Target)
-		t.places[x.Service] = regions
+		t.byRegion[x.Service] = regions
 	}
 	list := regions[x.Region]
 	i, _ := slices.BinarySearchFunc(list, x, byID)
@@ -106,7 +106,7 @@
 		return
 	}
 	for k, s := range t.subsets {
-		if k.service == x.Service && k.region == x.Region && s.add(jwtarget.Mix(x.key, jwtarget.NameKey(k.node)), x) && k.node == t.Node {
+		if k.service == x.Service && k.region == x.Region && s.add(jwtarget.Mix(x.nameHash, jwtarget.NameKey(k.node)), x) && k.node == t.Node {
 			delete(t.known, x.Service)
 		}
 	}
@@ -116,30 +116,30 @@
 }
 
 // add takes a target in place of the last one, if it ranks higher.
-func (s *subset) add(rank uint64, x *Target) bool {
-	last := len(s.ranks) - 1
-	if rank <= s.ranks[last] {
+func (s *subset) add(score uint64, x *Target) bool {
+	last := len(s.scores) - 1
+	if score <= s.scores[last] {
 		return false
 	}
-	i, _ := slices.BinarySearchFunc(s.ranks, rank, func(a, b uint64) int { return cmp.Compare(b, a) })
-	s.ranks = slices.Insert(s.ranks[:last], i, rank)
+	i, _ := slices.BinarySearchFunc(s.scores, score, func(a, b uint64) int { return cmp.Compare(b, a) })
+	s.scores = slices.Insert(s.scores[:last], i, score)
 	s.list = slices.Insert(s.list[:last], i, x)
 	return true
 }
 
 // replace puts a target that began anew in the place of the one before.
-func (t *Table) replace(old, x *Target) {
+func (t *Table) replaceInIndex(old, x *Target) {
 	if old.Service != x.Service || old.Region != x.Region {
-		t.reindex()
+		t.invalidateIndex()
 		return
 	}
-	t.slots = nil
+	t.usableSlots = nil
 	put := func(list []*Target) {
 		if i := slices.Index(list, old); i >= 0 {
 			list[i] = x
 		}
 	}
-	put(t.places[x.Service][x.Region])
+	put(t.byRegion[x.Service][x.Region])
 	put(t.known[x.Service])
 	for k, s := range t.subsets {
 		if k.service == x.Service && k.region == x.Region {
@@ -149,14 +149,14 @@
 }
 
 // remove takes a target out of the order.
-func (t *Table) remove(x *Target) {
-	t.slots = nil
-	list := t.places[x.Service][x.Region]
+func (t *Table) removeFromIndex(x *Target) {
+	t.usableSlots = nil
+	list := t.byRegion[x.Service][x.Region]
 	i := slices.Index(list, x)
 	if i < 0 {
 		return
 	}
-	t.places[x.Service][x.Region] = slices.Delete(list, i, i+1)
+	t.byRegion[x.Service][x.Region] = slices.Delete(list, i, i+1)
 	delete(t.known, x.Service)
 	for k, s := range t.subsets {
 		if k.service == x.Service && k.region == x.Region && (len(list)-1 <= localSubset || slices.Contains(s.list, x)) {
@@ -177,12 +177,12 @@
 func (t *Table) Known(now time.Time) []Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.index()
+	t.buildIndex()
 	var list []Instance
-	for service := range t.places {
+	for service := range t.byRegion {
 		for _, x := range t.subset(subsetKey{service, t.Region, t.Node}) {
-			if x.gone.IsZero() {
-				list = append(list, x.instance(now))
+			if x.goneAt.IsZero() {
+				list = append(list, x.registration(now))
 			}
 		}
 	}
@@ -192,27 +192,27 @@
 
 // knows reports whether this node chooses among others and a target.
 func (t *Table) knows(x *Target) bool {
-	t.index()
+	t.buildIndex()
 	return t.knownBy(x, t.Node)
 }
 
 // index sorts the targets by service and region, if any came or went since.
-func (t *Table) index() {
-	if t.places != nil {
+func (t *Table) buildIndex() {
+	if t.byRegion != nil {
 		return
 	}
-	t.places = make(map[string]map[string][]*Target)
+	t.byRegion = make(map[string]map[string][]*Target)
 	t.known = make(map[string][]*Target)
 	t.subsets = make(map[subsetKey]*subset)
 	for _, x := range t.targets {
-		regions := t.places[x.Service]
+		regions := t.byRegion[x.Service]
 		if regions == nil {
 			regions = make(map[string][]*Target)
-			t.places[x.Service] = regions
+			t.byRegion[x.Service] = regions
 		}
 		regions[x.Region] = append(regions[x.Region], x)
 	}
-	for _, regions := range t.places {
+	for _, regions := range t.byRegion {
 		for _, list := range regions {
 			sortByID(list)
 		}
@@ -220,29 +220,29 @@
 }
 
 // reindex forgets the order of targets.
-func (t *Table) reindex() { t.places, t.slots = nil, nil }
+func (t *Table) invalidateIndex() { t.byRegion, t.usableSlots = nil, nil }
 
 // Regions returns how many usable slots a service has in each region. It must not be
 // changed.
 func (t *Table) Regions(service string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if slots, ok := t.slots[service]; ok {
+	if slots, ok := t.usableSlots[service]; ok {
 		return slots
 	}
-	t.index()
+	t.buildIndex()
 	slots := make(map[string]int)
-	for region, list := range t.places[service] {
+	for region, list := range t.byRegion[service] {
 		for _, x := range list {
-			if x.gone.IsZero() && !x.Draining && !x.Leaving && !t.evacuated[x.DataCentre] {
+			if x.goneAt.IsZero() && !x.Draining && !x.Leaving && !t.evacuated[x.DataCentre] {
 				slots[region] += max(x.Slots, 1)
 			}
 		}
 	}
-	if t.slots == nil {
-		t.slots = make(map[string]map[string]int)
+	if t.usableSlots == nil {
+		t.usableSlots = make(map[string]map[string]int)
 	}
-	t.slots[service] = slots
+	t.usableSlots[service] = slots
 	return slots
 }
 
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -24,7 +24,7 @@
 	const nodes, targets = 100, 1000
 	known := make(map[string]int)
 	for i := range nodes {
-		list := table(fmt.Sprint("n", i), targets).of("s")
+		list := table(fmt.Sprint("n", i), targets).knownTargets("s")
 		assert.Equal(t, len(list), localSubset)
 		for _, x := range list {
 			known[x.ID]++
@@ -40,11 +40,11 @@
 	relay := table("relay", targets)
 	for _, x := range relay.targets {
 		relay.reports = map[string]nodeReport{"other": {at: now}}
-		x.others.add(NodeLoad{Calls: 1}, 1)
+		x.othersLoad.add(NodeLoad{Calls: 1}, 1)
 	}
 	assert.Equal(t, len(relay.ReportTo(now, "n7")), localSubset)
 	seven := make(map[string]bool)
-	for _, x := range table("n7", targets).of("s") {
+	for _, x := range table("n7", targets).knownTargets("s") {
 		seven[x.ID] = true
 	}
 	for _, l := range relay.ReportTo(now, "n7") {
@@ -53,29 +53,29 @@
 }
 
 // All targets of a small region are known to all.
-func TestNoSubsetsOfFewTargets(t *testing.T) {
-	x := &Table{Node: "n", Region: "r"}
+func TestSmallRegionHasNoSubsets(t *testing.T) {
+	table := &Table{Node: "n", Region: "r"}
 	for i := range localSubset {
-		x.Put(time.Unix(1000, 0), Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r"})
+		table.Put(time.Unix(1000, 0), Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r"})
 	}
-	assert.Equal(t, len(x.of("s")), localSubset)
+	assert.Equal(t, len(table.knownTargets("s")), localSubset)
 }
 
 // When a target comes or goes, next to nothing else changes for a node.
-func TestSubsetsStay(t *testing.T) {
+func TestSubsetsAreStable(t *testing.T) {
 	now := time.Unix(1000, 0)
-	x := &Table{Node: "n", Region: "r"}
+	table := &Table{Node: "n", Region: "r"}
 	for i := range 500 {
-		x.Put(now, Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r", Slots: 1})
+		table.Put(now, Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r", Slots: 1})
 	}
 	before := make(map[*Target]bool)
-	for _, y := range x.of("s") {
-		before[y] = true
+	for _, x := range table.knownTargets("s") {
+		before[x] = true
 	}
-	x.Put(now, Instance{ID: "new", Service: "s", Region: "r", Slots: 1})
+	table.Put(now, Instance{ID: "new", Service: "s", Region: "r", Slots: 1})
 	changed := 0
-	for _, y := range x.of("s") {
-		if !before[y] {
+	for _, x := range table.knownTargets("s") {
+		if !before[x] {
 			changed++
 		}
 	}
@@ -84,37 +84,37 @@
 
 // The order of targets that is kept as they come, begin anew and go must be the one that
 // is made from all of them.
-func TestOrderIsKept(t *testing.T) {
+func TestIndexMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		x := &Table{Node: "n", Region: "r0"}
+		table := &Table{Node: "n", Region: "r0"}
 		for i := range rapid.IntRange(0, 80).Draw(t, "targets") {
-			x.Put(now, Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r0"})
+			table.Put(now, Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r0"})
 		}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprint("t", rapid.IntRange(0, 150).Draw(t, "target"))
 			in := Instance{ID: id, Service: rapid.SampledFrom([]string{"s", "s", "s", "z"}).Draw(t, "service"), Region: fmt.Sprint("r", rapid.IntRange(0, 1).Draw(t, "region")), Revision: 1}
 			in.Born = int64(rapid.IntRange(0, 2).Draw(t, "born"))
 			if rapid.IntRange(0, 2).Draw(t, "goes") == 0 {
-				x.Remove(now, id, 9)
-				now = now.Add(2 * forget)
-				x.Report(now) // which forgets what is gone
+				table.Remove(now, id, 9)
+				now = now.Add(2 * recordRetention)
+				table.Report(now) // which forgets what is gone
 			} else {
-				x.Put(now, in)
+				table.Put(now, in)
 			}
-			x.of("s")
-			x.subset(subsetKey{"s", "r0", "other"})
-			whole := &Table{Node: "n", Region: "r0", targets: x.targets}
+			table.knownTargets("s")
+			table.subset(subsetKey{"s", "r0", "other"})
+			rebuilt := &Table{Node: "n", Region: "r0", targets: table.targets}
 			for _, k := range []subsetKey{{"s", "r0", "n"}, {"s", "r1", "n"}, {"s", "r0", "other"}, {"z", "r0", "n"}} {
-				got, want := slices.Clone(x.subset(k)), slices.Clone(whole.subset(k))
+				got, want := slices.Clone(table.subset(k)), slices.Clone(rebuilt.subset(k))
 				sortByID(got)
 				sortByID(want)
 				if !slices.Equal(got, want) {
 					t.Fatalf("%v: %d targets, want %d", k, len(got), len(want))
 				}
 			}
-			if !slices.Equal(x.of("s"), whole.of("s")) {
-				t.Fatalf("known: %d targets, want %d", len(x.of("s")), len(whole.of("s")))
+			if !slices.Equal(table.knownTargets("s"), rebuilt.knownTargets("s")) {
+				t.Fatalf("known: %d targets, want %d", len(table.knownTargets("s")), len(rebuilt.knownTargets("s")))
 			}
 		}
 	})
@@ -122,7 +122,7 @@
 
 // A registration that says what the one before said is no change: relays pass on the
 // others only.
-func TestRegistrationsThatChangeNothing(t *testing.T) {
+func TestPutReportsChange(t *testing.T) {
 	at := time.Unix(1000, 0)
 	first := Instance{ID: "t", Service: "s", Region: "r", Slots: 4, Cold: 3 * time.Second, Revision: 1}
 	with := func(change func(*Instance)) Instance {
@@ -137,18 +137,18 @@
 	}{
 		"the same":              {with(func(*Instance) {}), Same},
 		"a little later":        {with(func(in *Instance) { in.Cold -= 400 * time.Millisecond }), Same},
-		"cold anew":             {with(func(in *Instance) { in.Cold = 3 * time.Second }), Renewed},
-		"warm at once":          {with(func(in *Instance) { in.Cold = 0 }), Renewed},
-		"other slots":           {with(func(in *Instance) { in.Slots = 8 }), Renewed},
-		"draining":              {with(func(in *Instance) { in.Draining = true }), Leaving},
-		"taken away soon":       {with(func(in *Instance) { in.Left = 2 * time.Second }), Renewed},
+		"cold anew":             {with(func(in *Instance) { in.Cold = 3 * time.Second }), Updated},
+		"warm at once":          {with(func(in *Instance) { in.Cold = 0 }), Updated},
+		"other slots":           {with(func(in *Instance) { in.Slots = 8 }), Updated},
+		"draining":              {with(func(in *Instance) { in.Draining = true }), DrainStarted},
+		"taken away soon":       {with(func(in *Instance) { in.Left = 2 * time.Second }), Updated},
 		"an older registration": {with(func(in *Instance) { in.Revision, in.Draining = 0, true }), Same},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			var x Table
-			x.Put(at, first)
-			assert.Equal(t, x.Put(at.Add(time.Second), c.in), c.want)
+			var table Table
+			table.Put(at, first)
+			assert.Equal(t, table.Put(at.Add(time.Second), c.in), c.want)
 		})
 	}
 }
@@ -156,37 +156,37 @@
 // BenchmarkRenewals takes what a thousand cold targets register, whose time to stay so
 // jitters, and looks each up for a line of the log: the order of all targets was made anew
 // for each, and nodes of a fleet of 300 spent a percent of a core on it.
-func BenchmarkRenewals(b *testing.B) {
+func BenchmarkPutUpdates(b *testing.B) {
 	now := time.Unix(1000, 0)
-	x := &Table{Node: "n", Region: "r"}
+	table := &Table{Node: "n", Region: "r"}
 	in := make([]Instance, 1000)
 	for i := range in {
 		in[i] = Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r", Slots: 4, Cold: 3 * time.Second}
-		x.Put(now, in[i])
+		table.Put(now, in[i])
 	}
 	for i := 0; b.Loop(); i++ {
 		n := in[i%len(in)]
 		n.Cold = time.Duration(1+i%3) * time.Second
-		if x.Put(now, n) != Same {
-			x.Knows(n.ID)
+		if table.Put(now, n) != Same {
+			table.Knows(n.ID)
 		}
 	}
 }
 
 // BenchmarkStart registers three thousand targets as a node that starts does; looked up
 // one by one meanwhile, they took seconds of a small host's processor.
-func BenchmarkStart(b *testing.B) {
+func BenchmarkPutAll(b *testing.B) {
 	now := time.Unix(1000, 0)
 	list := make([]Instance, 3000)
 	for i := range list {
 		list[i] = Instance{ID: fmt.Sprint("t", i), Service: "s", Region: fmt.Sprint("r", i%3), Slots: 4}
 	}
 	for b.Loop() {
-		x := &Table{Node: "n", Region: "r0"}
+		table := &Table{Node: "n", Region: "r0"}
 		for _, in := range list {
-			x.Put(now, in)
+			table.Put(now, in)
 		}
-		if n := len(x.Known(now)); n != localSubset {
+		if n := len(table.Known(now)); n != localSubset {
 			b.Fatal(n)
 		}
 	}
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -15,10 +15,10 @@
 	// goneUse is how long a target whose registration vanished without a
 	// notice may still be used where no other is left: registrations lapse by
 	// mistake while the store is away and are back about two seconds later.
-	goneUse = 2 * time.Second
+	goneGracePeriod = 2 * time.Second
 	// forget is how long a record outlives its registration, so that its
 	// failures are still known when it comes back.
-	forget = 30 * time.Second
+	recordRetention = 30 * time.Second
 )
 
 // Table holds the targets; set its fields before use.
@@ -35,20 +35,20 @@
 	// choose among others and it; where it isn't set the node is taken to be the only one.
 	LimitPart func(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart
 
-	mu        sync.Mutex
-	targets   map[string]*Target
-	places    map[string]map[string][]*Target // targets by service and region, nil after a change
-	known     map[string][]*Target            // those that this node knows, by service
-	subsets   map[subsetKey]*subset
-	slots     map[string]map[string]int // usable slots by service and region, nil after a change
-	evacuated map[string]bool           // data centres
-	declared  map[string]bool           // names of targets that said in an answer that they leave, or a limit
-	paces     map[string]*pace          // by service
-	placed    []Placement               // of this node, the latest last
-	reports   map[string]nodeReport     // of the other nodes of the region, by name
-	drawn     []int                     // scratch of draw
-	limited   []int                     // the same, the targets that name a limit
-	missing   []int                     // scratch of best: tokens that each target lacks
+	mu                sync.Mutex
+	targets           map[string]*Target
+	byRegion          map[string]map[string][]*Target // targets by service and region, nil after a change
+	known             map[string][]*Target            // those that this node knows, by service
+	subsets           map[subsetKey]*subset
+	usableSlots       map[string]map[string]int // usable slots by service and region, nil after a change
+	evacuated         map[string]bool           // data centres
+	selfReported      map[string]bool           // names of targets that said in an answer that they leave, or a limit
+	stats             map[string]*serviceStats  // by service
+	placements        []Placement               // of this node, the latest last
+	reports           map[string]nodeReport     // of the other nodes of the region, by name
+	candidates        []int                     // scratch of draw
+	limitedCandidates []int                     // the same, the targets that name a limit
+	missingTokens     []int                     // scratch of best: tokens that each target lacks
 }
 
 // Target is one incarnation with all that is known of it. Its fields belong
@@ -56,26 +56,26 @@
 // callers keep it to give it back.
 type Target struct {
 	Instance
-	key           uint64           // hash of its name
+	nameHash      uint64           // hash of its name
 	seenAt        time.Time        // last registration
-	changed       time.Time        // when its registration last changed
-	gone          time.Time        // when its registration vanished, zero if it stands
-	copied        jwstore.Revision // of the last registration that a store which came back held of before
+	changedAt     time.Time        // when its registration last changed
+	goneAt        time.Time        // when its registration vanished, zero if it stands
+	staleRevision jwstore.Revision // of the last registration that a store which came back held of before
 	coldUntil     time.Time
-	sends         []time.Time   // of the last second
-	rest          time.Time     // not used before
-	closed        time.Time     // until when it wants nothing of this node
-	failures      int           // in a row
-	unreached     int           // connections not taken, in a row
-	calls         int           // in flight from this node
-	work          work          // prompt tokens of this node's calls without a first event
-	tokens        int           // memory held by this node's calls
-	gap           time.Duration // between two events, as this node saw it last
+	recentSends   []time.Time      // of the last second
+	backoffUntil  time.Time        // not used before
+	closedUntil   time.Time        // until when it wants nothing of this node
+	failures      int              // in a row
+	dialFailures  int              // connections not taken, in a row
+	calls         int              // in flight from this node
+	unread        tokensByPriority // prompt tokens of this node's calls without a first event
+	memoryInUse   int              // memory held by this node's calls
+	gap           time.Duration    // between two events, as this node saw it last
 	gapAt         time.Time
-	others        sum           // of the other nodes of the region
+	othersLoad    loadSum       // of the other nodes of the region
 	reportedGap   time.Duration // between two events, as another node reported last
 	reportedGapAt time.Time
-	slow          float64 // its pace against the service's, 1 is usual
+	slowdown      float64 // its pace against the service's, 1 is usual
 	cache         cache
 	capacity      int // tokens of its memory, 0 if not known
 	limit         targetLimit
@@ -86,17 +86,17 @@
 
 // The changes by a registration.
 const (
-	Same     Change = ""
-	Appeared Change = "appeared"
-	Began    Change = "beganAnew" // under the same name
-	Returned Change = "returned"  // its registration had vanished
-	Leaving  Change = "draining"
-	Renewed  Change = "renewed" // its slots, its place, or how long it is cold or stays
+	Same         Change = ""
+	Appeared     Change = "appeared"
+	Restarted    Change = "beganAnew" // under the same name
+	Returned     Change = "returned"  // its registration had vanished
+	DrainStarted Change = "draining"
+	Updated      Change = "renewed" // its slots, its place, or how long it is cold or stays
 )
 
 // drift is by how much the end of a time that targets count down in each registration
 // may differ between two before that is a change.
-const drift = 500 * time.Millisecond
+const countdownTolerance = 500 * time.Millisecond
 
 // Put takes a registration as it stands in the store and returns what it changed.
 func (t *Table) Put(now time.Time, in Instance) Change {
@@ -112,44 +112,44 @@
 	if old != nil && in.Revision < old.Revision {
 		return Same // by another node that lags behind
 	}
-	if old != nil && old.fromCopy(in) {
-		if in.Born < old.Born || !old.gone.IsZero() {
+	if old != nil && old.fromStaleStore(in) {
+		if in.Born < old.Born || !old.goneAt.IsZero() {
 			old.Revision, old.seenAt = in.Revision, now
 			return Same
 		}
 		in.Draining = in.Draining || old.Draining
 	}
 	if old == nil || old.Born != in.Born || old.Address != in.Address || old.Service != in.Service {
-		fresh := &Target{Instance: in, key: jwtarget.NameKey(in.ID), seenAt: now, changed: now, slow: 1}
+		fresh := &Target{Instance: in, nameHash: jwtarget.NameKey(in.ID), seenAt: now, changedAt: now, slowdown: 1}
 		if old != nil || in.Cold > 0 {
-			fresh.coldUntil = now.Add(max(in.Cold, t.coldAfterReturn(old, in)))
+			fresh.coldUntil = now.Add(max(in.Cold, t.coldAfterRestart(old, in)))
 		}
 		t.targets[in.ID] = fresh
 		if in.Leaving {
-			t.declare(fresh)
+			t.markSelfReported(fresh)
 		}
 		if old != nil {
-			t.replace(old, fresh)
+			t.replaceInIndex(old, fresh)
 		} else {
-			t.insert(fresh)
+			t.addToIndex(fresh)
 		}
 		if old != nil {
-			return Began
+			return Restarted
 		}
 		return Appeared
 	}
 	change := old.compare(now, in)
 	if change != Same {
-		moved := old.Region != in.Region
-		old.renew(in)
-		old.changed = now
-		t.slots = nil
-		if moved {
-			t.reindex()
+		regionChanged := old.Region != in.Region
+		old.update(in)
+		old.changedAt = now
+		t.usableSlots = nil
+		if regionChanged {
+			t.invalidateIndex()
 		}
 	}
 	old.Revision = in.Revision
-	old.seenAt, old.gone = now, time.Time{}
+	old.seenAt, old.goneAt = now, time.Time{}
 	if in.Cold > 0 {
 		old.coldUntil = now.Add(in.Cold)
 	}
@@ -159,44 +159,44 @@
 // fromCopy reports whether a registration may be one that a store which came back from an
 // older copy still holds, though the target has left, drains or began anew since. What the
 // target writes after the copy counts again.
-func (x *Target) fromCopy(in Instance) bool {
-	risen := jwstore.Era(in.Revision) > jwstore.Era(x.Revision)
-	if risen && (x.Draining || !x.gone.IsZero() || in.Born < x.Born) {
-		x.copied = in.Revision
+func (x *Target) fromStaleStore(in Instance) bool {
+	newerEra := jwstore.Era(in.Revision) > jwstore.Era(x.Revision)
+	if newerEra && (x.Draining || !x.goneAt.IsZero() || in.Born < x.Born) {
+		x.staleRevision = in.Revision
 	}
-	return x.copied != 0 && in.Revision <= x.copied
+	return x.staleRevision != 0 && in.Revision <= x.staleRevision
 }
 
 // compare returns what another registration of the same incarnation changes.
 func (x *Target) compare(now time.Time, in Instance) Change {
-	passed := now.Sub(x.changed)
+	elapsed := now.Sub(x.changedAt)
 	switch {
 	case in.Draining && !x.Draining:
-		return Leaving
-	case !x.gone.IsZero():
+		return DrainStarted
+	case !x.goneAt.IsZero():
 		return Returned
 	case in.Draining != x.Draining, in.Slots != x.Slots, in.DataCentre != x.DataCentre, in.Region != x.Region,
-		counted(x.Cold, in.Cold, passed), counted(x.Left, in.Left, passed):
-		return Renewed
+		countdownDiffers(x.Cold, in.Cold, elapsed), countdownDiffers(x.Left, in.Left, elapsed):
+		return Updated
 	}
 	return Same
 }
 
 // counted reports whether a time that was counted down differs from what is left of it.
-func counted(before, now, passed time.Duration) bool {
-	return (max(before-passed, 0) - now).Abs() > drift
+func countdownDiffers(before, now, elapsed time.Duration) bool {
+	return (max(before-elapsed, 0) - now).Abs() > countdownTolerance
 }
 
 // renew takes what another registration of the same incarnation may change. Its
 // name, service and address stay: who sends to it reads them without the lock.
-func (x *Target) renew(in Instance) {
+func (x *Target) update(in Instance) {
 	x.DataCentre, x.Region, x.Slots = in.DataCentre, in.Region, in.Slots
 	x.Draining, x.Cold, x.Left = in.Draining, in.Cold, in.Left
 }
 
 // coldAfterReturn is how long a target that began anew under its own name is
 // taken for cold: it may not have said so yet.
-func (t *Table) coldAfterReturn(old *Target, in Instance) time.Duration {
+func (t *Table) coldAfterRestart(old *Target, in Instance) time.Duration {
 	if old == nil || t.Warmup == nil {
 		return 0
 	}
@@ -209,8 +209,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if x := t.targets[id]; x != nil {
-		x.remove(now, revision)
-		t.slots = nil
+		x.markGone(now, revision)
+		t.usableSlots = nil
 	}
 }
 
@@ -219,26 +219,26 @@
 func (t *Table) Keep(now time.Time, ids map[string]bool, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.slots = nil
+	t.usableSlots = nil
 	for id, x := range t.targets {
 		if !ids[id] {
-			x.remove(now, revision)
+			x.markGone(now, revision)
 		}
 	}
 }
 
-func (x *Target) remove(now time.Time, revision jwstore.Revision) {
-	if x.gone.IsZero() && revision >= x.Revision {
-		x.gone, x.Revision = now, revision
+func (x *Target) markGone(now time.Time, revision jwstore.Revision) {
+	if x.goneAt.IsZero() && revision >= x.Revision {
+		x.goneAt, x.Revision = now, revision
 	}
 }
 
 // sweep drops records of targets that are gone for long.
-func (t *Table) sweep(now time.Time) {
+func (t *Table) removeExpired(now time.Time) {
 	for id, x := range t.targets {
-		if !x.gone.IsZero() && now.Sub(x.gone) > forget && x.calls == 0 {
+		if !x.goneAt.IsZero() && now.Sub(x.goneAt) > recordRetention && x.calls == 0 {
 			delete(t.targets, id)
-			t.remove(x)
+			t.removeFromIndex(x)
 		}
 	}
 }
@@ -256,13 +256,13 @@
 		return
 	}
 	t.evacuated[dataCentre] = on
-	t.slots = nil
+	t.usableSlots = nil
 	for _, x := range t.targets {
 		if x.DataCentre != dataCentre || t.Warmup == nil {
 			continue
 		}
 		if d, _ := t.Warmup(x.Service); d > 0 {
-			x.coldUntil = later(x.coldUntil, now.Add(d))
+			x.coldUntil = laterTime(x.coldUntil, now.Add(d))
 		}
 	}
 }
@@ -285,7 +285,7 @@
 func (t *Table) Cold(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.coldUntil = later(x.coldUntil, now.Add(d))
+	x.coldUntil = laterTime(x.coldUntil, now.Add(d))
 }
 
 // ServiceAt returns the service of the target at an address, "" for none.
@@ -293,7 +293,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, x := range t.targets {
-		if x.Address == a && x.gone.IsZero() {
+		if x.Address == a && x.goneAt.IsZero() {
 			return x.Service
 		}
 	}
@@ -305,9 +305,9 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []netip.AddrPort
-	t.index()
-	for _, x := range t.places[service][t.Region] {
-		if x.gone.IsZero() {
+	t.buildIndex()
+	for _, x := range t.byRegion[service][t.Region] {
+		if x.goneAt.IsZero() {
 			list = append(list, x.Address)
 		}
 	}
@@ -321,21 +321,21 @@
 	defer t.mu.Unlock()
 	list := make([]Instance, 0, len(t.targets))
 	for _, x := range t.targets {
-		if x.gone.IsZero() {
-			list = append(list, x.instance(now))
+		if x.goneAt.IsZero() {
+			list = append(list, x.registration(now))
 		}
 	}
 	return list
 }
 
 // instance returns the registration with how long the target stays cold from now on.
-func (x *Target) instance(now time.Time) Instance {
+func (x *Target) registration(now time.Time) Instance {
 	in := x.Instance
 	in.Cold = max(x.coldUntil.Sub(now), 0)
 	return in
 }
 
-func later(a, b time.Time) time.Time {
+func laterTime(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -29,7 +29,7 @@
 }
 
 // chosen returns which target a request would go to, "" for none.
-func chosen(t *Table, now time.Time, n Need) string {
+func bestTargetID(t *Table, now time.Time, n Need) string {
 	n.Service = "s"
 	c, ok := t.Best(now, n)
 	if !ok {
@@ -39,7 +39,7 @@
 	return c.Target.ID
 }
 
-func TestWhoMayBeUsed(t *testing.T) {
+func TestUsableTargets(t *testing.T) {
 	cases := map[string]struct {
 		do   func(*Table)
 		at   int
@@ -99,23 +99,23 @@
 			table.Put(after(0), instance("a"))
 			table.Put(after(0), instance("b"))
 			c.do(table)
-			assert.Equal(t, chosen(table, after(c.at), Need{}), c.want)
+			assert.Equal(t, bestTargetID(table, after(c.at), Need{}), c.want)
 		})
 	}
 }
 
 // The store was away, leases ran out meanwhile, and all registrations vanished
 // although the targets live. A caller would be refused for two seconds.
-func TestVanishedTargetsAreTheLastResort(t *testing.T) {
+func TestVanishedTargetsAreUsedLast(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
 	table.Remove(after(0), "a", 1)
-	assert.Equal(t, chosen(table, after(1500), Need{}), "a")
-	assert.Equal(t, chosen(table, after(2500), Need{}), "", "it is gone by then")
+	assert.Equal(t, bestTargetID(table, after(1500), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(2500), Need{}), "", "it is gone by then")
 	newer := instance("a")
 	newer.Revision = 2
 	table.Put(after(2600), newer)
-	assert.Equal(t, chosen(table, after(2600), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(2600), Need{}), "a")
 }
 
 // All targets of a service fail for a while. If they were left alone callers
@@ -126,7 +126,7 @@
 	for range 50 {
 		table.Failed(table.targets["a"])
 	}
-	assert.Equal(t, chosen(table, after(0), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 }
 
 // A target crashed and began anew under its name and address. It knows nothing
@@ -141,20 +141,20 @@
 	a.Born = 1
 	table.Put(after(0), a)
 	for range 5 {
-		assert.Equal(t, chosen(table, after(0), Need{}), "a")
+		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
 	a.Born = 2
 	table.Put(after(10), a)
-	assert.Equal(t, chosen(table, after(20), Need{}), "a")
-	assert.Equal(t, chosen(table, after(20), Need{}), "a")
-	assert.Equal(t, chosen(table, after(20), Need{}), "", "two a second")
-	assert.Equal(t, chosen(table, after(1200), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a", "it is warm")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "", "two a second")
+	assert.Equal(t, bestTargetID(table, after(1200), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a", "it is warm")
 }
 
-func TestEvacuationEndsCold(t *testing.T) {
+func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	table := &Table{
 		Region: "r",
 		Warmup: func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
@@ -163,14 +163,14 @@
 	table.Put(after(0), instance("a"))
 	table.Evacuate(after(0), "r-a", true)
 	table.Evacuate(after(10_000), "r-a", false)
-	assert.Equal(t, chosen(table, after(10_001), Need{}), "a")
-	assert.Equal(t, chosen(table, after(10_002), Need{}), "")
-	assert.Equal(t, chosen(table, after(13_001), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(10_001), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(10_002), Need{}), "")
+	assert.Equal(t, bestTargetID(table, after(13_001), Need{}), "a")
 }
 
 // Nodes of a region that don't see each other each believe that a cold target
 // is theirs. Together they must not send more in a second than it bears.
-func TestColdSumStaysWithinTheBound(t *testing.T) {
+func TestColdRateOfAllNodesStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := jwbudget.ColdLimits{
 			Rate:  rapid.Float64Range(0.5, 5).Draw(t, "rate"),
@@ -187,25 +187,25 @@
 				Warmup: func(string) (time.Duration, float64) { return time.Hour, limits.Rate },
 				Share:  func(string, string) float64 { return jwbudget.ColdShare(limits, owner, counted) },
 			}
-			in := instance("a")
-			in.Cold = time.Hour
-			tables[i].Put(t0, in)
+			recent := instance("a")
+			recent.Cold = time.Hour
+			tables[i].Put(t0, recent)
 		}
 		var sends []time.Time
 		now := t0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			if chosen(tables[rapid.IntRange(0, nodes-1).Draw(t, "node")], now, Need{}) != "" {
+			if bestTargetID(tables[rapid.IntRange(0, nodes-1).Draw(t, "node")], now, Need{}) != "" {
 				sends = append(sends, now)
 			}
-			in := 0
+			recent := 0
 			for _, at := range sends {
 				if now.Sub(at) < time.Second {
-					in++
+					recent++
 				}
 			}
-			if bound := limits.Rate*limits.Ratio + limits.Slack; float64(in) > bound {
-				t.Fatalf("%d sends within a second, the bound is %.2f", in, bound)
+			if bound := limits.Rate*limits.Ratio + limits.Slack; float64(recent) > bound {
+				t.Fatalf("%d sends within a second, the bound is %.2f", recent, bound)
 			}
 		}
 	})
@@ -227,15 +227,15 @@
 		want  string
 		fetch string // the target that parts are fetched from
 	}{
-		"whoever holds its beginning":        {func(t *Table) { t.targets["b"].cache.use(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		"another prompt's parts are no help": {func(t *Table) { t.targets["b"].cache.use(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
+		"whoever holds its beginning":        {func(t *Table) { t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
+		"another prompt's parts are no help": {func(t *Table) { t.targets["b"].cache.markUsed(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
 		"the holder is busy: parts are fetched from it": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{20_000}
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{20_000}
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
 		"the holder is busy, as another node reported": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.Merge(t0, "n2", []NodeLoad{{Target: "b", Calls: 3, Work: work{20_000}}}, nil)
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.Merge(t0, "n2", []NodeLoad{{Target: "b", Calls: 3, Unread: tokensByPriority{20_000}}}, nil)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
 		"another node sent it there": {func(t *Table) {
 			t.Merge(t0, "n2", nil, []Placement{{Target: "b", Parts: prompt(1, 2).Parts}})
@@ -243,34 +243,34 @@
 		// A calm hour: half of the prompts were moved between targets, for a
 		// twentieth of their worth, to save some ten milliseconds.
 		"there is time to wait for the holder": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{2000}
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: time.Second}, "b", ""},
 		"there is none: parts are fetched": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{2000}
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
 		// The engine pushes parts out when its answers need the memory.
 		"the holder may have dropped it: another holder is named too": {func(t *Table) {
-			t.targets["a"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
+			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
 		"parts of another region are fetched": {func(t *Table) {
-			t.targets["far"].cache.use(prompt(1, 2).Parts, 0)
+			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "far"},
 		// Bound data must not cross to or from a region that is no home.
 		"but not bound ones": {func(t *Table) {
-			t.targets["far"].cache.use(prompt(1, 2).Parts, 0)
+			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3), Homes: []string{"r"}}, "a", ""},
 		"less urgent work is read later": {func(t *Table) {
-			t.targets["a"].work = work{0, 0, 50_000}
-			t.targets["b"].work = work{1000}
+			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
+			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1)}, "a", ""},
 		"as urgent work is read before": {func(t *Table) {
-			t.targets["a"].work = work{0, 0, 50_000}
-			t.targets["b"].work = work{1000}
+			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
+			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1), Priority: 2}, "b", ""},
-		"its memory is full":  {func(t *Table) { t.targets["a"].tokens = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
+		"its memory is full":  {func(t *Table) { t.targets["a"].memoryInUse = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
 		"its slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
 		"it is slow at events": {func(t *Table) {
 			t.Passed(t0, t.targets["a"], 1, time.Second)
@@ -303,40 +303,40 @@
 
 // A long prompt of one caller pushes older ones out of an engine's memory. A
 // belief that forgets by number would count on parts that are gone.
-func TestCacheForgetsByTokens(t *testing.T) {
+func TestCacheEvictsByTokens(t *testing.T) {
 	var c cache
-	c.use([]Part{{1, 400}, {2, 400}}, 1000)
-	assert.Equal(t, c.missing(prompt(1, 2)), 0)
-	c.use([]Part{{3, 500}}, 1000)
-	assert.Equal(t, c.missing(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt goes first")
-	c.use([]Part{{4, 5000}}, 1000)
+	c.markUsed([]Part{{1, 400}, {2, 400}}, 1000)
+	assert.Equal(t, c.missingTokens(prompt(1, 2)), 0)
+	c.markUsed([]Part{{3, 500}}, 1000)
+	assert.Equal(t, c.missingTokens(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt goes first")
+	c.markUsed([]Part{{4, 5000}}, 1000)
 	assert.Equal(t, c.tokens, 0, "larger than its memory")
 }
 
-func TestWorkIsGivenBack(t *testing.T) {
+func TestLoadIsReleased(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	x := table.targets["a"]
 	for _, first := range []time.Duration{0, time.Millisecond} {
 		c, ok := table.Best(t0, Need{Service: "s", Prompt: prompt(1, 2), Priority: 1})
 		assert.Assert(t, ok)
-		assert.Assert(t, x.calls == 1 && x.tokens > 0)
+		assert.Assert(t, x.calls == 1 && x.memoryInUse > 0)
 		if first > 0 {
 			table.Started(x, c, prompt(1, 2), first)
 		}
 		table.Done(t0, x, c, first)
-		assert.Equal(t, x.work, work{})
+		assert.Equal(t, x.unread, tokensByPriority{})
 		assert.Equal(t, x.calls, 0)
-		assert.Equal(t, x.tokens, 0)
+		assert.Equal(t, x.memoryInUse, 0)
 	}
 }
 
 // One of a service's targets has become several times slower.
-func TestSlowTargetIsLearned(t *testing.T) {
+func TestSlowTargetGetsFewerRequests(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	table.Put(t0, instance("b"))
-	share := map[string]int{}
+	calls := map[string]int{}
 	for i := range 400 {
 		c, ok := table.Best(after(i*20), Need{Service: "s", Prompt: prompt(uint64(i))})
 		assert.Assert(t, ok)
@@ -346,9 +346,9 @@
 		}
 		table.Started(c.Target, c, prompt(uint64(i)), d)
 		table.Done(after(i*20), c.Target, c, d)
-		share[c.Target.ID]++
+		calls[c.Target.ID]++
 	}
-	assert.Assert(t, share["a"] < 60, "%v", share)
+	assert.Assert(t, calls["a"] < 60, "%v", calls)
 }
 
 // A decision is made for each request; at 3,200 targets a region has some 250,
@@ -363,7 +363,7 @@
 			for node := range nodes {
 				var loads []NodeLoad
 				for i := range 250 {
-					loads = append(loads, NodeLoad{Target: fmt.Sprintf("t%03d", i), Calls: 1, Held: 100})
+					loads = append(loads, NodeLoad{Target: fmt.Sprintf("t%03d", i), Calls: 1, MemoryTokens: 100})
 				}
 				table.Merge(t0, fmt.Sprint(node), loads, nil)
 			}
@@ -372,7 +372,7 @@
 			for b.Loop() {
 				c, _ := table.Best(t0, n)
 				table.Done(t0, c.Target, c, 0)
-				table.placed = table.placed[:0]
+				table.placements = table.placements[:0]
 			}
 		})
 	}
@@ -380,7 +380,7 @@
 
 // A region came back from an outage with all its targets cold. They look idle,
 // and the other regions sent there what had to be refused.
-func TestColdTargetsOfferNothingToOtherRegions(t *testing.T) {
+func TestWaitIgnoresColdTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
 	in.Cold = time.Second
@@ -392,7 +392,7 @@
 }
 
 // Targets come and go all day under new names. Their records must not pile up.
-func TestGoneTargetsAreForgotten(t *testing.T) {
+func TestGoneTargetsAreRemoved(t *testing.T) {
 	table := &Table{Region: "r"}
 	for i := range 1000 {
 		id := fmt.Sprintf("t%d", i)
@@ -405,7 +405,7 @@
 
 // While the store is away a warm target goes cold, and one node hears so. Until
 // all know, and after, it must not get more than a cold one bears.
-func TestColdWithoutRegistration(t *testing.T) {
+func TestColdIsReportedBetweenNodes(t *testing.T) {
 	warmup := func(string) (time.Duration, float64) { return 3 * time.Second, 2 }
 	tables := []*Table{
 		{Region: "r", Warmup: warmup, Share: func(string, string) float64 { return 3 }},
@@ -413,29 +413,29 @@
 	}
 	for _, table := range tables {
 		table.Put(t0, instance("a"))
-		assert.Equal(t, chosen(table, after(0), Need{}), "a")
+		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
 	tables[0].Cold(after(100), tables[0].targets["a"], 2*time.Second)
 	assert.Equal(t, len(tables[0].Probes(after(100))), 0)
 	tables[1].MergeCold(after(150), tables[0].ReportCold(after(150)))
-	assert.Equal(t, chosen(tables[1], after(160), Need{}), "")
-	assert.Equal(t, chosen(tables[0], after(160), Need{}), "a")
-	assert.Equal(t, chosen(tables[0], after(170), Need{}), "a")
-	assert.Equal(t, chosen(tables[0], after(180), Need{}), "", "what it got while warm counts too")
-	assert.Equal(t, chosen(tables[0], after(1100), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[1], after(160), Need{}), "")
+	assert.Equal(t, bestTargetID(tables[0], after(160), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[0], after(170), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[0], after(180), Need{}), "", "what it got while warm counts too")
+	assert.Equal(t, bestTargetID(tables[0], after(1100), Need{}), "a")
 }
 
 // Two nodes keep reporting to each other how long a target stays cold; the
 // way between them must not add up.
-func TestColdEndsThoughItIsTold(t *testing.T) {
+func TestReportedColdExpires(t *testing.T) {
 	a, b := &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("a"))
 	b.Put(t0, instance("a"))
 	a.Cold(t0, a.targets["a"], time.Second)
-	const way = 10
-	for ms := 0; ms < 1200; ms += 2 * way {
-		b.MergeCold(after(ms+way), a.ReportCold(after(ms)))
-		a.MergeCold(after(ms+2*way), b.ReportCold(after(ms+way)))
+	const delay = 10
+	for ms := 0; ms < 1200; ms += 2 * delay {
+		b.MergeCold(after(ms+delay), a.ReportCold(after(ms)))
+		a.MergeCold(after(ms+2*delay), b.ReportCold(after(ms+delay)))
 	}
 	assert.Equal(t, len(a.ReportCold(after(1001))), 0)
 	assert.Equal(t, len(b.ReportCold(after(1011))), 0)
@@ -450,39 +450,39 @@
 		in.Region = "q"
 		table.Put(t0, in)
 	}
-	table.targets["gone"].cache.use(prompt(1, 2, 3).Parts, 0)
+	table.targets["gone"].cache.markUsed(prompt(1, 2, 3).Parts, 0)
 	table.Remove(t0, "gone", 1)
-	table.targets["far2"].cache.use(prompt(1, 2).Parts, 0)
+	table.targets["far2"].cache.markUsed(prompt(1, 2).Parts, 0)
 	miss, targets := table.MissIn(t0, "q", Need{Service: "s", Prompt: prompt(1, 2, 3)})
-	assert.Equal(t, miss, 1000+int(fetchShare*2000))
+	assert.Equal(t, miss, 1000+int(fetchCostRatio*2000))
 	assert.Equal(t, targets, 2)
 }
 
 // A node of the region dies without a report. What it had in flight must not count
 // for ever, and not be taken away twice when it reports once more.
-func TestLoadsOfOthers(t *testing.T) {
+func TestLoadsOfOtherNodes(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	x := table.targets["a"]
-	sent := []NodeLoad{{Target: "a", Calls: 3, Work: work{10, 20}, Held: 7}}
+	sent := []NodeLoad{{Target: "a", Calls: 3, Unread: tokensByPriority{10, 20}, MemoryTokens: 7}}
 	table.Merge(after(0), "n2", sent, nil)
 	table.Merge(after(100), "n3", sent, nil)
-	assert.Equal(t, x.busy(1), load{6, 60, 14})
-	assert.Equal(t, x.busy(0), load{6, 20, 14})
+	assert.Equal(t, x.loadFor(1), load{6, 60, 14})
+	assert.Equal(t, x.loadFor(0), load{6, 20, 14})
 	table.Merge(after(200), "n2", nil, nil)
-	assert.Equal(t, x.busy(1), load{3, 30, 7})
+	assert.Equal(t, x.loadFor(1), load{3, 30, 7})
 	table.Report(after(1050))
-	assert.Equal(t, x.busy(1), load{3, 30, 7})
+	assert.Equal(t, x.loadFor(1), load{3, 30, 7})
 	table.Report(after(1100))
-	assert.Equal(t, x.busy(1), load{})
+	assert.Equal(t, x.loadFor(1), load{})
 	table.Merge(after(1200), "n3", sent, nil)
 	table.Resumed()
-	assert.Equal(t, x.busy(1), load{})
+	assert.Equal(t, x.loadFor(1), load{})
 }
 
 // A request is on its way to a target as the target registers anew. Who sends it
 // reads the target's name and address without the table's lock.
-func TestPutWhileInUse(t *testing.T) {
+func TestPutDuringCall(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	c, ok := table.Best(t0, Need{Service: "s"})
@@ -500,7 +500,7 @@
 		assert.Equal(t, c.Target.ID+c.Target.Service+c.Target.Address.String(), "as"+instance("a").Address.String())
 	}
 	<-done
-	assert.Equal(t, chosen(table, after(200), Need{}), "")
+	assert.Equal(t, bestTargetID(table, after(200), Need{}), "")
 }
 
 func TestSampleSize(t *testing.T) {
@@ -578,15 +578,15 @@
 		table.Put(t0, instance(fmt.Sprint("t", i)))
 	}
 	p := prompt(1, 2)
-	table.targets["t7"].cache.use(p.Parts, 0)
-	assert.Equal(t, chosen(table, t0, Need{Prompt: p}), "t7")
+	table.targets["t7"].cache.markUsed(p.Parts, 0)
+	assert.Equal(t, bestTargetID(table, t0, Need{Prompt: p}), "t7")
 }
 
 // Long prompts whose first parts a target keeps run there beside each other. What they
 // keep can't yield while they run; counted by what they have to read, they seemed to
 // take half of what they do, and more of them went there than its memory holds. The
 // newest was preempted and read anew from its beginning.
-func TestKeptPartsOfWhatRunsTakeMemory(t *testing.T) {
+func TestCachedPartsOfRunningRequestsUseMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b"} {
@@ -595,14 +595,14 @@
 	prompt := func(i uint64) Prompt {
 		return Prompt{Parts: []Part{{1, 10_000}, {100 + i, 100}}, Tokens: 10_100, Output: 100}
 	}
-	const fit = 8 // in 0.85 of the memory
+	const fitting = 8 // in 0.85 of the memory
 	chosen := make(map[string]int)
-	for i := range uint64(2 * fit) {
+	for i := range uint64(2 * fitting) {
 		c, ok := table.Best(now, Need{Service: "s", Prompt: prompt(i), Capacity: 100_000})
 		assert.Assert(t, ok)
-		assert.Equal(t, c.Held, 10_200)
+		assert.Equal(t, c.MemoryTokens, 10_200)
 		chosen[c.Target.ID]++
 	}
-	assert.Equal(t, chosen["a"], fit)
-	assert.Equal(t, chosen["b"], fit)
+	assert.Equal(t, chosen["a"], fitting)
+	assert.Equal(t, chosen["b"], fitting)
 }
