--- a/core/jwinstance/cache.go
+++ b/core/jwinstance/cache.go
@@ -2,35 +2,35 @@
 
 import "container/list"
 
-// freeShare is the part of an engine's memory that is taken to keep prompts;
-// the rest is taken by the answers of what runs.
+// cacheMemoryRatio is the fraction of an engine's memory that is assumed to cache prompts. The
+// answers of running requests take the rest.
 const cacheMemoryRatio = 0.9
 
-// firstCapacity is the memory of an engine, in tokens, until it is known.
+// defaultCapacity is the assumed memory of an engine, in tokens, until it is known.
 const defaultCapacity = 100_000
 
-// cache estimates which parts of prompts a target keeps in memory: those
-// sent there last, as far as its memory goes. The zero value keeps nothing.
+// cache estimates which parts of prompts a target keeps in memory: the most recently sent ones, as
+// many as fit. The zero value is an empty cache.
 type cache struct {
-	parts  map[uint64]*list.Element // of held
-	lru    list.List                // the latest use first
+	parts  map[uint64]*list.Element // elements of lru by part ID
+	lru    list.List                // of cachedPart, the most recently used first
 	tokens int
 }
 
-// held is one part that a target keeps.
+// cachedPart is one part in a cache.
 type cachedPart struct {
 	id     uint64
 	tokens int
 }
 
-// missing returns the tokens of a prompt that have to be read: a part is kept
-// only together with all parts before it.
+// missingTokens returns how many tokens of a prompt have to be read. A part can be reused only
+// together with all parts before it.
 func (c *cache) missingTokens(p Prompt) int {
 	if len(p.Parts) == 0 {
 		return p.Tokens
 	}
 	if _, kept := c.parts[p.Parts[0].ID]; !kept {
-		return p.Tokens // without its beginning none of the rest counts
+		return p.Tokens // without its first part no other part can be reused
 	}
 	miss, kept := 0, true
 	for _, part := range p.Parts {
@@ -44,12 +44,13 @@
 	return miss
 }
 
-// use notes that parts were sent there; capacity is the target's memory.
+// markUsed records that parts were sent to the target; capacity is the target's memory in tokens,
+// or 0 if not known.
 func (c *cache) markUsed(parts []Part, capacity int) {
 	if c.parts == nil {
 		c.parts = make(map[uint64]*list.Element)
 	}
-	// The first part is used last, so that a part goes before those it needs.
+	// The first part is marked last, so that a part is evicted before the parts that it depends on.
 	for i := len(parts) - 1; i >= 0; i-- {
 		part := parts[i]
 		if e := c.parts[part.ID]; e != nil {
--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -6,79 +6,79 @@
 )
 
 const (
-	// firstPlain is the time of a call to a plain service until calls have
-	// shown it.
+	// initialPlainLatency is the assumed latency of calls to a plain service until some have been
+	// measured.
 	initialPlainLatency = 20 * time.Millisecond
-	// slotDelay is what one more running request adds to the wait for the
-	// first event, as prompts are read between the steps of the others.
+	// runningCallDelay is what each running request adds to the wait for the first event, as
+	// prompts are read between the decoding steps of the others.
 	runningCallDelay = 500 * time.Microsecond
-	// PaceWeight is what a millisecond of later events counts against one until
-	// the first event: a caller who reads along does not wait for the last one,
-	// but an answer that outlasts its deadline is lost whole.
+	// PaceWeight is the cost of a millisecond of delay in later events relative to a millisecond of
+	// delay until the first event. A caller who reads along does not wait for the last event, but
+	// an answer that exceeds its deadline is lost as a whole.
 	PaceWeight = 0.05
-	// InterferenceWeight is what a millisecond that a running request is delayed by
-	// counts.
+	// InterferenceWeight is the relative cost of a millisecond by which another running request is
+	// delayed.
 	InterferenceWeight = 0.05
-	// firstGap is the time between two events until calls have shown it, and
-	// what an older one fades to.
+	// initialGap is the assumed time between two events until it has been measured; the estimate
+	// returns to it as a measurement gets older.
 	initialGap = 40 * time.Millisecond
-	// gapFade is how long a measured gap counts.
+	// gapDecay is the time constant with which a measured gap loses its weight.
 	gapDecay = 1500 * time.Millisecond
-	// fullShare is the part of an engine's memory above which it preempts.
+	// preemptionThreshold is the fraction of an engine's memory above which it preempts requests.
 	preemptionThreshold = 0.85
-	// fullDelay is what a preempted request waits.
+	// preemptionDelay is the time that a preempted request waits.
 	preemptionDelay = 500 * time.Millisecond
-	// firstHold is how long a call takes a slot until calls have shown it: a second
-	// at 32 slots is 30 ms for each that waits ahead.
+	// initialSlotTime is the assumed time that a call occupies a slot until it has been measured.
+	// One second at 32 slots adds about 30 ms of wait for each call that waits ahead.
 	initialSlotTime = time.Second
-	// fetchShare is what a token that is fetched from another target costs
-	// against one that is read.
+	// fetchCostRatio is the cost of a token fetched from another target relative to one that is
+	// read.
 	fetchCostRatio = 0.25
-	// farFetchShare is the same from another region: it saves the reading but
-	// takes the way there and back.
+	// remoteFetchCostRatio is the same for a target of another region: fetching saves the reading
+	// but needs a round trip between the regions.
 	remoteFetchCostRatio = 0.5
-	// mostFetchCost is what a fetch counts while there is all the time until the
-	// goal; 100 and 800 ms gave less over twelve days a site.
+	// maxFetchCost is the extra cost of a fetch while all of the time until the goal is left. With
+	// 100 ms and with 800 ms the yield was lower over twelve days at each site.
 	maxFetchCost = 300 * time.Millisecond
-	// leastFetch is the number of tokens from which a fetch pays its set-up.
+	// minFetchTokens is the number of tokens from which a fetch is worth its setup.
 	minFetchTokens = 256
 )
 
-// Need is a request that looks for a target.
+// Need describes a request for which a target is wanted.
 type Need struct {
 	Service  string
 	Prompt   Prompt
 	Priority int              // 0 is the most urgent
-	Goal     time.Duration    // for the first event, 0 if there is none
-	Events   int              // events of the answer at most
-	Capacity int              // tokens of memory of a target, 0 if not known
-	Homes    []string         // regions that may hold its prompt, all where empty
-	WarmOnly bool             // cold targets are no use
-	Exclude  map[string]bool  // targets that it was sent to already
-	Apart    []netip.AddrPort // targets that it must not run on now
+	Goal     time.Duration    // time to the first event that is aimed at, 0 if there is none
+	Events   int              // maximum number of events of the answer
+	Capacity int              // memory of a target in tokens, 0 if not known
+	Homes    []string         // regions that may hold the prompt's data; all if empty
+	WarmOnly bool             // leave out cold targets, and those that name a limit
+	Exclude  map[string]bool  // IDs of targets that the request was already sent to
+	Apart    []netip.AddrPort // addresses of targets that it must not run on now
 }
 
-// Choice is the target that was found.
+// Choice is a chosen target, with the estimates on which the choice rests.
 type Choice struct {
 	Target        *Target
-	Expected      time.Duration  // until the first event
-	Own           time.Duration  // of that, what reading the request's own prompt takes
-	Cost          time.Duration  // Expected and what later events, its own and those of others, are delayed
-	Miss          int            // prompt tokens that it has to read
-	Ahead         int            // prompt tokens to be read there before
-	Fetch         netip.AddrPort // a target that has parts which this one lacks, if valid
-	Cold          bool
-	PriorityLevel int           // of its urgency
-	MemoryTokens  int           // tokens of memory that the request takes
-	Calls         int           // of this node at the target before this one
-	TotalCalls    int           // of all nodes
-	Age           time.Duration // of the registration that the choice rests on
+	Expected      time.Duration  // expected time until the first event
+	Own           time.Duration  // the part of Expected that reading the request's own prompt takes
+	Cost          time.Duration  // Expected plus the weighted delay of later events, both of this request and of others, and penalties
+	Miss          int            // prompt tokens that the target has to read or, weighted, to fetch
+	Ahead         int            // prompt tokens of other requests that the target reads before
+	Fetch         netip.AddrPort // a target to fetch missing parts from, if valid
+	Cold          bool           // whether the target is cold
+	PriorityLevel int            // see priorityLevel
+	MemoryTokens  int            // memory that the request occupies, in tokens
+	Calls         int            // calls of this node in flight at the target, without this one
+	TotalCalls    int            // the same for all nodes
+	Age           time.Duration  // time since the registration of the target was last read
 	sentAt        time.Time
 }
 
-// Best returns the target of the region that will probably answer soonest and
-// counts the request as sent there; ok is false if there is none. Every call
-// with ok needs a Done.
+// Best returns the target of the region that is expected to answer soonest and counts the request
+// as sent there. It returns false if there is no usable target. Done must be called for each Choice
+// returned with true.
 func (t *Table) Best(now time.Time, n Need) (c Choice, ok bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +90,8 @@
 		return c, false
 	}
 	if !c.Fetch.IsValid() {
-		// It may have dropped what it is taken to keep, and would read that
-		// once more; what it still has isn't fetched.
+		// The target may have evicted parts that it is assumed to keep, and would have to read them
+		// again. With this address it can fetch them; parts that it still has are not fetched.
 		if other, held := t.largestHolder(now, n, c.Target); held >= minFetchTokens {
 			c.Fetch = other.Address
 		}
@@ -115,16 +115,16 @@
 	return c, true
 }
 
-// Look returns what Best would, without sending anything.
+// Look returns what Best would return among registered targets, without counting a request.
 func (t *Table) Look(now time.Time, n Need) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.best(now, n, false)
 }
 
-// Wait returns how long a request without a prompt would wait at the best
-// target of the region. Cold ones don't count: they look idle, and other
-// regions would send far more than they take.
+// Wait returns how long a request without a prompt would wait at the best target of the region.
+// Cold targets don't count: they look idle, and other regions would send them far more than they
+// bear.
 func (t *Table) Wait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -132,8 +132,8 @@
 	return c.Expected, ok
 }
 
-// Gap returns the time between two events at the target of the region that is
-// quickest at them.
+// Gap returns the shortest estimated time between two events among the usable targets of a service
+// in the region, or 0 if there are none.
 func (t *Table) Gap(now time.Time, service string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -149,17 +149,17 @@
 	return shortest
 }
 
-// Read returns how long a target of a service takes to read a prompt's own tokens
-// and those ahead of them.
+// Read returns how long a target of a service takes to read own prompt tokens of a request after
+// ahead tokens of others.
 func (t *Table) Read(service string, ahead, own int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.statsOf(service).firstEvent.readTime(ahead, own)
 }
 
-// MissIn returns the prompt tokens that a region's targets probably have to
-// read for a request, and how many of them there are. What another target of the
-// region holds is fetched from it.
+// MissIn returns an estimate of the prompt tokens that the targets of a region have to read for a
+// request, and the estimated number of usable targets there. Tokens that another target of that
+// region has cached are fetched from it, and count by fetchCostRatio.
 func (t *Table) MissIn(now time.Time, region string, n Need) (miss, targets int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,7 +176,8 @@
 	return miss + int(fetchCostRatio*float64(n.Prompt.Tokens-miss)), targets
 }
 
-// best finds the choice; last admits targets that vanished a moment ago.
+// best returns the target with the lowest cost. With allowGone it also considers targets that
+// vanished within goneGracePeriod.
 func (t *Table) best(now time.Time, n Need, allowGone bool) (Choice, bool) {
 	var choice Choice
 	stats := t.statsOf(n.Service)
@@ -210,14 +211,14 @@
 	return choice, choice.Target != nil
 }
 
-// load is what a target has to do, by the report of all nodes of the region.
+// load is the load of a target from all nodes of the region.
 type load struct {
 	calls        int // in flight
-	unreadAhead  int // prompt tokens to be read before a request
-	memoryTokens int // tokens of memory
+	unreadAhead  int // prompt tokens to be read before a given request
+	memoryTokens int // memory in use, in tokens
 }
 
-// busy returns the load of a target as a request of a priority meets it.
+// loadFor returns the load of a target as seen by a request with the given priority.
 func (x *Target) loadFor(priority int) load {
 	return load{
 		x.calls + x.othersLoad.calls,
--- a/core/jwinstance/curve.go
+++ b/core/jwinstance/curve.go
@@ -6,39 +6,38 @@
 )
 
 const (
-	// curveFade is by how much each sample fades those before it: some two hundred
-	// count, a few seconds of a service that is asked for much.
+	// sampleDecay is the factor by which each new sample reduces the weight of the earlier ones.
+	// About two hundred samples count, which a busy service collects in a few seconds.
 	sampleDecay = 0.995
-	// firstBase and firstThousand are the wait for the first event of an idle
-	// engine and what each thousand tokens that are read before it add, until calls
-	// have shown it.
+	// initialBase is the assumed wait for the first event of an idle engine, and initialPerThousand
+	// what each thousand tokens read before it add, until calls have been measured.
 	initialBase        = 15 * time.Millisecond
 	initialPerThousand = 33 * time.Millisecond
-	// firstWeight is how many samples this stands for.
+	// initialWeight is the number of samples that the initial values count as.
 	initialWeight = 4.0
-	// leastBase and leastThousand bound what is learned: an engine that seems to
-	// read a prompt in no time has kept it without being known to.
+	// minBase and minPerThousand are lower bounds of the fitted values. An engine that seems to
+	// read a prompt in no time had it cached without the estimate knowing.
 	minBase        = time.Millisecond
 	minPerThousand = time.Millisecond
-	// mostSample bounds a sample, in multiples of what was expected, as one stall
-	// doesn't show how an engine reads.
+	// maxSampleRatio bounds a sample as a multiple of the predicted value, as a single stall does
+	// not show how fast an engine reads.
 	maxSampleRatio = 4.0
 )
 
-// terms is how many terms a curve has: the base, the thousands of tokens that are
-// read before the first event, and the square of the prompt's own, as later tokens of
-// a long prompt take longer than the first.
+// numTerms is the number of terms of the model: a constant base, the thousands of tokens read
+// before the first event, and the square of the prompt's own tokens, as the later tokens of a long
+// prompt take longer than the first.
 const numTerms = 3
 
-// curve is what calls showed of the wait for the first event: a least-squares fit
-// over the samples, of which later ones count more. The zero value expects
-// firstBase and firstThousand.
+// latencyModel predicts the wait for the first event by a least-squares fit over the measured
+// calls, weighted towards the latest. The zero value predicts initialBase and initialPerThousand.
 type latencyModel struct {
 	normalMatrix [numTerms][numTerms]float64
 	rightSide    [numTerms]float64
-	coefficients [numTerms]float64 // milliseconds a term
+	coefficients [numTerms]float64 // in milliseconds
 }
 
+// initialize sets the initial coefficients and samples if the model has none yet.
 func (c *latencyModel) initialize() {
 	if c.coefficients[0] != 0 {
 		return
@@ -49,21 +48,21 @@
 	}
 }
 
-// expect returns the wait for the first event, of which own tokens belong to the
-// prompt itself and ahead are read before.
+// predict returns the expected wait for the first event of a prompt with own tokens to be read,
+// after ahead tokens of other requests.
 func (c *latencyModel) predict(ahead, own int) time.Duration {
 	c.initialize()
 	return duration(c.evaluate(features(ahead, own)))
 }
 
-// read returns how long it takes to read tokens, ahead of the own ones, beside the
-// base.
+// readTime returns how long it takes to read ahead tokens of other requests and then own tokens,
+// without the base.
 func (c *latencyModel) readTime(ahead, own int) time.Duration {
 	c.initialize()
 	return duration(c.evaluate(features(ahead, own)) - c.coefficients[0])
 }
 
-// learn takes the wait of a call.
+// observe adds the measured wait d of a call as a sample.
 func (c *latencyModel) observe(ahead, own int, d time.Duration) {
 	c.initialize()
 	x := features(ahead, own)
@@ -77,6 +76,7 @@
 	c.solve()
 }
 
+// add adds a sample y for the features x to the normal equations.
 func (c *latencyModel) add(x [numTerms]float64, y, weight float64) {
 	for i := range numTerms {
 		for j := range numTerms {
@@ -86,13 +86,14 @@
 	}
 }
 
-// hold is how firmly each term stays where it was while the samples don't show it, as
-// when all prompts are of one length: as many samples in which only that term is one,
-// few against the two hundred that count.
+// regularization is the weight that holds each coefficient at its previous value while the samples
+// don't determine it, as when all prompts have the same length. It counts as that many samples in
+// which only that term is 1, which is few against the two hundred that count.
 var regularization = [numTerms]float64{0.1, 1, 20}
 
-// solve fits the terms one after the other, each for what the others leave, which
-// stays within the bounds and moves towards the least squares with every sample.
+// solve fits the coefficients one after the other, each to the residual of the others, as in
+// Gauss-Seidel iteration. This keeps them above their minimums and moves them towards the
+// least-squares solution with each sample.
 func (c *latencyModel) solve() {
 	minCoefficients := [numTerms]float64{millis(minBase), millis(minPerThousand), 0}
 	const rounds = 4
@@ -109,6 +110,7 @@
 	}
 }
 
+// evaluate returns the value of the model for features, in milliseconds.
 func (c *latencyModel) evaluate(x [numTerms]float64) float64 {
 	sum := 0.0
 	for i := range numTerms {
@@ -117,6 +119,7 @@
 	return sum
 }
 
+// features returns the terms of the model for numbers of tokens.
 func features(ahead, own int) [numTerms]float64 {
 	k := float64(own) / 1000
 	return [numTerms]float64{1, k + float64(ahead)/1000, k * k / 100}
--- a/core/jwinstance/doc.go
+++ b/core/jwinstance/doc.go
@@ -1,8 +1,8 @@
-// Package jwinstance holds what a node knows of the targets, one record an
-// incarnation: what the platform's store says of it, what the target said
-// itself and what calls to it showed. It chooses the target that will probably
-// send its first event soonest.
+// Package jwinstance keeps what a node knows about the targets and chooses among them. It has one
+// record for each incarnation of a target, built from the platform's store, from the target's own
+// answers and from the calls made to it. The target chosen is the one that is expected to send its
+// first event soonest.
 //
-// A Table has one mutex. While it holds it, it calls Warmup and Share, which
-// may take locks of their own and must not call the Table.
+// A Table has one mutex. It calls Warmup, Share, LimitPart, Nodes and Rand while it holds the
+// mutex; they may take locks of their own but must not call the Table.
 package jwinstance
--- a/core/jwinstance/estimate.go
+++ b/core/jwinstance/estimate.go
@@ -5,10 +5,10 @@
 	"time"
 )
 
-// fetchCost is what a fetch counts beside its time: the price of the memory
-// moved, which is a twentieth of the worth of a prompt of some thousand tokens. It
-// is saved while there is time to wait for the holder, and not near the goal,
-// where an answer that comes late loses most of its worth.
+// fetchCost returns the cost of a fetch besides its time: the price of the memory moved, about a
+// twentieth of the value of a prompt of some thousand tokens. It counts in full while there is time
+// to wait for the target that has the parts, and less the nearer the goal is, because a late answer
+// loses most of its value.
 func fetchCost(n Need, c Choice) time.Duration {
 	spare := n.Goal/2 - c.Expected
 	if !c.Fetch.IsValid() || spare <= 0 {
@@ -17,8 +17,8 @@
 	return time.Duration(float64(maxFetchCost) * float64(spare) / float64(n.Goal/2))
 }
 
-// expected returns the wait for the first event of an engine or the answer of
-// a plain service.
+// expected returns the expected wait for the first event of an engine, or for the answer of a plain
+// service.
 func (s *serviceStats) expected(x *Target, n Need, miss int, l load) time.Duration {
 	slots := max(x.Slots, 1)
 	if n.Prompt.Tokens == 0 && !s.engine {
@@ -29,16 +29,17 @@
 	return time.Duration(float64(d) * x.slowdown)
 }
 
-// batchDelay returns what the calls at an engine add to the wait for a first event: each
-// that runs slows the steps of the batch, and of those beyond its slots each waits
-// until one ends.
+// batchDelay returns how much the calls in flight at an engine add to the wait for a first event.
+// Each running call slows the steps of the batch, and each call beyond the slots waits until
+// another one ends.
 func (s *serviceStats) batchDelay(slots, calls int) time.Duration {
 	waiting := max(calls-slots+1, 0)
 	return time.Duration(calls)*runningCallDelay + time.Duration(waiting)*s.slotTime/time.Duration(slots)
 }
 
-// later returns what counts beside the first event: the pace of the request's
-// own events, and the delay of all that run there while its prompt is read.
+// streamCost returns the weighted cost besides the wait for the first event: the time between the
+// request's own events, the delay of all running requests while its prompt is read, and preemption
+// if the memory would be nearly full.
 func (s *serviceStats) streamCost(now time.Time, x *Target, n Need, miss int, l load) time.Duration {
 	if n.Prompt.Tokens == 0 {
 		return 0
@@ -51,7 +52,8 @@
 	return time.Duration(d)
 }
 
-// gapNow returns the estimated time between two events.
+// estimatedGap returns the estimated time between two events: the latest measurement, which returns
+// to initialGap as it gets older.
 func (x *Target) estimatedGap(now time.Time) time.Duration {
 	gap, at := x.gap, x.gapAt
 	if x.reportedGapAt.After(at) {
@@ -67,7 +69,7 @@
 	return initialGap + time.Duration(fade*float64(gap-initialGap))
 }
 
-// pace returns what calls showed of a service.
+// statsOf returns the measurements of a service, with initial values if there are none.
 func (t *Table) statsOf(service string) *serviceStats {
 	if t.stats == nil {
 		t.stats = make(map[string]*serviceStats)
--- a/core/jwinstance/instance.go
+++ b/core/jwinstance/instance.go
@@ -7,36 +7,36 @@
 	"jujubewheel/core/jwstore"
 )
 
-// Instance is one incarnation of a target as it registered itself.
+// Instance is one incarnation of a target as described by its registration.
 type Instance struct {
-	ID         string           `json:"id"`
+	ID         string           `json:"id"` // unique name of the target
 	Service    string           `json:"service"`
 	Address    netip.AddrPort   `json:"address"`
 	DataCentre string           `json:"dataCentre"`
 	Region     string           `json:"region"`
-	Slots      int              `json:"slots"`
+	Slots      int              `json:"slots"` // number of requests that it runs at once
 	Draining   bool             `json:"draining"`
-	Leaving    bool             `json:"leaving,omitempty"` // it said so in an answer, which no registration takes back
-	Cold       time.Duration    `json:"cold"`              // how long it stays cold, as of the registration
-	Left       time.Duration    `json:"left"`              // until it is taken away, 0 if not known
-	Born       int64            `json:"born"`              // Unix milliseconds of its start, 0 if not said
-	Revision   jwstore.Revision `json:"revision"`          // of the store at this registration
+	Leaving    bool             `json:"leaving,omitempty"` // the target said in an answer that it leaves; no registration resets this
+	Cold       time.Duration    `json:"cold"`              // how long it remains cold from the time of the registration
+	Left       time.Duration    `json:"left"`              // time until the target is removed, 0 if not known
+	Born       int64            `json:"born"`              // start of the incarnation in Unix milliseconds, 0 if not known
+	Revision   jwstore.Revision `json:"revision"`          // revision of the store at this registration
 }
 
-// Part is one part of a prompt.
+// Part is a contiguous part of a prompt.
 type Part struct {
 	ID     uint64 `json:"id"`
 	Tokens int    `json:"tokens"`
 }
 
-// Prompt is what a model engine has to read and write for a request; the zero
-// value is a request to a plain service.
+// Prompt describes the prompt and the maximum output of a request to a model engine. The zero value
+// is a request to a plain service.
 type Prompt struct {
 	Parts  []Part
-	Tokens int // of the prompt
-	Output int // tokens written at most
+	Tokens int // length of the prompt
+	Output int // maximum number of tokens of the answer
 }
 
-// held is the memory that a request takes while it runs, in tokens: parts that the
-// target kept before can't yield meanwhile, so they count too.
+// memoryTokens returns the memory that a request occupies while it runs, in tokens. Parts that the
+// target had cached count too, as they can't be evicted while the request uses them.
 func (p Prompt) memoryTokens() int { return p.Tokens + p.Output }
--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// Leave notes that a target said in an answer that it leaves, and reports whether that is
-// new. It stands until another incarnation registers: the store may be away, or hold what
-// the target wrote before.
+// Leave records that a target said in an answer that it leaves, and reports whether that is new. It
+// holds until another incarnation registers; the store may be unavailable, or hold an earlier
+// registration of the target.
 func (t *Table) Leave(x *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -21,8 +21,8 @@
 	return true
 }
 
-// declare keeps that a target said something of itself that is to be reported: in a region
-// of thousands of targets only few do.
+// markSelfReported records that a target said something about itself that is reported to other
+// nodes. Only few of the thousands of targets of a region do.
 func (t *Table) markSelfReported(x *Target) {
 	if t.selfReported == nil {
 		t.selfReported = make(map[string]bool)
@@ -30,8 +30,8 @@
 	t.selfReported[x.ID] = true
 }
 
-// declarers returns the targets that said something of themselves, and forgets those that
-// are gone or began anew.
+// selfReporting returns the targets that said something about themselves, and forgets those that
+// are gone or restarted since.
 func (t *Table) selfReporting() iter.Seq[*Target] {
 	return func(yield func(*Target) bool) {
 		for id := range t.selfReported {
@@ -47,8 +47,8 @@
 	}
 }
 
-// ReportLeaving returns the targets of the region that said they leave, each with the start
-// of the incarnation that said so.
+// ReportLeaving returns the IDs of the region's targets that said they leave, each with the start
+// of the incarnation that said so, in Unix milliseconds.
 func (t *Table) ReportLeaving() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -65,8 +65,8 @@
 	return leaving
 }
 
-// MergeLeaving merges what another node of the region reports of targets that leave, and
-// returns those that this one didn't know of.
+// MergeLeaving merges another node's report of leaving targets, and returns the IDs of those that
+// this node did not know to leave.
 func (t *Table) MergeLeaving(leaving map[string]int64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -8,42 +8,43 @@
 )
 
 const (
-	// limitEndAge is how long it is reported that a target names no limit any more.
+	// limitEndReportPeriod is how long nodes report that a target no longer names a limit.
 	limitEndReportPeriod = 5 * time.Second
-	// limitDrift is by how much another node's answer must be later than the last known
-	// one to count: ages that are reported lack the way between the nodes.
+	// limitReportTolerance is how much later than the last known answer the answer in another
+	// node's report must be to count. Reported ages do not include the transmission time between
+	// the nodes.
 	limitReportTolerance = 100 * time.Millisecond
-	// partAge is how long a node's part in a limit serves: to find the owner all nodes of the
-	// region are compared, and each request asks of each target.
+	// partCacheDuration is how long this node's computed part in a limit is reused. Finding the
+	// owner compares all nodes of the region, and each request needs the part for each target.
 	partCacheDuration = 100 * time.Millisecond
 )
 
-// Limit is what a target says in its answers that it takes of all nodes together; the
-// zero value is a target that names no limit.
+// Limit is the rate that a target accepts from all nodes together, as named in its answers. The
+// zero value means that the target names no limit.
 type Limit struct {
 	Named bool
 	Rate  float64 // requests a second
 }
 
-// targetLimit is what is known of a target's limit.
+// targetLimit is the known limit of a target and this node's use of it.
 type targetLimit struct {
 	Limit
-	answeredAt time.Time // of the answer that said so, zero if none ever named a limit
-	direct     bool      // this node had that answer
+	answeredAt time.Time // time of the answer that named it, zero if none ever named a limit
+	direct     bool      // this node received that answer itself
 	bucket     jwbudget.LimitBucket
-	part       jwbudget.LimitPart // of this node
-	partAt     time.Time          // when it was asked for
+	part       jwbudget.LimitPart // this node's part of the limit
+	partAt     time.Time          // when part was computed
 }
 
-// LimitReport is what a node reports of a target's limit.
+// LimitReport is a node's report of a target's limit.
 type LimitReport struct {
 	Named bool    `json:"named,omitempty"`
 	Rate  float64 `json:"rate,omitempty"` // requests a second
-	Age   int64   `json:"age"`            // milliseconds since the answer that said so
+	Age   int64   `json:"age"`            // milliseconds since the answer that named it
 }
 
-// Limited notes the limit that an answer of a target named, or that it named none, and
-// reports whether that is new.
+// Limited records the limit that an answer of a target named, or that it named none, and reports
+// whether that is a change.
 func (t *Table) Limited(now time.Time, x *Target, l Limit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -54,7 +55,7 @@
 	return x.limit.update(now, now, l, true)
 }
 
-// take keeps what an answer said at a time.
+// update applies what an answer at a given time said, and reports whether the limit changed.
 func (lim *targetLimit) update(now, at time.Time, l Limit, own bool) bool {
 	changed := lim.Limit != l
 	if l.Named && !lim.Named {
@@ -67,8 +68,8 @@
 	return changed
 }
 
-// ReportLimits returns what the other nodes of the region should know of the limits of its
-// targets: what answers to this node said, and for a relay what others reported too.
+// ReportLimits returns, by target ID, the limits in the region that other nodes should know: those
+// from answers to this node and, for a relay, also those reported by others.
 func (t *Table) ReportLimits(now time.Time, relay bool) map[string]LimitReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,7 +77,7 @@
 	for x := range t.selfReporting() {
 		lim := &x.limit
 		if lim.Named {
-			t.limitAllows(now, x) // so that it is noticed in time whether this node owns it
+			t.limitAllows(now, x) // updates the bucket, so that a change of the owner is noticed in time
 		}
 		age := now.Sub(lim.answeredAt)
 		if lim.answeredAt.IsZero() || x.Region != t.Region || !lim.direct && !relay || !lim.Named && age > limitEndReportPeriod {
@@ -90,7 +91,7 @@
 	return reports
 }
 
-// MergeLimits merges what another node of the region reports of limits.
+// MergeLimits merges another node's report of limits.
 func (t *Table) MergeLimits(now time.Time, reports map[string]LimitReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +104,7 @@
 	}
 }
 
-// LimitedTargets returns how many targets of the region name a limit.
+// LimitedTargets returns how many registered targets of the region name a limit.
 func (t *Table) LimitedTargets() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,9 +117,8 @@
 	return n
 }
 
-// RoomWait returns how long it takes until a target of the region takes a request of this
-// node that takes none now, as it has said in its answers; false if a request doesn't wait for
-// that.
+// RoomWait returns the shortest time until a target of the region, which by its own answers takes
+// no request of this node now, takes one again. It returns false if there is no such target.
 func (t *Table) RoomWait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -138,13 +138,12 @@
 	return shortest, shortest > 0
 }
 
-// limitRoom reports whether this node may send one more request to a target that names a
-// limit.
+// limitAllows reports whether this node may send one more request to a target that names a limit.
 func (t *Table) limitAllows(now time.Time, x *Target) bool {
 	return x.limit.bucket.Room(now, t.limitPart(now, x))
 }
 
-// limitPart returns this node's part in the limit of a target.
+// limitPart returns this node's part of the limit of a target.
 func (t *Table) limitPart(now time.Time, x *Target) jwbudget.LimitPart {
 	lim := &x.limit
 	if t.LimitPart == nil {
@@ -157,7 +156,7 @@
 	return lim.part
 }
 
-// knownBy reports whether a node of the region chooses among others and a target.
+// knownBy reports whether a target is in the subset that a node of the region chooses from.
 func (t *Table) knownBy(x *Target, node string) bool {
 	k := subsetKey{x.Service, x.Region, node}
 	if list := t.subset(k); len(list) == len(t.byRegion[k.service][k.region]) {
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -3,42 +3,44 @@
 import "time"
 
 const (
-	// unreachedRest is the first rest of a target that took no connection; it
-	// doubles with each further one up to mostRest. One that crashed refuses at
-	// once, and a silent one costs a request the dial's time-out.
+	// initialDialBackoff is how long a target is not used after a failed dial. It doubles with each
+	// further failure up to maxDialBackoff. A crashed target refuses connections at once, but one
+	// that does not respond costs a request the dial timeout.
 	initialDialBackoff = 300 * time.Millisecond
 	maxDialBackoff     = 2 * time.Second
-	// mostClosed bounds how long a target is left alone at its own request.
+	// maxClosed limits how long a target is not used at its own request.
 	maxClosed = time.Hour
-	// refusedRest is the rest of a target that had no room.
+	// refusedBackoff is how long a target is not used after it had no room.
 	refusedBackoff = 100 * time.Millisecond
-	// failurePenalty is what each failure in a row adds to the expected wait:
-	// others go first, but where all fail one is still tried.
+	// failurePenalty is what each consecutive failure, up to maxPenalizedFailures, adds to the cost
+	// of a target. Other targets are preferred, but if all of them fail one is still tried.
 	failurePenalty       = 60 * time.Millisecond
 	maxPenalizedFailures = 8
 )
 
-// pace is what calls showed of a service.
+// serviceStats holds the measurements of the calls to a service.
 type serviceStats struct {
-	engine       bool // its requests have prompts
-	firstEvent   latencyModel
-	plainLatency time.Duration
-	slotTime     time.Duration // of a slot of an engine, by one call
-	meanPrompt   float64       // mean of the prompts sent, in tokens
+	engine       bool          // whether its requests have prompts
+	firstEvent   latencyModel  // wait for the first event of an engine
+	plainLatency time.Duration // of a call to a plain service
+	slotTime     time.Duration // time that a call occupies a slot of an engine
+	meanPrompt   float64       // mean length of the prompts sent, in tokens
 }
 
 const (
-	// paceShare is the weight of a new sample in the time of plain calls.
+	// callTimeWeight is the weight of a new sample in the moving averages of the latency of plain
+	// calls and of the time that a call occupies a slot.
 	callTimeWeight = 0.05
-	// promptShare is the weight of one more request in the mean of the prompts.
+	// promptWeight is the weight of a new request in the mean length of the prompts.
 	promptWeight = 0.02
-	// slowShare is the weight of a call in a target's own pace, and slowMost
-	// bounds a single sample, as one stall is not a slow target.
+	// slowdownWeight is the weight of a new call in the slowdown of a target. maxSlowdownSample
+	// bounds each sample, as a single stall does not make a target slow.
 	slowdownWeight    = 0.15
 	maxSlowdownSample = 6
 )
 
-// Started notes the first event of a call after the wait d.
+// Started records that a call received its first event, or the answer of a plain service, after the
+// wait d.
 func (t *Table) Started(x *Target, c Choice, p Prompt, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -59,10 +61,10 @@
 	x.slowdown = max(x.slowdown+slowdownWeight*(ratio-x.slowdown), 0.5)
 }
 
-// gapShare is the weight of one more event in a target's gap.
+// gapWeight is the weight of a new event in the moving average of a target's gap.
 const gapWeight = 0.1
 
-// Passed notes that events of a stream came after the pause d.
+// Passed records that a number of events of a stream arrived after a pause of d.
 func (t *Table) Passed(now time.Time, x *Target, events int, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,8 +76,8 @@
 	x.gapAt = now
 }
 
-// Done notes the end of a call; first is the wait that Started was called with, 0
-// if it was not.
+// Done records the end of a call. The parameter first is the wait that was given to Started, or 0
+// if Started was not called.
 func (t *Table) Done(now time.Time, x *Target, c Choice, first time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,15 +92,15 @@
 	}
 }
 
-// Served notes an answer that a target gave as it should.
+// Served records that a target answered properly, and resets its failures and its backoff.
 func (t *Table) Served(x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.failures, x.dialFailures, x.backoffUntil = 0, 0, time.Time{}
 }
 
-// Unreached notes that a target took no connection: it has crashed or its
-// host is cut off.
+// Unreached records that a connection to a target could not be made: it has crashed or its host is
+// cut off.
 func (t *Table) Unreached(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,29 +109,29 @@
 	x.backoffUntil = laterTime(x.backoffUntil, now.Add(min(d, maxDialBackoff)))
 }
 
-// Failed notes a failure of the target's own, or an answer that was lost.
+// Failed records a failure of the target itself, or a lost answer.
 func (t *Table) Failed(x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.failures = min(x.failures+1, maxPenalizedFailures)
 }
 
-// Refused notes that a target had no room.
+// Refused records that a target had no room.
 func (t *Table) Refused(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.backoffUntil = laterTime(x.backoffUntil, now.Add(refusedBackoff))
 }
 
-// Closed notes for how long a target wants nothing more of this node. An answer to a
-// request that was sent before doesn't end that.
+// Closed records that a target asked this node not to send more requests for d, which is limited to
+// maxClosed. Answers to requests that were sent before do not end that period.
 func (t *Table) Closed(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.closedUntil = laterTime(x.closedUntil, now.Add(min(d, maxClosed)))
 }
 
-// Replaced notes that another incarnation answered at a target's address.
+// Replaced records that another incarnation answered at a target's address.
 func (t *Table) Replaced(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// maxRelayed bounds how many placements a relay passes on in one report.
+// maxRelayed limits how many placements a relay passes on in one report.
 const maxRelayed = 512
 
-// ReportToRelay returns what the relay of another data centre should know: the loads of
-// this node and of those that report through it.
+// ReportToRelay returns the loads that the relay of another data centre should know: those of this
+// node and of the nodes that report through it.
 func (t *Table) ReportToRelay(now time.Time) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -37,8 +37,8 @@
 	return loads
 }
 
-// ReportTo returns what a node that reports through this one should know: the loads of
-// all others at the targets that it chooses among.
+// ReportTo returns the loads that a node reporting through this one should know: those of all other
+// nodes at the targets in its subset.
 func (t *Table) ReportTo(now time.Time, node string) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -63,7 +63,7 @@
 	return loads
 }
 
-// load returns a sum of loads at a target as it is reported.
+// nodeLoad returns a sum of loads at a target as a NodeLoad for a report.
 func (x *Target) nodeLoad(now time.Time, s loadSum) NodeLoad {
 	l := NodeLoad{Target: x.ID, Calls: s.calls, Unread: s.unread, MemoryTokens: s.memoryTokens}
 	if gap, at := x.latestGap(); now.Sub(at) < reportMaxAge {
@@ -72,7 +72,7 @@
 	return l
 }
 
-// lastGap returns the time between two events that was seen or reported last.
+// latestGap returns the time between two events that was last measured or reported, and when.
 func (x *Target) latestGap() (time.Duration, time.Time) {
 	if x.reportedGapAt.After(x.gapAt) {
 		return x.reportedGap, x.reportedGapAt
@@ -80,10 +80,11 @@
 	return x.gap, x.gapAt
 }
 
-// Relayed returns the placements of shared parts within an age, this node's and those
-// that were reported to it, the latest first: a part that belongs to one caller is of use to few.
-// A node that is no relay is reported of the targets that it knows. Another relay isn't reported
-// what relays reported, or it would go round between them.
+// Relayed returns the placements of shared parts that are not older than age, of this node and
+// reported to it, the latest first. The last part of a prompt belongs to one caller and is useful
+// to few, so it is left out. A node that is not a relay gets only placements at targets that it
+// knows. Another relay doesn't get what relays reported, which would otherwise circulate between
+// them.
 func (t *Table) Relayed(now time.Time, age time.Duration, node string, toRelay bool) []Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -103,7 +104,7 @@
 			continue
 		}
 		shared := p.Parts
-		if !p.remote { // of another region only the shared parts are reported
+		if !p.remote { // placements in other regions were reported without the last part
 			shared = p.Parts[:len(p.Parts)-1]
 		}
 		if len(shared) == 0 {
@@ -119,7 +120,7 @@
 	return placed
 }
 
-// knownTo returns the targets of the own region that a node knows, nil for all.
+// knownTo returns the IDs of the targets of this region that a node knows, or nil if it knows all.
 func (t *Table) knownTo(node string, relay bool) map[string]bool {
 	t.buildIndex()
 	maxTargets := 0
@@ -138,8 +139,8 @@
 	return known
 }
 
-// Loads is a list of NodeLoad by columns, as nodes report it: a name of a column
-// is written once and not for each target.
+// Loads is a list of NodeLoad in columns, which is the form that nodes exchange: it writes each
+// field name once instead of once for each target.
 type Loads struct {
 	Targets      []string           `json:"targets"`
 	Calls        []int              `json:"calls"`
@@ -148,7 +149,7 @@
 	Gaps         []int64            `json:"gaps"`
 }
 
-// Columns returns a list by columns, nil for an empty one.
+// Columns converts a list to columns; it returns nil for an empty list.
 func Columns(list []NodeLoad) *Loads {
 	if len(list) == 0 {
 		return nil
@@ -163,7 +164,7 @@
 	return c
 }
 
-// List returns the loads one by one; columns that are too short end the list.
+// List converts the columns back to a list. It ends where the shortest column ends.
 func (c *Loads) List() []NodeLoad {
 	if c == nil {
 		return nil
@@ -176,8 +177,8 @@
 	return list
 }
 
-// Places is a list of Placement by columns: At is the place of a target in Targets, and
-// Counts is how many of IDs and Tokens belong to each placement.
+// Places is a list of Placement in columns. At holds the index in Targets of each placement, and
+// Counts how many of IDs and Tokens belong to it.
 type Places struct {
 	Targets []string `json:"targets"`
 	At      []int    `json:"at"`
@@ -186,7 +187,7 @@
 	Tokens  []int    `json:"tokens"`
 }
 
-// PlaceColumns returns a list by columns, nil for an empty one.
+// PlaceColumns converts a list to columns; it returns nil for an empty list.
 func PlaceColumns(list []Placement) *Places {
 	if len(list) == 0 {
 		return nil
@@ -208,7 +209,7 @@
 	return c
 }
 
-// List returns the placements one by one; what doesn't fit together ends the list.
+// List converts the columns back to a list. It ends where the columns are inconsistent.
 func (c *Places) List() []Placement {
 	if c == nil {
 		return nil
--- a/core/jwinstance/sample.go
+++ b/core/jwinstance/sample.go
@@ -5,24 +5,24 @@
 	"time"
 )
 
-// sampleSize is how many of the targets are compared, where so many nodes choose
-// among them. All nodes see the same idle target, and were all compared, each would
-// send there before it learns of the others: the more is reported of loads, and the sooner,
-// the worse it gets. With this an idle target is among those of two nodes in the mean.
-// Two at least are compared, as two are far better than one.
+// sampleSize returns how many targets to compare when many nodes choose among the same targets. All
+// nodes see the same idle target; if all targets were compared, every node would send there before
+// it learns of the others, and more of them the more and the sooner loads are reported. With this
+// size an idle target is in the samples of two nodes on average. At least two targets are compared,
+// as two are far better than one.
 func sampleSize(targets, nodes int) int {
 	const minSize, nodesPerTarget = 2, 2
 	return max(nodesPerTarget*targets/max(nodes, 1), minSize)
 }
 
-// draw returns the places in a list of the targets that are compared: of those that
-// may take the request sampleSize at random, the one that keeps most of the prompt, and
-// those that name a limit and have room for this node.
+// selectCompared returns the indexes in list of the targets to compare: a random sample of those
+// that may take the request, the one that has cached most of the prompt, and those that name a
+// limit and have room for this node.
 func (t *Table) selectCompared(now time.Time, n Need, list []*Target, allowGone bool) []int {
 	t.collectCandidates(now, n, list, allowGone)
 	limited := t.limitedCandidates
-	// A limit counts requests, whatever their size, so that a large prompt there takes most
-	// off the other targets.
+	// A limit counts requests whatever their size. While there are other targets, those with a
+	// limit are left to prompts of at least the mean length, which take most load off the others.
 	if len(t.candidates) > 0 && n.Prompt.Tokens < int(t.statsOf(n.Service).meanPrompt) {
 		limited = nil
 	}
@@ -30,8 +30,8 @@
 	return t.candidates
 }
 
-// candidates puts the places of the targets that may take the request into t.drawn, and of
-// those that name a limit into t.limited.
+// collectCandidates stores the indexes of the targets that may take the request in t.candidates,
+// and of those that also name a limit in t.limitedCandidates instead.
 func (t *Table) collectCandidates(now time.Time, n Need, list []*Target, allowGone bool) {
 	t.candidates, t.limitedCandidates = t.candidates[:0], t.limitedCandidates[:0]
 	for i, x := range list {
@@ -51,7 +51,7 @@
 	}
 }
 
-// sample returns those of the candidates that are compared.
+// sampleCandidates returns those of t.candidates that are compared.
 func (t *Table) sampleCandidates(n Need) []int {
 	if t.Nodes == nil || n.WarmOnly || len(t.candidates) == 0 {
 		return t.candidates
@@ -69,7 +69,7 @@
 	t.candidates[0], t.candidates[holder] = t.candidates[holder], t.candidates[0]
 	fixed := 1
 	if t.missingTokens[t.candidates[0]] == n.Prompt.Tokens {
-		fixed = 0 // nobody keeps anything
+		fixed = 0 // no candidate has cached any of it
 	}
 	for k := fixed; k < fixed+size && k < len(t.candidates); k++ {
 		j := k + t.Rand(len(t.candidates)-k)
@@ -78,8 +78,9 @@
 	return t.candidates[:min(fixed+size, len(t.candidates))]
 }
 
-// holder returns the target that holds most of the prompt that best was asked
-// for, but for one, and how many tokens; one of another region only where it holds clearly more.
+// largestHolder returns the known target that has cached most of the prompt, other than except, and
+// how many tokens. A target of another region must hold at least minFetchTokens more to be
+// preferred. t.missingTokens must have been filled by best.
 func (t *Table) largestHolder(now time.Time, n Need, except *Target) (*Target, int) {
 	var holder *Target
 	maxHeld := 0
@@ -104,6 +105,8 @@
 	return holder, maxHeld
 }
 
+// usable reports whether requests may be sent to a target; with allowGone also to one that vanished
+// within goneGracePeriod.
 func (t *Table) usable(now time.Time, x *Target, allowGone bool) bool {
 	if x.Draining || x.Leaving || t.evacuated[x.DataCentre] || now.Before(x.backoffUntil) || now.Before(x.closedUntil) {
 		return false
@@ -114,8 +117,8 @@
 	return allowGone && now.Sub(x.goneAt) < goneGracePeriod
 }
 
-// coldRoom reports whether this node may send one more request to a cold target
-// within a second.
+// coldAllows reports whether this node may send one more request to a cold target, given its sends
+// within the last second.
 func (t *Table) coldAllows(now time.Time, x *Target) bool {
 	if t.Warmup == nil || t.Share == nil {
 		return true
@@ -128,12 +131,12 @@
 	return float64(len(x.recentSends)+1) <= t.Share(x.Service, x.ID)
 }
 
-// mostSends bounds how many sends are remembered; no share of a cold target is
-// as large.
+// maxRecentSends limits how many sends are remembered. No node's share of a cold target is that
+// large.
 const maxRecentSends = 64
 
-// sent remembers a send, also to a warm target: one that turns out to have
-// gone cold has taken what it got within the last second.
+// recordSend remembers a send, also to a warm target: one that turns out to have become cold
+// already received the sends of the last second.
 func (x *Target) recordSend(now time.Time) {
 	if len(x.recentSends) == maxRecentSends {
 		x.recentSends = append(x.recentSends[:0], x.recentSends[1:]...)
@@ -141,6 +144,7 @@
 	x.recentSends = append(x.recentSends, now)
 }
 
+// dropOldSends forgets sends older than a second, plus a margin of 50 ms.
 func (x *Target) dropOldSends(now time.Time) {
 	expired := 0
 	for expired < len(x.recentSends) && now.Sub(x.recentSends[expired]) >= time.Second+50*time.Millisecond {
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -3,25 +3,28 @@
 import "time"
 
 const (
-	// othersAge is how long the load that another node reported counts.
+	// reportMaxAge is how long the load reported by another node counts.
 	reportMaxAge = time.Second
-	// placedAge is how long a placement is reported to the others: several
+	// placementMaxAge is how long a placement is reported to other nodes. It covers several
 	// exchanges, as one may be lost.
 	placementMaxAge = 400 * time.Millisecond
-	// farAge is the same for nodes of other regions, which exchange state once a second.
+	// remotePlacementMaxAge is the same for nodes of other regions, which exchange state once a
+	// second.
 	remotePlacementMaxAge = 1300 * time.Millisecond
 )
 
-// ranks is how many ranks of urgency are reported apart; all beyond are the last.
+// priorityLevels is how many levels of priority are reported separately; lower priorities count as
+// the last level.
 const priorityLevels = 3
 
-// work is prompt tokens by the rank of their requests.
+// tokensByPriority is a number of prompt tokens for each priority level of their requests.
 type tokensByPriority [priorityLevels]int
 
+// priorityLevel returns the level of a priority; 0 is the most urgent.
 func priorityLevel(priority int) int { return min(max(priority, 0), priorityLevels-1) }
 
-// before returns the tokens that are read before a request of a priority: an
-// engine takes the more urgent ones first.
+// upTo returns the tokens that are read before a request of a priority: those of the same level and
+// of more urgent ones, which an engine takes first.
 func (w tokensByPriority) upTo(priority int) int {
 	n := 0
 	for _, tokens := range w[:priorityLevel(priority)+1] {
@@ -32,20 +35,21 @@
 
 // NodeLoad is what a node has in flight at one target.
 type NodeLoad struct {
-	Target       string           `json:"target"`
+	Target       string           `json:"target"` // target ID
 	Calls        int              `json:"calls"`
-	Unread       tokensByPriority `json:"work"`           // prompt tokens without a first event
-	MemoryTokens int              `json:"held,omitempty"` // tokens of memory
-	Gap          int64            `json:"gap,omitempty"`  // milliseconds between two events
+	Unread       tokensByPriority `json:"work"`           // prompt tokens of calls without a first event
+	MemoryTokens int              `json:"held,omitempty"` // memory in use, in tokens
+	Gap          int64            `json:"gap,omitempty"`  // milliseconds between two events, 0 if not measured lately
 }
 
-// nodeReport is what another node of the region reported last.
+// nodeReport is the last report of another node of the region.
 type nodeReport struct {
 	at        time.Time
-	fromRelay bool // it is the report of a relay, with what others reported to it
+	fromRelay bool // sent by a relay, so it includes what others reported to it
 	loads     []targetLoad
 }
 
+// targetLoad is a reported load with the target that it refers to.
 type targetLoad struct {
 	*Target
 	NodeLoad
@@ -56,12 +60,12 @@
 	Target   string `json:"target"`
 	Parts    []Part `json:"parts"`
 	at       time.Time
-	received bool // from another node of the region
-	relayed  bool // from a relay, which passes it on to others itself
+	received bool // reported by another node
+	relayed  bool // reported by a relay, which passes it on to other nodes itself
 	remote   bool // at a target of another region
 }
 
-// place notes that a prompt was sent to a target.
+// recordPlacement records that a prompt was sent to a target.
 func (t *Table) recordPlacement(now time.Time, x *Target, p Prompt) {
 	if len(p.Parts) == 0 {
 		return
@@ -70,7 +74,7 @@
 	t.addPlacement(now, Placement{Target: x.ID, Parts: p.Parts, at: now})
 }
 
-// keep holds a placement as long as it is reported to others.
+// addPlacement adds a placement and drops those that are too old to be reported.
 func (t *Table) addPlacement(now time.Time, p Placement) {
 	t.placements = append(t.placements, p)
 	expired := 0
@@ -80,13 +84,13 @@
 	t.placements = append(t.placements[:0], t.placements[expired:]...)
 }
 
-// Report returns what goes to the other nodes of the region: this node's
-// load at each target, and where it sent which prompts a moment ago.
+// Report returns this node's report to the other nodes of the region: its load at each target, and
+// where it lately sent which prompts.
 func (t *Table) Report(now time.Time) ([]NodeLoad, []Placement) {
 	return t.ReportSince(now, placementMaxAge)
 }
 
-// ReportSince returns the same with the placements of an age.
+// ReportSince is like Report, with the placements that are not older than age.
 func (t *Table) ReportSince(now time.Time, age time.Duration) ([]NodeLoad, []Placement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -111,9 +115,8 @@
 	return loads, placed
 }
 
-// ReportRemote returns what nodes of other regions should know: where the large
-// parts that many prompts share were sent a moment ago. A target there can
-// fetch them instead of reading them.
+// ReportRemote returns the report to nodes of other regions: where large parts that many prompts
+// share were lately sent. Targets there can fetch these parts instead of reading them.
 func (t *Table) ReportRemote(now time.Time) []Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,7 +127,7 @@
 		if now.Sub(p.at) > remotePlacementMaxAge || len(p.Parts) < 2 || p.remote {
 			continue
 		}
-		shared := p.Parts[:len(p.Parts)-1] // the last one belongs to one caller
+		shared := p.Parts[:len(p.Parts)-1] // the last part belongs to one caller
 		last := shared[len(shared)-1]
 		if sent[last.ID] || last.Tokens < minFetchTokens {
 			continue
@@ -135,12 +138,12 @@
 	return placed
 }
 
-// Merge merges what another node of the region reported.
+// Merge merges the report of another node of the region.
 func (t *Table) Merge(now time.Time, node string, loads []NodeLoad, placed []Placement) {
 	t.merge(now, node, false, loads, placed)
 }
 
-// MergeRelay merges what a relay of the region reported: its own loads and those of the
+// MergeRelay merges the report of a relay of the region, which has its own load and that of the
 // nodes that report through it.
 func (t *Table) MergeRelay(now time.Time, node string, loads []NodeLoad, placed []Placement) {
 	t.merge(now, node, true, loads, placed)
@@ -180,13 +183,14 @@
 	}
 }
 
-// coldDrift is by how much a target must be colder by the report of another node
-// than by this one's: less is the way between them, and nodes that took each
-// other's report would keep it cold for ever.
+// coldReportTolerance is how much longer a target must stay cold by another node's report than by
+// this node's record for the report to count. A smaller difference is due to the transmission time
+// between the nodes, and nodes that took over each other's reports would keep a target cold
+// forever.
 const coldReportTolerance = 50 * time.Millisecond
 
-// ReportCold returns how many milliseconds each cold target of the region stays
-// so: one that goes cold without a registration is noticed by one node only.
+// ReportCold returns, by target ID, how many milliseconds each cold target of the region stays
+// cold. Only one node notices when a target becomes cold without a registration.
 func (t *Table) ReportCold(now time.Time) map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -202,7 +206,7 @@
 	return cold
 }
 
-// MergeCold merges what another node of the region reports of cold targets.
+// MergeCold merges another node's report of cold targets.
 func (t *Table) MergeCold(now time.Time, cold map[string]int64) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,9 +218,8 @@
 	}
 }
 
-// Probes returns the targets of the region that may be used and are not known to
-// be cold, to be asked whether they are. A question counts as a request to a target that
-// names a limit.
+// Probes returns the usable targets of the region that are not known to be cold, so that they can
+// be asked whether they are. A probe counts as a request to a target that names a limit.
 func (t *Table) Probes(now time.Time) []*Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -236,7 +239,7 @@
 	return list
 }
 
-// Resumed forgets the loads that other nodes reported: the node itself stood still.
+// Resumed discards the loads that other nodes reported, after this node itself was paused.
 func (t *Table) Resumed() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -245,7 +248,7 @@
 	}
 }
 
-// dropReport takes a node's loads out of the sums.
+// dropReport subtracts a node's loads from the sums and deletes its report.
 func (t *Table) dropReport(node string) {
 	for _, l := range t.reports[node].loads {
 		l.Target.othersLoad.add(l.NodeLoad, -1)
@@ -253,7 +256,7 @@
 	delete(t.reports, node)
 }
 
-// expireReports forgets the nodes that have reported nothing for othersAge.
+// expireReports drops the reports of nodes that have sent nothing for reportMaxAge.
 func (t *Table) expireReports(now time.Time) {
 	for node, report := range t.reports {
 		if now.Sub(report.at) >= reportMaxAge {
@@ -262,14 +265,15 @@
 	}
 }
 
-// sum is what the other nodes of the region have at a target. It is kept, and
-// not added up for each decision: a region of full size has some 75 nodes.
+// loadSum is the load of the other nodes of the region at a target. It is updated with each report
+// instead of being summed for each decision, as a region of full size has about 75 nodes.
 type loadSum struct {
 	calls        int
 	unread       tokensByPriority
 	memoryTokens int
 }
 
+// add adds a load if sign is 1, and subtracts it if sign is -1.
 func (s *loadSum) add(l NodeLoad, sign int) {
 	s.calls += sign * l.Calls
 	s.memoryTokens += sign * l.MemoryTokens
--- a/core/jwinstance/subset.go
+++ b/core/jwinstance/subset.go
@@ -10,26 +10,27 @@
 )
 
 const (
-	// localSubset is how many targets of a service in its own region a node chooses
-	// among, and is reported the loads of. Were it all, what relays report would grow with
-	// targets times nodes.
+	// localSubset is how many targets of a service a node chooses from in its own region, and gets
+	// load reports for. If it were all of them, the reports of relays would grow with the product
+	// of targets and nodes.
 	localSubset = 64
-	// remoteSubset is the same for each other region, whose targets are only asked what
-	// prompts they keep.
+	// remoteSubset is the same for each other region, whose targets are only considered for the
+	// prompts that they have cached.
 	remoteSubset = 16
 )
 
-// subsetKey names the targets that a node knows of a service in a region.
+// subsetKey identifies the subset of a service's targets in a region that a node knows.
 type subsetKey struct{ service, region, node string }
 
-// subset is the targets that a node knows, those that rank highest first.
+// subset holds the targets that a node knows in a region with more than localSubset of them, the
+// highest score first.
 type subset struct {
-	scores []uint64 // nil where it has all targets of the region
+	scores []uint64 // rendezvous hashing scores of the targets in list
 	list   []*Target
 }
 
-// of returns the targets of a service that this node knows: its subsets of all regions,
-// by name.
+// knownTargets returns the targets of a service that this node knows, that is, its subsets of all
+// regions, sorted by ID.
 func (t *Table) knownTargets(service string) []*Target {
 	t.buildIndex()
 	list, ok := t.known[service]
@@ -43,9 +44,9 @@
 	return list
 }
 
-// subset returns the targets of a service in a region that a node knows: those that rank
-// highest for it by rendezvous hashing, so that all nodes agree on them and few change
-// when a target comes or goes.
+// subset returns the targets of a service in a region that a node knows. They are selected by
+// rendezvous hashing, so that all nodes agree on them and few change when a target is added or
+// removed.
 func (t *Table) subset(k subsetKey) []*Target {
 	t.buildIndex()
 	all := t.byRegion[k.service][k.region]
@@ -60,7 +61,7 @@
 	return s.list
 }
 
-// subsetSize returns how many targets of a region with many a node knows.
+// subsetSize returns how many targets a node knows in a region with more than localSubset of them.
 func (t *Table) subsetSize(region string) int {
 	if region == t.Region {
 		return localSubset
@@ -68,6 +69,7 @@
 	return remoteSubset
 }
 
+// selectSubset returns the targets in all that score highest for a node.
 func (t *Table) selectSubset(k subsetKey, all []*Target) *subset {
 	type scored struct {
 		rank uint64
@@ -87,7 +89,8 @@
 	return s
 }
 
-// insert brings a new target into the order, and into the subsets that it ranks high for.
+// addToIndex adds a new target to the sorted lists, and to the subsets for which its score is high
+// enough.
 func (t *Table) addToIndex(x *Target) {
 	t.usableSlots = nil
 	if t.byRegion == nil {
@@ -111,11 +114,11 @@
 		}
 	}
 	if len(list) == localSubset {
-		delete(t.known, x.Service) // it had all of them until now
+		delete(t.known, x.Service) // until now this node knew all of them
 	}
 }
 
-// add takes a target in place of the last one, if it ranks higher.
+// add replaces the last target if the new one scores higher, and reports whether it does.
 func (s *subset) add(score uint64, x *Target) bool {
 	last := len(s.scores) - 1
 	if score <= s.scores[last] {
@@ -127,7 +130,7 @@
 	return true
 }
 
-// replace puts a target that began anew in the place of the one before.
+// replaceInIndex replaces a target that restarted by its new incarnation.
 func (t *Table) replaceInIndex(old, x *Target) {
 	if old.Service != x.Service || old.Region != x.Region {
 		t.invalidateIndex()
@@ -148,7 +151,7 @@
 	}
 }
 
-// remove takes a target out of the order.
+// removeFromIndex removes a target from the sorted lists and drops the subsets that this changes.
 func (t *Table) removeFromIndex(x *Target) {
 	t.usableSlots = nil
 	list := t.byRegion[x.Service][x.Region]
@@ -165,7 +168,7 @@
 	}
 }
 
-// Knows reports whether this node chooses among others and a target, by its name.
+// Knows reports whether this node chooses from a subset that includes the target with the given ID.
 func (t *Table) Knows(id string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -173,7 +176,8 @@
 	return x != nil && t.knows(x)
 }
 
-// Known returns the registrations of the targets that this node chooses among, by name.
+// Known returns the registrations of the targets of the region that this node chooses from, sorted
+// by ID.
 func (t *Table) Known(now time.Time) []Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,13 +194,13 @@
 	return list
 }
 
-// knows reports whether this node chooses among others and a target.
+// knows reports whether this node knows a target, that is, has it in a subset.
 func (t *Table) knows(x *Target) bool {
 	t.buildIndex()
 	return t.knownBy(x, t.Node)
 }
 
-// index sorts the targets by service and region, if any came or went since.
+// buildIndex sorts the targets by service and region, if the index was invalidated.
 func (t *Table) buildIndex() {
 	if t.byRegion != nil {
 		return
@@ -219,11 +223,11 @@
 	}
 }
 
-// reindex forgets the order of targets.
+// invalidateIndex makes the next use of the index rebuild it.
 func (t *Table) invalidateIndex() { t.byRegion, t.usableSlots = nil, nil }
 
-// Regions returns how many usable slots a service has in each region. It must not be
-// changed.
+// Regions returns how many usable slots a service has in each region. Callers must not change the
+// map.
 func (t *Table) Regions(service string) map[string]int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -12,93 +12,96 @@
 )
 
 const (
-	// goneUse is how long a target whose registration vanished without a
-	// notice may still be used where no other is left: registrations lapse by
-	// mistake while the store is away and are back about two seconds later.
+	// goneGracePeriod is how long a target whose registration vanished without notice may still be
+	// used if no other target is left. Registrations may expire by mistake while the store is away;
+	// they are back about two seconds later.
 	goneGracePeriod = 2 * time.Second
-	// forget is how long a record outlives its registration, so that its
-	// failures are still known when it comes back.
+	// recordRetention is how long the record of a target is kept after its registration is gone, so
+	// that its failures are still known if it comes back.
 	recordRetention = 30 * time.Second
 )
 
-// Table holds the targets; set its fields before use.
+// Table holds the known targets. Its exported fields must be set before use.
 type Table struct {
-	Node   string                                        // name of the node itself, by which its subsets of many targets differ from others'
-	Region string                                        // targets of other regions can't be reached and are only counted
-	Warmup func(service string) (time.Duration, float64) // how long and how slowly a target starts
-	// Nodes returns how many nodes of the region choose among its targets, and Rand draws
-	// a number below n. Where they are set not all targets are compared; see draw.
+	Node   string                                        // name of this node, which determines its subsets of the targets
+	Region string                                        // region of this node; targets of other regions are not chosen
+	Warmup func(service string) (time.Duration, float64) // how long a starting target is cold, and how many requests a second it bears meanwhile
+	// Nodes returns how many nodes of the region choose among its targets; Rand returns a random
+	// number from 0 up to but not including n. If Nodes is nil, all usable targets are compared;
+	// see sampleCandidates.
 	Nodes func() int
 	Rand  func(n int) int
 	Share func(service, target string) float64 // requests a second that this node may send to a cold target
-	// LimitPart returns this node's part in the limit that a target names, knows which nodes
-	// choose among others and it; where it isn't set the node is taken to be the only one.
+	// LimitPart returns this node's part of the rate limit that a target names. The function knows
+	// reports whether a node has the target among those that it chooses from. If LimitPart is nil,
+	// this node is taken to be the only one.
 	LimitPart func(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart
 
 	mu                sync.Mutex
 	targets           map[string]*Target
-	byRegion          map[string]map[string][]*Target // targets by service and region, nil after a change
-	known             map[string][]*Target            // those that this node knows, by service
+	byRegion          map[string]map[string][]*Target // targets by service and region, sorted by ID; nil if it must be rebuilt
+	known             map[string][]*Target            // targets in this node's subsets, by service
 	subsets           map[subsetKey]*subset
-	usableSlots       map[string]map[string]int // usable slots by service and region, nil after a change
-	evacuated         map[string]bool           // data centres
-	selfReported      map[string]bool           // names of targets that said in an answer that they leave, or a limit
+	usableSlots       map[string]map[string]int // by service and region, nil after a change
+	evacuated         map[string]bool           // data centres that get no requests
+	selfReported      map[string]bool           // IDs of targets that said in an answer that they leave, or named a limit
 	stats             map[string]*serviceStats  // by service
-	placements        []Placement               // of this node, the latest last
-	reports           map[string]nodeReport     // of the other nodes of the region, by name
-	candidates        []int                     // scratch of draw
-	limitedCandidates []int                     // the same, the targets that name a limit
-	missingTokens     []int                     // scratch of best: tokens that each target lacks
+	placements        []Placement               // recent ones, of this node and reported by others, the latest last
+	reports           map[string]nodeReport     // last report of each other node of the region, by node name
+	candidates        []int                     // buffer of collectCandidates: indexes of targets
+	limitedCandidates []int                     // the same for the targets that name a limit
+	missingTokens     []int                     // buffer of best: prompt tokens that each known target has not cached
 }
 
-// Target is one incarnation with all that is known of it. Its fields belong
-// to the Table, but for its name, service and address, which never change;
-// callers keep it to give it back.
+// Target is one incarnation of a target with all that is known about it. Its fields are guarded by
+// the mutex of the Table, except ID, Service and Address, which never change. Callers hold on to a
+// Target only to pass it back to the Table.
 type Target struct {
 	Instance
-	nameHash      uint64           // hash of its name
-	seenAt        time.Time        // last registration
+	nameHash      uint64           // hash of its ID, for rendezvous hashing
+	seenAt        time.Time        // time of the last registration
 	changedAt     time.Time        // when its registration last changed
-	goneAt        time.Time        // when its registration vanished, zero if it stands
-	staleRevision jwstore.Revision // of the last registration that a store which came back held of before
-	coldUntil     time.Time
-	recentSends   []time.Time      // of the last second
-	backoffUntil  time.Time        // not used before
-	closedUntil   time.Time        // until when it wants nothing of this node
-	failures      int              // in a row
-	dialFailures  int              // connections not taken, in a row
+	goneAt        time.Time        // when its registration vanished, zero while it exists
+	staleRevision jwstore.Revision // of the last registration that came from an older copy of the store, 0 if none
+	coldUntil     time.Time        // when it stops being cold
+	recentSends   []time.Time      // times of this node's sends within the last second
+	backoffUntil  time.Time        // not used before, after a failed dial or a refusal
+	closedUntil   time.Time        // not used before, as the target asked for
+	failures      int              // consecutive failures
+	dialFailures  int              // consecutive failed dials
 	calls         int              // in flight from this node
-	unread        tokensByPriority // prompt tokens of this node's calls without a first event
-	memoryInUse   int              // memory held by this node's calls
-	gap           time.Duration    // between two events, as this node saw it last
+	unread        tokensByPriority // prompt tokens of this node's calls that have no first event yet
+	memoryInUse   int              // memory occupied by this node's calls, in tokens
+	gap           time.Duration    // time between two events, as last seen by this node
 	gapAt         time.Time
-	othersLoad    loadSum       // of the other nodes of the region
-	reportedGap   time.Duration // between two events, as another node reported last
+	othersLoad    loadSum       // load from the other nodes of the region
+	reportedGap   time.Duration // time between two events, as last reported by another node
 	reportedGapAt time.Time
-	slowdown      float64 // its pace against the service's, 1 is usual
+	slowdown      float64 // latency relative to the mean of the service, 1 is usual
 	cache         cache
-	capacity      int // tokens of its memory, 0 if not known
+	capacity      int // memory of the target in tokens, 0 if not known
 	limit         targetLimit
 }
 
-// Change is what a registration changed of a target.
+// Change is what a registration changed about a target.
 type Change string
 
-// The changes by a registration.
+// Possible changes by a registration.
 const (
-	Same         Change = ""
-	Appeared     Change = "appeared"
-	Restarted    Change = "beganAnew" // under the same name
-	Returned     Change = "returned"  // its registration had vanished
-	DrainStarted Change = "draining"
-	Updated      Change = "renewed" // its slots, its place, or how long it is cold or stays
+	Same         Change = ""          // nothing
+	Appeared     Change = "appeared"  // a target that was not known
+	Restarted    Change = "beganAnew" // a new incarnation under the same name
+	Returned     Change = "returned"  // its registration had vanished before
+	DrainStarted Change = "draining"  // the target started to drain
+	Updated      Change = "renewed"   // other slots or place, a changed cold or remaining time, or the end of draining
 )
 
-// drift is by how much the end of a time that targets count down in each registration
-// may differ between two before that is a change.
+// countdownTolerance is how much the end of a cold or remaining time, computed from two
+// registrations, may differ without counting as a change. Targets count these times down in each
+// registration.
 const countdownTolerance = 500 * time.Millisecond
 
-// Put takes a registration as it stands in the store and returns what it changed.
+// Put applies a registration read from the store and returns what it changed.
 func (t *Table) Put(now time.Time, in Instance) Change {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -110,7 +113,7 @@
 		t.leave(old)
 	}
 	if old != nil && in.Revision < old.Revision {
-		return Same // by another node that lags behind
+		return Same // from another node that lags behind
 	}
 	if old != nil && old.fromStaleStore(in) {
 		if in.Born < old.Born || !old.goneAt.IsZero() {
@@ -156,9 +159,9 @@
 	return change
 }
 
-// fromCopy reports whether a registration may be one that a store which came back from an
-// older copy still holds, though the target has left, drains or began anew since. What the
-// target writes after the copy counts again.
+// fromStaleStore reports whether a registration may come from a store that was restored from an
+// older copy, so that it does not show that the target has since left, drained or restarted.
+// Registrations that the target writes after the restore count again.
 func (x *Target) fromStaleStore(in Instance) bool {
 	newerEra := jwstore.Era(in.Revision) > jwstore.Era(x.Revision)
 	if newerEra && (x.Draining || !x.goneAt.IsZero() || in.Born < x.Born) {
@@ -182,20 +185,21 @@
 	return Same
 }
 
-// counted reports whether a time that was counted down differs from what is left of it.
+// countdownDiffers reports whether a remaining time differs by more than countdownTolerance from an
+// earlier one, less the time elapsed between the two.
 func countdownDiffers(before, now, elapsed time.Duration) bool {
 	return (max(before-elapsed, 0) - now).Abs() > countdownTolerance
 }
 
-// renew takes what another registration of the same incarnation may change. Its
-// name, service and address stay: who sends to it reads them without the lock.
+// update applies what another registration of the same incarnation may change. The ID, service and
+// address stay, because senders read them without the lock.
 func (x *Target) update(in Instance) {
 	x.DataCentre, x.Region, x.Slots = in.DataCentre, in.Region, in.Slots
 	x.Draining, x.Cold, x.Left = in.Draining, in.Cold, in.Left
 }
 
-// coldAfterReturn is how long a target that began anew under its own name is
-// taken for cold: it may not have said so yet.
+// coldAfterRestart returns how long a target that restarted under its own name is taken to be cold:
+// it may not have reported that yet.
 func (t *Table) coldAfterRestart(old *Target, in Instance) time.Duration {
 	if old == nil || t.Warmup == nil {
 		return 0
@@ -204,7 +208,7 @@
 	return d
 }
 
-// Remove notes that a registration is gone from the store at a revision.
+// Remove records that a registration was gone from the store at a revision.
 func (t *Table) Remove(now time.Time, id string, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -214,8 +218,8 @@
 	}
 }
 
-// Keep removes all targets but those named: this is the whole store at a
-// revision, and what vanished before is gone too.
+// Keep marks all targets as gone except those with the given IDs, which are all that the store held
+// at the revision.
 func (t *Table) Keep(now time.Time, ids map[string]bool, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,13 +231,15 @@
 	}
 }
 
+// markGone records that the registration is gone, unless a later revision is known.
 func (x *Target) markGone(now time.Time, revision jwstore.Revision) {
 	if x.goneAt.IsZero() && revision >= x.Revision {
 		x.goneAt, x.Revision = now, revision
 	}
 }
 
-// sweep drops records of targets that are gone for long.
+// removeExpired deletes the records of targets that have been gone for longer than recordRetention
+// and have no calls in flight.
 func (t *Table) removeExpired(now time.Time) {
 	for id, x := range t.targets {
 		if !x.goneAt.IsZero() && now.Sub(x.goneAt) > recordRetention && x.calls == 0 {
@@ -243,9 +249,8 @@
 	}
 }
 
-// Evacuate sets whether a data centre is to get nothing. Its targets may come
-// back cold without saying so at once, so they are taken for cold when the
-// evacuation ends.
+// Evacuate sets whether a data centre is evacuated, that is, gets no requests. Its targets may come
+// back cold without reporting it at once, so they are taken to be cold from the time of the change.
 func (t *Table) Evacuate(now time.Time, dataCentre string, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -267,7 +272,7 @@
 	}
 }
 
-// Evacuated returns the data centres that get nothing, sorted.
+// Evacuated returns the names of the evacuated data centres, sorted.
 func (t *Table) Evacuated() []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -281,14 +286,14 @@
 	return names
 }
 
-// Cold notes that a target said how long it stays cold.
+// Cold records that a target said in an answer that it remains cold for d.
 func (t *Table) Cold(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.coldUntil = laterTime(x.coldUntil, now.Add(d))
 }
 
-// ServiceAt returns the service of the target at an address, "" for none.
+// ServiceAt returns the service of the target at an address, or "" if there is none.
 func (t *Table) ServiceAt(a netip.AddrPort) string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -300,7 +305,7 @@
 	return ""
 }
 
-// Addresses returns where the targets of a service in the region are reached.
+// Addresses returns the addresses of the registered targets of a service in this region.
 func (t *Table) Addresses(service string) []netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -314,8 +319,8 @@
 	return list
 }
 
-// Instances returns the registrations that stand, for a node that can't read
-// the store itself, with how long each stays cold from now on.
+// Instances returns the existing registrations, for a node that can't read the store itself. The
+// Cold field of each is the time it remains cold from now.
 func (t *Table) Instances(now time.Time) []Instance {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -328,7 +333,8 @@
 	return list
 }
 
-// instance returns the registration with how long the target stays cold from now on.
+// registration returns the registration, with Cold set to the time that the target remains cold
+// from now.
 func (x *Target) registration(now time.Time) Instance {
 	in := x.Instance
 	in.Cold = max(x.coldUntil.Sub(now), 0)
