--- a/core/jwinstance/cache.go
+++ b/core/jwinstance/cache.go
@@ -13,7 +13,7 @@
 // many as fit. The zero value is an empty cache.
 type cache struct {
 	parts  map[uint64]*list.Element // elements of lru by part ID
-	lru    list.List                // of cachedPart, the most recently used first
+	lru    list.List                // of cachedPart, most recently used first
 	tokens int
 }
 
--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -49,7 +49,7 @@
 	Service  string
 	Prompt   Prompt
 	Priority int              // 0 is the most urgent
-	Goal     time.Duration    // time to the first event that is aimed at, 0 if there is none
+	Goal     time.Duration    // desired time to the first event, 0 if there is none
 	Events   int              // maximum number of events of the answer
 	Capacity int              // memory of a target in tokens, 0 if not known
 	Homes    []string         // regions that may hold the prompt's data; all if empty
@@ -63,7 +63,7 @@
 	Target        *Target
 	Expected      time.Duration  // expected time until the first event
 	Own           time.Duration  // the part of Expected that reading the request's own prompt takes
-	Cost          time.Duration  // Expected plus the weighted delay of later events, both of this request and of others, and penalties
+	Cost          time.Duration  // Expected plus penalties and the weighted delay of later events, its own and those of others
 	Miss          int            // prompt tokens that the target has to read or, weighted, to fetch
 	Ahead         int            // prompt tokens of other requests that the target reads before
 	Fetch         netip.AddrPort // a target to fetch missing parts from, if valid
@@ -124,7 +124,7 @@
 
 // Wait returns how long a request without a prompt would wait at the best target of the region.
 // Cold targets don't count: they look idle, and other regions would send them far more than they
-// bear.
+// can handle.
 func (t *Table) Wait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/estimate.go
+++ b/core/jwinstance/estimate.go
@@ -6,9 +6,9 @@
 )
 
 // fetchCost returns the cost of a fetch besides its time: the price of the memory moved, about a
-// twentieth of the value of a prompt of some thousand tokens. It counts in full while there is time
-// to wait for the target that has the parts, and less the nearer the goal is, because a late answer
-// loses most of its value.
+// twentieth of the value of a prompt of some thousand tokens. With much time left until the goal
+// the cost counts in full, so that the request waits for the target that has the parts. It counts
+// less the nearer the goal is, because a late answer loses most of its value.
 func fetchCost(n Need, c Choice) time.Duration {
 	spare := n.Goal/2 - c.Expected
 	if !c.Fetch.IsValid() || spare <= 0 {
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -61,7 +61,7 @@
 	x.slowdown = max(x.slowdown+slowdownWeight*(ratio-x.slowdown), 0.5)
 }
 
-// gapWeight is the weight of a new event in the moving average of a target's gap.
+// gapWeight is the weight of a new sample in the moving average of a target's gap.
 const gapWeight = 0.1
 
 // Passed records that a number of events of a stream arrived after a pause of d.
@@ -131,7 +131,8 @@
 	x.closedUntil = laterTime(x.closedUntil, now.Add(min(d, maxClosed)))
 }
 
-// Replaced records that another incarnation answered at a target's address.
+// Replaced records that another incarnation answered at a target's address, so that this one is not
+// used any more.
 func (t *Table) Replaced(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/sample.go
+++ b/core/jwinstance/sample.go
@@ -7,7 +7,7 @@
 
 // sampleSize returns how many targets to compare when many nodes choose among the same targets. All
 // nodes see the same idle target; if all targets were compared, every node would send there before
-// it learns of the others, and more of them the more and the sooner loads are reported. With this
+// it learns of the others. More complete and more frequent load reports make this worse. With this
 // size an idle target is in the samples of two nodes on average. At least two targets are compared,
 // as two are far better than one.
 func sampleSize(targets, nodes int) int {
@@ -30,8 +30,8 @@
 	return t.candidates
 }
 
-// collectCandidates stores the indexes of the targets that may take the request in t.candidates,
-// and of those that also name a limit in t.limitedCandidates instead.
+// collectCandidates stores the indexes of the targets that may take the request in t.candidates.
+// Those that name a limit go to t.limitedCandidates instead.
 func (t *Table) collectCandidates(now time.Time, n Need, list []*Target, allowGone bool) {
 	t.candidates, t.limitedCandidates = t.candidates[:0], t.limitedCandidates[:0]
 	for i, x := range list {
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -23,9 +23,11 @@
 
 // Table holds the known targets. Its exported fields must be set before use.
 type Table struct {
-	Node   string                                        // name of this node, which determines its subsets of the targets
-	Region string                                        // region of this node; targets of other regions are not chosen
-	Warmup func(service string) (time.Duration, float64) // how long a starting target is cold, and how many requests a second it bears meanwhile
+	Node   string // name of this node, which determines its subsets of the targets
+	Region string // targets of other regions can't be reached from here and are only counted
+	// Warmup returns how long a starting target of a service is cold, and how many requests a
+	// second it can handle meanwhile.
+	Warmup func(service string) (time.Duration, float64)
 	// Nodes returns how many nodes of the region choose among its targets; Rand returns a random
 	// number from 0 up to but not including n. If Nodes is nil, all usable targets are compared;
 	// see sampleCandidates.
@@ -93,7 +95,7 @@
 	Restarted    Change = "beganAnew" // a new incarnation under the same name
 	Returned     Change = "returned"  // its registration had vanished before
 	DrainStarted Change = "draining"  // the target started to drain
-	Updated      Change = "renewed"   // other slots or place, a changed cold or remaining time, or the end of draining
+	Updated      Change = "renewed"   // other slots or place, another cold or remaining time, or draining ended
 )
 
 // countdownTolerance is how much the end of a cold or remaining time, computed from two
@@ -219,7 +221,7 @@
 }
 
 // Keep marks all targets as gone except those with the given IDs, which are all that the store held
-// at the revision.
+// at the revision. This covers removals that this node did not see.
 func (t *Table) Keep(now time.Time, ids map[string]bool, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
