--- a/core/jwinstance/curve_test.go
+++ b/core/jwinstance/curve_test.go
@@ -17,10 +17,10 @@
 		base, thousand, square float64
 		stall                  float64 // part of the samples that stall for a second
 	}{
-		"linear":          {57, 12, 0, 0},
-		"rises by length": {57, 11, 15, 0},
-		"slow":            {200, 40, 0, 0},
-		"some stall":      {57, 11, 15, 0.005},
+		"linear":             {57, 12, 0, 0},
+		"rises with length":  {57, 11, 15, 0},
+		"slow":               {200, 40, 0, 0},
+		"some samples stall": {57, 11, 15, 0.005},
 	}
 	for name, x := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,7 +44,7 @@
 				k := float64(own) / 1000
 				want := x.base + x.thousand*k + x.square*k*k/100
 				got := millis(c.predict(0, own))
-				assert.Assert(t, math.Abs(got-want) < 0.2*want+20*x.stall*1000/100, "%d tokens: %.0f ms, learned %.0f", own, want, got)
+				assert.Assert(t, math.Abs(got-want) < 0.2*want+20*x.stall*1000/100, "%d tokens take %.0f ms, predicted %.0f", own, want, got)
 			}
 		})
 	}
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -34,12 +34,12 @@
 		known func(*Table)
 		copy  Instance
 	}{
-		"it drains": {func(t *Table) { t.Put(after(0), at(1, 9, draining)) }, at(2, 5, nil)},
-		"it left":   {func(t *Table) { t.Remove(after(-3000), "a", rev(1, 9)) }, at(2, 5, nil)},
-		"it began anew and drains": {func(t *Table) {
+		"it drained": {func(t *Table) { t.Put(after(0), at(1, 9, draining)) }, at(2, 5, nil)},
+		"it left":    {func(t *Table) { t.Remove(after(-3000), "a", rev(1, 9)) }, at(2, 5, nil)},
+		"it restarted and drained": {func(t *Table) {
 			t.Put(after(0), at(1, 9, func(in *Instance) { in.Born, in.Draining = 11, true }))
 		}, at(2, 5, nil)},
-		"it said so in an answer": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
+		"it said in an answer that it leaves": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -52,7 +52,7 @@
 			}
 			again := at(2, 7, func(in *Instance) { in.Born = 12 })
 			table.Put(after(6000), again)
-			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "what it writes then counts")
+			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "registrations after the copy count")
 		})
 	}
 	table := &Table{Region: "r"}
@@ -60,7 +60,7 @@
 	table.Put(after(0), at(1, 9, draining))
 	table.Put(after(1), at(2, 5, nil))
 	table.Put(after(2), at(2, 6, nil))
-	assert.Equal(t, bestTargetID(table, after(3), Need{}), "a", "it wrote after the copy that it doesn't drain")
+	assert.Equal(t, bestTargetID(table, after(3), Need{}), "a", "it registered as not draining after the copy")
 }
 
 // Copies, readings and views come in any order: an incarnation that is known to drain gets
@@ -102,7 +102,7 @@
 			}
 			for k := range tables[:informed] {
 				if bestTargetID(tables[k], now, Need{}) != "" {
-					t.Fatalf("node %d sends to a target that drains", k)
+					t.Fatalf("node %d sends to a draining target", k)
 				}
 			}
 		}
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -20,11 +20,11 @@
 	later := instance("a")
 	later.Revision, later.Slots = 7, 5
 	table.Put(after(3), later)
-	assert.Equal(t, bestTargetID(table, after(4), Need{}), "b", "a later registration says nothing of it")
+	assert.Equal(t, bestTargetID(table, after(4), Need{}), "b", "a later registration does not reset it")
 	assert.Equal(t, table.Regions("s")["r"], 4)
 	later.Born++
 	table.Put(after(5), later)
-	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation hasn't said so")
+	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation does not leave")
 }
 
 // Whatever registrations, views and reports of other nodes come, and in which order: an
@@ -74,7 +74,7 @@
 			}
 			for k, table := range tables {
 				if x := table.targets["a"]; x != nil && leaving[k][x.Born] && bestTargetID(table, now, Need{}) == "a" {
-					t.Fatalf("node %d sends to the incarnation of %d", k, x.Born)
+					t.Fatalf("node %d sends to the leaving incarnation of %d", k, x.Born)
 				}
 			}
 		}
@@ -97,6 +97,6 @@
 	next := instance("x")
 	next.Born, next.Revision = 5, 2
 	b.Put(after(4), next)
-	assert.Equal(t, len(b.MergeLeaving(a.ReportLeaving())), 0, "it was another incarnation that left")
+	assert.Equal(t, len(b.MergeLeaving(a.ReportLeaving())), 0, "another incarnation leaves")
 	assert.Equal(t, bestTargetID(b, after(5), Need{}), "x")
 }
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -140,7 +140,7 @@
 				change()
 			}
 			report()
-			sender := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one") // none: all at once, as the target looks idle to each
+			sender := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one") // negative: all nodes send at once, as the target looks idle to each
 			for i := range nodes {
 				n := &nodes[i]
 				if n.live && (sender < 0 || sender == i) && bestTargetID(n.Table, now, Need{}) != "" {
@@ -164,7 +164,7 @@
 	assert.Assert(t, !a.Limited(after(10), a.targets["x"], named))
 	b.MergeLimits(after(120), a.ReportLimits(after(110), false))
 	assert.Equal(t, limited(b), named)
-	assert.Equal(t, len(b.ReportLimits(after(130), false)), 0, "only who had the answer reports it")
+	assert.Equal(t, len(b.ReportLimits(after(130), false)), 0, "only the node that received the answer reports it")
 	c.MergeLimits(after(250), b.ReportLimits(after(240), true))
 	assert.Equal(t, limited(c), named, "a relay reports for others")
 	assert.Assert(t, a.Limited(after(1000), a.targets["x"], Limit{}))
@@ -172,7 +172,7 @@
 	assert.Equal(t, limited(a), Limit{}, "an older answer changes nothing")
 	c.MergeLimits(after(1110), a.ReportLimits(after(1100), false))
 	assert.Equal(t, limited(c), Limit{})
-	assert.Equal(t, len(a.ReportLimits(after(7000), true)), 0, "all have learned of the end")
+	assert.Equal(t, len(a.ReportLimits(after(7000), true)), 0, "the end is no longer reported")
 	assert.Equal(t, c.LimitedTargets(), 0)
 }
 
@@ -280,5 +280,5 @@
 			sent++
 		}
 	}
-	assert.Assert(t, sent >= rate*seconds*8/10, "%d of %d requests that it takes", sent, rate*seconds)
+	assert.Assert(t, sent >= rate*seconds*8/10, "%d of the %d requests that its limit allows", sent, rate*seconds)
 }
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -34,7 +34,7 @@
 	for _, n := range known {
 		most = max(most, n)
 	}
-	assert.Assert(t, most <= 20, "a target is known to %d nodes", most)
+	assert.Assert(t, most <= 20, "%d nodes know the same target", most)
 	assert.Assert(t, len(known) > targets*99/100, "%d targets are used", len(known))
 
 	relay := table("relay", targets)
@@ -79,7 +79,7 @@
 			changed++
 		}
 	}
-	assert.Assert(t, changed <= 1, "%d targets are new", changed)
+	assert.Assert(t, changed <= 1, "%d targets of the subset changed", changed)
 }
 
 // The order of targets that is kept as they come, begin anew and go must be the one that
@@ -135,13 +135,13 @@
 		in   Instance
 		want Change
 	}{
-		"the same":              {with(func(*Instance) {}), Same},
-		"a little later":        {with(func(in *Instance) { in.Cold -= 400 * time.Millisecond }), Same},
-		"cold anew":             {with(func(in *Instance) { in.Cold = 3 * time.Second }), Updated},
+		"same content":          {with(func(*Instance) {}), Same},
+		"within the tolerance":  {with(func(in *Instance) { in.Cold -= 400 * time.Millisecond }), Same},
+		"cold again":            {with(func(in *Instance) { in.Cold = 3 * time.Second }), Updated},
 		"warm at once":          {with(func(in *Instance) { in.Cold = 0 }), Updated},
 		"other slots":           {with(func(in *Instance) { in.Slots = 8 }), Updated},
 		"draining":              {with(func(in *Instance) { in.Draining = true }), DrainStarted},
-		"taken away soon":       {with(func(in *Instance) { in.Left = 2 * time.Second }), Updated},
+		"removed soon":          {with(func(in *Instance) { in.Left = 2 * time.Second }), Updated},
 		"an older registration": {with(func(in *Instance) { in.Revision, in.Draining = 0, true }), Same},
 	}
 	for name, c := range cases {
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -45,49 +45,49 @@
 		at   int
 		want string // "b" if only a may not be used
 	}{
-		"both": {func(*Table) {}, 0, "a"},
-		"it drains": {func(t *Table) {
+		"both usable": {func(*Table) {}, 0, "a"},
+		"a drains": {func(t *Table) {
 			a := instance("a")
 			a.Draining = true
 			t.Put(after(0), a)
 		}, 0, "b"},
-		"its data centre is evacuated": {func(t *Table) {
+		"a's data centre is evacuated": {func(t *Table) {
 			b := instance("b")
 			b.DataCentre = "r-b"
 			t.Put(after(0), b)
 			t.Evacuate(after(0), "r-a", true)
 		}, 0, "b"},
-		"its registration vanished":        {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
-		"it vanished while nobody watched": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
-		"it took no connection":            {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
-		"it took none a while ago":         {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
-		"it had no room":                   {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
-		"it wants nothing for a while":     {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
-		"and an answer of before comes": {func(t *Table) {
+		"a's registration vanished":                {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
+		"a vanished while this node did not watch": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
+		"a dial of a failed":                       {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
+		"a dial of a failed, backoff over":         {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
+		"a had no room":                            {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
+		"a closed for a second":                    {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
+		"a closed, and an earlier request is answered": {func(t *Table) {
 			t.Closed(after(0), t.targets["a"], time.Second)
 			t.Served(t.targets["a"])
 		}, 900, "b"},
-		"that while is over":          {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
-		"another one has its address": {func(t *Table) { t.Replaced(after(0), t.targets["a"]) }, 100, "b"},
-		"it fails":                    {func(t *Table) { t.Failed(t.targets["a"]) }, 0, "b"},
-		"it failed and then served":   {func(t *Table) { t.Failed(t.targets["a"]); t.Served(t.targets["a"]) }, 0, "a"},
-		"it drains, and a node that lags behind says otherwise": {func(t *Table) {
+		"a closed, a second later":            {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
+		"another incarnation has a's address": {func(t *Table) { t.Replaced(after(0), t.targets["a"]) }, 100, "b"},
+		"a failed":                            {func(t *Table) { t.Failed(t.targets["a"]) }, 0, "b"},
+		"a failed and then served":            {func(t *Table) { t.Failed(t.targets["a"]); t.Served(t.targets["a"]) }, 0, "a"},
+		"a drains, an older registration follows": {func(t *Table) {
 			a := instance("a")
 			a.Draining, a.Revision = true, 2
 			t.Put(after(0), a)
 			t.Put(after(1), instance("a"))
 		}, 10, "b"},
-		"it left, and a node that lags behind says otherwise": {func(t *Table) {
+		"a left, an older registration follows": {func(t *Table) {
 			t.Remove(after(0), "a", 2)
 			t.Put(after(1), instance("a"))
 		}, 10, "b"},
-		"it came after another node looked": {func(t *Table) {
+		"a appeared after another node read the store": {func(t *Table) {
 			a := instance("a")
 			a.Revision = 3
 			t.Put(after(0), a)
 			t.Keep(after(1), map[string]bool{"b": true}, 2)
 		}, 10, "a"},
-		"the other is of another region": {func(t *Table) {
+		"b is in another region": {func(t *Table) {
 			b := instance("b")
 			b.Region = "q"
 			t.Put(after(0), b)
@@ -111,7 +111,7 @@
 	table.Put(after(0), instance("a"))
 	table.Remove(after(0), "a", 1)
 	assert.Equal(t, bestTargetID(table, after(1500), Need{}), "a")
-	assert.Equal(t, bestTargetID(table, after(2500), Need{}), "", "it is gone by then")
+	assert.Equal(t, bestTargetID(table, after(2500), Need{}), "", "the grace period is over")
 	newer := instance("a")
 	newer.Revision = 2
 	table.Put(after(2600), newer)
@@ -147,11 +147,11 @@
 	table.Put(after(10), a)
 	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
 	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
-	assert.Equal(t, bestTargetID(table, after(20), Need{}), "", "two a second")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "", "at most two a second")
 	assert.Equal(t, bestTargetID(table, after(1200), Need{}), "a")
 	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
 	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
-	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a", "it is warm")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a", "the target is warm")
 }
 
 func TestTargetsAreColdAfterEvacuation(t *testing.T) {
@@ -227,52 +227,52 @@
 		want  string
 		fetch string // the target that parts are fetched from
 	}{
-		"whoever holds its beginning":        {func(t *Table) { t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		"another prompt's parts are no help": {func(t *Table) { t.targets["b"].cache.markUsed(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
-		"the holder is busy: parts are fetched from it": {func(t *Table) {
+		"b has the first parts":         {func(t *Table) { t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
+		"b has parts of another prompt": {func(t *Table) { t.targets["b"].cache.markUsed(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
+		"b has the parts but is busy: they are fetched": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{20_000}
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"the holder is busy, as another node reported": {func(t *Table) {
+		"b is busy as another node reported": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.Merge(t0, "n2", []NodeLoad{{Target: "b", Calls: 3, Unread: tokensByPriority{20_000}}}, nil)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"another node sent it there": {func(t *Table) {
+		"another node sent the parts to b": {func(t *Table) {
 			t.Merge(t0, "n2", nil, []Placement{{Target: "b", Parts: prompt(1, 2).Parts}})
 		}, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
 		// A calm hour: half of the prompts were moved between targets, for a
 		// twentieth of their worth, to save some ten milliseconds.
-		"there is time to wait for the holder": {func(t *Table) {
+		"b is busy but there is time to wait": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: time.Second}, "b", ""},
-		"there is none: parts are fetched": {func(t *Table) {
+		"b is busy and there is no time: parts are fetched": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
 		// The engine pushes parts out when its answers need the memory.
-		"the holder may have dropped it: another holder is named too": {func(t *Table) {
+		"a may have evicted the parts: b is given to fetch from": {func(t *Table) {
 			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"parts of another region are fetched": {func(t *Table) {
+		"parts are fetched from another region": {func(t *Table) {
 			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "far"},
 		// Bound data must not cross to or from a region that is no home.
-		"but not bound ones": {func(t *Table) {
+		"bound parts are not fetched from another region": {func(t *Table) {
 			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3), Homes: []string{"r"}}, "a", ""},
-		"less urgent work is read later": {func(t *Table) {
+		"less urgent prompts are read later": {func(t *Table) {
 			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
 			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1)}, "a", ""},
-		"as urgent work is read before": {func(t *Table) {
+		"prompts of the same priority are read before": {func(t *Table) {
 			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
 			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1), Priority: 2}, "b", ""},
-		"its memory is full":  {func(t *Table) { t.targets["a"].memoryInUse = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
-		"its slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
-		"it is slow at events": {func(t *Table) {
+		"a's memory is full":  {func(t *Table) { t.targets["a"].memoryInUse = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
+		"a's slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
+		"a's events are slow": {func(t *Table) {
 			t.Passed(t0, t.targets["a"], 1, time.Second)
 			t.Passed(t0, t.targets["b"], 1, 20*time.Millisecond)
 		}, Need{Prompt: prompt(1), Events: 50}, "b", ""},
@@ -308,9 +308,9 @@
 	c.markUsed([]Part{{1, 400}, {2, 400}}, 1000)
 	assert.Equal(t, c.missingTokens(prompt(1, 2)), 0)
 	c.markUsed([]Part{{3, 500}}, 1000)
-	assert.Equal(t, c.missingTokens(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt goes first")
+	assert.Equal(t, c.missingTokens(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt is evicted first")
 	c.markUsed([]Part{{4, 5000}}, 1000)
-	assert.Equal(t, c.tokens, 0, "larger than its memory")
+	assert.Equal(t, c.tokens, 0, "the part is larger than the memory")
 }
 
 func TestLoadIsReleased(t *testing.T) {
@@ -421,7 +421,7 @@
 	assert.Equal(t, bestTargetID(tables[1], after(160), Need{}), "")
 	assert.Equal(t, bestTargetID(tables[0], after(160), Need{}), "a")
 	assert.Equal(t, bestTargetID(tables[0], after(170), Need{}), "a")
-	assert.Equal(t, bestTargetID(tables[0], after(180), Need{}), "", "what it got while warm counts too")
+	assert.Equal(t, bestTargetID(tables[0], after(180), Need{}), "", "sends before it became cold count too")
 	assert.Equal(t, bestTargetID(tables[0], after(1100), Need{}), "a")
 }
 
@@ -505,13 +505,13 @@
 
 func TestSampleSize(t *testing.T) {
 	cases := map[string]struct{ targets, nodes, want int }{
-		"one node compares all":  {9, 1, 18},
-		"a small region":         {9, 4, 4},
-		"as many nodes":          {40, 40, 2},
-		"more nodes":             {5, 40, 2},
-		"many targets":           {246, 75, 6},
-		"nobody is counted":      {9, 0, 18},
-		"two targets, two nodes": {2, 2, 2},
+		"one node":                 {9, 1, 18},
+		"small region":             {9, 4, 4},
+		"as many nodes as targets": {40, 40, 2},
+		"more nodes than targets":  {5, 40, 2},
+		"many targets":             {246, 75, 6},
+		"no node is counted":       {9, 0, 18},
+		"two targets, two nodes":   {2, 2, 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -572,7 +572,7 @@
 		return most
 	}
 	assert.Equal(t, busiest(0), 40)
-	assert.Assert(t, busiest(40) <= 6, "%d of 40 nodes sent to one target", busiest(40))
+	assert.Assert(t, busiest(40) <= 6, "%d of 40 nodes sent to the same target", busiest(40))
 	table := &Table{Region: "r", Rand: rand.New(rand.NewPCG(1, 1)).IntN, Nodes: func() int { return 40 }}
 	for i := range 40 {
 		table.Put(t0, instance(fmt.Sprint("t", i)))
