--- a/core/jwinstance/curve_test.go
+++ b/core/jwinstance/curve_test.go
@@ -9,13 +9,13 @@
 	"gotest.tools/v3/assert"
 )
 
-// An engine takes 57 ms for a call and 11 ms for a thousand tokens, which rises
-// with the length of a prompt. Taken for one rate learned from short prompts, a
-// long one seems to last twice as long as it does, and was refused as too late.
+// An engine takes 57 ms for a call plus 11 ms for each thousand tokens, and more for the later
+// tokens of a long prompt. With a single rate learned from short prompts, a long prompt was
+// predicted to take twice as long as it does, and was refused because it would be too late.
 func TestLatencyModelFit(t *testing.T) {
 	cases := map[string]struct {
 		base, thousand, square float64
-		stall                  float64 // part of the samples that stall for a second
+		stall                  float64 // fraction of the samples that take a second longer
 	}{
 		"linear":             {57, 12, 0, 0},
 		"rises with length":  {57, 11, 15, 0},
@@ -50,8 +50,8 @@
 	}
 }
 
-// All prompts of a service are equally long, or nothing was seen yet: what isn't
-// told by samples must stay sensible, as the choice of targets rests on it.
+// Predictions must stay sensible if there are no samples, or only samples of prompts of the same
+// length, because the choice of targets depends on them.
 func TestLatencyModelWithFewSamples(t *testing.T) {
 	var c latencyModel
 	assert.Equal(t, c.predict(0, 10_000), initialBase+10*initialPerThousand)
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -10,7 +10,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// rev is the position of a number in an era.
+// rev returns the revision with a number in an era.
 func rev(era, number uint64) jwstore.Revision {
 	r, err := jwstore.RevisionAt(era, number)
 	if err != nil {
@@ -19,7 +19,8 @@
 	return r
 }
 
-// The store came back from a copy in which a target that has left since looks ready.
+// The store is restored from an older copy, in which a target that has since drained or left is
+// still ready.
 func TestOlderStoreCopyIsIgnored(t *testing.T) {
 	at := func(era, number uint64, change func(*Instance)) Instance {
 		in := instance("a")
@@ -46,7 +47,7 @@
 			table := &Table{Region: "r"}
 			table.Put(after(0), at(1, 4, nil))
 			c.known(table)
-			for ms := 1; ms < 5000; ms += 1000 { // read more than once, by other nodes too
+			for ms := 1; ms < 5000; ms += 1000 { // the copy is read more than once, by other nodes too
 				table.Put(after(ms), c.copy)
 				assert.Equal(t, bestTargetID(table, after(ms+1), Need{}), "")
 			}
@@ -63,8 +64,9 @@
 	assert.Equal(t, bestTargetID(table, after(3), Need{}), "a", "it registered as not draining after the copy")
 }
 
-// Copies, readings and views come in any order: an incarnation that is known to drain gets
-// nothing unless it has written since, in that era or after the copy of a later one.
+// Older copies of the store, reads of it and the views of other nodes may come in any order. An
+// incarnation that is known to drain gets no requests unless it has written since, in that era or
+// after the copy of a later one.
 func TestStoreCopiesOutOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}}
@@ -87,11 +89,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				era++
-			case 1: // the copy
+			case 1: // the node reads the older copy
 				in := ready
 				in.Revision = rev(era, 1)
 				tables[i].Put(now, in)
-			case 2: // an answer of an earlier era
+			case 2: // the node reads an answer of an earlier era
 				in := ready
 				in.Revision = rev(uint64(rapid.IntRange(1, int(era)).Draw(t, "era")), 1)
 				tables[i].Put(now, in)
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A target says that it leaves, and what the store holds of it is older or late: the node
-// goes on sending.
+// A target says in an answer that it leaves, but the store's registration of it is older or arrives
+// later. Nodes must not send to it again because of that.
 func TestLeavingOutlivesRegistrations(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -27,8 +27,8 @@
 	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation does not leave")
 }
 
-// Whatever registrations, views and reports of other nodes come, and in which order: an
-// incarnation that has said to a node that it leaves gets nothing more of that node.
+// A node must not send to an incarnation that it knows to leave, whatever registrations, views and
+// reports of other nodes arrive, and in whatever order.
 func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}, {Region: "r"}}
@@ -36,7 +36,7 @@
 		for i := range tables {
 			leaving[i] = make(map[int64]bool)
 		}
-		var written []Instance // of the store, by revision
+		var written []Instance // registrations in the store, by revision
 		now := t0
 		node := func() int { return rapid.IntRange(0, len(tables)-1).Draw(t, "node") }
 		for range rapid.IntRange(1, 80).Draw(t, "steps") {
@@ -44,11 +44,11 @@
 			i := node()
 			x := tables[i].targets["a"]
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
-			case 0: // the target writes
+			case 0: // the target writes a registration
 				in := instance("a")
 				in.Revision, in.Born = uint64(len(written)+1), int64(len(written)/8)
 				written = append(written, in)
-			case 1: // a node reads, maybe late
+			case 1: // a node reads a registration, maybe late
 				if len(written) > 0 {
 					tables[i].Put(now, rapid.SampledFrom(written).Draw(t, "registration"))
 				}
@@ -59,12 +59,12 @@
 					tables[i].Leave(x)
 					leaving[i][x.Born] = true
 				}
-			case 4: // a report
+			case 4: // a node merges a report
 				from := tables[node()].ReportLeaving()
 				for _, id := range tables[i].MergeLeaving(from) {
 					leaving[i][tables[i].targets[id].Born] = true
 				}
-			case 5: // a view
+			case 5: // a node merges a view
 				for _, in := range tables[node()].Instances(now) {
 					tables[i].Put(now, in)
 					if x := tables[i].targets["a"]; x.Leaving {
@@ -81,7 +81,8 @@
 	})
 }
 
-// A node that starts learns from another one's view what no registration says.
+// A node that starts learns from another node's view that a target leaves, which no registration
+// says.
 func TestLeavingIsReported(t *testing.T) {
 	a, b, c := &Table{Region: "r"}, &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("x"))
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -13,15 +13,15 @@
 	"jujubewheel/core/jwmember"
 )
 
-// What a target that names a limit may get of all nodes together within any span: half
-// more than the limit, and some requests besides.
+// The number of requests that a target with a limit may get from all nodes together within any
+// period of limitSpan: half more than the limit, plus a few.
 const (
 	limitSpan  = 4 * time.Second
 	limitRatio = 1.5
 	limitSlack = 5
 )
 
-// Nodes of a region that each know a target's limit send it more than that together.
+// Several nodes of a region know the same target's limit. Together they must not exceed it.
 func TestTargetLimitHoldsAcrossNodes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 20).Draw(t, "rate")
@@ -46,7 +46,7 @@
 	})
 }
 
-// checkLimit fails if a target got too much in the span that ends now.
+// checkLimit fails if a target got too many requests in the period of limitSpan that ends now.
 func checkLimit(t *rapid.T, sends []time.Time, now time.Time, rate float64) {
 	n := 0
 	for _, at := range sends {
@@ -59,17 +59,18 @@
 	}
 }
 
-// limitNode is a node of TestLimitWhileNodesComeAndGo.
+// limitNode is a node of TestTargetLimitWhileNodesComeAndGo.
 type limitNode struct {
 	*Table
 	live          bool
-	sendsFrom     time.Time // from when on it sends to a target that names a limit
+	sendsFrom     time.Time // does not send to targets with a limit before
 	learnsAt      time.Time // when it learns of the last change
-	mistakenUntil time.Time // until when it takes the owner for dead and itself for the owner
-	nodes         int       // in its view
-	owner         int
+	mistakenUntil time.Time // takes the owner for dead and itself for the owner until then
+	nodes         int       // number of nodes in its view
+	owner         int       // index of the owner in its view
 }
 
+// part returns the node's part of the limit in its own view.
 func (n *limitNode) part(rate float64, self int, now time.Time) jwbudget.LimitPart {
 	if now.Before(n.sendsFrom) {
 		return jwbudget.LimitPart{}
@@ -77,15 +78,15 @@
 	return jwbudget.PartOf(rate, n.owner == self, n.nodes)
 }
 
-// While nodes come and go they differ for some seconds in how many there are, and in which
-// of them owns the target; two owners, or an owner and even parts, would exceed the limit.
+// While nodes come and go, their views of the number of nodes and of the target's owner differ for
+// some seconds. Two owners, or an owner beside nodes with even parts, must not exceed the limit.
 func TestTargetLimitWhileNodesComeAndGo(t *testing.T) {
 	const lag, settle = 3300 * time.Millisecond, 4 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
 		rate := rapid.Float64Range(0.2, 8).Draw(t, "rate")
 		nodes := make([]limitNode, rapid.IntRange(2, 30).Draw(t, "nodes"))
 		now := t0
-		counted := make(map[int]bool) // those that left are counted for longer than this test lasts
+		counted := make(map[int]bool) // nodes that left are counted for longer than this test lasts
 		owner := 0
 		change := func() {
 			owner = len(nodes)
@@ -152,7 +153,7 @@
 	})
 }
 
-// The nodes of a region learn of a limit, and of its end, from the one that had the answer.
+// The nodes of a region learn of a limit, and of its end, from the node that received the answer.
 func TestLimitIsReportedBetweenNodes(t *testing.T) {
 	a, b, c := &Table{Region: "r"}, &Table{Region: "r"}, &Table{Region: "r"}
 	for _, table := range []*Table{a, b, c} {
@@ -176,7 +177,7 @@
 	assert.Equal(t, c.LimitedTargets(), 0)
 }
 
-// An incarnation knows nothing of the limit that the one before named.
+// A limit applies only to the incarnation that named it.
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -193,8 +194,8 @@
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 }
 
-// Two of three targets name a limit. Small prompts that come first would use it up, and the
-// large ones would all be read by the third.
+// Two of three targets name a limit. If small prompts could use it up, the third target would have
+// to read all large ones.
 func TestLargePromptsUseLimitedTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b", "c"} {
@@ -225,8 +226,8 @@
 	assert.Assert(t, bestTargetID(table, after(23_000), small) != "", "no other target is left")
 }
 
-// All targets of a large region name a limit: each request asks for each of them whether
-// this node owns it and has room.
+// BenchmarkBestOfLimitedTargets chooses among the targets of a large region that all name a limit,
+// so that each request determines for each of them whether this node owns it and has room.
 func BenchmarkBestOfLimitedTargets(b *testing.B) {
 	const targets, nodes = 250, 75
 	members := &jwmember.Table{Self: jwmember.Member{Name: "n00", Region: "r", Serving: true}}
@@ -253,8 +254,8 @@
 	}
 }
 
-// In a region of many nodes each compares few targets of many. The owner of one that names
-// a limit is the only node that may use it, and hardly ever drew it.
+// In a region of many nodes, each compares only a few of many targets. The owner of a target with a
+// limit is the only node that may use the limit, but hardly ever had that target in its sample.
 func TestOwnerUsesTheLimit(t *testing.T) {
 	const rate, seconds = 2, 20
 	random := rand.New(rand.NewPCG(1, 2))
--- a/core/jwinstance/relay_test.go
+++ b/core/jwinstance/relay_test.go
@@ -12,9 +12,9 @@
 	"pgregory.net/rapid"
 )
 
-// Nodes of a region learn of each other's load through relays of two data centres. Each
-// must count every call of the others once: counted twice, a target looks full and
-// stands idle; left out, all send to the same one.
+// The nodes of a region learn of each other's load through the relays of two data centres. Each
+// must count every call of the other nodes once. If calls are counted twice, a target looks full
+// and stays idle; if they are left out, all nodes send to the same target.
 func TestLoadsThroughRelays(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -56,7 +56,7 @@
 				}
 			}
 		}
-		for d := range dataCentres { // the next exchange brings the rest to the others
+		for d := range dataCentres { // the next exchange reports the rest to the other nodes
 			for n := 1; n < nodes; n++ {
 				table := tables[d][n]
 				table.MergeRelay(now, name(d, 0), tables[d][0].ReportTo(now, name(d, n)), nil)
@@ -68,7 +68,7 @@
 	})
 }
 
-// What relays tell each other of prompts must not go round between them.
+// Placements that relays report to each other must not circulate between them.
 func TestPlacementsAreRelayedOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	relay := &Table{Region: "r"}
@@ -91,14 +91,14 @@
 		slices.Sort(ids)
 		return strings.Join(ids, " ")
 	}
-	relay.placements[1].Parts[1].ID = 4 // not the same part as the first
+	relay.placements[1].Parts[1].ID = 4 // a different part than in the first placement
 	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", true)), "10")
 	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", false)), "10 20 30")
 	assert.Equal(t, len(relay.Relayed(now.Add(2*time.Second), time.Second, "2", false)), 0)
 }
 
-// Columns must bring back what they were made of, and never fail on what a node of
-// another version or a fault sends.
+// Columns must convert back to the list that they were made of, and converting must not fail on
+// invalid columns, which a faulty node or one of another version may send.
 func TestColumns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var loads []NodeLoad
@@ -130,8 +130,9 @@
 	})
 }
 
-// What a relay reports to one node at full size: 75 nodes of a region, half of them in its
-// data centre, 250 targets, three hundred placements since the last report.
+// BenchmarkRelayReport measures what a relay reports to one node at full size: 75 nodes in the
+// region, half of them in its data centre, 250 targets, and three hundred placements since the last
+// report.
 func BenchmarkRelayReport(b *testing.B) {
 	now := time.Unix(1000, 0)
 	table := &Table{Region: "r"}
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// A region of a thousand targets and a hundred nodes: what a relay reports to each node
-// grew with both, and filled the relay's link.
+// In a region of a thousand targets and a hundred nodes, the reports of a relay to each node grew
+// with both numbers and filled the relay's link.
 func TestSubsetsOfManyTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := func(node string, targets int) *Table {
@@ -52,7 +52,7 @@
 	}
 }
 
-// All targets of a small region are known to all.
+// In a small region each node knows all targets.
 func TestSmallRegionHasNoSubsets(t *testing.T) {
 	table := &Table{Node: "n", Region: "r"}
 	for i := range localSubset {
@@ -61,7 +61,7 @@
 	assert.Equal(t, len(table.knownTargets("s")), localSubset)
 }
 
-// When a target comes or goes, next to nothing else changes for a node.
+// When a target is added, a node's subset may change by at most that target.
 func TestSubsetsAreStable(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Node: "n", Region: "r"}
@@ -82,8 +82,8 @@
 	assert.Assert(t, changed <= 1, "%d targets of the subset changed", changed)
 }
 
-// The order of targets that is kept as they come, begin anew and go must be the one that
-// is made from all of them.
+// The index that is updated as targets are added, restart and are removed must equal one that is
+// built from all of them.
 func TestIndexMatchesRebuild(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -98,7 +98,7 @@
 			if rapid.IntRange(0, 2).Draw(t, "goes") == 0 {
 				table.Remove(now, id, 9)
 				now = now.Add(2 * recordRetention)
-				table.Report(now) // which forgets what is gone
+				table.Report(now) // removes the records of gone targets
 			} else {
 				table.Put(now, in)
 			}
@@ -120,8 +120,7 @@
 	})
 }
 
-// A registration that says what the one before said is no change: relays pass on the
-// others only.
+// A registration with the same content as the one before is no change. Relays pass on only changes.
 func TestPutReportsChange(t *testing.T) {
 	at := time.Unix(1000, 0)
 	first := Instance{ID: "t", Service: "s", Region: "r", Slots: 4, Cold: 3 * time.Second, Revision: 1}
@@ -153,9 +152,9 @@
 	}
 }
 
-// BenchmarkRenewals takes what a thousand cold targets register, whose time to stay so
-// jitters, and looks each up for a line of the log: the order of all targets was made anew
-// for each, and nodes of a fleet of 300 spent a percent of a core on it.
+// BenchmarkPutUpdates puts the registrations of a thousand cold targets, whose remaining cold time
+// varies, and looks up each changed one as the log does. When the index was rebuilt for each, nodes
+// of a fleet of 300 spent a percent of a core on it.
 func BenchmarkPutUpdates(b *testing.B) {
 	now := time.Unix(1000, 0)
 	table := &Table{Node: "n", Region: "r"}
@@ -173,8 +172,8 @@
 	}
 }
 
-// BenchmarkStart registers three thousand targets as a node that starts does; looked up
-// one by one meanwhile, they took seconds of a small host's processor.
+// BenchmarkPutAll registers three thousand targets as a starting node does. When each was also
+// looked up in between, this took seconds of a small host's processor.
 func BenchmarkPutAll(b *testing.B) {
 	now := time.Unix(1000, 0)
 	list := make([]Instance, 3000)
@@ -192,7 +191,7 @@
 	}
 }
 
-// Whether a node knows a target is asked by rank; it must say the same as the list.
+// knownBy decides by the score alone, and must agree with the subset's list.
 func TestKnownByAgreesWithTheSubsets(t *testing.T) {
 	table := &Table{Region: "r", Node: "n0"}
 	for i := range 200 {
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -15,8 +15,10 @@
 
 var t0 = time.Unix(1000, 0)
 
+// after returns the time ms milliseconds after t0.
 func after(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
+// instance returns a registration in region r, with an address derived from its ID.
 func instance(id string) Instance {
 	n := byte(len(id))
 	for _, c := range []byte(id) {
@@ -28,7 +30,7 @@
 	}
 }
 
-// chosen returns which target a request would go to, "" for none.
+// bestTargetID sends a request and returns the ID of the chosen target, or "" if there is none.
 func bestTargetID(t *Table, now time.Time, n Need) string {
 	n.Service = "s"
 	c, ok := t.Best(now, n)
@@ -39,11 +41,12 @@
 	return c.Target.ID
 }
 
+// TestUsableTargets checks when a target must not be chosen.
 func TestUsableTargets(t *testing.T) {
 	cases := map[string]struct {
 		do   func(*Table)
 		at   int
-		want string // "b" if only a may not be used
+		want string // "b" if a must not be used
 	}{
 		"both usable": {func(*Table) {}, 0, "a"},
 		"a drains": {func(t *Table) {
@@ -104,8 +107,8 @@
 	}
 }
 
-// The store was away, leases ran out meanwhile, and all registrations vanished
-// although the targets live. A caller would be refused for two seconds.
+// While the store is away leases expire, and all registrations vanish although the targets are
+// alive. If vanished targets were not used at all, callers would be refused for two seconds.
 func TestVanishedTargetsAreUsedLast(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -118,8 +121,8 @@
 	assert.Equal(t, bestTargetID(table, after(2600), Need{}), "a")
 }
 
-// All targets of a service fail for a while. If they were left alone callers
-// would be refused although some requests come through.
+// If failing targets were not used at all while all targets of a service fail, callers would be
+// refused although some requests succeed.
 func TestFailingTargetsAreStillTried(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -129,8 +132,8 @@
 	assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 }
 
-// A target crashed and began anew under its name and address. It knows nothing
-// of before, and a burst would crash it again.
+// A target that crashed and restarted under the same name and address is cold, and a burst of
+// requests would crash it again.
 func TestNewIncarnationIsCold(t *testing.T) {
 	table := &Table{
 		Region: "r",
@@ -154,6 +157,7 @@
 	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a", "the target is warm")
 }
 
+// The targets of a data centre may come back cold from an evacuation without reporting it.
 func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	table := &Table{
 		Region: "r",
@@ -168,8 +172,8 @@
 	assert.Equal(t, bestTargetID(table, after(13_001), Need{}), "a")
 }
 
-// Nodes of a region that don't see each other each believe that a cold target
-// is theirs. Together they must not send more in a second than it bears.
+// If nodes of a region don't see each other, each takes itself for the owner of a cold target.
+// Together they must not send it more requests in a second than it can handle.
 func TestColdRateOfAllNodesStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := jwbudget.ColdLimits{
@@ -211,6 +215,7 @@
 	})
 }
 
+// prompt returns a prompt with a part of 1000 tokens for each ID.
 func prompt(ids ...uint64) Prompt {
 	p := Prompt{Output: 50}
 	for _, id := range ids {
@@ -220,12 +225,13 @@
 	return p
 }
 
+// TestChoiceByPrompt checks how cached parts, load and goals decide the choice.
 func TestChoiceByPrompt(t *testing.T) {
 	cases := map[string]struct {
 		do    func(*Table)
 		need  Need
 		want  string
-		fetch string // the target that parts are fetched from
+		fetch string // the target to fetch parts from, "" for none
 	}{
 		"b has the first parts":         {func(t *Table) { t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
 		"b has parts of another prompt": {func(t *Table) { t.targets["b"].cache.markUsed(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
@@ -240,8 +246,8 @@
 		"another node sent the parts to b": {func(t *Table) {
 			t.Merge(t0, "n2", nil, []Placement{{Target: "b", Parts: prompt(1, 2).Parts}})
 		}, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		// A calm hour: half of the prompts were moved between targets, for a
-		// twentieth of their worth, to save some ten milliseconds.
+		// During a calm hour, half of the prompts were moved between targets to save some ten
+		// milliseconds each, at a cost of a twentieth of their value.
 		"b is busy but there is time to wait": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
@@ -250,7 +256,7 @@
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
-		// The engine pushes parts out when its answers need the memory.
+		// An engine evicts cached parts when its answers need the memory.
 		"a may have evicted the parts: b is given to fetch from": {func(t *Table) {
 			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
@@ -258,7 +264,7 @@
 		"parts are fetched from another region": {func(t *Table) {
 			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "far"},
-		// Bound data must not cross to or from a region that is no home.
+		// Data bound to its home regions must not be sent to or from another region.
 		"bound parts are not fetched from another region": {func(t *Table) {
 			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3), Homes: []string{"r"}}, "a", ""},
@@ -301,8 +307,8 @@
 	}
 }
 
-// A long prompt of one caller pushes older ones out of an engine's memory. A
-// belief that forgets by number would count on parts that are gone.
+// A long prompt evicts older parts from an engine's memory. An estimate that limits the number of
+// parts instead of their tokens would rely on parts that are gone.
 func TestCacheEvictsByTokens(t *testing.T) {
 	var c cache
 	c.markUsed([]Part{{1, 400}, {2, 400}}, 1000)
@@ -313,6 +319,7 @@
 	assert.Equal(t, c.tokens, 0, "the part is larger than the memory")
 }
 
+// The end of a call must release all load that the call added, with and without a first event.
 func TestLoadIsReleased(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
@@ -331,7 +338,8 @@
 	}
 }
 
-// One of a service's targets has become several times slower.
+// A target that has become several times slower than the others of its service must get fewer
+// requests.
 func TestSlowTargetGetsFewerRequests(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
@@ -351,8 +359,8 @@
 	assert.Assert(t, calls["a"] < 60, "%v", calls)
 }
 
-// A decision is made for each request; at 3,200 targets a region has some 250,
-// and some 75 nodes that each tell what they have in flight.
+// BenchmarkBest chooses a target as each request does. In a fleet of 3,200 targets, a region has
+// about 250 of them, and about 75 nodes that report their load to each other.
 func BenchmarkBest(b *testing.B) {
 	for name, nodes := range map[string]int{"alone": 0, "75 nodes": 75} {
 		b.Run(name, func(b *testing.B) {
@@ -378,8 +386,8 @@
 	}
 }
 
-// A region came back from an outage with all its targets cold. They look idle,
-// and the other regions sent there what had to be refused.
+// When a region came back from an outage, all its targets were cold and looked idle. Other regions
+// sent requests there that had to be refused.
 func TestWaitIgnoresColdTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -391,7 +399,7 @@
 	assert.Assert(t, ok)
 }
 
-// Targets come and go all day under new names. Their records must not pile up.
+// Targets come and go all day under new names. Their records must not accumulate.
 func TestGoneTargetsAreRemoved(t *testing.T) {
 	table := &Table{Region: "r"}
 	for i := range 1000 {
@@ -403,8 +411,9 @@
 	assert.Assert(t, len(table.targets) < 40, "%d records", len(table.targets))
 }
 
-// While the store is away a warm target goes cold, and one node hears so. Until
-// all know, and after, it must not get more than a cold one bears.
+// While the store is away a warm target becomes cold, and only one node learns of it from an
+// answer. Before and after the nodes report it to each other, the target must not get more requests
+// than a cold one can handle.
 func TestColdIsReportedBetweenNodes(t *testing.T) {
 	warmup := func(string) (time.Duration, float64) { return 3 * time.Second, 2 }
 	tables := []*Table{
@@ -425,8 +434,8 @@
 	assert.Equal(t, bestTargetID(tables[0], after(1100), Need{}), "a")
 }
 
-// Two nodes keep reporting to each other how long a target stays cold; the
-// way between them must not add up.
+// Two nodes keep reporting to each other how long a target stays cold. The delays between them must
+// not add up.
 func TestReportedColdExpires(t *testing.T) {
 	a, b := &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("a"))
@@ -441,8 +450,8 @@
 	assert.Equal(t, len(b.ReportCold(after(1011))), 0)
 }
 
-// A prompt costs a region what its best holder lacks, and a part of what others
-// fetch from that one; what it costs there was taken for half of the prompt.
+// A prompt costs a region the tokens that its best target lacks, plus a fraction of the tokens that
+// others fetch from that target. That cost was once estimated at half of the prompt.
 func TestMissIn(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"far1", "far2", "gone"} {
@@ -458,8 +467,8 @@
 	assert.Equal(t, targets, 2)
 }
 
-// A node of the region dies without a report. What it had in flight must not count
-// for ever, and not be taken away twice when it reports once more.
+// The load of a node that stops reporting must be dropped after a while, and must not be subtracted
+// twice when the node reports again.
 func TestLoadsOfOtherNodes(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
@@ -480,8 +489,8 @@
 	assert.Equal(t, x.loadFor(1), load{})
 }
 
-// A request is on its way to a target as the target registers anew. Who sends it
-// reads the target's name and address without the table's lock.
+// A target may register again while a request is on its way to it. The sender reads the target's ID
+// and address without the table's lock.
 func TestPutDuringCall(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
@@ -503,6 +512,7 @@
 	assert.Equal(t, bestTargetID(table, after(200), Need{}), "")
 }
 
+// TestSampleSize checks sampleSize for regions of different sizes.
 func TestSampleSize(t *testing.T) {
 	cases := map[string]struct{ targets, nodes, want int }{
 		"one node":                 {9, 1, 18},
@@ -520,9 +530,9 @@
 	}
 }
 
-// Engines with few slots and long answers: all slots of a small region are taken,
-// and each that waits there waits for an answer to end. Taken for a fixed 40 ms, the
-// queue looked short, and callers waited for seconds beside idle regions.
+// With few slots and long answers, all slots of a small region are taken, and each waiting call
+// waits for an answer to end. When that wait was assumed to be a fixed 40 ms, the queue looked
+// short, and callers waited for seconds while other regions were idle.
 func TestWaitForASlotIsLearned(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -546,9 +556,9 @@
 	assert.Assert(t, c.Expected > 1800*time.Millisecond && c.Expected < 2300*time.Millisecond, "%s", c.Expected)
 }
 
-// Forty nodes see the same idle target and all send to it, before any hears of the
-// others. Comparing a few drawn ones spreads them, and the one that keeps the prompt
-// is always among these.
+// Forty nodes see the same idle target and would all send to it before any of them learns of the
+// others. Comparing a few random targets spreads their requests; the target that has cached the
+// prompt is always compared.
 func TestSample(t *testing.T) {
 	busiest := func(nodes int) int {
 		calls := map[string]int{}
@@ -582,10 +592,10 @@
 	assert.Equal(t, bestTargetID(table, t0, Need{Prompt: p}), "t7")
 }
 
-// Long prompts whose first parts a target keeps run there beside each other. What they
-// keep can't yield while they run; counted by what they have to read, they seemed to
-// take half of what they do, and more of them went there than its memory holds. The
-// newest was preempted and read anew from its beginning.
+// Long prompts whose first parts a target has cached run there at the same time. These parts can't
+// be evicted while the requests run. When only the tokens to be read were counted, the requests
+// seemed to use half of the memory that they did, and the target got more of them than fit: the
+// newest was preempted and read again from its start.
 func TestCachedPartsOfRunningRequestsUseMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Region: "r"}
@@ -595,7 +605,7 @@
 	prompt := func(i uint64) Prompt {
 		return Prompt{Parts: []Part{{1, 10_000}, {100 + i, 100}}, Tokens: 10_100, Output: 100}
 	}
-	const fitting = 8 // in 0.85 of the memory
+	const fitting = 8 // prompts that fit in 0.85 of the memory
 	chosen := make(map[string]int)
 	for i := range uint64(2 * fitting) {
 		c, ok := table.Best(now, Need{Service: "s", Prompt: prompt(i), Capacity: 100_000})
