--- a/core/jwinstance/curve.go
+++ b/core/jwinstance/curve.go
@@ -38,51 +38,51 @@
 }
 
 // initialize sets the initial coefficients and samples if the model has none yet.
-func (c *latencyModel) initialize() {
-	if c.coefficients[0] != 0 {
+func (m *latencyModel) initialize() {
+	if m.coefficients[0] != 0 {
 		return
 	}
-	c.coefficients = [numTerms]float64{millis(initialBase), millis(initialPerThousand), 0}
+	m.coefficients = [numTerms]float64{millis(initialBase), millis(initialPerThousand), 0}
 	for _, thousands := range []float64{0, 10} {
-		c.add([numTerms]float64{1, thousands, 0}, c.coefficients[0]+c.coefficients[1]*thousands, initialWeight/2)
+		m.add([numTerms]float64{1, thousands, 0}, m.coefficients[0]+m.coefficients[1]*thousands, initialWeight/2)
 	}
 }
 
 // predict returns the expected wait for the first event of a prompt with own tokens to be read,
 // after ahead tokens of other requests.
-func (c *latencyModel) predict(ahead, own int) time.Duration {
-	c.initialize()
-	return duration(c.evaluate(features(ahead, own)))
+func (m *latencyModel) predict(ahead, own int) time.Duration {
+	m.initialize()
+	return duration(m.evaluate(features(ahead, own)))
 }
 
 // readTime returns how long it takes to read ahead tokens of other requests and then own tokens,
 // without the base.
-func (c *latencyModel) readTime(ahead, own int) time.Duration {
-	c.initialize()
-	return duration(c.evaluate(features(ahead, own)) - c.coefficients[0])
+func (m *latencyModel) readTime(ahead, own int) time.Duration {
+	m.initialize()
+	return duration(m.evaluate(features(ahead, own)) - m.coefficients[0])
 }
 
 // observe adds the measured wait d of a call as a sample.
-func (c *latencyModel) observe(ahead, own int, d time.Duration) {
-	c.initialize()
+func (m *latencyModel) observe(ahead, own int, d time.Duration) {
+	m.initialize()
 	x := features(ahead, own)
 	for i := range numTerms {
 		for j := range numTerms {
-			c.normalMatrix[i][j] *= sampleDecay
+			m.normalMatrix[i][j] *= sampleDecay
 		}
-		c.rightSide[i] *= sampleDecay
+		m.rightSide[i] *= sampleDecay
 	}
-	c.add(x, min(millis(d), maxSampleRatio*c.evaluate(x)), 1)
-	c.solve()
+	m.add(x, min(millis(d), maxSampleRatio*m.evaluate(x)), 1)
+	m.solve()
 }
 
 // add adds a sample y for the features x to the normal equations.
-func (c *latencyModel) add(x [numTerms]float64, y, weight float64) {
+func (m *latencyModel) add(x [numTerms]float64, y, weight float64) {
 	for i := range numTerms {
 		for j := range numTerms {
-			c.normalMatrix[i][j] += weight * x[i] * x[j]
+			m.normalMatrix[i][j] += weight * x[i] * x[j]
 		}
-		c.rightSide[i] += weight * x[i] * y
+		m.rightSide[i] += weight * x[i] * y
 	}
 }
 
@@ -94,27 +94,27 @@
 // solve fits the coefficients one after the other, each to the residual of the others, as in
 // Gauss-Seidel iteration. This keeps them above their minimums and moves them towards the
 // least-squares solution with each sample.
-func (c *latencyModel) solve() {
+func (m *latencyModel) solve() {
 	minCoefficients := [numTerms]float64{millis(minBase), millis(minPerThousand), 0}
 	const rounds = 4
 	for range rounds {
 		for i := range numTerms {
-			residual := c.rightSide[i] + regularization[i]*c.coefficients[i]
+			residual := m.rightSide[i] + regularization[i]*m.coefficients[i]
 			for j := range numTerms {
 				if j != i {
-					residual -= c.normalMatrix[i][j] * c.coefficients[j]
+					residual -= m.normalMatrix[i][j] * m.coefficients[j]
 				}
 			}
-			c.coefficients[i] = math.Max(residual/(c.normalMatrix[i][i]+regularization[i]), minCoefficients[i])
+			m.coefficients[i] = math.Max(residual/(m.normalMatrix[i][i]+regularization[i]), minCoefficients[i])
 		}
 	}
 }
 
 // evaluate returns the value of the model for features, in milliseconds.
-func (c *latencyModel) evaluate(x [numTerms]float64) float64 {
+func (m *latencyModel) evaluate(x [numTerms]float64) float64 {
 	sum := 0.0
 	for i := range numTerms {
-		sum += c.coefficients[i] * x[i]
+		sum += m.coefficients[i] * x[i]
 	}
 	return sum
 }
--- a/core/jwinstance/curve_test.go
+++ b/core/jwinstance/curve_test.go
@@ -22,10 +22,10 @@
 		"slow":               {200, 40, 0, 0},
 		"some samples stall": {57, 11, 15, 0.005},
 	}
-	for name, x := range cases {
+	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			r := rand.New(rand.NewPCG(1, 2))
-			var c latencyModel
+			var model latencyModel
 			for range 2000 {
 				own := int(math.Exp(r.NormFloat64()*0.9+7.5)) % 60_000
 				ahead := 0
@@ -33,18 +33,18 @@
 					ahead = r.IntN(8000)
 				}
 				k := float64(own) / 1000
-				ms := x.base + x.thousand*(k+float64(ahead)/1000) + x.square*k*k/100
+				ms := c.base + c.thousand*(k+float64(ahead)/1000) + c.square*k*k/100
 				ms *= 0.9 + 0.2*r.Float64()
-				if r.Float64() < x.stall {
+				if r.Float64() < c.stall {
 					ms += 1000
 				}
-				c.observe(ahead, own, duration(ms))
+				model.observe(ahead, own, duration(ms))
 			}
 			for _, own := range []int{500, 5000, 20_000, 40_000} {
 				k := float64(own) / 1000
-				want := x.base + x.thousand*k + x.square*k*k/100
-				got := millis(c.predict(0, own))
-				assert.Assert(t, math.Abs(got-want) < 0.2*want+20*x.stall*1000/100, "%d tokens take %.0f ms, predicted %.0f", own, want, got)
+				want := c.base + c.thousand*k + c.square*k*k/100
+				got := millis(model.predict(0, own))
+				assert.Assert(t, math.Abs(got-want) < 0.2*want+20*c.stall*1000/100, "%d tokens take %.0f ms, predicted %.0f", own, want, got)
 			}
 		})
 	}
@@ -53,25 +53,25 @@
 // Predictions must stay sensible if there are no samples, or only samples of prompts of the same
 // length, because the choice of targets depends on them.
 func TestLatencyModelWithFewSamples(t *testing.T) {
-	var c latencyModel
-	assert.Equal(t, c.predict(0, 10_000), initialBase+10*initialPerThousand)
+	var model latencyModel
+	assert.Equal(t, model.predict(0, 10_000), initialBase+10*initialPerThousand)
 	for range 1000 {
-		c.observe(0, 2000, 80*time.Millisecond)
+		model.observe(0, 2000, 80*time.Millisecond)
 	}
-	got := millis(c.predict(0, 2000))
+	got := millis(model.predict(0, 2000))
 	assert.Assert(t, got > 70 && got < 90, "%.1f", got)
-	assert.Assert(t, c.predict(0, 20_000) > c.predict(0, 2000))
-	assert.Assert(t, c.predict(0, 20_000) < time.Second, "%s", c.predict(0, 20_000))
+	assert.Assert(t, model.predict(0, 20_000) > model.predict(0, 2000))
+	assert.Assert(t, model.predict(0, 20_000) < time.Second, "%s", model.predict(0, 20_000))
 	for range 1000 {
-		c.observe(0, 20_000, 0)
+		model.observe(0, 20_000, 0)
 	}
-	assert.Assert(t, c.predict(0, 0) >= minBase)
-	assert.Assert(t, c.readTime(0, 1000) >= minPerThousand)
+	assert.Assert(t, model.predict(0, 0) >= minBase)
+	assert.Assert(t, model.readTime(0, 1000) >= minPerThousand)
 }
 
 func BenchmarkLatencyModelObserve(b *testing.B) {
-	var c latencyModel
+	var model latencyModel
 	for i := range b.N {
-		c.observe(i%3000, i%20_000, 100*time.Millisecond)
+		model.observe(i%3000, i%20_000, 100*time.Millisecond)
 	}
 }
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -14,7 +14,7 @@
 // with both numbers and filled the relay's link.
 func TestSubsetsOfManyTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
-	table := func(node string, targets int) *Table {
+	newTable := func(node string, targets int) *Table {
 		x := &Table{Node: node, Region: "r"}
 		for i := range targets {
 			x.Put(now, Instance{ID: fmt.Sprint("t", i), Service: "s", Region: "r", Slots: 4})
@@ -24,7 +24,7 @@
 	const nodes, targets = 100, 1000
 	known := make(map[string]int)
 	for i := range nodes {
-		list := table(fmt.Sprint("n", i), targets).knownTargets("s")
+		list := newTable(fmt.Sprint("n", i), targets).knownTargets("s")
 		assert.Equal(t, len(list), localSubset)
 		for _, x := range list {
 			known[x.ID]++
@@ -37,14 +37,14 @@
 	assert.Assert(t, most <= 20, "%d nodes know the same target", most)
 	assert.Assert(t, len(known) > targets*99/100, "%d targets are used", len(known))
 
-	relay := table("relay", targets)
+	relay := newTable("relay", targets)
 	for _, x := range relay.targets {
 		relay.reports = map[string]nodeReport{"other": {at: now}}
 		x.othersLoad.add(NodeLoad{Calls: 1}, 1)
 	}
 	assert.Equal(t, len(relay.ReportTo(now, "n7")), localSubset)
 	seven := make(map[string]bool)
-	for _, x := range table("n7", targets).knownTargets("s") {
+	for _, x := range newTable("n7", targets).knownTargets("s") {
 		seven[x.ID] = true
 	}
 	for _, l := range relay.ReportTo(now, "n7") {
