--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -20,7 +20,7 @@
 }
 
 // The store is restored from an older copy, in which a target that has since drained or left is
-// still ready.
+// still ready. Nodes must not send to it.
 func TestOlderStoreCopyIsIgnored(t *testing.T) {
 	at := func(era, number uint64, change func(*Instance)) Instance {
 		in := instance("a")
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -79,7 +79,7 @@
 }
 
 // While nodes come and go, their views of the number of nodes and of the target's owner differ for
-// some seconds. Two owners, or an owner beside nodes with even parts, must not exceed the limit.
+// some seconds. Two owners, or an owner beside nodes with even parts, would exceed the limit.
 func TestTargetLimitWhileNodesComeAndGo(t *testing.T) {
 	const lag, settle = 3300 * time.Millisecond, 4 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -6,7 +6,8 @@
 const maxRelayed = 512
 
 // ReportToRelay returns the loads that the relay of another data centre should know: those of this
-// node and of the nodes that report through it.
+// node and of the nodes that report through it. A relay is a node that reports for the other nodes
+// of its data centre.
 func (t *Table) ReportToRelay(now time.Time) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
