--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -62,8 +62,8 @@
 		}, 0, "b"},
 		"a's registration vanished":                {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
 		"a vanished while this node did not watch": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
-		"a dial of a failed":                       {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
-		"a dial of a failed, backoff over":         {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
+		"a can't be dialed":                        {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
+		"a could not be dialed, backoff over":      {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
 		"a had no room":                            {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
 		"a closed for a second":                    {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
 		"a closed, and an earlier request is answered": {func(t *Table) {
@@ -257,7 +257,7 @@
 			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
 		// An engine evicts cached parts when its answers need the memory.
-		"a may have evicted the parts: b is given to fetch from": {func(t *Table) {
+		"a may have evicted the parts: b is named for fetching": {func(t *Table) {
 			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
