--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -193,11 +193,11 @@
 		c := Choice{Target: x, Cold: cold, Miss: t.missingTokens[i]}
 		if held := n.Prompt.Tokens - c.Miss; maxHeld-held >= minFetchTokens && holder != x {
 			c.Fetch = holder.Address
-			share := fetchCostRatio
+			ratio := fetchCostRatio
 			if holder.Region != t.Region {
-				share = remoteFetchCostRatio
+				ratio = remoteFetchCostRatio
 			}
-			c.Miss -= int(float64(maxHeld-held) * (1 - share))
+			c.Miss -= int(float64(maxHeld-held) * (1 - ratio))
 		}
 		l := x.loadFor(n.Priority)
 		c.Ahead, c.TotalCalls = l.unreadAhead, l.calls
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -149,12 +149,12 @@
 	t.merge(now, node, true, loads, placed)
 }
 
-func (t *Table) merge(now time.Time, node string, relay bool, loads []NodeLoad, placed []Placement) {
+func (t *Table) merge(now time.Time, node string, fromRelay bool, loads []NodeLoad, placed []Placement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.dropReport(node)
 	t.expireReports(now)
-	report := nodeReport{at: now, fromRelay: relay}
+	report := nodeReport{at: now, fromRelay: fromRelay}
 	for _, l := range loads {
 		x := t.targets[l.Target]
 		if x == nil {
@@ -178,7 +178,7 @@
 		if t.knows(x) {
 			x.cache.markUsed(p.Parts, x.capacity)
 		}
-		p.at, p.received, p.relayed, p.remote = now, true, relay, x.Region != t.Region
+		p.at, p.received, p.relayed, p.remote = now, true, fromRelay, x.Region != t.Region
 		t.addPlacement(now, p)
 	}
 }
