--- a/core/jwinstance/curve.go
+++ b/core/jwinstance/curve.go
@@ -121,8 +121,8 @@
 
 // features returns the terms of the model for numbers of tokens.
 func features(ahead, own int) [numTerms]float64 {
-	k := float64(own) / 1000
-	return [numTerms]float64{1, k + float64(ahead)/1000, k * k / 100}
+	thousands := float64(own) / 1000
+	return [numTerms]float64{1, thousands + float64(ahead)/1000, thousands * thousands / 100}
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -56,7 +56,7 @@
 }
 
 // update applies what an answer at a given time said, and reports whether the limit changed.
-func (lim *targetLimit) update(now, at time.Time, l Limit, own bool) bool {
+func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
 	changed := lim.Limit != l
 	if l.Named && !lim.Named {
 		lim.bucket = jwbudget.LimitBucket{Begun: now}
@@ -64,7 +64,7 @@
 	if changed {
 		lim.partAt = time.Time{}
 	}
-	lim.Limit, lim.answeredAt, lim.direct = l, at, own
+	lim.Limit, lim.answeredAt, lim.direct = l, answeredAt, direct
 	return changed
 }
 
--- a/core/jwinstance/subset.go
+++ b/core/jwinstance/subset.go
@@ -72,19 +72,19 @@
 // selectSubset returns the targets in all that score highest for a node.
 func (t *Table) selectSubset(k subsetKey, all []*Target) *subset {
 	type scored struct {
-		rank uint64
-		x    *Target
+		score uint64
+		x     *Target
 	}
 	node := jwtarget.NameKey(k.node)
 	order := make([]scored, len(all))
 	for i, x := range all {
 		order[i] = scored{jwtarget.Mix(x.nameHash, node), x}
 	}
-	slices.SortFunc(order, func(a, b scored) int { return cmp.Compare(b.rank, a.rank) })
+	slices.SortFunc(order, func(a, b scored) int { return cmp.Compare(b.score, a.score) })
 	size := t.subsetSize(k.region)
 	s := &subset{scores: make([]uint64, size), list: make([]*Target, size)}
 	for i := range size {
-		s.scores[i], s.list[i] = order[i].rank, order[i].x
+		s.scores[i], s.list[i] = order[i].score, order[i].x
 	}
 	return s
 }
