--- a/core/jwinstance/curve.go
+++ b/core/jwinstance/curve.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// sampleDecay is the factor by which each new sample reduces the weight of the earlier ones.
-	// About two hundred samples count, which a busy service collects in a few seconds.
+	// sampleDecay is the factor by which the weight of all earlier samples is multiplied with each
+	// new one. About two hundred samples count, which a busy service collects in a few seconds.
 	sampleDecay = 0.995
 	// initialBase is the assumed wait for the first event of an idle engine, and initialPerThousand
 	// what each thousand tokens read before it add, until calls have been measured.
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -55,7 +55,8 @@
 	return x.limit.update(now, now, l, true)
 }
 
-// update applies what an answer at a given time said, and reports whether the limit changed.
+// update applies what an answer at a given time said, and reports whether the limit changed. The
+// parameter direct says whether this node received that answer itself.
 func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
 	changed := lim.Limit != l
 	if l.Named && !lim.Named {
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -33,8 +33,8 @@
 	callTimeWeight = 0.05
 	// promptWeight is the weight of a new request in the mean length of the prompts.
 	promptWeight = 0.02
-	// slowdownWeight is the weight of a new call in the slowdown of a target. maxSlowdownSample
-	// bounds each sample, as a single stall does not make a target slow.
+	// slowdownWeight is the weight of a new call in the moving average of a target's slowdown.
+	// maxSlowdownSample bounds each sample, as a single stall does not make a target slow.
 	slowdownWeight    = 0.15
 	maxSlowdownSample = 6
 )
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -149,6 +149,7 @@
 	t.merge(now, node, true, loads, placed)
 }
 
+// merge replaces the last report of a node and records its placements.
 func (t *Table) merge(now time.Time, node string, fromRelay bool, loads []NodeLoad, placed []Placement) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
