--- a/core/jwinstance/curve.go
+++ b/core/jwinstance/curve.go
@@ -6,120 +6,123 @@
 )
 
 const (
-	// curveFade is by how much each sample fades those before it: some two hundred
-	// count, a few seconds of a service that is asked for much.
-	curveFade = 0.995
-	// firstBase and firstThousand are the wait for the first event of an idle
-	// engine and what each thousand tokens that are read before it add, until calls
-	// have shown it.
-	firstBase     = 15 * time.Millisecond
-	firstThousand = 33 * time.Millisecond
-	// firstWeight is how many samples this stands for.
-	firstWeight = 4.0
-	// leastBase and leastThousand bound what is learned: an engine that seems to
-	// read a prompt in no time has kept it without being known to.
-	leastBase     = time.Millisecond
-	leastThousand = time.Millisecond
-	// mostSample bounds a sample, in multiples of what was expected, as one stall
-	// doesn't show how an engine reads.
-	mostSample = 4.0
+	// sampleDecay is the factor by which the weight of all earlier samples is multiplied with each
+	// new one. About two hundred samples count, which a busy service collects in a few seconds.
+	sampleDecay = 0.995
+	// initialBase is the assumed wait for the first event of an idle engine, and initialPerThousand
+	// what each thousand tokens read before it add, until calls have been measured.
+	initialBase        = 15 * time.Millisecond
+	initialPerThousand = 33 * time.Millisecond
+	// initialWeight is the number of samples that the initial values count as.
+	initialWeight = 4.0
+	// minBase and minPerThousand are lower bounds of the fitted values. An engine that seems to
+	// read a prompt in no time had it cached without the estimate knowing.
+	minBase        = time.Millisecond
+	minPerThousand = time.Millisecond
+	// maxSampleRatio bounds a sample as a multiple of the predicted value, as a single stall does
+	// not show how fast an engine reads.
+	maxSampleRatio = 4.0
 )
 
-// terms is how many terms a curve has: the base, the thousands of tokens that are
-// read before the first event, and the square of the prompt's own, as later tokens of
-// a long prompt take longer than the first.
-const terms = 3
+// numTerms is the number of terms of the model: a constant base, the thousands of tokens read
+// before the first event, and the square of the prompt's own tokens, as the later tokens of a long
+// prompt take longer than the first.
+const numTerms = 3
 
-// curve is what calls showed of the wait for the first event: a least-squares fit
-// over the samples, of which later ones count more. The zero value expects
-// firstBase and firstThousand.
-type curve struct {
-	normal [terms][terms]float64
-	right  [terms]float64
-	fit    [terms]float64 // milliseconds a term
+// latencyModel predicts the wait for the first event by a least-squares fit over the measured
+// calls, weighted towards the latest. The zero value predicts initialBase and initialPerThousand.
+type latencyModel struct {
+	normalMatrix [numTerms][numTerms]float64
+	rightSide    [numTerms]float64
+	coefficients [numTerms]float64 // in milliseconds
 }
 
-func (c *curve) begin() {
-	if c.fit[0] != 0 {
+// initialize sets the initial coefficients and samples if the model has none yet.
+func (m *latencyModel) initialize() {
+	if m.coefficients[0] != 0 {
 		return
 	}
-	c.fit = [terms]float64{millis(firstBase), millis(firstThousand), 0}
+	m.coefficients = [numTerms]float64{millis(initialBase), millis(initialPerThousand), 0}
 	for _, thousands := range []float64{0, 10} {
-		c.add([terms]float64{1, thousands, 0}, c.fit[0]+c.fit[1]*thousands, firstWeight/2)
+		m.add([numTerms]float64{1, thousands, 0}, m.coefficients[0]+m.coefficients[1]*thousands, initialWeight/2)
 	}
 }
 
-// expect returns the wait for the first event, of which own tokens belong to the
-// prompt itself and ahead are read before.
-func (c *curve) expect(ahead, own int) time.Duration {
-	c.begin()
-	return duration(c.value(features(ahead, own)))
+// predict returns the expected wait for the first event of a prompt with own tokens to be read,
+// after ahead tokens of other requests.
+func (m *latencyModel) predict(ahead, own int) time.Duration {
+	m.initialize()
+	return duration(m.evaluate(features(ahead, own)))
 }
 
-// read returns how long it takes to read tokens, ahead of the own ones, beside the
-// base.
-func (c *curve) read(ahead, own int) time.Duration {
-	c.begin()
-	return duration(c.value(features(ahead, own)) - c.fit[0])
+// readTime returns how long it takes to read ahead tokens of other requests and then own tokens,
+// without the base.
+func (m *latencyModel) readTime(ahead, own int) time.Duration {
+	m.initialize()
+	return duration(m.evaluate(features(ahead, own)) - m.coefficients[0])
 }
 
-// learn takes the wait of a call.
-func (c *curve) learn(ahead, own int, d time.Duration) {
-	c.begin()
+// observe adds the measured wait d of a call as a sample.
+func (m *latencyModel) observe(ahead, own int, d time.Duration) {
+	m.initialize()
 	x := features(ahead, own)
-	for i := range terms {
-		for j := range terms {
-			c.normal[i][j] *= curveFade
+	for i := range numTerms {
+		for j := range numTerms {
+			m.normalMatrix[i][j] *= sampleDecay
 		}
-		c.right[i] *= curveFade
+		m.rightSide[i] *= sampleDecay
 	}
-	c.add(x, min(millis(d), mostSample*c.value(x)), 1)
-	c.solve()
+	m.add(x, min(millis(d), maxSampleRatio*m.evaluate(x)), 1)
+	m.solve()
 }
 
-func (c *curve) add(x [terms]float64, y, weight float64) {
-	for i := range terms {
-		for j := range terms {
-			c.normal[i][j] += weight * x[i] * x[j]
+// add adds a sample y for the features x to the normal equations.
+func (m *latencyModel) add(x [numTerms]float64, y, weight float64) {
+	for i := range numTerms {
+		for j := range numTerms {
+			m.normalMatrix[i][j] += weight * x[i] * x[j]
 		}
-		c.right[i] += weight * x[i] * y
+		m.rightSide[i] += weight * x[i] * y
 	}
 }
 
-// hold is how firmly each term stays where it was while the samples don't show it, as
-// when all prompts are of one length: as many samples in which only that term is one,
-// few against the two hundred that count.
-var hold = [terms]float64{0.1, 1, 20}
+// regularization is the weight that holds each coefficient at its previous value while the samples
+// don't determine it, as when all prompts have the same length. It counts as that many samples in
+// which only that term is 1, which is few against the two hundred that count.
+var regularization = [numTerms]float64{0.1, 1, 20}
 
-// solve fits the terms one after the other, each for what the others leave, which
-// stays within the bounds and moves towards the least squares with every sample.
-func (c *curve) solve() {
-	least := [terms]float64{millis(leastBase), millis(leastThousand), 0}
+// solve fits the coefficients one after the other, each to the residual of the others, as in
+// Gauss-Seidel iteration. This keeps them above their minimums and moves them towards the
+// least-squares solution with each sample.
+func (m *latencyModel) solve() {
+	minCoefficients := [numTerms]float64{millis(minBase), millis(minPerThousand), 0}
 	const rounds = 4
 	for range rounds {
-		for i := range terms {
-			rest := c.right[i] + hold[i]*c.fit[i]
-			for j := range terms {
+		for i := range numTerms {
+			residual := m.rightSide[i] + regularization[i]*m.coefficients[i]
+			for j := range numTerms {
 				if j != i {
-					rest -= c.normal[i][j] * c.fit[j]
+					residual -= m.normalMatrix[i][j] * m.coefficients[j]
 				}
 			}
-			c.fit[i] = math.Max(rest/(c.normal[i][i]+hold[i]), least[i])
+			m.coefficients[i] = math.Max(residual/(m.normalMatrix[i][i]+regularization[i]), minCoefficients[i])
 		}
 	}
 }
 
-func (c *curve) value(x [terms]float64) float64 {
+// evaluate returns the value of the model for features, in milliseconds.
+func (m *latencyModel) evaluate(x [numTerms]float64) float64 {
 	sum := 0.0
-	for i := range terms {
-		sum += c.fit[i] * x[i]
+	for i := range numTerms {
+		sum += m.coefficients[i] * x[i]
 	}
 	return sum
 }
 
-func features(ahead, own int) [terms]float64 {
-	k := float64(own) / 1000
-	return [terms]float64{1, k + float64(ahead)/1000, k * k / 100}
+// features returns the terms of the model for numbers of tokens.
+func features(ahead, own int) [numTerms]float64 {
+	thousands := float64(own) / 1000
+	return [numTerms]float64{1, thousands + float64(ahead)/1000, thousands * thousands / 100}
 }
 
 func millis(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -10,7 +10,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// rev is the position of a number in an era.
+// rev returns the revision with a number in an era.
 func rev(era, number uint64) jwstore.Revision {
 	r, err := jwstore.RevisionAt(era, number)
 	if err != nil {
@@ -19,8 +19,9 @@
 	return r
 }
 
-// The store came back from a copy in which a target that has left since looks ready.
-func TestOlderCopyTakesNothingBack(t *testing.T) {
+// The store is restored from an older copy, in which a target that has since drained or left is
+// still ready. Nodes must not send to it.
+func TestOlderStoreCopyIsIgnored(t *testing.T) {
 	at := func(era, number uint64, change func(*Instance)) Instance {
 		in := instance("a")
 		in.Revision, in.Born = rev(era, number), 10
@@ -34,25 +35,25 @@
 		known func(*Table)
 		copy  Instance
 	}{
-		"it drains": {func(t *Table) { t.Put(after(0), at(1, 9, draining)) }, at(2, 5, nil)},
-		"it left":   {func(t *Table) { t.Remove(after(-3000), "a", rev(1, 9)) }, at(2, 5, nil)},
-		"it began anew and drains": {func(t *Table) {
+		"it drained": {func(t *Table) { t.Put(after(0), at(1, 9, draining)) }, at(2, 5, nil)},
+		"it left":    {func(t *Table) { t.Remove(after(-3000), "a", rev(1, 9)) }, at(2, 5, nil)},
+		"it restarted and drained": {func(t *Table) {
 			t.Put(after(0), at(1, 9, func(in *Instance) { in.Born, in.Draining = 11, true }))
 		}, at(2, 5, nil)},
-		"it said so in an answer": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
+		"it said in an answer that it leaves": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := &Table{Region: "r"}
 			table.Put(after(0), at(1, 4, nil))
 			c.known(table)
-			for ms := 1; ms < 5000; ms += 1000 { // read more than once, by other nodes too
+			for ms := 1; ms < 5000; ms += 1000 { // the copy is read more than once, by other nodes too
 				table.Put(after(ms), c.copy)
-				assert.Equal(t, chosen(table, after(ms+1), Need{}), "")
+				assert.Equal(t, bestTargetID(table, after(ms+1), Need{}), "")
 			}
 			again := at(2, 7, func(in *Instance) { in.Born = 12 })
 			table.Put(after(6000), again)
-			assert.Equal(t, chosen(table, after(6001), Need{}), "a", "what it writes then counts")
+			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "registrations after the copy count")
 		})
 	}
 	table := &Table{Region: "r"}
@@ -60,25 +61,26 @@
 	table.Put(after(0), at(1, 9, draining))
 	table.Put(after(1), at(2, 5, nil))
 	table.Put(after(2), at(2, 6, nil))
-	assert.Equal(t, chosen(table, after(3), Need{}), "a", "it wrote after the copy that it doesn't drain")
+	assert.Equal(t, bestTargetID(table, after(3), Need{}), "a", "it registered as not draining after the copy")
 }
 
-// Copies, readings and views come in any order: an incarnation that is known to drain gets
-// nothing unless it has written since, in that era or after the copy of a later one.
-func TestCopiesOutOfOrder(t *testing.T) {
+// Older copies of the store, reads of it and the views of other nodes may come in any order. An
+// incarnation that is known to drain gets no requests unless it has written since, in that era or
+// after the copy of a later one.
+func TestStoreCopiesOutOfOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}}
 		era, number := uint64(1), uint64(1)
-		ready, drains := instance("a"), instance("a")
+		ready, draining := instance("a"), instance("a")
 		ready.Revision, ready.Born = rev(era, number), 1
 		for _, table := range tables {
 			table.Put(t0, ready)
 		}
 		number = uint64(rapid.IntRange(2, 50).Draw(t, "lost"))
-		drains.Revision, drains.Born, drains.Draining = rev(era, number), 1, true
-		knows := rapid.IntRange(1, 2).Draw(t, "knows")
-		for _, table := range tables[:knows] {
-			table.Put(t0, drains)
+		draining.Revision, draining.Born, draining.Draining = rev(era, number), 1, true
+		informed := rapid.IntRange(1, 2).Draw(t, "knows")
+		for _, table := range tables[:informed] {
+			table.Put(t0, draining)
 		}
 		now := t0
 		for range rapid.IntRange(1, 40).Draw(t, "steps") {
@@ -87,11 +89,11 @@
 			switch rapid.IntRange(0, 3).Draw(t, "step") {
 			case 0:
 				era++
-			case 1: // the copy
+			case 1: // the node reads the older copy
 				in := ready
 				in.Revision = rev(era, 1)
 				tables[i].Put(now, in)
-			case 2: // an answer of an earlier era
+			case 2: // the node reads an answer of an earlier era
 				in := ready
 				in.Revision = rev(uint64(rapid.IntRange(1, int(era)).Draw(t, "era")), 1)
 				tables[i].Put(now, in)
@@ -100,9 +102,9 @@
 					tables[i].Put(now, in)
 				}
 			}
-			for k := range tables[:knows] {
-				if chosen(tables[k], now, Need{}) != "" {
-					t.Fatalf("node %d sends to a target that drains", k)
+			for k := range tables[:informed] {
+				if bestTargetID(tables[k], now, Need{}) != "" {
+					t.Fatalf("node %d sends to a draining target", k)
 				}
 			}
 		}
--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// Leave notes that a target said in an answer that it leaves, and reports whether that is
-// new. It stands until another incarnation registers: the store may be away, or hold what
-// the target wrote before.
+// Leave records that a target said in an answer that it leaves, and reports whether that is new. It
+// holds until another incarnation registers; the store may be unavailable, or hold an earlier
+// registration of the target.
 func (t *Table) Leave(x *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -16,28 +16,28 @@
 		return false
 	}
 	x.Leaving = true
-	t.declare(x)
-	t.slots = nil
+	t.markSelfReported(x)
+	t.usableSlots = nil
 	return true
 }
 
-// declare keeps that a target said something of itself that is to be reported: in a region
-// of thousands of targets only few do.
-func (t *Table) declare(x *Target) {
-	if t.declared == nil {
-		t.declared = make(map[string]bool)
+// markSelfReported records that a target said something about itself that is reported to other
+// nodes. Only few of the thousands of targets of a region do.
+func (t *Table) markSelfReported(x *Target) {
+	if t.selfReported == nil {
+		t.selfReported = make(map[string]bool)
 	}
-	t.declared[x.ID] = true
+	t.selfReported[x.ID] = true
 }
 
-// declarers returns the targets that said something of themselves, and forgets those that
-// are gone or began anew.
-func (t *Table) declarers() iter.Seq[*Target] {
+// selfReporting returns the targets that said something about themselves, and forgets those that
+// are gone or restarted since.
+func (t *Table) selfReporting() iter.Seq[*Target] {
 	return func(yield func(*Target) bool) {
-		for id := range t.declared {
+		for id := range t.selfReported {
 			x := t.targets[id]
-			if x == nil || !x.Leaving && x.limit.at.IsZero() {
-				delete(t.declared, id)
+			if x == nil || !x.Leaving && x.limit.answeredAt.IsZero() {
+				delete(t.selfReported, id)
 				continue
 			}
 			if !yield(x) {
@@ -47,13 +47,13 @@
 	}
 }
 
-// ReportLeaving returns the targets of the region that said they leave, each with the start
-// of the incarnation that said so.
+// ReportLeaving returns the IDs of the region's targets that said they leave, each with the start
+// of the incarnation that said so, in Unix milliseconds.
 func (t *Table) ReportLeaving() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var leaving map[string]int64
-	for x := range t.declarers() {
+	for x := range t.selfReporting() {
 		if !x.Leaving || x.Region != t.Region {
 			continue
 		}
@@ -65,8 +65,8 @@
 	return leaving
 }
 
-// MergeLeaving merges what another node of the region reports of targets that leave, and
-// returns those that this one didn't know of.
+// MergeLeaving merges another node's report of leaving targets, and returns the IDs of those that
+// this node did not know to leave.
 func (t *Table) MergeLeaving(leaving map[string]int64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -8,161 +8,161 @@
 )
 
 const (
-	// limitEndAge is how long it is reported that a target names no limit any more.
-	limitEndAge = 5 * time.Second
-	// limitDrift is by how much another node's answer must be later than the last known
-	// one to count: ages that are reported lack the way between the nodes.
-	limitDrift = 100 * time.Millisecond
-	// partAge is how long a node's part in a limit serves: to find the owner all nodes of the
-	// region are compared, and each request asks of each target.
-	partAge = 100 * time.Millisecond
+	// limitEndReportPeriod is how long nodes report that a target no longer names a limit.
+	limitEndReportPeriod = 5 * time.Second
+	// limitReportTolerance is how much later than the last known answer the answer in another
+	// node's report must be to count. Reported ages do not include the transmission time between
+	// the nodes.
+	limitReportTolerance = 100 * time.Millisecond
+	// partCacheDuration is how long this node's computed part in a limit is reused. Finding the
+	// owner compares all nodes of the region, and each request needs the part for each target.
+	partCacheDuration = 100 * time.Millisecond
 )
 
-// Limit is what a target says in its answers that it takes of all nodes together; the
-// zero value is a target that names no limit.
+// Limit is the rate that a target accepts from all nodes together, as named in its answers. The
+// zero value means that the target names no limit.
 type Limit struct {
 	Named bool
 	Rate  float64 // requests a second
 }
 
-// targetLimit is what is known of a target's limit.
+// targetLimit is the known limit of a target and this node's use of it.
 type targetLimit struct {
 	Limit
-	at     time.Time // of the answer that said so, zero if none ever named a limit
-	own    bool      // this node had that answer
-	bucket jwbudget.LimitBucket
-	part   jwbudget.LimitPart // of this node
-	partAt time.Time          // when it was asked for
+	answeredAt time.Time // time of the answer that named it, zero if none ever named a limit
+	direct     bool      // this node received that answer itself
+	bucket     jwbudget.LimitBucket
+	part       jwbudget.LimitPart // this node's part of the limit
+	partAt     time.Time          // when part was computed
 }
 
-// LimitReport is what a node reports of a target's limit.
+// LimitReport is a node's report of a target's limit.
 type LimitReport struct {
 	Named bool    `json:"named,omitempty"`
 	Rate  float64 `json:"rate,omitempty"` // requests a second
-	Age   int64   `json:"age"`            // milliseconds since the answer that said so
+	Age   int64   `json:"age"`            // milliseconds since the answer that named it
 }
 
-// Limited notes the limit that an answer of a target named, or that it named none, and
-// reports whether that is new.
+// Limited records the limit that an answer of a target named, or that it named none, and reports
+// whether that is a change.
 func (t *Table) Limited(now time.Time, x *Target, l Limit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !l.Named && x.limit.at.IsZero() {
+	if !l.Named && x.limit.answeredAt.IsZero() {
 		return false
 	}
-	t.declare(x)
-	return x.limit.take(now, now, l, true)
+	t.markSelfReported(x)
+	return x.limit.update(now, now, l, true)
 }
 
-// take keeps what an answer said at a time.
-func (k *targetLimit) take(now, at time.Time, l Limit, own bool) bool {
-	changed := k.Limit != l
-	if l.Named && !k.Named {
-		k.bucket = jwbudget.LimitBucket{Begun: now}
+// update applies what an answer at a given time said, and reports whether the limit changed. The
+// parameter direct says whether this node received that answer itself.
+func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
+	changed := lim.Limit != l
+	if l.Named && !lim.Named {
+		lim.bucket = jwbudget.LimitBucket{Begun: now}
 	}
 	if changed {
-		k.partAt = time.Time{}
+		lim.partAt = time.Time{}
 	}
-	k.Limit, k.at, k.own = l, at, own
+	lim.Limit, lim.answeredAt, lim.direct = l, answeredAt, direct
 	return changed
 }
 
-// ReportLimits returns what the other nodes of the region should know of the limits of its
-// targets: what answers to this node said, and for a relay what others reported too.
+// ReportLimits returns, by target ID, the limits in the region that other nodes should know: those
+// from answers to this node and, for a relay, also those reported by others.
 func (t *Table) ReportLimits(now time.Time, relay bool) map[string]LimitReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var reports map[string]LimitReport
-	for x := range t.declarers() {
-		k := &x.limit
-		if k.Named {
-			t.limitRoom(now, x) // so that it is noticed in time whether this node owns it
+	for x := range t.selfReporting() {
+		lim := &x.limit
+		if lim.Named {
+			t.limitAllows(now, x) // updates the bucket, so that a change of the owner is noticed in time
 		}
-		age := now.Sub(k.at)
-		if k.at.IsZero() || x.Region != t.Region || !k.own && !relay || !k.Named && age > limitEndAge {
+		age := now.Sub(lim.answeredAt)
+		if lim.answeredAt.IsZero() || x.Region != t.Region || !lim.direct && !relay || !lim.Named && age > limitEndReportPeriod {
 			continue
 		}
 		if reports == nil {
 			reports = make(map[string]LimitReport)
 		}
-		reports[x.ID] = LimitReport{Named: k.Named, Rate: k.Rate, Age: age.Milliseconds()}
+		reports[x.ID] = LimitReport{Named: lim.Named, Rate: lim.Rate, Age: age.Milliseconds()}
 	}
 	return reports
 }
 
-// MergeLimits merges what another node of the region reports of limits.
+// MergeLimits merges another node's report of limits.
 func (t *Table) MergeLimits(now time.Time, reports map[string]LimitReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for id, r := range reports {
 		at := now.Add(-time.Duration(r.Age) * time.Millisecond)
-		if x := t.targets[id]; x != nil && at.Sub(x.limit.at) > limitDrift {
-			t.declare(x)
-			x.limit.take(now, at, Limit{r.Named, r.Rate}, false)
+		if x := t.targets[id]; x != nil && at.Sub(x.limit.answeredAt) > limitReportTolerance {
+			t.markSelfReported(x)
+			x.limit.update(now, at, Limit{r.Named, r.Rate}, false)
 		}
 	}
 }
 
-// LimitedTargets returns how many targets of the region name a limit.
+// LimitedTargets returns how many registered targets of the region name a limit.
 func (t *Table) LimitedTargets() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	n := 0
-	for x := range t.declarers() {
-		if x.limit.Named && x.gone.IsZero() && x.Region == t.Region {
+	for x := range t.selfReporting() {
+		if x.limit.Named && x.goneAt.IsZero() && x.Region == t.Region {
 			n++
 		}
 	}
 	return n
 }
 
-// RoomWait returns how long it takes until a target of the region takes a request of this
-// node that takes none now, as it has said in its answers; false if a request doesn't wait for
-// that.
+// RoomWait returns the shortest time until a target of the region, which by its own answers takes
+// no request of this node now, takes one again. It returns false if there is no such target.
 func (t *Table) RoomWait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	least := time.Duration(0)
-	for _, x := range t.of(service) {
-		if x.Region != t.Region || !x.gone.IsZero() || x.Draining || x.Leaving || t.evacuated[x.DataCentre] {
+	shortest := time.Duration(0)
+	for _, x := range t.knownTargets(service) {
+		if x.Region != t.Region || !x.goneAt.IsZero() || x.Draining || x.Leaving || t.evacuated[x.DataCentre] {
 			continue
 		}
-		wait := max(x.closed.Sub(now), 0)
-		if x.limit.Named && !t.limitRoom(now, x) {
+		wait := max(x.closedUntil.Sub(now), 0)
+		if x.limit.Named && !t.limitAllows(now, x) {
 			wait = max(wait, x.limit.bucket.Wait(now, t.limitPart(now, x)))
 		}
-		if wait > 0 && (least == 0 || wait < least) {
-			least = wait
+		if wait > 0 && (shortest == 0 || wait < shortest) {
+			shortest = wait
 		}
 	}
-	return least, least > 0
+	return shortest, shortest > 0
 }
 
-// limitRoom reports whether this node may send one more request to a target that names a
-// limit.
-func (t *Table) limitRoom(now time.Time, x *Target) bool {
+// limitAllows reports whether this node may send one more request to a target that names a limit.
+func (t *Table) limitAllows(now time.Time, x *Target) bool {
 	return x.limit.bucket.Room(now, t.limitPart(now, x))
 }
 
-// limitPart returns this node's part in the limit of a target.
+// limitPart returns this node's part of the limit of a target.
 func (t *Table) limitPart(now time.Time, x *Target) jwbudget.LimitPart {
-	k := &x.limit
+	lim := &x.limit
 	if t.LimitPart == nil {
-		return jwbudget.PartOf(k.Rate, true, 1)
+		return jwbudget.PartOf(lim.Rate, true, 1)
 	}
-	if age := now.Sub(k.partAt); k.partAt.IsZero() || age < 0 || age >= partAge {
-		k.part = t.LimitPart(k.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
-		k.partAt = now
+	if age := now.Sub(lim.partAt); lim.partAt.IsZero() || age < 0 || age >= partCacheDuration {
+		lim.part = t.LimitPart(lim.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
+		lim.partAt = now
 	}
-	return k.part
+	return lim.part
 }
 
-// knownBy reports whether a node of the region chooses among others and a target.
+// knownBy reports whether a target is in the subset that a node of the region chooses from.
 func (t *Table) knownBy(x *Target, node string) bool {
 	k := subsetKey{x.Service, x.Region, node}
-	if list := t.subset(k); len(list) == len(t.places[k.service][k.region]) {
+	if list := t.subset(k); len(list) == len(t.byRegion[k.service][k.region]) {
 		return true
 	}
-	ranks := t.subsets[k].ranks
-	return jwtarget.Mix(x.key, jwtarget.NameKey(node)) >= ranks[len(ranks)-1]
+	scores := t.subsets[k].scores
+	return jwtarget.Mix(x.nameHash, jwtarget.NameKey(node)) >= scores[len(scores)-1]
 }
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -3,138 +3,141 @@
 import "time"
 
 const (
-	// unreachedRest is the first rest of a target that took no connection; it
-	// doubles with each further one up to mostRest. One that crashed refuses at
-	// once, and a silent one costs a request the dial's time-out.
-	unreachedRest = 300 * time.Millisecond
-	mostRest      = 2 * time.Second
-	// mostClosed bounds how long a target is left alone at its own request.
-	mostClosed = time.Hour
-	// refusedRest is the rest of a target that had no room.
-	refusedRest = 100 * time.Millisecond
-	// failurePenalty is what each failure in a row adds to the expected wait:
-	// others go first, but where all fail one is still tried.
-	failurePenalty = 60 * time.Millisecond
-	mostPenalty    = 8
+	// initialDialBackoff is how long a target is not used after a failed dial. It doubles with each
+	// further failure up to maxDialBackoff. A crashed target refuses connections at once, but one
+	// that does not respond costs a request the dial timeout.
+	initialDialBackoff = 300 * time.Millisecond
+	maxDialBackoff     = 2 * time.Second
+	// maxClosed limits how long a target is not used at its own request.
+	maxClosed = time.Hour
+	// refusedBackoff is how long a target is not used after it had no room.
+	refusedBackoff = 100 * time.Millisecond
+	// failurePenalty is what each consecutive failure, up to maxPenalizedFailures, adds to the cost
+	// of a target. Other targets are preferred, but if all of them fail one is still tried.
+	failurePenalty       = 60 * time.Millisecond
+	maxPenalizedFailures = 8
 )
 
-// pace is what calls showed of a service.
-type pace struct {
-	engine bool // its requests have prompts
-	curve  curve
-	plain  time.Duration
-	hold   time.Duration // of a slot of an engine, by one call
-	prompt float64       // mean of the prompts sent, in tokens
+// serviceStats holds the measurements of the calls to a service.
+type serviceStats struct {
+	engine       bool          // whether its requests have prompts
+	firstEvent   latencyModel  // wait for the first event of an engine
+	plainLatency time.Duration // of a call to a plain service
+	slotTime     time.Duration // time that a call occupies a slot of an engine
+	meanPrompt   float64       // mean length of the prompts sent, in tokens
 }
 
 const (
-	// paceShare is the weight of a new sample in the time of plain calls.
-	paceShare = 0.05
-	// promptShare is the weight of one more request in the mean of the prompts.
-	promptShare = 0.02
-	// slowShare is the weight of a call in a target's own pace, and slowMost
-	// bounds a single sample, as one stall is not a slow target.
-	slowShare = 0.15
-	slowMost  = 6
+	// callTimeWeight is the weight of a new sample in the moving averages of the latency of plain
+	// calls and of the time that a call occupies a slot.
+	callTimeWeight = 0.05
+	// promptWeight is the weight of a new request in the mean length of the prompts.
+	promptWeight = 0.02
+	// slowdownWeight is the weight of a new call in the moving average of a target's slowdown.
+	// maxSlowdownSample bounds each sample, as a single stall does not make a target slow.
+	slowdownWeight    = 0.15
+	maxSlowdownSample = 6
 )
 
-// Started notes the first event of a call after the wait d.
+// Started records that a call received its first event, or the answer of a plain service, after the
+// wait d.
 func (t *Table) Started(x *Target, c Choice, p Prompt, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.work[c.Rank] -= c.Miss
-	s := t.pace(x.Service)
+	x.unread[c.PriorityLevel] -= c.Miss
+	stats := t.statsOf(x.Service)
 	if p.Tokens == 0 {
 		if c.Cold {
 			return
 		}
-		s.plain += time.Duration(paceShare * float64(min(d, slowMost*s.plain)-s.plain))
+		stats.plainLatency += time.Duration(callTimeWeight * float64(min(d, maxSlowdownSample*stats.plainLatency)-stats.plainLatency))
 	} else {
-		s.engine = true
+		stats.engine = true
 		if !c.Cold {
-			s.curve.learn(c.Ahead, c.Miss, max(d-s.batchDelay(max(x.Slots, 1), c.Busy), 0))
+			stats.firstEvent.observe(c.Ahead, c.Miss, max(d-stats.batchDelay(max(x.Slots, 1), c.TotalCalls), 0))
 		}
 	}
-	ratio := min(float64(d)*x.slow/float64(max(c.Expected, time.Millisecond)), slowMost)
-	x.slow = max(x.slow+slowShare*(ratio-x.slow), 0.5)
+	ratio := min(float64(d)*x.slowdown/float64(max(c.Expected, time.Millisecond)), maxSlowdownSample)
+	x.slowdown = max(x.slowdown+slowdownWeight*(ratio-x.slowdown), 0.5)
 }
 
-// gapShare is the weight of one more event in a target's gap.
-const gapShare = 0.1
+// gapWeight is the weight of a new sample in the moving average of a target's gap.
+const gapWeight = 0.1
 
-// Passed notes that events of a stream came after the pause d.
+// Passed records that a number of events of a stream arrived after a pause of d.
 func (t *Table) Passed(now time.Time, x *Target, events int, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d /= time.Duration(max(events, 1))
-	if x.gapAt.IsZero() || now.Sub(x.gapAt) > gapFade {
+	if x.gapAt.IsZero() || now.Sub(x.gapAt) > gapDecay {
 		x.gap = d
 	}
-	x.gap += time.Duration(gapShare * float64(d-x.gap))
+	x.gap += time.Duration(gapWeight * float64(d-x.gap))
 	x.gapAt = now
 }
 
-// Done notes the end of a call; first is the wait that Started was called with, 0
-// if it was not.
+// Done records the end of a call. The parameter first is the wait that was given to Started, or 0
+// if Started was not called.
 func (t *Table) Done(now time.Time, x *Target, c Choice, first time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if p := t.pace(x.Service); first > 0 && p.engine {
-		held := now.Sub(c.sent) - first + c.Own // without the wait for the slot
-		p.hold += time.Duration(paceShare * float64(held-p.hold))
+	if stats := t.statsOf(x.Service); first > 0 && stats.engine {
+		held := now.Sub(c.sentAt) - first + c.Own // without the wait for the slot
+		stats.slotTime += time.Duration(callTimeWeight * float64(held-stats.slotTime))
 	}
 	x.calls--
-	x.tokens -= c.Held
+	x.memoryInUse -= c.MemoryTokens
 	if first == 0 {
-		x.work[c.Rank] -= c.Miss
+		x.unread[c.PriorityLevel] -= c.Miss
 	}
 }
 
-// Served notes an answer that a target gave as it should.
+// Served records that a target answered properly, and resets its failures and its backoff.
 func (t *Table) Served(x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.failures, x.unreached, x.rest = 0, 0, time.Time{}
+	x.failures, x.dialFailures, x.backoffUntil = 0, 0, time.Time{}
 }
 
-// Unreached notes that a target took no connection: it has crashed or its
-// host is cut off.
+// Unreached records that a connection to a target could not be made: it has crashed or its host is
+// cut off.
 func (t *Table) Unreached(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	d := unreachedRest << min(x.unreached, 3)
-	x.unreached++
-	x.rest = later(x.rest, now.Add(min(d, mostRest)))
+	d := initialDialBackoff << min(x.dialFailures, 3)
+	x.dialFailures++
+	x.backoffUntil = laterTime(x.backoffUntil, now.Add(min(d, maxDialBackoff)))
 }
 
-// Failed notes a failure of the target's own, or an answer that was lost.
+// Failed records a failure of the target itself, or a lost answer.
 func (t *Table) Failed(x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.failures = min(x.failures+1, mostPenalty)
+	x.failures = min(x.failures+1, maxPenalizedFailures)
 }
 
-// Refused notes that a target had no room.
+// Refused records that a target had no room.
 func (t *Table) Refused(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.rest = later(x.rest, now.Add(refusedRest))
+	x.backoffUntil = laterTime(x.backoffUntil, now.Add(refusedBackoff))
 }
 
-// Closed notes for how long a target wants nothing more of this node. An answer to a
-// request that was sent before doesn't end that.
+// Closed records that a target asked this node not to send more requests for d, which is limited to
+// maxClosed. Answers to requests that were sent before do not end that period.
 func (t *Table) Closed(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.closed = later(x.closed, now.Add(min(d, mostClosed)))
+	x.closedUntil = laterTime(x.closedUntil, now.Add(min(d, maxClosed)))
 }
 
-// Replaced notes that another incarnation answered at a target's address.
+// Replaced records that another incarnation answered at a target's address, so that this one is not
+// used any more.
 func (t *Table) Replaced(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if x.gone.IsZero() {
-		x.gone = now.Add(-goneUse)
-		t.slots = nil
+	if x.goneAt.IsZero() {
+		x.goneAt = now.Add(-goneGracePeriod)
+		t.usableSlots = nil
 	}
 }
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -2,22 +2,23 @@
 
 import "time"
 
-// maxRelayed bounds how many placements a relay passes on in one report.
+// maxRelayed limits how many placements a relay passes on in one report.
 const maxRelayed = 512
 
-// ReportToRelay returns what the relay of another data centre should know: the loads of
-// this node and of those that report through it.
+// ReportToRelay returns the loads that the relay of another data centre should know: those of this
+// node and of the nodes that report through it. A relay is a node that reports for the other nodes
+// of its data centre.
 func (t *Table) ReportToRelay(now time.Time) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.removeExpired(now)
 	t.expireReports(now)
-	sums := make(map[*Target]sum, len(t.targets))
-	for _, w := range t.reports {
-		if w.relay {
+	sums := make(map[*Target]loadSum, len(t.targets))
+	for _, r := range t.reports {
+		if r.fromRelay {
 			continue
 		}
-		for _, l := range w.loads {
+		for _, l := range r.loads {
 			s := sums[l.Target]
 			s.add(l.NodeLoad, 1)
 			sums[l.Target] = s
@@ -26,111 +27,112 @@
 	for _, x := range t.targets {
 		if x.calls > 0 {
 			s := sums[x]
-			s.add(NodeLoad{Calls: x.calls, Work: x.work, Held: x.tokens}, 1)
+			s.add(NodeLoad{Calls: x.calls, Unread: x.unread, MemoryTokens: x.memoryInUse}, 1)
 			sums[x] = s
 		}
 	}
 	loads := make([]NodeLoad, 0, len(sums))
 	for x, s := range sums {
-		loads = append(loads, x.load(now, s))
+		loads = append(loads, x.nodeLoad(now, s))
 	}
 	return loads
 }
 
-// ReportTo returns what a node that reports through this one should know: the loads of
-// all others at the targets that it chooses among.
+// ReportTo returns the loads that a node reporting through this one should know: those of all other
+// nodes at the targets in its subset.
 func (t *Table) ReportTo(now time.Time, node string) []NodeLoad {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.sweep(now)
+	t.removeExpired(now)
 	t.expireReports(now)
-	t.index()
+	t.buildIndex()
 	own := make(map[*Target]NodeLoad)
 	for _, l := range t.reports[node].loads {
 		own[l.Target] = l.NodeLoad
 	}
 	var loads []NodeLoad
-	for service := range t.places {
+	for service := range t.byRegion {
 		for _, x := range t.subset(subsetKey{service, t.Region, node}) {
-			s := x.others
+			s := x.othersLoad
 			s.add(own[x], -1)
-			s.add(NodeLoad{Calls: x.calls, Work: x.work, Held: x.tokens}, 1)
+			s.add(NodeLoad{Calls: x.calls, Unread: x.unread, MemoryTokens: x.memoryInUse}, 1)
 			if s.calls > 0 {
-				loads = append(loads, x.load(now, s))
+				loads = append(loads, x.nodeLoad(now, s))
 			}
 		}
 	}
 	return loads
 }
 
-// load returns a sum of loads at a target as it is reported.
-func (x *Target) load(now time.Time, s sum) NodeLoad {
-	l := NodeLoad{Target: x.ID, Calls: s.calls, Work: s.work, Held: s.held}
-	if gap, at := x.lastGap(); now.Sub(at) < othersAge {
+// nodeLoad returns a sum of loads at a target as a NodeLoad for a report.
+func (x *Target) nodeLoad(now time.Time, s loadSum) NodeLoad {
+	l := NodeLoad{Target: x.ID, Calls: s.calls, Unread: s.unread, MemoryTokens: s.memoryTokens}
+	if gap, at := x.latestGap(); now.Sub(at) < reportMaxAge {
 		l.Gap = gap.Milliseconds()
 	}
 	return l
 }
 
-// lastGap returns the time between two events that was seen or reported last.
-func (x *Target) lastGap() (time.Duration, time.Time) {
+// latestGap returns the time between two events that was last measured or reported, and when.
+func (x *Target) latestGap() (time.Duration, time.Time) {
 	if x.reportedGapAt.After(x.gapAt) {
 		return x.reportedGap, x.reportedGapAt
 	}
 	return x.gap, x.gapAt
 }
 
-// Relayed returns the placements of shared parts within an age, this node's and those
-// that were reported to it, the latest first: a part that belongs to one caller is of use to few.
-// A node that is no relay is reported of the targets that it knows. Another relay isn't reported
-// what relays reported, or it would go round between them.
+// Relayed returns the placements of shared parts that are not older than age, of this node and
+// reported to it, the latest first. The last part of a prompt belongs to one caller and is useful
+// to few, so it is left out. A node that is not a relay gets only placements at targets that it
+// knows. Another relay doesn't get what relays reported, which would otherwise circulate between
+// them.
 func (t *Table) Relayed(now time.Time, age time.Duration, node string, toRelay bool) []Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	knows := t.knownTo(node, toRelay)
-	type place struct {
+	type placeKey struct {
 		target string
 		part   uint64
 	}
-	sent := make(map[place]bool)
+	seen := make(map[placeKey]bool)
 	var placed []Placement
-	for i := len(t.placed) - 1; i >= 0 && len(placed) < maxRelayed; i-- {
-		p := t.placed[i]
+	for i := len(t.placements) - 1; i >= 0 && len(placed) < maxRelayed; i-- {
+		p := t.placements[i]
 		if now.Sub(p.at) > age {
 			break
 		}
-		if len(p.Parts) == 0 || toRelay && (p.relayed || p.away) || knows != nil && !p.away && !knows[p.Target] {
+		if len(p.Parts) == 0 || toRelay && (p.relayed || p.remote) || knows != nil && !p.remote && !knows[p.Target] {
 			continue
 		}
 		shared := p.Parts
-		if !p.away { // of another region only the shared parts are reported
+		if !p.remote { // placements in other regions were reported without the last part
 			shared = p.Parts[:len(p.Parts)-1]
 		}
 		if len(shared) == 0 {
 			continue
 		}
-		at := place{p.Target, shared[len(shared)-1].ID}
-		if sent[at] {
+		key := placeKey{p.Target, shared[len(shared)-1].ID}
+		if seen[key] {
 			continue
 		}
-		sent[at] = true
+		seen[key] = true
 		placed = append(placed, Placement{Target: p.Target, Parts: shared})
 	}
 	return placed
 }
 
-// knownTo returns the targets of the own region that a node knows, nil for all.
+// knownTo returns the IDs of the targets of this region that a node knows, or nil if it knows all.
 func (t *Table) knownTo(node string, relay bool) map[string]bool {
-	t.index()
-	most := 0
-	for _, regions := range t.places {
-		most = max(most, len(regions[t.Region]))
+	t.buildIndex()
+	maxTargets := 0
+	for _, regions := range t.byRegion {
+		maxTargets = max(maxTargets, len(regions[t.Region]))
 	}
-	if relay || most <= localSubset {
+	if relay || maxTargets <= localSubset {
 		return nil
 	}
 	known := make(map[string]bool)
-	for service := range t.places {
+	for service := range t.byRegion {
 		for _, x := range t.subset(subsetKey{service, t.Region, node}) {
 			known[x.ID] = true
 		}
@@ -138,46 +140,46 @@
 	return known
 }
 
-// Loads is a list of NodeLoad by columns, as nodes report it: a name of a column
-// is written once and not for each target.
+// Loads is a list of NodeLoad in columns, which is the form that nodes exchange: it writes each
+// field name once instead of once for each target.
 type Loads struct {
-	Targets []string `json:"targets"`
-	Calls   []int    `json:"calls"`
-	Work    []work   `json:"work"`
-	Held    []int    `json:"held"`
-	Gaps    []int64  `json:"gaps"`
+	Targets      []string           `json:"targets"`
+	Calls        []int              `json:"calls"`
+	Unread       []tokensByPriority `json:"work"`
+	MemoryTokens []int              `json:"held"`
+	Gaps         []int64            `json:"gaps"`
 }
 
-// Columns returns a list by columns, nil for an empty one.
+// Columns converts a list to columns; it returns nil for an empty list.
 func Columns(list []NodeLoad) *Loads {
 	if len(list) == 0 {
 		return nil
 	}
 	c := &Loads{
-		Targets: make([]string, len(list)), Calls: make([]int, len(list)), Work: make([]work, len(list)),
-		Held: make([]int, len(list)), Gaps: make([]int64, len(list)),
+		Targets: make([]string, len(list)), Calls: make([]int, len(list)), Unread: make([]tokensByPriority, len(list)),
+		MemoryTokens: make([]int, len(list)), Gaps: make([]int64, len(list)),
 	}
 	for i, l := range list {
-		c.Targets[i], c.Calls[i], c.Work[i], c.Held[i], c.Gaps[i] = l.Target, l.Calls, l.Work, l.Held, l.Gap
+		c.Targets[i], c.Calls[i], c.Unread[i], c.MemoryTokens[i], c.Gaps[i] = l.Target, l.Calls, l.Unread, l.MemoryTokens, l.Gap
 	}
 	return c
 }
 
-// List returns the loads one by one; columns that are too short end the list.
+// List converts the columns back to a list. It ends where the shortest column ends.
 func (c *Loads) List() []NodeLoad {
 	if c == nil {
 		return nil
 	}
-	n := min(len(c.Targets), len(c.Calls), len(c.Work), len(c.Held), len(c.Gaps))
+	n := min(len(c.Targets), len(c.Calls), len(c.Unread), len(c.MemoryTokens), len(c.Gaps))
 	list := make([]NodeLoad, n)
 	for i := range n {
-		list[i] = NodeLoad{Target: c.Targets[i], Calls: c.Calls[i], Work: c.Work[i], Held: c.Held[i], Gap: c.Gaps[i]}
+		list[i] = NodeLoad{Target: c.Targets[i], Calls: c.Calls[i], Unread: c.Unread[i], MemoryTokens: c.MemoryTokens[i], Gap: c.Gaps[i]}
 	}
 	return list
 }
 
-// Places is a list of Placement by columns: At is the place of a target in Targets, and
-// Counts is how many of IDs and Tokens belong to each placement.
+// Places is a list of Placement in columns. At holds the index in Targets of each placement, and
+// Counts how many of IDs and Tokens belong to it.
 type Places struct {
 	Targets []string `json:"targets"`
 	At      []int    `json:"at"`
@@ -186,7 +188,7 @@
 	Tokens  []int    `json:"tokens"`
 }
 
-// PlaceColumns returns a list by columns, nil for an empty one.
+// PlaceColumns converts a list to columns; it returns nil for an empty list.
 func PlaceColumns(list []Placement) *Places {
 	if len(list) == 0 {
 		return nil
@@ -208,7 +210,7 @@
 	return c
 }
 
-// List returns the placements one by one; what doesn't fit together ends the list.
+// List converts the columns back to a list. It ends where the columns are inconsistent.
 func (c *Places) List() []Placement {
 	if c == nil {
 		return nil
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -15,8 +15,10 @@
 
 var t0 = time.Unix(1000, 0)
 
+// after returns the time ms milliseconds after t0.
 func after(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
 
+// instance returns a registration in region r, with an address derived from its ID.
 func instance(id string) Instance {
 	n := byte(len(id))
 	for _, c := range []byte(id) {
@@ -28,8 +30,8 @@
 	}
 }
 
-// chosen returns which target a request would go to, "" for none.
-func chosen(t *Table, now time.Time, n Need) string {
+// bestTargetID sends a request and returns the ID of the chosen target, or "" if there is none.
+func bestTargetID(t *Table, now time.Time, n Need) string {
 	n.Service = "s"
 	c, ok := t.Best(now, n)
 	if !ok {
@@ -39,55 +41,56 @@
 	return c.Target.ID
 }
 
-func TestWhoMayBeUsed(t *testing.T) {
+// TestUsableTargets checks when a target must not be chosen.
+func TestUsableTargets(t *testing.T) {
 	cases := map[string]struct {
 		do   func(*Table)
 		at   int
-		want string // "b" if only a may not be used
+		want string // "b" if a must not be used
 	}{
-		"both": {func(*Table) {}, 0, "a"},
-		"it drains": {func(t *Table) {
+		"both usable": {func(*Table) {}, 0, "a"},
+		"a drains": {func(t *Table) {
 			a := instance("a")
 			a.Draining = true
 			t.Put(after(0), a)
 		}, 0, "b"},
-		"its data centre is evacuated": {func(t *Table) {
+		"a's data centre is evacuated": {func(t *Table) {
 			b := instance("b")
 			b.DataCentre = "r-b"
 			t.Put(after(0), b)
 			t.Evacuate(after(0), "r-a", true)
 		}, 0, "b"},
-		"its registration vanished":        {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
-		"it vanished while nobody watched": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
-		"it took no connection":            {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
-		"it took none a while ago":         {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
-		"it had no room":                   {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
-		"it wants nothing for a while":     {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
-		"and an answer of before comes": {func(t *Table) {
+		"a's registration vanished":                {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
+		"a vanished while this node did not watch": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
+		"a can't be dialed":                        {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
+		"a could not be dialed, backoff over":      {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
+		"a had no room":                            {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
+		"a closed for a second":                    {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
+		"a closed, and an earlier request is answered": {func(t *Table) {
 			t.Closed(after(0), t.targets["a"], time.Second)
 			t.Served(t.targets["a"])
 		}, 900, "b"},
-		"that while is over":          {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
-		"another one has its address": {func(t *Table) { t.Replaced(after(0), t.targets["a"]) }, 100, "b"},
-		"it fails":                    {func(t *Table) { t.Failed(t.targets["a"]) }, 0, "b"},
-		"it failed and then served":   {func(t *Table) { t.Failed(t.targets["a"]); t.Served(t.targets["a"]) }, 0, "a"},
-		"it drains, and a node that lags behind says otherwise": {func(t *Table) {
+		"a closed, a second later":            {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
+		"another incarnation has a's address": {func(t *Table) { t.Replaced(after(0), t.targets["a"]) }, 100, "b"},
+		"a failed":                            {func(t *Table) { t.Failed(t.targets["a"]) }, 0, "b"},
+		"a failed and then served":            {func(t *Table) { t.Failed(t.targets["a"]); t.Served(t.targets["a"]) }, 0, "a"},
+		"a drains, an older registration follows": {func(t *Table) {
 			a := instance("a")
 			a.Draining, a.Revision = true, 2
 			t.Put(after(0), a)
 			t.Put(after(1), instance("a"))
 		}, 10, "b"},
-		"it left, and a node that lags behind says otherwise": {func(t *Table) {
+		"a left, an older registration follows": {func(t *Table) {
 			t.Remove(after(0), "a", 2)
 			t.Put(after(1), instance("a"))
 		}, 10, "b"},
-		"it came after another node looked": {func(t *Table) {
+		"a appeared after another node read the store": {func(t *Table) {
 			a := instance("a")
 			a.Revision = 3
 			t.Put(after(0), a)
 			t.Keep(after(1), map[string]bool{"b": true}, 2)
 		}, 10, "a"},
-		"the other is of another region": {func(t *Table) {
+		"b is in another region": {func(t *Table) {
 			b := instance("b")
 			b.Region = "q"
 			t.Put(after(0), b)
@@ -99,38 +102,38 @@
 			table.Put(after(0), instance("a"))
 			table.Put(after(0), instance("b"))
 			c.do(table)
-			assert.Equal(t, chosen(table, after(c.at), Need{}), c.want)
+			assert.Equal(t, bestTargetID(table, after(c.at), Need{}), c.want)
 		})
 	}
 }
 
-// The store was away, leases ran out meanwhile, and all registrations vanished
-// although the targets live. A caller would be refused for two seconds.
-func TestVanishedTargetsAreTheLastResort(t *testing.T) {
+// While the store is away leases expire, and all registrations vanish although the targets are
+// alive. If vanished targets were not used at all, callers would be refused for two seconds.
+func TestVanishedTargetsAreUsedLast(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
 	table.Remove(after(0), "a", 1)
-	assert.Equal(t, chosen(table, after(1500), Need{}), "a")
-	assert.Equal(t, chosen(table, after(2500), Need{}), "", "it is gone by then")
+	assert.Equal(t, bestTargetID(table, after(1500), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(2500), Need{}), "", "the grace period is over")
 	newer := instance("a")
 	newer.Revision = 2
 	table.Put(after(2600), newer)
-	assert.Equal(t, chosen(table, after(2600), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(2600), Need{}), "a")
 }
 
-// All targets of a service fail for a while. If they were left alone callers
-// would be refused although some requests come through.
+// If failing targets were not used at all while all targets of a service fail, callers would be
+// refused although some requests succeed.
 func TestFailingTargetsAreStillTried(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
 	for range 50 {
 		table.Failed(table.targets["a"])
 	}
-	assert.Equal(t, chosen(table, after(0), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 }
 
-// A target crashed and began anew under its name and address. It knows nothing
-// of before, and a burst would crash it again.
+// A target that crashed and restarted under the same name and address is cold, and a burst of
+// requests would crash it again.
 func TestNewIncarnationIsCold(t *testing.T) {
 	table := &Table{
 		Region: "r",
@@ -141,20 +144,21 @@
 	a.Born = 1
 	table.Put(after(0), a)
 	for range 5 {
-		assert.Equal(t, chosen(table, after(0), Need{}), "a")
+		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
 	a.Born = 2
 	table.Put(after(10), a)
-	assert.Equal(t, chosen(table, after(20), Need{}), "a")
-	assert.Equal(t, chosen(table, after(20), Need{}), "a")
-	assert.Equal(t, chosen(table, after(20), Need{}), "", "two a second")
-	assert.Equal(t, chosen(table, after(1200), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a")
-	assert.Equal(t, chosen(table, after(3100), Need{}), "a", "it is warm")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(20), Need{}), "", "at most two a second")
+	assert.Equal(t, bestTargetID(table, after(1200), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(3100), Need{}), "a", "the target is warm")
 }
 
-func TestEvacuationEndsCold(t *testing.T) {
+// The targets of a data centre may come back cold from an evacuation without reporting it.
+func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	table := &Table{
 		Region: "r",
 		Warmup: func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
@@ -163,14 +167,14 @@
 	table.Put(after(0), instance("a"))
 	table.Evacuate(after(0), "r-a", true)
 	table.Evacuate(after(10_000), "r-a", false)
-	assert.Equal(t, chosen(table, after(10_001), Need{}), "a")
-	assert.Equal(t, chosen(table, after(10_002), Need{}), "")
-	assert.Equal(t, chosen(table, after(13_001), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(10_001), Need{}), "a")
+	assert.Equal(t, bestTargetID(table, after(10_002), Need{}), "")
+	assert.Equal(t, bestTargetID(table, after(13_001), Need{}), "a")
 }
 
-// Nodes of a region that don't see each other each believe that a cold target
-// is theirs. Together they must not send more in a second than it bears.
-func TestColdSumStaysWithinTheBound(t *testing.T) {
+// If nodes of a region don't see each other, each takes itself for the owner of a cold target.
+// Together they must not send it more requests in a second than it can handle.
+func TestColdRateOfAllNodesStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		limits := jwbudget.ColdLimits{
 			Rate:  rapid.Float64Range(0.5, 5).Draw(t, "rate"),
@@ -187,30 +191,31 @@
 				Warmup: func(string) (time.Duration, float64) { return time.Hour, limits.Rate },
 				Share:  func(string, string) float64 { return jwbudget.ColdShare(limits, owner, counted) },
 			}
-			in := instance("a")
-			in.Cold = time.Hour
-			tables[i].Put(t0, in)
+			recent := instance("a")
+			recent.Cold = time.Hour
+			tables[i].Put(t0, recent)
 		}
 		var sends []time.Time
 		now := t0
 		for range rapid.IntRange(1, 200).Draw(t, "requests") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 300).Draw(t, "ms")) * time.Millisecond)
-			if chosen(tables[rapid.IntRange(0, nodes-1).Draw(t, "node")], now, Need{}) != "" {
+			if bestTargetID(tables[rapid.IntRange(0, nodes-1).Draw(t, "node")], now, Need{}) != "" {
 				sends = append(sends, now)
 			}
-			in := 0
+			recent := 0
 			for _, at := range sends {
 				if now.Sub(at) < time.Second {
-					in++
+					recent++
 				}
 			}
-			if bound := limits.Rate*limits.Ratio + limits.Slack; float64(in) > bound {
-				t.Fatalf("%d sends within a second, the bound is %.2f", in, bound)
+			if bound := limits.Rate*limits.Ratio + limits.Slack; float64(recent) > bound {
+				t.Fatalf("%d sends within a second, the bound is %.2f", recent, bound)
 			}
 		}
 	})
 }
 
+// prompt returns a prompt with a part of 1000 tokens for each ID.
 func prompt(ids ...uint64) Prompt {
 	p := Prompt{Output: 50}
 	for _, id := range ids {
@@ -220,59 +225,60 @@
 	return p
 }
 
+// TestChoiceByPrompt checks how cached parts, load and goals decide the choice.
 func TestChoiceByPrompt(t *testing.T) {
 	cases := map[string]struct {
 		do    func(*Table)
 		need  Need
 		want  string
-		fetch string // the target that parts are fetched from
+		fetch string // the target to fetch parts from, "" for none
 	}{
-		"whoever holds its beginning":        {func(t *Table) { t.targets["b"].cache.use(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		"another prompt's parts are no help": {func(t *Table) { t.targets["b"].cache.use(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
-		"the holder is busy: parts are fetched from it": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{20_000}
+		"b has the first parts":         {func(t *Table) { t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
+		"b has parts of another prompt": {func(t *Table) { t.targets["b"].cache.markUsed(prompt(7, 2).Parts, 0) }, Need{Prompt: prompt(1, 2, 3)}, "a", ""},
+		"b has the parts but is busy: they are fetched": {func(t *Table) {
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{20_000}
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"the holder is busy, as another node reported": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.Merge(t0, "n2", []NodeLoad{{Target: "b", Calls: 3, Work: work{20_000}}}, nil)
+		"b is busy as another node reported": {func(t *Table) {
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.Merge(t0, "n2", []NodeLoad{{Target: "b", Calls: 3, Unread: tokensByPriority{20_000}}}, nil)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"another node sent it there": {func(t *Table) {
+		"another node sent the parts to b": {func(t *Table) {
 			t.Merge(t0, "n2", nil, []Placement{{Target: "b", Parts: prompt(1, 2).Parts}})
 		}, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		// A calm hour: half of the prompts were moved between targets, for a
-		// twentieth of their worth, to save some ten milliseconds.
-		"there is time to wait for the holder": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{2000}
+		// During a calm hour, half of the prompts were moved between targets to save some ten
+		// milliseconds each, at a cost of a twentieth of their value.
+		"b is busy but there is time to wait": {func(t *Table) {
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: time.Second}, "b", ""},
-		"there is none: parts are fetched": {func(t *Table) {
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].work = work{2000}
+		"b is busy and there is no time: parts are fetched": {func(t *Table) {
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
-		// The engine pushes parts out when its answers need the memory.
-		"the holder may have dropped it: another holder is named too": {func(t *Table) {
-			t.targets["a"].cache.use(prompt(1, 2).Parts, 0)
-			t.targets["b"].cache.use(prompt(1, 2).Parts, 0)
+		// An engine evicts cached parts when its answers need the memory.
+		"a may have evicted the parts: b is named for fetching": {func(t *Table) {
+			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
+			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
-		"parts of another region are fetched": {func(t *Table) {
-			t.targets["far"].cache.use(prompt(1, 2).Parts, 0)
+		"parts are fetched from another region": {func(t *Table) {
+			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "far"},
-		// Bound data must not cross to or from a region that is no home.
-		"but not bound ones": {func(t *Table) {
-			t.targets["far"].cache.use(prompt(1, 2).Parts, 0)
+		// Data bound to its home regions must not be sent to or from another region.
+		"bound parts are not fetched from another region": {func(t *Table) {
+			t.targets["far"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3), Homes: []string{"r"}}, "a", ""},
-		"less urgent work is read later": {func(t *Table) {
-			t.targets["a"].work = work{0, 0, 50_000}
-			t.targets["b"].work = work{1000}
+		"less urgent prompts are read later": {func(t *Table) {
+			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
+			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1)}, "a", ""},
-		"as urgent work is read before": {func(t *Table) {
-			t.targets["a"].work = work{0, 0, 50_000}
-			t.targets["b"].work = work{1000}
+		"prompts of the same priority are read before": {func(t *Table) {
+			t.targets["a"].unread = tokensByPriority{0, 0, 50_000}
+			t.targets["b"].unread = tokensByPriority{1000}
 		}, Need{Prompt: prompt(1), Priority: 2}, "b", ""},
-		"its memory is full":  {func(t *Table) { t.targets["a"].tokens = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
-		"its slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
-		"it is slow at events": {func(t *Table) {
+		"a's memory is full":  {func(t *Table) { t.targets["a"].memoryInUse = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
+		"a's slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
+		"a's events are slow": {func(t *Table) {
 			t.Passed(t0, t.targets["a"], 1, time.Second)
 			t.Passed(t0, t.targets["b"], 1, 20*time.Millisecond)
 		}, Need{Prompt: prompt(1), Events: 50}, "b", ""},
@@ -301,42 +307,44 @@
 	}
 }
 
-// A long prompt of one caller pushes older ones out of an engine's memory. A
-// belief that forgets by number would count on parts that are gone.
-func TestCacheForgetsByTokens(t *testing.T) {
+// A long prompt evicts older parts from an engine's memory. An estimate that limits the number of
+// parts instead of their tokens would rely on parts that are gone.
+func TestCacheEvictsByTokens(t *testing.T) {
 	var c cache
-	c.use([]Part{{1, 400}, {2, 400}}, 1000)
-	assert.Equal(t, c.missing(prompt(1, 2)), 0)
-	c.use([]Part{{3, 500}}, 1000)
-	assert.Equal(t, c.missing(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt goes first")
-	c.use([]Part{{4, 5000}}, 1000)
-	assert.Equal(t, c.tokens, 0, "larger than its memory")
+	c.markUsed([]Part{{1, 400}, {2, 400}}, 1000)
+	assert.Equal(t, c.missingTokens(prompt(1, 2)), 0)
+	c.markUsed([]Part{{3, 500}}, 1000)
+	assert.Equal(t, c.missingTokens(Prompt{Parts: []Part{{1, 400}, {2, 400}}}), 400, "the later part of a prompt is evicted first")
+	c.markUsed([]Part{{4, 5000}}, 1000)
+	assert.Equal(t, c.tokens, 0, "the part is larger than the memory")
 }
 
-func TestWorkIsGivenBack(t *testing.T) {
+// The end of a call must release all load that the call added, with and without a first event.
+func TestLoadIsReleased(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	x := table.targets["a"]
 	for _, first := range []time.Duration{0, time.Millisecond} {
 		c, ok := table.Best(t0, Need{Service: "s", Prompt: prompt(1, 2), Priority: 1})
 		assert.Assert(t, ok)
-		assert.Assert(t, x.calls == 1 && x.tokens > 0)
+		assert.Assert(t, x.calls == 1 && x.memoryInUse > 0)
 		if first > 0 {
 			table.Started(x, c, prompt(1, 2), first)
 		}
 		table.Done(t0, x, c, first)
-		assert.Equal(t, x.work, work{})
+		assert.Equal(t, x.unread, tokensByPriority{})
 		assert.Equal(t, x.calls, 0)
-		assert.Equal(t, x.tokens, 0)
+		assert.Equal(t, x.memoryInUse, 0)
 	}
 }
 
-// One of a service's targets has become several times slower.
-func TestSlowTargetIsLearned(t *testing.T) {
+// A target that has become several times slower than the others of its service must get fewer
+// requests.
+func TestSlowTargetGetsFewerRequests(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	table.Put(t0, instance("b"))
-	share := map[string]int{}
+	calls := map[string]int{}
 	for i := range 400 {
 		c, ok := table.Best(after(i*20), Need{Service: "s", Prompt: prompt(uint64(i))})
 		assert.Assert(t, ok)
@@ -346,13 +354,13 @@
 		}
 		table.Started(c.Target, c, prompt(uint64(i)), d)
 		table.Done(after(i*20), c.Target, c, d)
-		share[c.Target.ID]++
+		calls[c.Target.ID]++
 	}
-	assert.Assert(t, share["a"] < 60, "%v", share)
+	assert.Assert(t, calls["a"] < 60, "%v", calls)
 }
 
-// A decision is made for each request; at 3,200 targets a region has some 250,
-// and some 75 nodes that each tell what they have in flight.
+// BenchmarkBest chooses a target as each request does. In a fleet of 3,200 targets, a region has
+// about 250 of them, and about 75 nodes that report their load to each other.
 func BenchmarkBest(b *testing.B) {
 	for name, nodes := range map[string]int{"alone": 0, "75 nodes": 75} {
 		b.Run(name, func(b *testing.B) {
@@ -363,7 +371,7 @@
 			for node := range nodes {
 				var loads []NodeLoad
 				for i := range 250 {
-					loads = append(loads, NodeLoad{Target: fmt.Sprintf("t%03d", i), Calls: 1, Held: 100})
+					loads = append(loads, NodeLoad{Target: fmt.Sprintf("t%03d", i), Calls: 1, MemoryTokens: 100})
 				}
 				table.Merge(t0, fmt.Sprint(node), loads, nil)
 			}
@@ -372,15 +380,15 @@
 			for b.Loop() {
 				c, _ := table.Best(t0, n)
 				table.Done(t0, c.Target, c, 0)
-				table.placed = table.placed[:0]
+				table.placements = table.placements[:0]
 			}
 		})
 	}
 }
 
-// A region came back from an outage with all its targets cold. They look idle,
-// and the other regions sent there what had to be refused.
-func TestColdTargetsOfferNothingToOtherRegions(t *testing.T) {
+// When a region came back from an outage, all its targets were cold and looked idle. Other regions
+// sent requests there that had to be refused.
+func TestWaitIgnoresColdTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
 	in.Cold = time.Second
@@ -391,8 +399,8 @@
 	assert.Assert(t, ok)
 }
 
-// Targets come and go all day under new names. Their records must not pile up.
-func TestGoneTargetsAreForgotten(t *testing.T) {
+// Targets come and go all day under new names. Their records must not accumulate.
+func TestGoneTargetsAreRemoved(t *testing.T) {
 	table := &Table{Region: "r"}
 	for i := range 1000 {
 		id := fmt.Sprintf("t%d", i)
@@ -403,9 +411,10 @@
 	assert.Assert(t, len(table.targets) < 40, "%d records", len(table.targets))
 }
 
-// While the store is away a warm target goes cold, and one node hears so. Until
-// all know, and after, it must not get more than a cold one bears.
-func TestColdWithoutRegistration(t *testing.T) {
+// While the store is away a warm target becomes cold, and only one node learns of it from an
+// answer. Before and after the nodes report it to each other, the target must not get more requests
+// than a cold one can handle.
+func TestColdIsReportedBetweenNodes(t *testing.T) {
 	warmup := func(string) (time.Duration, float64) { return 3 * time.Second, 2 }
 	tables := []*Table{
 		{Region: "r", Warmup: warmup, Share: func(string, string) float64 { return 3 }},
@@ -413,36 +422,36 @@
 	}
 	for _, table := range tables {
 		table.Put(t0, instance("a"))
-		assert.Equal(t, chosen(table, after(0), Need{}), "a")
+		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
 	tables[0].Cold(after(100), tables[0].targets["a"], 2*time.Second)
 	assert.Equal(t, len(tables[0].Probes(after(100))), 0)
 	tables[1].MergeCold(after(150), tables[0].ReportCold(after(150)))
-	assert.Equal(t, chosen(tables[1], after(160), Need{}), "")
-	assert.Equal(t, chosen(tables[0], after(160), Need{}), "a")
-	assert.Equal(t, chosen(tables[0], after(170), Need{}), "a")
-	assert.Equal(t, chosen(tables[0], after(180), Need{}), "", "what it got while warm counts too")
-	assert.Equal(t, chosen(tables[0], after(1100), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[1], after(160), Need{}), "")
+	assert.Equal(t, bestTargetID(tables[0], after(160), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[0], after(170), Need{}), "a")
+	assert.Equal(t, bestTargetID(tables[0], after(180), Need{}), "", "sends before it became cold count too")
+	assert.Equal(t, bestTargetID(tables[0], after(1100), Need{}), "a")
 }
 
-// Two nodes keep reporting to each other how long a target stays cold; the
-// way between them must not add up.
-func TestColdEndsThoughItIsTold(t *testing.T) {
+// Two nodes keep reporting to each other how long a target stays cold. The delays between them must
+// not add up.
+func TestReportedColdExpires(t *testing.T) {
 	a, b := &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("a"))
 	b.Put(t0, instance("a"))
 	a.Cold(t0, a.targets["a"], time.Second)
-	const way = 10
-	for ms := 0; ms < 1200; ms += 2 * way {
-		b.MergeCold(after(ms+way), a.ReportCold(after(ms)))
-		a.MergeCold(after(ms+2*way), b.ReportCold(after(ms+way)))
+	const delay = 10
+	for ms := 0; ms < 1200; ms += 2 * delay {
+		b.MergeCold(after(ms+delay), a.ReportCold(after(ms)))
+		a.MergeCold(after(ms+2*delay), b.ReportCold(after(ms+delay)))
 	}
 	assert.Equal(t, len(a.ReportCold(after(1001))), 0)
 	assert.Equal(t, len(b.ReportCold(after(1011))), 0)
 }
 
-// A prompt costs a region what its best holder lacks, and a part of what others
-// fetch from that one; what it costs there was taken for half of the prompt.
+// A prompt costs a region the tokens that its best target lacks, plus a fraction of the tokens that
+// others fetch from that target. That cost was once estimated at half of the prompt.
 func TestMissIn(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"far1", "far2", "gone"} {
@@ -450,39 +459,39 @@
 		in.Region = "q"
 		table.Put(t0, in)
 	}
-	table.targets["gone"].cache.use(prompt(1, 2, 3).Parts, 0)
+	table.targets["gone"].cache.markUsed(prompt(1, 2, 3).Parts, 0)
 	table.Remove(t0, "gone", 1)
-	table.targets["far2"].cache.use(prompt(1, 2).Parts, 0)
+	table.targets["far2"].cache.markUsed(prompt(1, 2).Parts, 0)
 	miss, targets := table.MissIn(t0, "q", Need{Service: "s", Prompt: prompt(1, 2, 3)})
-	assert.Equal(t, miss, 1000+int(fetchShare*2000))
+	assert.Equal(t, miss, 1000+int(fetchCostRatio*2000))
 	assert.Equal(t, targets, 2)
 }
 
-// A node of the region dies without a report. What it had in flight must not count
-// for ever, and not be taken away twice when it reports once more.
-func TestLoadsOfOthers(t *testing.T) {
+// The load of a node that stops reporting must be dropped after a while, and must not be subtracted
+// twice when the node reports again.
+func TestLoadsOfOtherNodes(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	x := table.targets["a"]
-	sent := []NodeLoad{{Target: "a", Calls: 3, Work: work{10, 20}, Held: 7}}
+	sent := []NodeLoad{{Target: "a", Calls: 3, Unread: tokensByPriority{10, 20}, MemoryTokens: 7}}
 	table.Merge(after(0), "n2", sent, nil)
 	table.Merge(after(100), "n3", sent, nil)
-	assert.Equal(t, x.busy(1), load{6, 60, 14})
-	assert.Equal(t, x.busy(0), load{6, 20, 14})
+	assert.Equal(t, x.loadFor(1), load{6, 60, 14})
+	assert.Equal(t, x.loadFor(0), load{6, 20, 14})
 	table.Merge(after(200), "n2", nil, nil)
-	assert.Equal(t, x.busy(1), load{3, 30, 7})
+	assert.Equal(t, x.loadFor(1), load{3, 30, 7})
 	table.Report(after(1050))
-	assert.Equal(t, x.busy(1), load{3, 30, 7})
+	assert.Equal(t, x.loadFor(1), load{3, 30, 7})
 	table.Report(after(1100))
-	assert.Equal(t, x.busy(1), load{})
+	assert.Equal(t, x.loadFor(1), load{})
 	table.Merge(after(1200), "n3", sent, nil)
 	table.Resumed()
-	assert.Equal(t, x.busy(1), load{})
+	assert.Equal(t, x.loadFor(1), load{})
 }
 
-// A request is on its way to a target as the target registers anew. Who sends it
-// reads the target's name and address without the table's lock.
-func TestPutWhileInUse(t *testing.T) {
+// A target may register again while a request is on its way to it. The sender reads the target's ID
+// and address without the table's lock.
+func TestPutDuringCall(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(t0, instance("a"))
 	c, ok := table.Best(t0, Need{Service: "s"})
@@ -500,18 +509,19 @@
 		assert.Equal(t, c.Target.ID+c.Target.Service+c.Target.Address.String(), "as"+instance("a").Address.String())
 	}
 	<-done
-	assert.Equal(t, chosen(table, after(200), Need{}), "")
+	assert.Equal(t, bestTargetID(table, after(200), Need{}), "")
 }
 
+// TestSampleSize checks sampleSize for regions of different sizes.
 func TestSampleSize(t *testing.T) {
 	cases := map[string]struct{ targets, nodes, want int }{
-		"one node compares all":  {9, 1, 18},
-		"a small region":         {9, 4, 4},
-		"as many nodes":          {40, 40, 2},
-		"more nodes":             {5, 40, 2},
-		"many targets":           {246, 75, 6},
-		"nobody is counted":      {9, 0, 18},
-		"two targets, two nodes": {2, 2, 2},
+		"one node":                 {9, 1, 18},
+		"small region":             {9, 4, 4},
+		"as many nodes as targets": {40, 40, 2},
+		"more nodes than targets":  {5, 40, 2},
+		"many targets":             {246, 75, 6},
+		"no node is counted":       {9, 0, 18},
+		"two targets, two nodes":   {2, 2, 2},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -520,9 +530,9 @@
 	}
 }
 
-// Engines with few slots and long answers: all slots of a small region are taken,
-// and each that waits there waits for an answer to end. Taken for a fixed 40 ms, the
-// queue looked short, and callers waited for seconds beside idle regions.
+// With few slots and long answers, all slots of a small region are taken, and each waiting call
+// waits for an answer to end. When that wait was assumed to be a fixed 40 ms, the queue looked
+// short, and callers waited for seconds while other regions were idle.
 func TestWaitForASlotIsLearned(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -546,9 +556,9 @@
 	assert.Assert(t, c.Expected > 1800*time.Millisecond && c.Expected < 2300*time.Millisecond, "%s", c.Expected)
 }
 
-// Forty nodes see the same idle target and all send to it, before any hears of the
-// others. Comparing a few drawn ones spreads them, and the one that keeps the prompt
-// is always among these.
+// Forty nodes see the same idle target and would all send to it before any of them learns of the
+// others. Comparing a few random targets spreads their requests; the target that has cached the
+// prompt is always compared.
 func TestSample(t *testing.T) {
 	busiest := func(nodes int) int {
 		calls := map[string]int{}
@@ -572,21 +582,21 @@
 		return most
 	}
 	assert.Equal(t, busiest(0), 40)
-	assert.Assert(t, busiest(40) <= 6, "%d of 40 nodes sent to one target", busiest(40))
+	assert.Assert(t, busiest(40) <= 6, "%d of 40 nodes sent to the same target", busiest(40))
 	table := &Table{Region: "r", Rand: rand.New(rand.NewPCG(1, 1)).IntN, Nodes: func() int { return 40 }}
 	for i := range 40 {
 		table.Put(t0, instance(fmt.Sprint("t", i)))
 	}
 	p := prompt(1, 2)
-	table.targets["t7"].cache.use(p.Parts, 0)
-	assert.Equal(t, chosen(table, t0, Need{Prompt: p}), "t7")
+	table.targets["t7"].cache.markUsed(p.Parts, 0)
+	assert.Equal(t, bestTargetID(table, t0, Need{Prompt: p}), "t7")
 }
 
-// Long prompts whose first parts a target keeps run there beside each other. What they
-// keep can't yield while they run; counted by what they have to read, they seemed to
-// take half of what they do, and more of them went there than its memory holds. The
-// newest was preempted and read anew from its beginning.
-func TestKeptPartsOfWhatRunsTakeMemory(t *testing.T) {
+// Long prompts whose first parts a target has cached run there at the same time. These parts can't
+// be evicted while the requests run. When only the tokens to be read were counted, the requests
+// seemed to use half of the memory that they did, and the target got more of them than fit: the
+// newest was preempted and read again from its start.
+func TestCachedPartsOfRunningRequestsUseMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b"} {
@@ -595,14 +605,14 @@
 	prompt := func(i uint64) Prompt {
 		return Prompt{Parts: []Part{{1, 10_000}, {100 + i, 100}}, Tokens: 10_100, Output: 100}
 	}
-	const fit = 8 // in 0.85 of the memory
+	const fitting = 8 // prompts that fit in 0.85 of the memory
 	chosen := make(map[string]int)
-	for i := range uint64(2 * fit) {
+	for i := range uint64(2 * fitting) {
 		c, ok := table.Best(now, Need{Service: "s", Prompt: prompt(i), Capacity: 100_000})
 		assert.Assert(t, ok)
-		assert.Equal(t, c.Held, 10_200)
+		assert.Equal(t, c.MemoryTokens, 10_200)
 		chosen[c.Target.ID]++
 	}
-	assert.Equal(t, chosen["a"], fit)
-	assert.Equal(t, chosen["b"], fit)
+	assert.Equal(t, chosen["a"], fitting)
+	assert.Equal(t, chosen["b"], fitting)
 }
