--- a/core/jwbudget/limit.go
+++ b/core/jwbudget/limit.go
@@ -2,24 +2,24 @@
 
 import "time"
 
-// What a target that names a limit gets of all nodes together within any limitSpan stays
+// What a target that names a limit gets of all nodes together within any limitWindow stays
 // below limitRatio times the limit and limitSlack requests.
 const (
-	limitSpan  = 4 * time.Second
-	limitRatio = 1.5
-	limitSlack = 5
+	limitWindow = 4 * time.Second
+	limitRatio  = 1.5
+	limitSlack  = 5
 	// LimitSettle is how long a node that starts, or that becomes the owner of a target, sends
 	// nothing to one that names a limit: the others learn of it meanwhile.
-	LimitSettle = limitSpan
-	// soleGap is how long ago a node may have looked last whether it is the owner for that to
+	LimitSettle = limitWindow
+	// maxSoleGap is how long ago a node may have looked last whether it is the owner for that to
 	// count: meanwhile another may have been.
-	soleGap = 2 * time.Second
+	maxSoleGap = 2 * time.Second
 	// limitReserve is the part of the slack that stays unused, as requests can arrive closer
 	// together than they were sent.
 	limitReserve = 1
-	// leastLimit keeps some requests coming to a target whose limit is nearly nothing: only
+	// minLimit keeps some requests coming to a target whose limit is nearly nothing: only
 	// an answer tells that the limit has ended.
-	leastLimit = 0.1
+	minLimit = 0.1
 )
 
 // LimitPart is what one node may send to a target that names a limit.
@@ -33,10 +33,10 @@
 // Each has an even part while the bursts of all fit the slack; of more nodes the owner alone
 // sends, since an even part would be less than one request.
 func PartOf(rate float64, owner bool, nodes int) LimitPart {
-	rate = max(rate, leastLimit)
+	rate = max(rate, minLimit)
 	// Half of what is left beside the rate: while nodes come and go, the bursts of those
 	// before and of those after can fall into one span.
-	burst := ((limitRatio-1)*rate*limitSpan.Seconds() + limitSlack - limitReserve) / 2
+	burst := ((limitRatio-1)*rate*limitWindow.Seconds() + limitSlack - limitReserve) / 2
 	n := float64(max(nodes, 1))
 	if burst >= n {
 		return LimitPart{Rate: rate / n, Burst: burst / n}
@@ -68,7 +68,7 @@
 	switch {
 	case !p.Sole:
 		b.sole = time.Time{}
-	case b.sole.IsZero(), now.Sub(b.seen) > soleGap:
+	case b.sole.IsZero(), now.Sub(b.seen) > maxSoleGap:
 		b.sole, b.tokens, b.at = now, 0, now.Add(LimitSettle)
 	}
 	b.seen = now
@@ -83,10 +83,10 @@
 // Wait returns how long it takes until there is room, as of the last call of Room.
 func (b *LimitBucket) Wait(now time.Time, p LimitPart) time.Duration {
 	if p.Rate <= 0 || p.Burst < 1 {
-		return limitSpan
+		return limitWindow
 	}
-	lacks := max(1-b.tokens, 0) / p.Rate
-	return max(b.at.Sub(now), 0) + time.Duration(lacks*float64(time.Second))
+	missing := max(1-b.tokens, 0) / p.Rate
+	return max(b.at.Sub(now), 0) + time.Duration(missing*float64(time.Second))
 }
 
 // Take uses up one request.
--- a/core/jwbudget/limit_test.go
+++ b/core/jwbudget/limit_test.go
@@ -20,7 +20,7 @@
 		"a large limit is for many":     {20, false, 22, LimitPart{Rate: 20.0 / 22, Burst: 1}},
 		"of many nodes the owner sends": {2, true, 9, LimitPart{Rate: 2, Burst: 4, Sole: true}},
 		"the others don't":              {2, false, 9, LimitPart{}},
-		"a limit of nothing":            {0, true, 1, LimitPart{Rate: leastLimit, Burst: 2.1}},
+		"a limit of nothing":            {0, true, 1, LimitPart{Rate: minLimit, Burst: 2.1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwbudget/retry.go
+++ b/core/jwbudget/retry.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// safety is the part of the shared budget that is used at most: windows slide
+// usableFraction is the part of the shared budget that is used at most: windows slide
 // and a request may be counted at another node than its repeat.
-const safety = 0.6
+const usableFraction = 0.6
 
 // Retry is the budget of sends beyond the first of each request, by service.
 // Set its fields before use.
@@ -49,7 +49,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(service)
-	w.requests = append(since(w.requests, now.Add(-r.Limits().Window)), now)
+	w.requests = append(dropBefore(w.requests, now.Add(-r.Limits().Window)), now)
 }
 
 // Take reports whether a request may be sent once more, and counts it.
@@ -77,14 +77,14 @@
 
 func (r *Retry) left(now time.Time, w *window) float64 {
 	l := r.Limits()
-	w.requests = since(w.requests, now.Add(-l.Window))
-	w.repeats = since(w.repeats, now.Add(-l.Window))
-	most := safety * (l.Ratio*float64(len(w.requests)) + l.Slack/float64(max(r.Nodes(), 1)))
-	return most - float64(len(w.repeats))
+	w.requests = dropBefore(w.requests, now.Add(-l.Window))
+	w.repeats = dropBefore(w.repeats, now.Add(-l.Window))
+	allowed := usableFraction * (l.Ratio*float64(len(w.requests)) + l.Slack/float64(max(r.Nodes(), 1)))
+	return allowed - float64(len(w.repeats))
 }
 
-// since drops the times before a bound; times rise.
-func since(times []time.Time, bound time.Time) []time.Time {
+// dropBefore drops the times before a bound; times rise.
+func dropBefore(times []time.Time, bound time.Time) []time.Time {
 	i := 0
 	for i < len(times) && times[i].Before(bound) {
 		i++
--- a/core/jwbudget/retry_test.go
+++ b/core/jwbudget/retry_test.go
@@ -12,7 +12,7 @@
 // Targets fail for all nodes at once, and each repeats what it has. Together
 // they must stay within what the service's operators allow in any window, also
 // while nodes come, go and are not seen by each other.
-func TestSumStaysWithinTheBudget(t *testing.T) {
+func TestAllNodesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 12).Draw(t, "nodes")
 		// A node knows of all others or of more: those that left are counted
@@ -37,8 +37,8 @@
 				repeats = append(repeats, now)
 			}
 			from := now.Add(-limits.Window)
-			if most := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(repeats, from)) > most {
-				t.Fatalf("%d repeats within %s, allowed are %.1f", count(repeats, from), limits.Window, most)
+			if allowed := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(repeats, from)) > allowed {
+				t.Fatalf("%d repeats within %s, allowed are %.1f", count(repeats, from), limits.Window, allowed)
 			}
 		}
 	})
@@ -54,7 +54,7 @@
 	return n
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestBudgetsAreSeparatePerService(t *testing.T) {
 	r := &Retry{Limits: func() Limits { return Limits{Slack: 2, Window: time.Second} }, Nodes: func() int { return 1 }}
 	now := time.Unix(0, 0)
 	if !r.Take(now, "a") || r.Take(now, "a") {
--- a/core/jwentry/config.go
+++ b/core/jwentry/config.go
@@ -56,9 +56,9 @@
 
 // Table keeps the newest configuration; the zero value has none.
 type Table struct {
-	current atomic.Pointer[Config]
-	made    sync.Once
-	first   chan struct{}
+	current   atomic.Pointer[Config]
+	firstOnce sync.Once
+	first     chan struct{}
 }
 
 // Current returns the configuration in force, nil before the first.
@@ -74,7 +74,7 @@
 
 // First returns a channel that is closed once a configuration is in force.
 func (t *Table) First() <-chan struct{} {
-	t.made.Do(func() { t.first = make(chan struct{}) })
+	t.firstOnce.Do(func() { t.first = make(chan struct{}) })
 	return t.first
 }
 
--- a/core/jwentry/demand.go
+++ b/core/jwentry/demand.go
@@ -32,26 +32,26 @@
 // homes may be served: those that callers should be sent to while their own
 // region has no node. Before any request all entries count alike.
 func (d *Demand) Stand(c *Config, host string, choice []string) []string {
-	weight := make(map[string]int, len(choice))
+	weights := make(map[string]int, len(choice))
 	for _, e := range c.byHost[host] {
 		for _, region := range e.Homes {
-			weight[region]++
+			weights[region]++
 		}
 	}
 	d.mu.Lock()
 	if len(d.requests) > 0 {
-		weight = make(map[string]int, len(choice))
+		weights = make(map[string]int, len(choice))
 		for region, n := range d.requests {
-			weight[region] = n
+			weights[region] = n
 		}
 	}
 	d.mu.Unlock()
 	var best []string
 	for _, region := range choice {
 		switch {
-		case len(best) == 0 || weight[region] > weight[best[0]]:
+		case len(best) == 0 || weights[region] > weights[best[0]]:
 			best = []string{region}
-		case weight[region] == weight[best[0]]:
+		case weights[region] == weights[best[0]]:
 			best = append(best, region)
 		}
 	}
--- a/core/jwentry/entry_test.go
+++ b/core/jwentry/entry_test.go
@@ -28,13 +28,13 @@
 		"another host":             {"b.example", "/menu/draft/x", "other"},
 		"a host that has no entry": {"c.example", "/menu/x", ""},
 	}
-	for name, c2 := range cases {
+	for name, tc := range cases {
 		t.Run(name, func(t *testing.T) {
 			got := ""
-			if e := c.Match(c2.host, c2.path); e != nil {
+			if e := c.Match(tc.host, tc.path); e != nil {
 				got = e.Name
 			}
-			assert.Equal(t, got, c2.want)
+			assert.Equal(t, got, tc.want)
 		})
 	}
 }
@@ -80,9 +80,9 @@
 		var table Table
 		newest := uint64(0)
 		for _, v := range rapid.SliceOf(rapid.Uint64Range(1, 20)).Draw(t, "versions") {
-			taken := table.Put(config(v))
-			if taken != (v > newest) {
-				t.Fatalf("version %d after %d: taken %v", v, newest, taken)
+			accepted := table.Put(config(v))
+			if accepted != (v > newest) {
+				t.Fatalf("version %d after %d: accepted %v", v, newest, accepted)
 			}
 			newest = max(newest, v)
 			if table.Version() != newest {
--- a/core/jwmember/fleet.go
+++ b/core/jwmember/fleet.go
@@ -2,9 +2,9 @@
 
 import "time"
 
-// settle is how long after the fleet's size rose a new node takes it that all others
+// countDelay is how long after the fleet's size rose a new node takes it that all others
 // count it: they read the store at least every three seconds.
-const settle = 4 * time.Second
+const countDelay = 4 * time.Second
 
 // SetFleet takes the size of the fleet as the store keeps it, which outlives all nodes:
 // after a start of all at once the registrations of most are missing. known says that
@@ -12,13 +12,13 @@
 func (t *Table) SetFleet(now time.Time, nodes int, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.fleet = nodes
-	if !t.counted.IsZero() || nodes < t.countAll(now, "") {
+	t.fleetSize = nodes
+	if !t.countedAt.IsZero() || nodes < t.countAll(now, "") {
 		return
 	}
-	t.counted = now
+	t.countedAt = now
 	if !known {
-		t.counted = now.Add(settle)
+		t.countedAt = now.Add(countDelay)
 	}
 }
 
@@ -26,7 +26,7 @@
 func (t *Table) FleetSize() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.fleet
+	return t.fleetSize
 }
 
 // Fleet returns how many nodes there may be in all regions, and whether the others
@@ -35,7 +35,7 @@
 	n := t.Count(now, "")
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return max(n, t.fleet), !t.counted.IsZero() && !now.Before(t.counted)
+	return max(n, t.fleetSize), !t.countedAt.IsZero() && !now.Before(t.countedAt)
 }
 
 // KeepsFleet reports whether the node itself writes the size of the fleet: the first of
@@ -51,7 +51,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m.Start < t.Self.Start {
-		t.before = max(t.before, m.Start)
+		t.previousStart = max(t.previousStart, m.Start)
 	}
 }
 
@@ -60,5 +60,5 @@
 func (t *Table) Fresh(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.before == 0 || time.Duration(t.Self.Start-t.before) >= within
+	return t.previousStart == 0 || time.Duration(t.Self.Start-t.previousStart) >= within
 }
--- a/core/jwmember/fleet_test.go
+++ b/core/jwmember/fleet_test.go
@@ -32,7 +32,7 @@
 		"one started anew":           {57, 58, true, 0, 58, true},
 		"a new one":                  {58, 58, true, time.Hour, 59, false},
 		"the first start":            {57, 58, false, 0, 58, false},
-		"the first start, later":     {57, 58, false, settle, 58, true},
+		"the first start, later":     {57, 58, false, countDelay, 58, true},
 		"more than were kept so far": {20, 6, false, time.Hour, 21, false},
 	}
 	for name, c := range cases {
@@ -42,7 +42,7 @@
 				x.SetFleet(now, c.size, c.known)
 			}
 			nodes, counted := x.Fleet(now.Add(c.after))
-			if c.after < forget {
+			if c.after < forgetAfter {
 				assert.Equal(t, nodes, c.nodes)
 			}
 			assert.Equal(t, counted, c.counts)
--- a/core/jwmember/relay.go
+++ b/core/jwmember/relay.go
@@ -36,27 +36,27 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	best, ok := Member{}, false
-	take := func(m Member) {
-		if !ok || before(m, best) {
+	consider := func(m Member) {
+		if !ok || ranksBefore(m, best) {
 			best, ok = m, true
 		}
 	}
 	if t.Self.Serving && t.Self.DataCentre == dataCentre {
-		take(t.Self)
+		consider(t.Self)
 	}
 	for _, r := range t.members {
 		if r.Serving && r.DataCentre == dataCentre && t.live(now, r) {
-			take(r.Member)
+			consider(r.Member)
 		}
 	}
 	return best, ok
 }
 
-// before reports whether a relays rather than b.
-func before(a, b Member) bool { return compare(a, b) < 0 }
+// ranksBefore reports whether a relays rather than b.
+func ranksBefore(a, b Member) bool { return compareRelays(a, b) < 0 }
 
-// compare orders members by who of them relays.
-func compare(a, b Member) int {
+// compareRelays orders members by who of them relays.
+func compareRelays(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), strings.Compare(a.Name, b.Name))
 }
 
@@ -65,7 +65,7 @@
 func (t *Table) AllRelays(now time.Time) []Member {
 	best := make(map[string]Member)
 	for _, m := range t.Live(now, "") {
-		if old, ok := best[m.DataCentre]; !ok || before(m, old) {
+		if old, ok := best[m.DataCentre]; !ok || ranksBefore(m, old) {
 			best[m.DataCentre] = m
 		}
 	}
@@ -76,29 +76,29 @@
 	return list
 }
 
-// tripStep is how finely the round trips of nodes to the store are distinguished.
-const tripStep = 25 * time.Millisecond
+// roundTripStep is how finely the round trips of nodes to the store are distinguished.
+const roundTripStep = 25 * time.Millisecond
 
 // Reached notes how long a call of the store took.
 func (t *Table) Reached(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	trip := (d.Truncate(tripStep) + tripStep).Milliseconds()
+	trip := (d.Truncate(roundTripStep) + roundTripStep).Milliseconds()
 	if t.Self.Trip == 0 || trip < t.Self.Trip {
-		t.changed()
+		t.invalidateViews()
 		t.Self.Trip = trip
 	}
 }
 
 // Nearest returns the relays that are nearest to the store, so many at most.
-func (t *Table) Nearest(now time.Time, most int) []Member {
+func (t *Table) Nearest(now time.Time, limit int) []Member {
 	list := t.AllRelays(now)
-	slices.SortStableFunc(list, func(a, b Member) int { return cmp.Compare(a.trip(), b.trip()) })
-	return list[:min(len(list), most)]
+	slices.SortStableFunc(list, func(a, b Member) int { return cmp.Compare(a.roundTripOrMax(), b.roundTripOrMax()) })
+	return list[:min(len(list), limit)]
 }
 
-// trip orders members by their round trip to the store, those that don't know it last.
-func (m *Member) trip() int64 {
+// roundTripOrMax orders members by their round roundTripOrMax to the store, those that don't know it last.
+func (m *Member) roundTripOrMax() int64 {
 	if m.Trip == 0 {
 		return math.MaxInt64
 	}
@@ -111,7 +111,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.members {
-		if r.Serving && r.DataCentre == t.Self.DataCentre && t.live(now, r) && before(r.Member, t.Self) {
+		if r.Serving && r.DataCentre == t.Self.DataCentre && t.live(now, r) && ranksBefore(r.Member, t.Self) {
 			return false
 		}
 	}
@@ -122,10 +122,10 @@
 // rendezvous hashing of their data centres.
 func Root(relays []Member, name string) (Member, bool) {
 	var root Member
-	most := uint64(0)
+	maxScore := uint64(0)
 	for _, m := range relays {
-		if s := rank(m.DataCentre, name); root.Name == "" || s > most {
-			root, most = m, s
+		if s := rendezvousScore(m.DataCentre, name); root.Name == "" || s > maxScore {
+			root, maxScore = m, s
 		}
 	}
 	return root, root.Name != ""
@@ -172,15 +172,15 @@
 	defer t.mu.Unlock()
 	var list []Member
 	for _, r := range t.members {
-		known := r.registered || now.Sub(r.seen) < forget
+		known := r.registered || now.Sub(r.lastSeen) < forgetAfter
 		if !known || r.Region != t.Self.Region || r.DataCentre != dataCentre || t.live(now, r) {
 			continue
 		}
-		if dataCentre != t.Self.DataCentre || before(r.Member, t.Self) {
+		if dataCentre != t.Self.DataCentre || ranksBefore(r.Member, t.Self) {
 			list = append(list, r.Member)
 		}
 	}
-	slices.SortFunc(list, compare)
+	slices.SortFunc(list, compareRelays)
 	return list
 }
 
@@ -208,37 +208,37 @@
 func (t *Table) Liveness(now time.Time) Liveness {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var h Liveness
+	var report Liveness
 	for name, r := range t.members {
-		quiet := r.DataCentre == t.Self.DataCentre && now.Sub(r.seen) > relaySuspectAfter
-		lives := t.live(now, r) && !quiet
+		overdue := r.DataCentre == t.Self.DataCentre && now.Sub(r.lastSeen) > relaySuspectAfter
+		lives := t.live(now, r) && !overdue
 		switch {
-		case r.registered && !lives && now.Sub(r.since) >= trust:
-			h.Unresponsive = append(h.Unresponsive, name)
+		case r.registered && !lives && now.Sub(r.registeredAt) >= registrationGrace:
+			report.Unresponsive = append(report.Unresponsive, name)
 		case !r.registered && lives:
-			h.Unlisted = append(h.Unlisted, name)
+			report.Unlisted = append(report.Unlisted, name)
 		}
 	}
-	slices.Sort(h.Unresponsive)
-	slices.Sort(h.Unlisted)
-	return h
+	slices.Sort(report.Unresponsive)
+	slices.Sort(report.Unlisted)
+	return report
 }
 
 // MergeLiveness merges the report of a relay of who lives. Where all exchange state with each other
 // SeenByOther does this, by names; the unresponsive are fewer.
-func (t *Table) MergeLiveness(now time.Time, h Liveness) {
+func (t *Table) MergeLiveness(now time.Time, report Liveness) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	at := now.Add(-indirectAge)
-	t.changed()
+	t.invalidateViews()
 	for name, r := range t.members {
-		_, unresponsive := slices.BinarySearch(h.Unresponsive, name)
-		_, unlisted := slices.BinarySearch(h.Unlisted, name)
+		_, unresponsive := slices.BinarySearch(report.Unresponsive, name)
+		_, unlisted := slices.BinarySearch(report.Unlisted, name)
 		switch {
-		case unresponsive && at.After(r.seen):
-			r.failed = now
-		case !unresponsive && (r.registered || unlisted) && at.After(r.seen):
-			r.seen = at
+		case unresponsive && at.After(r.lastSeen):
+			r.lastFailed = now
+		case !unresponsive && (r.registered || unlisted) && at.After(r.lastSeen):
+			r.lastSeen = at
 		}
 	}
 }
@@ -250,7 +250,7 @@
 	defer t.mu.Unlock()
 	var list []Member
 	for _, r := range t.members {
-		if r.stops() && now.Sub(r.stopped) < age {
+		if r.isStopping() && now.Sub(r.stoppedAt) < age {
 			list = append(list, r.Member)
 		}
 	}
@@ -263,7 +263,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.members[m.Name]; r != nil {
-		t.changed()
-		r.take(now, m)
+		t.invalidateViews()
+		r.merge(now, m)
 	}
 }
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -11,7 +11,7 @@
 	"pgregory.net/rapid"
 )
 
-func centre(name, dc string, capacity int) Member {
+func memberIn(name, dc string, capacity int) Member {
 	return Member{Name: name, Region: "r", DataCentre: dc, Serving: true, Change: 1, Start: 1, Capacity: capacity}
 }
 
@@ -19,8 +19,8 @@
 // as that one dies: without a relay they learn of nobody.
 func TestRelay(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := Table{Self: centre("b", "d1", 2)}
-	for _, m := range []Member{centre("a", "d1", 1), centre("c", "d1", 8), centre("d", "d1", 8), centre("z", "d2", 9)} {
+	table := Table{Self: memberIn("b", "d1", 2)}
+	for _, m := range []Member{memberIn("a", "d1", 1), memberIn("c", "d1", 8), memberIn("d", "d1", 8), memberIn("z", "d2", 9)} {
 		table.Put(now, m)
 		table.Seen(now, m)
 	}
@@ -34,9 +34,9 @@
 	table.Failed(now.Add(1), "c")
 	now = now.Add(time.Millisecond)
 	assert.Equal(t, relay("d1"), "d")
-	stops := centre("d", "d1", 8)
-	stops.Serving, stops.Change = false, 2
-	table.Seen(now, stops)
+	stopped := memberIn("d", "d1", 8)
+	stopped.Serving, stopped.Change = false, 2
+	table.Seen(now, stopped)
 	assert.Equal(t, relay("d1"), "b")
 	assert.Assert(t, table.IsRelay(now))
 	assert.DeepEqual(t, namesOf(table.Relays(now, "r")), []string{"z"})
@@ -50,12 +50,12 @@
 	return names
 }
 
-func TestCrowded(t *testing.T) {
+func TestLarge(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := Table{Self: centre("a", "d1", 1)}
+	table := Table{Self: memberIn("a", "d1", 1)}
 	for i := range DefaultRelayThreshold - 1 {
 		assert.Assert(t, !table.Large(now, "r"))
-		table.Put(now, centre(fmt.Sprint(i), "d1", 1))
+		table.Put(now, memberIn(fmt.Sprint(i), "d1", 1))
 	}
 	assert.Assert(t, table.Large(now, "r"))
 	assert.Assert(t, !table.Large(now, "other"))
@@ -69,13 +69,13 @@
 func TestLivenessThroughRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		relay := Table{Self: centre("relay", "d", 9)}
-		node := Table{Self: centre("node", "d", 1)}
+		relay := Table{Self: memberIn("relay", "d", 9)}
+		node := Table{Self: memberIn("node", "d", 1)}
 		names := []string{"a", "b", "c", "e"}
 		dead := make(map[string]time.Time)
 		for _, name := range names {
 			for _, x := range []*Table{&relay, &node} {
-				x.Put(now, centre(name, "d", 1))
+				x.Put(now, memberIn(name, "d", 1))
 			}
 		}
 		const period = 500 * time.Millisecond
@@ -92,13 +92,13 @@
 				node.Remove(name)
 			case 2: // it is registered again
 				if dead[name].IsZero() {
-					relay.Put(now, centre(name, "d", 1))
-					node.Put(now, centre(name, "d", 1))
+					relay.Put(now, memberIn(name, "d", 1))
+					node.Put(now, memberIn(name, "d", 1))
 				}
 			}
 			for _, other := range names {
 				if dead[other].IsZero() {
-					relay.Seen(now, centre(other, "d", 1))
+					relay.Seen(now, memberIn(other, "d", 1))
 				}
 			}
 			node.MergeLiveness(now, relay.Liveness(now))
@@ -117,16 +117,16 @@
 }
 
 // A node that stops by plan must not be named to callers until its relay finds it unresponsive.
-func TestStoppingIsTold(t *testing.T) {
+func TestStoppingIsReported(t *testing.T) {
 	now := time.Unix(100, 0)
-	relay, node := Table{Self: centre("relay", "d", 9)}, Table{Self: centre("node", "d", 1)}
+	relay, node := Table{Self: memberIn("relay", "d", 9)}, Table{Self: memberIn("node", "d", 1)}
 	for _, x := range []*Table{&relay, &node} {
-		x.Put(now, centre("a", "d", 1))
+		x.Put(now, memberIn("a", "d", 1))
 	}
-	relay.Seen(now, centre("a", "d", 1))
-	stops := centre("a", "d", 1)
-	stops.Serving, stops.Change = false, 2
-	relay.Seen(now, stops)
+	relay.Seen(now, memberIn("a", "d", 1))
+	stopped := memberIn("a", "d", 1)
+	stopped.Serving, stopped.Change = false, 2
+	relay.Seen(now, stopped)
 	stopping := relay.Stopping(now.Add(time.Second), 5*time.Second)
 	assert.DeepEqual(t, namesOf(stopping), []string{"a"})
 	for _, m := range stopping {
@@ -138,13 +138,13 @@
 
 // Many requests in a row ask who lives, and get the same list; but what a node has just
 // learned must count at once, or requests go to a node that is gone.
-func TestViewsFollowTheNews(t *testing.T) {
+func TestChangesInvalidateViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		table := Table{Self: centre("self", "d", 1)}
+		table := Table{Self: memberIn("self", "d", 1)}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
-			m := centre(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), "d", 1)
+			m := memberIn(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), "d", 1)
 			m.Start, m.Change = int64(rapid.IntRange(1, 2).Draw(t, "start")), rapid.IntRange(1, 3).Draw(t, "change")
 			m.Serving = m.Change == 1
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
@@ -169,7 +169,7 @@
 			}
 			got := namesOf(table.Live(now, "r"))
 			count := table.Count(now, "r")
-			table.changed()
+			table.invalidateViews()
 			if want := namesOf(table.Live(now, "r")); !slices.Equal(got, want) {
 				t.Fatalf("%v is reported, %v live", got, want)
 			}
@@ -182,9 +182,9 @@
 
 func BenchmarkLive(b *testing.B) {
 	now := time.Unix(1000, 0)
-	table := Table{Self: centre("self", "d", 1)}
+	table := Table{Self: memberIn("self", "d", 1)}
 	for i := range 300 {
-		m := centre(fmt.Sprint(i), "d", 1)
+		m := memberIn(fmt.Sprint(i), "d", 1)
 		table.Put(now, m)
 		table.Seen(now, m)
 	}
--- a/core/jwmember/share.go
+++ b/core/jwmember/share.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// rank orders names for rendezvous hashing.
-func rank(name, key string) uint64 {
+// rendezvousScore orders names for rendezvous hashing.
+func rendezvousScore(name, key string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + key))
 	return h.Sum64()
@@ -22,14 +22,14 @@
 func (t *Table) CountedByAll(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.listed.IsZero() || now.Sub(t.listed) < window {
+	if t.listedAt.IsZero() || now.Sub(t.listedAt) < shareWindow {
 		return false
 	}
 	for _, r := range t.members {
 		if !r.registered || r.Region != t.Self.Region {
 			continue
 		}
-		if now.Sub(r.seen) > knownFor || now.Sub(r.met) < window {
+		if now.Sub(r.lastSeen) > countedFor || now.Sub(r.firstSeen) < shareWindow {
 			return false
 		}
 	}
@@ -41,10 +41,10 @@
 func (t *Table) ListedFor(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.listed.IsZero() {
+	if t.listedAt.IsZero() {
 		return 0
 	}
-	return now.Sub(t.listed)
+	return now.Sub(t.listedAt)
 }
 
 // Owns reports whether the node itself is the one of its region that a name
@@ -54,11 +54,11 @@
 }
 
 // OwnsAmong reports the same of the live nodes that may own the name.
-func (t *Table) OwnsAmong(now time.Time, name string, may func(node string) bool) bool {
-	best, most := "", uint64(0)
+func (t *Table) OwnsAmong(now time.Time, name string, mayOwn func(node string) bool) bool {
+	best, maxScore := "", uint64(0)
 	for _, m := range t.Live(now, t.Self.Region) {
-		if s := rank(m.Name, name); (best == "" || s > most) && may(m.Name) {
-			best, most = m.Name, s
+		if s := rendezvousScore(m.Name, name); (best == "" || s > maxScore) && mayOwn(m.Name) {
+			best, maxScore = m.Name, s
 		}
 	}
 	return best == "" || best == t.Self.Name
--- a/core/jwmember/start_test.go
+++ b/core/jwmember/start_test.go
@@ -14,36 +14,36 @@
 // are cold. The store is slow, so that each node reads it before any other has
 // registered, and believes to be alone. If each sent what one node may send, the
 // targets would crash again under it; users would wait for a second warm-up.
-func TestColdSumWhileAllStartAndTheStoreIsSlow(t *testing.T) {
+func TestColdLimitWhileAllStartAndStoreIsSlow(t *testing.T) {
 	const rate, bound = 4.1, 9.1
 	rapid.Check(t, func(t *rapid.T) {
-		ms := func(most int, name string) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * time.Millisecond
+		ms := func(maxMs int, name string) time.Duration {
+			return time.Duration(rapid.IntRange(0, maxMs).Draw(t, name)) * time.Millisecond
 		}
-		begin := time.Unix(1000, 0)
-		var nodes []*starter
+		start := time.Unix(1000, 0)
+		var nodes []*startingNode
 		for i := range rapid.IntRange(1, 5).Draw(t, "nodes") {
-			n := &starter{table: &Table{Self: member(fmt.Sprint("n", i), "r", 1)}}
-			n.writes = begin.Add(ms(3000, "write"))
-			n.reads = []time.Time{begin.Add(ms(500, "read")), begin.Add(ms(6000, "again")), begin.Add(ms(6000, "more"))}
+			n := &startingNode{table: &Table{Self: member(fmt.Sprint("n", i), "r", 1)}}
+			n.registersAt = start.Add(ms(3000, "write"))
+			n.readsAt = []time.Time{start.Add(ms(500, "read")), start.Add(ms(6000, "again")), start.Add(ms(6000, "more"))}
 			nodes = append(nodes, n)
 		}
 		period := ms(2000, "period") + time.Millisecond
 		var sent []time.Time
-		for now := begin; now.Before(begin.Add(9 * time.Second)); now = now.Add(10 * time.Millisecond) {
+		for now := start; now.Before(start.Add(9 * time.Second)); now = now.Add(10 * time.Millisecond) {
 			for i, n := range nodes {
-				n.follow(now, nodes)
+				n.readDue(now, nodes)
 				for _, m := range nodes[:i] {
 					// Two nodes exchange state once one of them knows the other.
-					if now.Sub(begin)%period < 10*time.Millisecond && (n.knows(m) || m.knows(n)) {
+					if now.Sub(start)%period < 10*time.Millisecond && (n.knows(m) || m.knows(n)) {
 						n.table.Seen(now, m.table.Self)
 						m.table.Seen(now, n.table.Self)
 					}
 				}
 			}
-			sent = after(sent, now.Add(-time.Second))
+			sent = dropUntil(sent, now.Add(-time.Second))
 			for _, n := range nodes {
-				n.sent = after(n.sent, now.Add(-time.Second))
+				n.sent = dropUntil(n.sent, now.Add(-time.Second))
 				if !n.table.CountedByAll(now) {
 					continue
 				}
@@ -54,29 +54,29 @@
 				}
 			}
 			if float64(len(sent)) > bound {
-				t.Fatalf("%d requests within a second at %s, allowed are %.1f", len(sent), now.Sub(begin), bound)
+				t.Fatalf("%d requests within a second at %s, allowed are %.1f", len(sent), now.Sub(start), bound)
 			}
 		}
 	})
 }
 
-// starter is a node that reads the store, registers, and reads again.
-type starter struct {
-	table  *Table
-	writes time.Time
-	reads  []time.Time
-	sent   []time.Time
+// startingNode is a node that reads the store, registers, and reads again.
+type startingNode struct {
+	table       *Table
+	registersAt time.Time
+	readsAt     []time.Time
+	sent        []time.Time
 }
 
-func (n *starter) knows(m *starter) bool { return n.table.members[m.table.Self.Name] != nil }
+func (n *startingNode) knows(m *startingNode) bool { return n.table.members[m.table.Self.Name] != nil }
 
 // follow makes the readings of the store that are due.
-func (n *starter) follow(now time.Time, all []*starter) {
-	for len(n.reads) > 0 && !now.Before(n.reads[0]) {
-		n.reads = n.reads[1:]
+func (n *startingNode) readDue(now time.Time, all []*startingNode) {
+	for len(n.readsAt) > 0 && !now.Before(n.readsAt[0]) {
+		n.readsAt = n.readsAt[1:]
 		for _, m := range all {
 			switch {
-			case now.Before(m.writes):
+			case now.Before(m.registersAt):
 			case m == n:
 				n.table.Listed(now, m.table.Self)
 			default:
@@ -86,7 +86,7 @@
 	}
 }
 
-func after(times []time.Time, bound time.Time) []time.Time {
+func dropUntil(times []time.Time, bound time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(bound) {
 		times = times[1:]
 	}
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -12,18 +12,18 @@
 	// suspectAfter is how long a registered node may stay unseen before it is
 	// taken for dead. Nodes of a region exchange state every second.
 	suspectAfter = 3 * time.Second
-	// trust is how long a new registration counts before the node is seen.
-	trust = 2 * time.Second
+	// registrationGrace is how long a new registration counts before the node is seen.
+	registrationGrace = 2 * time.Second
 	// indirectAge is how old the report may be that another node was seen.
 	indirectAge = time.Second
-	// forget is how long an unregistered, unresponsive node is remembered; it still
+	// forgetAfter is how long an unregistered, unresponsive node is remembered; it still
 	// counts where shares have to be cautious.
-	forget = time.Minute
-	// knownFor is how long a node relies on being counted by another that it
+	forgetAfter = time.Minute
+	// countedFor is how long a node relies on being counted by another that it
 	// seen: less than that one remembers it, by more than any way between them.
-	knownFor = 50 * time.Second
-	// window is what sums are kept within, with some room.
-	window = 1100 * time.Millisecond
+	countedFor = 50 * time.Second
+	// shareWindow is what sums are kept within, with some room.
+	shareWindow = 1100 * time.Millisecond
 )
 
 // Member is a node as it describes itself.
@@ -45,25 +45,25 @@
 	Self           Member
 	RelayThreshold int // nodes of a region from which on they report through relays, 0 for DefaultRelayThreshold
 
-	mu      sync.Mutex
-	members map[string]*record
-	resumed time.Time // from the last pause of the process, zero before one
-	stopped time.Time // when the node itself ceased to serve
-	listed  time.Time // when this process read its own registration in the store, zero while it has not
-	views   map[string]view
-	fleet   int       // nodes of all regions as the store keeps it, 0 if that isn't known
-	before  int64     // when the process before this one started, Unix nanoseconds, 0 if not known
-	counted time.Time // from when on all others count this node, zero if that isn't known
+	mu            sync.Mutex
+	members       map[string]*record
+	resumedAt     time.Time // from the last pause of the process, zero before one
+	stoppedAt     time.Time // when the node itself ceased to serve
+	listedAt      time.Time // when this process read its own registration in the store, zero while it has not
+	views         map[string]view
+	fleetSize     int       // nodes of all regions as the store keeps it, 0 if that isn't known
+	previousStart int64     // when the process before this one started, Unix nanoseconds, 0 if not known
+	countedAt     time.Time // from when on all others count this node, zero if that isn't known
 }
 
 type record struct {
 	Member
-	registered bool
-	since      time.Time // of the registration
-	seen       time.Time
-	met        time.Time // first seen by this process
-	failed     time.Time // last attempt to reach it that failed
-	stopped    time.Time // when it was first seen that this process stops by plan, zero before
+	registered   bool
+	registeredAt time.Time // of the registration
+	lastSeen     time.Time
+	firstSeen    time.Time // first seen by this process
+	lastFailed   time.Time // last attempt to reach it that failed
+	stoppedAt    time.Time // when it was first seen that this process stops by plan, zero before
 }
 
 // Leaver is a node that stops by plan.
@@ -74,38 +74,38 @@
 
 // Put takes the registration of a node; it reports whether it is of a process
 // that began anew.
-func (t *Table) Put(now time.Time, m Member) (anew bool) {
+func (t *Table) Put(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(m)
+	r := t.recordOf(m)
 	if r == nil {
 		return false
 	}
 	if !r.registered || r.Start < m.Start {
-		r.since = now
+		r.registeredAt = now
 	}
-	t.changed()
+	t.invalidateViews()
 	r.registered = true
-	return r.take(now, m)
+	return r.merge(now, m)
 }
 
 // Seen notes that a node reported itself; it reports whether that is a process that
 // began anew.
-func (t *Table) Seen(now time.Time, m Member) (anew bool) {
+func (t *Table) Seen(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(m)
+	r := t.recordOf(m)
 	if r == nil {
 		return false
 	}
-	if r.met.IsZero() {
-		r.met = now
+	if r.firstSeen.IsZero() {
+		r.firstSeen = now
 	}
 	if !t.live(now, r) || r.Start != m.Start || r.Change != m.Change {
-		t.changed()
+		t.invalidateViews()
 	}
-	r.seen = now
-	return r.take(now, m)
+	r.lastSeen = now
+	return r.merge(now, m)
 }
 
 // SeenByOther notes that another node says that it seen these lately. Nodes of
@@ -115,11 +115,11 @@
 	defer t.mu.Unlock()
 	for _, name := range names {
 		r := t.members[name]
-		if at := now.Add(-indirectAge); r != nil && at.After(r.seen) {
+		if at := now.Add(-indirectAge); r != nil && at.After(r.lastSeen) {
 			if !t.live(now, r) {
-				t.changed()
+				t.invalidateViews()
 			}
-			r.seen = at
+			r.lastSeen = at
 		}
 	}
 }
@@ -131,7 +131,7 @@
 	defer t.mu.Unlock()
 	var names []string
 	for name, r := range t.members {
-		if r.Serving && r.Region == t.Self.Region && now.Sub(r.seen) < indirectAge && !r.failed.After(r.seen) {
+		if r.Serving && r.Region == t.Self.Region && now.Sub(r.lastSeen) < indirectAge && !r.lastFailed.After(r.lastSeen) {
 			names = append(names, name)
 		}
 	}
@@ -152,10 +152,10 @@
 		}
 	}
 	var best Member
-	most := uint64(0)
+	maxScore := uint64(0)
 	for _, m := range list {
-		if s := rank(t.Self.Name, m.Name); best.Name == "" || s > most {
-			best, most = m, s
+		if s := rendezvousScore(t.Self.Name, m.Name); best.Name == "" || s > maxScore {
+			best, maxScore = m, s
 		}
 	}
 	return best, best.Name != ""
@@ -166,8 +166,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.members[name]; r != nil {
-		r.failed = now
-		t.changed()
+		r.lastFailed = now
+		t.invalidateViews()
 	}
 }
 
@@ -177,8 +177,8 @@
 func (t *Table) Resumed(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.resumed = now
-	t.changed()
+	t.resumedAt = now
+	t.invalidateViews()
 }
 
 // Listed notes that the node read a registration of its own name in the store;
@@ -186,8 +186,8 @@
 func (t *Table) Listed(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m.Start == t.Self.Start && t.listed.IsZero() {
-		t.listed = now
+	if m.Start == t.Self.Start && t.listedAt.IsZero() {
+		t.listedAt = now
 	}
 }
 
@@ -196,11 +196,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if name == t.Self.Name {
-		t.listed = time.Time{}
+		t.listedAt = time.Time{}
 	}
 	if r := t.members[name]; r != nil {
 		r.registered = false
-		t.changed()
+		t.invalidateViews()
 	}
 }
 
@@ -208,21 +208,21 @@
 func (t *Table) Keep(now time.Time, names map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changed()
+	t.invalidateViews()
 	if !names[t.Self.Name] {
-		t.listed = time.Time{}
+		t.listedAt = time.Time{}
 	}
 	for name, r := range t.members {
 		if !names[name] {
 			r.registered = false
 		}
-		if !r.registered && now.Sub(r.seen) > forget {
+		if !r.registered && now.Sub(r.lastSeen) > forgetAfter {
 			delete(t.members, name)
 		}
 	}
 }
 
-func (t *Table) record(m Member) *record {
+func (t *Table) recordOf(m Member) *record {
 	if m.Name == "" || m.Name == t.Self.Name {
 		return nil
 	}
@@ -237,35 +237,35 @@
 	return r
 }
 
-// take keeps what is newer: the store may still tell what a process that is
+// merge keeps what is newer: the store may still tell what a process that is
 // stopping wrote before, and callers must not be sent there again. It tells
 // whether the process is a later one.
-func (r *record) take(now time.Time, m Member) (anew bool) {
-	anew = r.Start != 0 && m.Start > r.Start
+func (r *record) merge(now time.Time, m Member) (restarted bool) {
+	restarted = r.Start != 0 && m.Start > r.Start
 	if m.Start > r.Start {
-		r.stopped = time.Time{}
+		r.stoppedAt = time.Time{}
 	}
 	if m.Start > r.Start || m.Start == r.Start && m.Change >= r.Change {
 		r.Member = m
 	}
-	if r.stopped.IsZero() && r.stops() {
-		r.stopped = now
+	if r.stoppedAt.IsZero() && r.isStopping() {
+		r.stoppedAt = now
 	}
-	return anew
+	return restarted
 }
 
-// stops reports whether a node has served and does not any more.
-func (m *Member) stops() bool { return !m.Serving && m.Change > 0 }
+// isStopping reports whether a node has served and does not any more.
+func (m *Member) isStopping() bool { return !m.Serving && m.Change > 0 }
 
 // live reports whether a node is taken to run.
 func (t *Table) live(now time.Time, r *record) bool {
-	if !r.seen.After(t.resumed) && !t.resumed.IsZero() {
+	if !r.lastSeen.After(t.resumedAt) && !t.resumedAt.IsZero() {
 		return false
 	}
-	if now.Sub(r.seen) < suspectAfter && !r.failed.After(r.seen) {
+	if now.Sub(r.lastSeen) < suspectAfter && !r.lastFailed.After(r.lastSeen) {
 		return true
 	}
-	return r.registered && now.Sub(r.since) < trust && !r.failed.After(r.since)
+	return r.registered && now.Sub(r.registeredAt) < registrationGrace && !r.lastFailed.After(r.registeredAt)
 }
 
 // RecentlySeen reports whether a node was seen lately.
@@ -273,7 +273,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.members[name]
-	return r != nil && now.Sub(r.seen) < suspectAfter/2
+	return r != nil && now.Sub(r.lastSeen) < suspectAfter/2
 }
 
 // Leaving returns the nodes of a region that stop by plan and were seen, or seen
@@ -282,12 +282,12 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Leaver
-	if t.Self.stops() && t.Self.Region == region {
-		list = append(list, Leaver{t.Self, now.Sub(t.stopped)})
+	if t.Self.isStopping() && t.Self.Region == region {
+		list = append(list, Leaver{t.Self, now.Sub(t.stoppedAt)})
 	}
 	for _, r := range t.members {
-		if r.Region == region && r.stops() && !r.stopped.IsZero() && now.Sub(r.stopped) < forget && !r.failed.After(r.seen) {
-			list = append(list, Leaver{r.Member, now.Sub(r.stopped)})
+		if r.Region == region && r.isStopping() && !r.stoppedAt.IsZero() && now.Sub(r.stoppedAt) < forgetAfter && !r.lastFailed.After(r.lastSeen) {
+			list = append(list, Leaver{r.Member, now.Sub(r.stoppedAt)})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
@@ -301,7 +301,7 @@
 	defer t.mu.Unlock()
 	var list []Member
 	for _, r := range t.members {
-		if r.registered || now.Sub(r.seen) < forget {
+		if r.registered || now.Sub(r.lastSeen) < forgetAfter {
 			list = append(list, r.Member)
 		}
 	}
@@ -314,11 +314,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.Self.Serving != on {
-		t.changed()
+		t.invalidateViews()
 		t.Self.Serving = on
 		t.Self.Change++
 		if !on {
-			t.stopped = now
+			t.stoppedAt = now
 		}
 	}
 	return t.Self
@@ -328,7 +328,7 @@
 func (t *Table) Locate(callers, nodes netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changed()
+	t.invalidateViews()
 	t.Self.Callers, t.Self.Nodes = callers, nodes
 }
 
--- a/core/jwmember/table_test.go
+++ b/core/jwmember/table_test.go
@@ -57,9 +57,9 @@
 		"the store has an older registration": {func(t *Table) { t.Seen(at(10), member("b", "r", 2)); t.Put(at(20), b) }, 30, []string{"a"}},
 		"a new process of the same name": {func(t *Table) {
 			t.Seen(at(10), member("b", "r", 2))
-			again := b
-			again.Start = 2
-			t.Seen(at(20), again)
+			restarted := b
+			restarted.Start = 2
+			t.Seen(at(20), restarted)
 		}, 30, []string{"a", "b"}},
 	}
 	for name, c := range cases {
@@ -73,7 +73,7 @@
 
 // Shares of a sum are made from Count. A node that vanished may live behind a
 // cut and go on using its share.
-func TestCountIsCautious(t *testing.T) {
+func TestCountIncludesUnseenNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Self: member("a", "r", 1)}
 	table.Put(now, member("b", "r", 1))
@@ -108,16 +108,16 @@
 
 // A host lost power and its node runs again. Connections to the process before
 // are dead, though nothing closed them.
-func TestProcessThatBeganAnew(t *testing.T) {
+func TestRestartedProcess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Self: member("a", "r", 1)}
 	first := member("b", "r", 1)
-	again := first
-	again.Start = 2
+	restarted := first
+	restarted.Start = 2
 	assert.Assert(t, !table.Put(now, first), "it is new")
 	assert.Assert(t, !table.Seen(now, first))
-	assert.Assert(t, table.Seen(now, again))
-	assert.Assert(t, !table.Seen(now, again))
+	assert.Assert(t, table.Seen(now, restarted))
+	assert.Assert(t, !table.Seen(now, restarted))
 	assert.Assert(t, !table.Put(now, first), "the store lags behind")
 }
 
@@ -140,22 +140,22 @@
 		"a process before it listed": {func(t *Table) { t.Listed(t0.Add(-2*time.Second), earlier) }, false},
 		"no longer listed":           {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Remove("a") }, false},
 		"not in the whole store":     {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Keep(t0, map[string]bool{"b": true}) }, false},
-		"one registered, never seen": {func(t *Table) { list(t, t0); t.Put(t0, member("b", "r", 1)) }, false},
+		"one registered, never seen": {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "r", 1)) }, false},
 		"all seen": {func(t *Table) {
-			list(t, t0)
+			listLongAgo(t, t0)
 			t.Put(t0, member("b", "r", 1))
 			t.Seen(t0.Add(-2*time.Second), member("b", "r", 1))
 		}, true},
-		"seen a moment ago":        {func(t *Table) { list(t, t0); t.Put(t0, member("b", "r", 1)); t.Seen(t0, member("b", "r", 1)) }, false},
-		"of another region":        {func(t *Table) { list(t, t0); t.Put(t0, member("b", "q", 1)) }, true},
-		"its registration is gone": {func(t *Table) { list(t, t0); t.Put(t0, member("b", "r", 1)); t.Remove("b") }, true},
+		"seen a moment ago":        {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "r", 1)); t.Seen(t0, member("b", "r", 1)) }, false},
+		"of another region":        {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "q", 1)) }, true},
+		"its registration is gone": {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "r", 1)); t.Remove("b") }, true},
 		"seen, but nearly forgotten": {func(t *Table) {
-			list(t, t0)
+			listLongAgo(t, t0)
 			t.Put(t0, member("b", "r", 1))
 			t.Seen(t0.Add(-55*time.Second), member("b", "r", 1))
 		}, false},
 		"seen before its key was read": {func(t *Table) {
-			list(t, t0)
+			listLongAgo(t, t0)
 			t.Seen(t0.Add(-2*time.Second), member("b", "r", 1))
 			t.Put(t0, member("b", "r", 1))
 		}, true},
@@ -170,7 +170,7 @@
 }
 
 // list notes that a table's node has long read its own registration.
-func list(t *Table, now time.Time) { t.Listed(now.Add(-2*time.Second), t.Self) }
+func listLongAgo(t *Table, now time.Time) { t.Listed(now.Add(-2*time.Second), t.Self) }
 
 // Callers of a region whose nodes all stop are told of those that still take
 // requests, which take some for a known time from their stop on.
--- a/core/jwmember/view.go
+++ b/core/jwmember/view.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// viewAge is how long a view of a region serves while nothing changes: many requests ask
+// maxViewAge is how long a view of a region serves while nothing changes: many requests ask
 // for the same, and with hundreds of nodes to go over they would do little else.
-const viewAge = 50 * time.Millisecond
+const maxViewAge = 50 * time.Millisecond
 
 // view is what Live and Count said of a region last.
 type view struct {
@@ -19,13 +19,13 @@
 // fresh reports whether a view made at a time still serves.
 func fresh(now, at time.Time) bool {
 	age := now.Sub(at)
-	return !at.IsZero() && age >= 0 && age < viewAge
+	return !at.IsZero() && age >= 0 && age < maxViewAge
 }
 
-// changed forgets the views: what they rest on has changed.
-func (t *Table) changed() { clear(t.views) }
+// invalidateViews forgets the views: what they rest on has invalidateViews.
+func (t *Table) invalidateViews() { clear(t.views) }
 
-func (t *Table) keepView(region string, v view) {
+func (t *Table) cacheView(region string, v view) {
 	if t.views == nil {
 		t.views = make(map[string]view)
 	}
@@ -41,7 +41,7 @@
 	v := t.views[region]
 	if !fresh(now, v.liveAt) {
 		v.live, v.liveAt = t.listLive(now, region), now
-		t.keepView(region, v)
+		t.cacheView(region, v)
 	}
 	return v.live
 }
@@ -69,7 +69,7 @@
 	v := t.views[region]
 	if !fresh(now, v.countAt) {
 		v.count, v.countAt = t.countAll(now, region), now
-		t.keepView(region, v)
+		t.cacheView(region, v)
 	}
 	return v.count
 }
@@ -80,7 +80,7 @@
 		n++
 	}
 	for _, r := range t.members {
-		if (region == "" || r.Region == region) && (r.registered || now.Sub(r.seen) < forget) {
+		if (region == "" || r.Region == region) && (r.registered || now.Sub(r.lastSeen) < forgetAfter) {
 			n++
 		}
 	}
--- a/core/jwresolver/resolver.go
+++ b/core/jwresolver/resolver.go
@@ -13,21 +13,21 @@
 	// TTL is how long callers may use an answer. It bounds how long a node that
 	// stops is still asked.
 	TTL = time.Second
-	// Keep is how many times the life of an answer some callers use it.
-	Keep = 3
+	// OveruseFactor is how many times the life of an answer some callers use it.
+	OveruseFactor = 3
 	// Linger is how long a node that stops by plan takes requests: as long as
 	// callers may use an answer that was given before.
-	Linger = Keep * TTL
-	// leastTTL is the shortest life of an answer that names nodes which stop; a
+	Linger = OveruseFactor * TTL
+	// minTTL is the shortest life of an answer that names nodes which stop; a
 	// caller has to be told of others before they end.
-	leastTTL = 300 * time.Millisecond
+	minTTL = 300 * time.Millisecond
 	// standInTTL is the life of an answer that names nodes of other regions. The
 	// caller's own region is back within a second or two where its nodes are
 	// stopped and started in turn, and requests bound to regions that the stand-ins
 	// aren't in go a long way meanwhile.
 	standInTTL = 300 * time.Millisecond
-	// mostNamed is how many nodes an answer names at most.
-	mostNamed = 64
+	// maxNamed is how many nodes an answer names at most.
+	maxNamed = 64
 )
 
 // Kind tells whom an answer names.
@@ -86,8 +86,8 @@
 func leaving(list []jwmember.Leaver, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
 	ttl = TTL
 	for _, l := range list {
-		d := min((linger-l.Since)/Keep, TTL)
-		if d < leastTTL {
+		d := min((linger-l.Since)/OveruseFactor, TTL)
+		if d < minTTL {
 			continue
 		}
 		nodes = append(nodes, l.Member)
@@ -119,13 +119,13 @@
 // rendezvous hashing: named to all alike, the others would get no callers, and named at
 // random, callers would give up their connections with each answer.
 func (v View) answer(k Kind, nodes []jwmember.Member, ttl time.Duration) Answer {
-	if len(nodes) > mostNamed {
+	if len(nodes) > maxNamed {
 		caller := jwtarget.NameKey(v.Caller)
 		nodes = slices.Clone(nodes)
 		slices.SortFunc(nodes, func(a, b jwmember.Member) int {
 			return cmp.Compare(jwtarget.Mix(caller, jwtarget.NameKey(b.Name)), jwtarget.Mix(caller, jwtarget.NameKey(a.Name)))
 		})
-		nodes = nodes[:mostNamed]
+		nodes = nodes[:maxNamed]
 	}
 	return Answer{Kind: k, Nodes: nodes, TTL: ttl}
 }
--- a/core/jwresolver/resolver_test.go
+++ b/core/jwresolver/resolver_test.go
@@ -40,7 +40,7 @@
 		"all lost":                       {View{All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
 		"all lost, the asked one starts": {View{All: elsewhere, Stand: toBig}, Nobody, nil, 0},
 		"cut from all others":            {View{Ready: true, Stand: nowhere}, Nobody, nil, 0},
-		"starts while the last stops":    {View{Leaving: []jwmember.Leaver{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / Keep},
+		"starts while the last stops":    {View{Leaving: []jwmember.Leaver{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / OveruseFactor},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,7 +60,7 @@
 // A caller that keeps an answer as long as any does must not meet a node that has
 // stopped taking requests: it would see a refusal, or a connection that nobody
 // answers.
-func TestNobodyIsLedToANodeThatHasStopped(t *testing.T) {
+func TestAnswersExpireBeforeNodesStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := View{Linger: min(Linger, time.Duration(rapid.IntRange(0, 4000).Draw(t, "linger"))*time.Millisecond)}
 		for i := range rapid.IntRange(0, 6).Draw(t, "nodes") {
@@ -73,7 +73,7 @@
 		}
 		for _, m := range a.Nodes {
 			for _, l := range v.Leaving {
-				if l.Name == m.Name && l.Since+Keep*a.TTL > v.Linger {
+				if l.Name == m.Name && l.Since+OveruseFactor*a.TTL > v.Linger {
 					t.Fatalf("%s stops since %s and is named for %s", l.Name, l.Since, a.TTL)
 				}
 			}
@@ -85,7 +85,7 @@
 // ends and is back a moment later, and the next one stops some time after the one
 // before. However many nodes there are, callers are sent elsewhere only while
 // the last one that takes requests can't be named any more.
-func TestRoll(t *testing.T) {
+func TestRollingRestart(t *testing.T) {
 	const away = time.Second // from the end of Linger until it serves again
 	cases := map[string]struct {
 		nodes int
@@ -94,9 +94,9 @@
 	}{
 		"two, seconds apart":       {2, 6 * time.Second, 0},
 		"two, one after the other": {2, 2 * time.Second, 0},
-		"two at once":              {2, 0, Linger + away - (Linger - Keep*leastTTL)},
+		"two at once":              {2, 0, Linger + away - (Linger - OveruseFactor*minTTL)},
 		"four, a second apart":     {4, time.Second, 0},
-		"one alone":                {1, 0, Linger + away - (Linger - Keep*leastTTL)},
+		"one alone":                {1, 0, Linger + away - (Linger - OveruseFactor*minTTL)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -133,7 +133,7 @@
 	for i := range 200 {
 		v := View{Caller: fmt.Sprintf("10.0.0.%d", i), Own: nodes}
 		before := Resolve(v)
-		assert.Equal(t, len(before.Nodes), mostNamed)
+		assert.Equal(t, len(before.Nodes), maxNamed)
 		for i, m := range Resolve(v).Nodes {
 			assert.Equal(t, m.Name, before.Nodes[i].Name, "asked once more, a caller is named others")
 		}
--- a/core/jwstore/memory.go
+++ b/core/jwstore/memory.go
@@ -25,15 +25,15 @@
 // Memory is a Store in this process; the zero value is empty and healthy.
 // Its faults may be set at any time and by any goroutine.
 type Memory struct {
-	mu      sync.Mutex
-	items   map[string]Item
-	changed map[string]chan struct{} // closed at the next write of the key
-	index   uint64                   // writes so far; the version of the newest is one more
-	down    bool
-	downed  chan struct{} // closed when the store goes down, so that waits end
-	delay   time.Duration
-	lose    int // writes that are still to lose their reply
-	calls   Calls
+	mu            sync.Mutex
+	items         map[string]Item
+	changed       map[string]chan struct{} // closed at the next write of the key
+	index         uint64                   // writes so far; the version of the newest is one more
+	down          bool
+	wentDown      chan struct{} // closed when the store goes down, so that waits end
+	delay         time.Duration
+	repliesToLose int // writes that are still to lose their reply
+	calls         Calls
 }
 
 var _ Store = (*Memory)(nil)
@@ -44,9 +44,9 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
-	if down && m.downed != nil {
-		close(m.downed)
-		m.downed = nil
+	if down && m.wentDown != nil {
+		close(m.wentDown)
+		m.wentDown = nil
 	}
 }
 
@@ -63,7 +63,7 @@
 func (m *Memory) LoseReplies(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lose = n
+	m.repliesToLose = n
 }
 
 // Calls returns the number of calls so far.
@@ -112,12 +112,12 @@
 }
 
 // Wait implements Reader.
-func (m *Memory) Wait(ctx context.Context, key string, after uint64, most time.Duration) (Item, bool, error) {
-	step := "wait " + key
-	if err := m.begin(ctx, step, &m.calls.Waits); err != nil {
+func (m *Memory) Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (Item, bool, error) {
+	op := "wait " + key
+	if err := m.begin(ctx, op, &m.calls.Waits); err != nil {
 		return Item{}, false, err
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		item, found := m.read(key)
@@ -130,9 +130,9 @@
 		select {
 		case <-changed:
 		case <-downed:
-			return Item{}, false, m.fail(errors.Wrap(ErrUnavailable, step))
+			return Item{}, false, m.fail(errors.Wrap(ErrUnavailable, op))
 		case <-ctx.Done():
-			return Item{}, false, m.fail(m.gaveUp(ctx.Err(), step))
+			return Item{}, false, m.fail(m.contextError(ctx.Err(), op))
 		case <-timer.C:
 			return item, found, nil
 		}
@@ -142,8 +142,8 @@
 
 // Swap implements Writer.
 func (m *Memory) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
-	step := "swap " + key
-	if err := m.begin(ctx, step, &m.calls.Writes); err != nil {
+	op := "swap " + key
+	if err := m.begin(ctx, op, &m.calls.Writes); err != nil {
 		return 0, false, err
 	}
 	defer m.mu.Unlock()
@@ -154,10 +154,10 @@
 			m.items = make(map[string]Item)
 		}
 		m.items[key] = Item{Key: key, Value: bytes.Clone(value), Version: m.version()}
-		m.wake(key)
+		m.notify(key)
 	}
 	if m.loseReply() {
-		return 0, false, errors.Wrap(ErrUnknown, step)
+		return 0, false, errors.Wrap(ErrUnknown, op)
 	}
 	if !swapped {
 		return 0, false, nil
@@ -167,8 +167,8 @@
 
 // Delete implements Writer.
 func (m *Memory) Delete(ctx context.Context, key string, version uint64) (bool, error) {
-	step := "delete " + key
-	if err := m.begin(ctx, step, &m.calls.Writes); err != nil {
+	op := "delete " + key
+	if err := m.begin(ctx, op, &m.calls.Writes); err != nil {
 		return false, err
 	}
 	defer m.mu.Unlock()
@@ -177,44 +177,44 @@
 	if deleted {
 		m.index++
 		delete(m.items, key)
-		m.wake(key)
+		m.notify(key)
 	}
 	if m.loseReply() {
-		return false, errors.Wrap(ErrUnknown, step)
+		return false, errors.Wrap(ErrUnknown, op)
 	}
 	return deleted, nil
 }
 
 // begin counts a call, spends the delay and leaves the table locked unless it
 // returns an error.
-func (m *Memory) begin(ctx context.Context, step string, count *uint64) error {
+func (m *Memory) begin(ctx context.Context, op string, count *uint64) error {
 	m.mu.Lock()
 	*count++
 	delay := m.delay
 	if delay > 0 {
 		m.mu.Unlock()
 		if err := jwclock.Sleep(ctx, delay); err != nil {
-			return m.fail(m.gaveUp(err, step))
+			return m.fail(m.contextError(err, op))
 		}
 		m.mu.Lock()
 	}
 	if err := ctx.Err(); err != nil {
 		m.calls.Failures++
 		m.mu.Unlock()
-		return m.gaveUp(err, step)
+		return m.contextError(err, op)
 	}
 	if m.down {
 		m.calls.Failures++
 		m.mu.Unlock()
-		return errors.Wrap(ErrUnavailable, step)
+		return errors.Wrap(ErrUnavailable, op)
 	}
 	return nil
 }
 
-// gaveUp keeps the reason of the caller's context beside the certainty that
+// contextError keeps the reason of the caller's context beside the certainty that
 // nothing was done.
-func (m *Memory) gaveUp(err error, step string) error {
-	return errors.Wrapf(ErrUnavailable, "%s: %v", step, err)
+func (m *Memory) contextError(err error, op string) error {
+	return errors.Wrapf(ErrUnavailable, "%s: %v", op, err)
 }
 
 func (m *Memory) fail(err error) error {
@@ -225,10 +225,10 @@
 }
 
 func (m *Memory) loseReply() bool {
-	if m.lose == 0 {
+	if m.repliesToLose == 0 {
 		return false
 	}
-	m.lose--
+	m.repliesToLose--
 	m.calls.Failures++
 	return true
 }
@@ -253,13 +253,13 @@
 }
 
 func (m *Memory) watchDown() chan struct{} {
-	if m.downed == nil {
-		m.downed = make(chan struct{})
+	if m.wentDown == nil {
+		m.wentDown = make(chan struct{})
 	}
-	return m.downed
+	return m.wentDown
 }
 
-func (m *Memory) wake(key string) {
+func (m *Memory) notify(key string) {
 	if ch, found := m.changed[key]; found {
 		close(ch)
 		delete(m.changed, key)
--- a/core/jwstore/memory_test.go
+++ b/core/jwstore/memory_test.go
@@ -31,10 +31,10 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		m := &Memory{}
-		began := time.Now()
+		start := time.Now()
 		_, found, err := m.Wait(ctx, "k", 0, time.Minute)
 		assert.NilError(t, err)
-		assert.Check(t, !found && time.Since(began) == time.Minute)
+		assert.Check(t, !found && time.Since(start) == time.Minute)
 
 		var wg sync.WaitGroup
 		for range 3 {
@@ -53,7 +53,7 @@
 	})
 }
 
-func TestWaitGivenUp(t *testing.T) {
+func TestWaitTimesOut(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
@@ -87,7 +87,7 @@
 
 // A slow service makes a caller give up. The write must not happen later, when
 // its caller has already told someone that it did not.
-func TestSlowGivenUp(t *testing.T) {
+func TestTimedOutWriteHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &Memory{}
 		m.SetDelay(time.Second)
@@ -95,103 +95,103 @@
 		defer cancel()
 		_, _, err := m.Swap(ctx, "k", nil, 0)
 		assert.Check(t, errors.Is(err, ErrUnavailable))
-		began := time.Now()
+		start := time.Now()
 		_, found, err := m.Get(context.Background(), "k")
 		assert.NilError(t, err)
-		assert.Check(t, !found && time.Since(began) == time.Second)
+		assert.Check(t, !found && time.Since(start) == time.Second)
 	})
 }
 
-// TestOracle runs random calls and faults against a plain map.
-func TestOracle(t *testing.T) {
+// TestMemoryMatchesModel runs random calls and faults against a plain map.
+func TestMemoryMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		o := &oracle{items: make(map[string]Item)}
+		m := &model{items: make(map[string]Item)}
 		t.Repeat(map[string]func(*rapid.T){
-			"get":    o.get,
-			"swap":   o.swap,
-			"delete": o.delete,
-			"lose":   o.loseReply,
-			"":       o.check,
+			"get":    m.get,
+			"swap":   m.swap,
+			"delete": m.delete,
+			"lose":   m.loseReply,
+			"":       m.check,
 		})
 	})
 }
 
 // oracle is a Memory beside the map that says what it must hold.
-type oracle struct {
-	memory Memory
-	items  map[string]Item
-	newest uint64
-	lose   bool
+type model struct {
+	memory   Memory
+	items    map[string]Item
+	newest   uint64
+	loseNext bool
 }
 
-func (o *oracle) get(t *rapid.T) {
+func (m *model) get(t *rapid.T) {
 	key := drawKey(t)
-	item, found, err := o.memory.Get(context.Background(), key)
+	item, found, err := m.memory.Get(context.Background(), key)
 	assert.NilError(t, err)
-	want, exists := o.items[key]
+	want, exists := m.items[key]
 	assert.Equal(t, found, exists)
 	assert.Equal(t, item.Version, want.Version)
 	assert.Equal(t, string(item.Value), string(want.Value))
 }
 
-func (o *oracle) swap(t *rapid.T) {
-	key, version := drawKey(t), o.drawVersion(t)
+func (m *model) swap(t *rapid.T) {
+	key, version := drawKey(t), m.drawVersion(t)
 	value := []byte(rapid.String().Draw(t, "value"))
-	next, swapped, err := o.memory.Swap(context.Background(), key, value, version)
-	matches := o.items[key].Version == version
-	if o.lose {
-		o.lose = false
+	next, swapped, err := m.memory.Swap(context.Background(), key, value, version)
+	matches := m.items[key].Version == version
+	if m.loseNext {
+		m.loseNext = false
 		assert.Check(t, errors.Is(err, ErrUnknown))
-		next = o.memory.Index()
+		next = m.memory.Index()
 	} else {
 		assert.NilError(t, err)
 		assert.Equal(t, swapped, matches)
 	}
 	if matches {
-		assert.Check(t, next > o.newest, "versions rise")
-		o.newest = next
-		o.items[key] = Item{Key: key, Value: value, Version: next}
+		assert.Check(t, next > m.newest, "versions rise")
+		m.newest = next
+		m.items[key] = Item{Key: key, Value: value, Version: next}
 	}
 }
 
-func (o *oracle) delete(t *rapid.T) {
-	key, version := drawKey(t), o.drawVersion(t)
-	deleted, err := o.memory.Delete(context.Background(), key, version)
-	item, exists := o.items[key]
+func (m *model) delete(t *rapid.T) {
+	key, version := drawKey(t), m.drawVersion(t)
+	deleted, err := m.memory.Delete(context.Background(), key, version)
+	item, exists := m.items[key]
 	matches := exists && item.Version == version
-	if o.lose {
-		o.lose = false
+	if m.loseNext {
+		m.loseNext = false
 		assert.Check(t, errors.Is(err, ErrUnknown))
 	} else {
 		assert.NilError(t, err)
 		assert.Equal(t, deleted, matches)
 	}
 	if matches {
-		delete(o.items, key)
-		o.newest = o.memory.Index()
+		delete(m.items, key)
+		m.newest = m.memory.Index()
 	}
 }
 
-func (o *oracle) loseReply(*rapid.T) {
-	o.memory.LoseReplies(1)
-	o.lose = true
+func (m *model) loseReply(*rapid.T) {
+	m.memory.LoseReplies(1)
+	m.loseNext = true
 }
 
-func (o *oracle) check(t *rapid.T) {
-	items, err := o.memory.List(context.Background(), "")
+func (m *model) check(t *rapid.T) {
+	items, err := m.memory.List(context.Background(), "")
 	assert.NilError(t, err)
-	assert.Equal(t, len(items), len(o.items))
+	assert.Equal(t, len(items), len(m.items))
 	for i, item := range items {
-		assert.Equal(t, item.Version, o.items[item.Key].Version)
+		assert.Equal(t, item.Version, m.items[item.Key].Version)
 		assert.Check(t, i == 0 || items[i-1].Key < item.Key, "sorted")
 	}
 }
 
 // drawVersion draws 0, the version of a key that exists or one of none.
-func (o *oracle) drawVersion(t *rapid.T) uint64 {
-	versions := []uint64{0, o.newest + 1}
+func (m *model) drawVersion(t *rapid.T) uint64 {
+	versions := []uint64{0, m.newest + 1}
 	for _, key := range []string{"a", "b", "a/b"} {
-		versions = append(versions, o.items[key].Version)
+		versions = append(versions, m.items[key].Version)
 	}
 	return rapid.SampledFrom(versions).Draw(t, "version")
 }
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -14,15 +14,15 @@
 type MemoryFeed struct {
 	PageSize int // items of a page, 0 for all
 
-	mu       sync.Mutex
-	revision Revision
-	items    map[string]memoryItem
-	events   []Event
-	dropped  Revision // history up to this revision is gone
-	leases   Lease
-	live     map[Lease]bool
-	changed  chan struct{}
-	down     error
+	mu        sync.Mutex
+	revision  Revision
+	items     map[string]memoryItem
+	events    []Event
+	compacted Revision // history up to this revision is gone
+	lastLease Lease
+	live      map[Lease]bool
+	changed   chan struct{}
+	down      error
 }
 
 type memoryItem struct {
@@ -37,15 +37,15 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = err
-	m.wake()
+	m.notify()
 }
 
 // Compact drops the history, so that followers have to read anew.
 func (m *MemoryFeed) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.events, m.dropped = nil, m.revision
-	m.wake()
+	m.events, m.compacted = nil, m.revision
+	m.notify()
 }
 
 // Copy is what a MemoryFeed held at a moment.
@@ -67,7 +67,7 @@
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	era := Era(m.revision) + 1
-	at := func(r Revision) Revision { return position(era, Number(r)) }
+	at := func(r Revision) Revision { return makeRevision(era, Number(r)) }
 	m.items = make(map[string]memoryItem, len(c.items))
 	for key, i := range c.items {
 		if i.lease == 0 {
@@ -76,8 +76,8 @@
 		}
 	}
 	m.revision = at(c.revision)
-	m.events, m.dropped, m.live = nil, m.revision, nil
-	m.wake()
+	m.events, m.compacted, m.live = nil, m.revision, nil
+	m.notify()
 }
 
 // Write sets a key without a lease.
@@ -109,7 +109,7 @@
 	m.revision++
 	m.items[key] = memoryItem{Item{key, value, m.revision}, lease}
 	m.events = append(m.events, Event{Key: key, Value: value, Revision: m.revision})
-	m.wake()
+	m.notify()
 }
 
 func (m *MemoryFeed) remove(key string) {
@@ -119,10 +119,10 @@
 	delete(m.items, key)
 	m.revision++
 	m.events = append(m.events, Event{Key: key, Deleted: true, Revision: m.revision})
-	m.wake()
+	m.notify()
 }
 
-func (m *MemoryFeed) wake() {
+func (m *MemoryFeed) notify() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
@@ -147,12 +147,12 @@
 }
 
 // Watch implements Feed.
-func (m *MemoryFeed) Watch(ctx context.Context, prefix string, after Revision, most time.Duration) ([]Event, Revision, error) {
-	timer := time.NewTimer(most)
+func (m *MemoryFeed) Watch(ctx context.Context, prefix string, after Revision, maxWait time.Duration) ([]Event, Revision, error) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
-		if m.down != nil || after < m.dropped {
+		if m.down != nil || after < m.compacted {
 			err := m.down
 			if err == nil {
 				err = ErrCompacted
@@ -195,9 +195,9 @@
 	if m.live == nil {
 		m.live = make(map[Lease]bool)
 	}
-	m.leases++
-	m.live[m.leases] = true
-	return m.leases, ttl, nil
+	m.lastLease++
+	m.live[m.lastLease] = true
+	return m.lastLease, ttl, nil
 }
 
 // Renew implements Feed.
@@ -217,20 +217,20 @@
 	if m.down != nil {
 		return m.down
 	}
-	m.lapse(lease)
+	m.endLease(lease)
 	return nil
 }
 
-// Lapse ends all leases, as after an outage.
-func (m *MemoryFeed) Lapse() {
+// EndAllLeases ends all leases, as after an outage.
+func (m *MemoryFeed) EndAllLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	for lease := range m.live {
-		m.lapse(lease)
+		m.endLease(lease)
 	}
 }
 
-func (m *MemoryFeed) lapse(lease Lease) {
+func (m *MemoryFeed) endLease(lease Lease) {
 	delete(m.live, lease)
 	for key, i := range m.items {
 		if i.lease == lease {
--- a/core/jwstore/recent.go
+++ b/core/jwstore/recent.go
@@ -8,11 +8,11 @@
 )
 
 const (
-	// mostRecent is how many changes a Recent keeps: some ten seconds of a fleet whose
+	// maxRecentEvents is how many changes a Recent keeps: some ten seconds of a fleet whose
 	// nodes and targets all start anew.
-	mostRecent = 2000
-	// mostRecentBytes is how many bytes of values it keeps.
-	mostRecentBytes = 512 << 10
+	maxRecentEvents = 2000
+	// maxRecentBytes is how many bytes of values it keeps.
+	maxRecentBytes = 512 << 10
 	// largeValue is the size from which a value is told only if it is the last of its key.
 	largeValue = 4 << 10
 )
@@ -22,7 +22,7 @@
 type Recent struct {
 	mu     sync.Mutex
 	from   Revision // it has all changes after this revision
-	to     Revision // up to this one
+	upTo   Revision // up to this one
 	events []Event
 	bytes  int
 	added  chan struct{} // closed at the next change, nil while nobody waits
@@ -33,10 +33,10 @@
 func (r *Recent) Add(events []Event, from, to Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if from != r.to || r.to == 0 {
+	if from != r.upTo || r.upTo == 0 {
 		r.from, r.events, r.bytes = from, nil, 0
 	}
-	r.to = to
+	r.upTo = to
 	if len(events) > 0 && r.added != nil {
 		close(r.added)
 		r.added = nil
@@ -45,13 +45,13 @@
 		r.events = append(r.events, e)
 		r.bytes += len(e.Value)
 	}
-	old := 0
-	for old < len(r.events) && (len(r.events)-old > mostRecent || r.bytes > mostRecentBytes) {
-		r.bytes -= len(r.events[old].Value)
-		r.from = r.events[old].Revision
-		old++
+	expired := 0
+	for expired < len(r.events) && (len(r.events)-expired > maxRecentEvents || r.bytes > maxRecentBytes) {
+		r.bytes -= len(r.events[expired].Value)
+		r.from = r.events[expired].Revision
+		expired++
 	}
-	r.events = slices.Delete(r.events, 0, old)
+	r.events = slices.Delete(r.events, 0, expired)
 }
 
 // After returns the changes after a revision and the revision that they lead up to; ok
@@ -60,7 +60,7 @@
 func (r *Recent) After(revision Revision) (events []Event, to Revision, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.to == 0 || revision < r.from || revision > r.to {
+	if r.upTo == 0 || revision < r.from || revision > r.upTo {
 		return nil, 0, false
 	}
 	seen := make(map[string]bool)
@@ -73,12 +73,12 @@
 		events = append(events, e)
 	}
 	slices.Reverse(events)
-	return events, r.to, true
+	return events, r.upTo, true
 }
 
 // Wait waits until a change after a revision is kept, at most for some time.
-func (r *Recent) Wait(ctx context.Context, after Revision, most time.Duration) {
-	t := time.NewTimer(most)
+func (r *Recent) Wait(ctx context.Context, after Revision, maxWait time.Duration) {
+	t := time.NewTimer(maxWait)
 	defer t.Stop()
 	r.mu.Lock()
 	if n := len(r.events); n > 0 && r.events[n-1].Revision > after {
@@ -101,5 +101,5 @@
 func (r *Recent) Forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.from, r.to, r.events, r.bytes = 0, 0, nil, 0
+	r.from, r.upTo, r.events, r.bytes = 0, 0, nil, 0
 }
--- a/core/jwstore/recent_test.go
+++ b/core/jwstore/recent_test.go
@@ -11,27 +11,27 @@
 // A node that reads a store's changes from another one must end up with what the store
 // holds, however both fall behind, start anew or lose what they had. One change that is
 // passed over would be missed for good: a target that has left would get requests.
-func TestRecentTellsAllOrNothing(t *testing.T) {
+func TestRecentOmitsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Recent
 		store := make(map[string]uint64) // last change by key
 		var all []Event
 		revision := uint64(0)
-		read, own := uint64(0), map[string]uint64{}
+		relayRead, known := uint64(0), map[string]uint64{}
 		at := uint64(0)
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			switch rapid.IntRange(0, 4).Draw(t, "step") {
 			case 0, 1: // the store changes
 				revision++
 				e := Event{Key: fmt.Sprint(rapid.IntRange(0, 3).Draw(t, "key")), Revision: revision}
-				e.Value = make([]byte, rapid.SampledFrom([]int{1, largeValue + 1, mostRecentBytes / 2}).Draw(t, "size"))
+				e.Value = make([]byte, rapid.SampledFrom([]int{1, largeValue + 1, maxRecentBytes / 2}).Draw(t, "size"))
 				all = append(all, e)
 				store[e.Key] = revision
 			case 2: // the relay reads it
-				r.Add(all[read:revision], read, revision)
-				read = revision
+				r.Add(all[relayRead:revision], relayRead, revision)
+				relayRead = revision
 			case 3: // the relay starts anew, or misses what another read
-				read = uint64(rapid.IntRange(int(read), int(revision)).Draw(t, "missed"))
+				relayRead = uint64(rapid.IntRange(int(relayRead), int(revision)).Draw(t, "missed"))
 				if rapid.Bool().Draw(t, "forget") {
 					r.Forget()
 				}
@@ -46,12 +46,12 @@
 						t.Fatalf("revision %d after %d", e.Revision, last)
 					}
 					last = e.Revision
-					own[e.Key] = e.Revision
+					known[e.Key] = e.Revision
 				}
 				at = to
 				for key, rev := range lastChanges(all[:to]) {
-					if own[key] != rev {
-						t.Fatalf("key %s is known as of %d, at %d it was %d", key, own[key], to, rev)
+					if known[key] != rev {
+						t.Fatalf("key %s is known as of %d, at %d it was %d", key, known[key], to, rev)
 					}
 				}
 			}
@@ -69,14 +69,14 @@
 
 func TestRecentIsBounded(t *testing.T) {
 	var r Recent
-	for i := range uint64(3 * mostRecent) {
+	for i := range uint64(3 * maxRecentEvents) {
 		r.Add([]Event{{Key: fmt.Sprint(i), Revision: i + 2}}, i+1, i+2)
 	}
-	assert.Equal(t, len(r.events), mostRecent)
+	assert.Equal(t, len(r.events), maxRecentEvents)
 	_, _, ok := r.After(1)
 	assert.Assert(t, !ok, "what is dropped can't be told")
-	events, to, ok := r.After(3*mostRecent - 9)
+	events, to, ok := r.After(3*maxRecentEvents - 9)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(events), 10)
-	assert.Equal(t, to, uint64(3*mostRecent+1))
+	assert.Equal(t, to, uint64(3*maxRecentEvents+1))
 }
--- a/core/jwstore/revision.go
+++ b/core/jwstore/revision.go
@@ -21,10 +21,10 @@
 	if era > maxEra || number > maxNumber {
 		return 0, errors.Wrapf(ErrRevision, "era %d, number %d", era, number)
 	}
-	return position(era, number), nil
+	return makeRevision(era, number), nil
 }
 
-func position(era, number uint64) Revision { return era<<numberBits | number }
+func makeRevision(era, number uint64) Revision { return era<<numberBits | number }
 
 // Era returns the era of a position.
 func Era(r Revision) uint64 { return r >> numberBits }
--- a/core/jwstore/store.go
+++ b/core/jwstore/store.go
@@ -30,8 +30,8 @@
 	// List returns the items whose keys begin with prefix, sorted by key.
 	List(ctx context.Context, prefix string) ([]Item, error)
 	// Wait returns as Get does once the version of the key is other than
-	// after (0 for a key that does not exist), or when most has passed.
-	Wait(ctx context.Context, key string, after uint64, most time.Duration) (Item, bool, error)
+	// after (0 for a key that does not exist), or after maxWait.
+	Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (Item, bool, error)
 }
 
 // Writer writes keys of the platform's key-value service.
--- a/core/jwstore/watch.go
+++ b/core/jwstore/watch.go
@@ -42,8 +42,8 @@
 	// page misses nothing that came after the items were read.
 	Range(ctx context.Context, prefix, after string) (Page, error)
 	// Watch returns the changes after a revision as soon as there are any, or
-	// none when most has passed, and the revision to go on from.
-	Watch(ctx context.Context, prefix string, after Revision, most time.Duration) ([]Event, Revision, error)
+	// none after maxWait, and the revision to go on from.
+	Watch(ctx context.Context, prefix string, after Revision, maxWait time.Duration) ([]Event, Revision, error)
 	// Grant makes a lease and returns how long it lasts without Renew.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, time.Duration, error)
 	// Renew makes a lease last from now on anew.
--- a/core/jwworkspace/directory.go
+++ b/core/jwworkspace/directory.go
@@ -6,9 +6,9 @@
 // It keeps digests of the keys only: how long a look-up takes says nothing of how
 // much of a guessed key is right, and the keys show up in no dump of its memory.
 type Directory struct {
-	byKey  map[digest]*Workspace
-	byName map[string]*Workspace
-	bound  int // workspaces with a quota
+	byKey   map[digest]*Workspace
+	byName  map[string]*Workspace
+	limited int // workspaces with a quota
 }
 
 type digest [sha256.Size]byte
@@ -22,10 +22,10 @@
 	}
 	d.byName[w.Name] = w
 	if w.Quota.Limited() {
-		d.bound++
+		d.limited++
 	}
 	for _, key := range keys {
-		sum := sumOf(key)
+		sum := digestOf(key)
 		if d.byKey[sum] == nil {
 			d.byKey[sum] = w
 		}
@@ -37,7 +37,7 @@
 	if d == nil || key == "" {
 		return nil
 	}
-	return d.byKey[sumOf(key)]
+	return d.byKey[digestOf(key)]
 }
 
 // Named returns the workspace of a name, nil if there is none.
@@ -49,15 +49,15 @@
 }
 
 // Limited reports whether any workspace has a quota.
-func (d *Directory) Limited() bool { return d != nil && d.bound > 0 }
+func (d *Directory) Limited() bool { return d != nil && d.limited > 0 }
 
-// usualKey is the length up to which a key is hashed without an allocation.
-const usualKey = 128
+// maxStackKey is the length up to which a key is hashed without an allocation.
+const maxStackKey = 128
 
-func sumOf(key string) digest {
-	if len(key) > usualKey {
+func digestOf(key string) digest {
+	if len(key) > maxStackKey {
 		return sha256.Sum256([]byte(key))
 	}
-	var buf [usualKey]byte
+	var buf [maxStackKey]byte
 	return sha256.Sum256(buf[:copy(buf[:], key)])
 }
--- a/core/jwworkspace/regions.go
+++ b/core/jwworkspace/regions.go
@@ -5,8 +5,8 @@
 // Regions are those that may serve a request, all where empty.
 type Regions []string
 
-// nowhere stands for no region at all: an empty list allows all.
-const nowhere = ""
+// noRegion stands for no region at all: an empty list allows all.
+const noRegion = ""
 
 // Allows reports whether a region may serve.
 func (r Regions) Allows(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
@@ -26,7 +26,7 @@
 		}
 	}
 	if len(both) == 0 {
-		return Regions{nowhere}
+		return Regions{noRegion}
 	}
 	return both
 }
