--- a/core/jwmember/doc.go
+++ b/core/jwmember/doc.go
@@ -1,5 +1,5 @@
-// Package jwmember holds what a node believes of the other nodes: what each
+// Package jwmember tracks the other nodes as one node knows them: what each
 // registered under its lease in the platform's store, and when it was last
-// seen itself. So the directory neither names the dead nor forgets the living
-// while the store is away.
+// seen directly. With both, the directory neither returns dead nodes nor drops
+// live ones while the store is unavailable.
 package jwmember
--- a/core/jwmember/fleet.go
+++ b/core/jwmember/fleet.go
@@ -2,13 +2,13 @@
 
 import "time"
 
-// countDelay is how long after the fleet's size rose a new node takes it that all others
-// count it: they read the store at least every three seconds.
+// countDelay is how long a new node waits, after the recorded fleet size includes it, before
+// it assumes that all others count it: they read the store at least every three seconds.
 const countDelay = 4 * time.Second
 
-// SetFleet takes the size of the fleet as the store keeps it, which outlives all nodes:
-// after a start of all at once the registrations of most are missing. known says that
-// the size was there before this process.
+// SetFleet sets the fleet size, the number of nodes in all regions, as recorded in the
+// store. Unlike registrations, the record outlives all nodes: when all nodes start at once,
+// most registrations are missing. known means that the record existed before this process.
 func (t *Table) SetFleet(now time.Time, nodes int, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -22,15 +22,15 @@
 	}
 }
 
-// FleetSize returns the size of the fleet as the store keeps it, 0 if it isn't known.
+// FleetSize returns the fleet size as recorded in the store, 0 if it is unknown.
 func (t *Table) FleetSize() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.fleetSize
 }
 
-// Fleet returns how many nodes there may be in all regions, and whether the others
-// count this one among them. Even parts of what all share are made from it.
+// Fleet returns the maximum number of nodes that may be running in all regions, and whether
+// all others count this one. Equal parts of a limit shared by all nodes are computed from it.
 func (t *Table) Fleet(now time.Time) (nodes int, counted bool) {
 	n := t.Count(now, "")
 	t.mu.Lock()
@@ -38,15 +38,15 @@
 	return max(n, t.fleetSize), !t.countedAt.IsZero() && !now.Before(t.countedAt)
 }
 
-// KeepsFleet reports whether the node itself writes the size of the fleet: the first of
-// the live by name does.
+// KeepsFleet reports whether this node is the one that writes the fleet size to the store:
+// the first live node by name.
 func (t *Table) KeepsFleet(now time.Time) bool {
 	live := t.Live(now, "")
 	return len(live) > 0 && live[0].Name == t.Me().Name
 }
 
-// Predecessor notes when a process of the node before this one started, by its
-// registration.
+// Predecessor records when an earlier process of this node started, taken from the
+// registration that it left.
 func (t *Table) Predecessor(m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// Fresh reports whether no process of the node is known to have started within a time
-// before this one.
+// Fresh reports whether no earlier process of this node is known to have started less than
+// within before this one.
 func (t *Table) Fresh(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/fleet_test.go
+++ b/core/jwmember/fleet_test.go
@@ -7,9 +7,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// After a start of all at once the registrations of most are missing, and each node would
-// take the whole of what they share; a node that nobody counted before waits until the
-// others do.
+// When all nodes start at once, most registrations are missing, and each node would use the
+// whole of a shared limit; the recorded fleet size prevents this. A node that is new to the
+// fleet must wait until the others count it.
 func TestFleet(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := func(others int) *Table {
@@ -21,19 +21,19 @@
 	}
 	cases := map[string]struct {
 		others int
-		size   int // as the store keeps it, 0 for none
+		size   int // as recorded in the store, 0 for no record
 		known  bool
 		after  time.Duration
 		nodes  int
 		counts bool
 	}{
-		"nothing is kept":            {5, 0, false, time.Hour, 6, false},
-		"all started anew":           {0, 58, true, 0, 58, true},
-		"one started anew":           {57, 58, true, 0, 58, true},
-		"a new one":                  {58, 58, true, time.Hour, 59, false},
-		"the first start":            {57, 58, false, 0, 58, false},
-		"the first start, later":     {57, 58, false, countDelay, 58, true},
-		"more than were kept so far": {20, 6, false, time.Hour, 21, false},
+		"no recorded size":            {5, 0, false, time.Hour, 6, false},
+		"all restarted":               {0, 58, true, 0, 58, true},
+		"one restarted":               {57, 58, true, 0, 58, true},
+		"a new node":                  {58, 58, true, time.Hour, 59, false},
+		"the first start":             {57, 58, false, 0, 58, false},
+		"the first start, later":      {57, 58, false, countDelay, 58, true},
+		"more than the recorded size": {20, 6, false, time.Hour, 21, false},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 	}
 }
 
-// What belongs to a name stays in its data centre while another relay takes over there.
+// The root of a name must stay in its data centre when another node becomes the relay there.
 func TestRoot(t *testing.T) {
 	relays := []Member{{Name: "a1", DataCentre: "a"}, {Name: "b1", DataCentre: "b"}, {Name: "c1", DataCentre: "c"}}
 	others := []Member{{Name: "a2", DataCentre: "a"}, {Name: "b2", DataCentre: "b"}, {Name: "c2", DataCentre: "c"}}
--- a/core/jwmember/relay.go
+++ b/core/jwmember/relay.go
@@ -10,17 +10,16 @@
 )
 
 const (
-	// DefaultRelayThreshold is the number of nodes in a region from which on they report through
-	// relays: each to each, their reports grow with the square of it, and a node of
-	// a hundred does little else.
+	// DefaultRelayThreshold is the number of nodes in a region at which they start to
+	// report through relays. If each node reports to each other one, the number of
+	// reports grows quadratically, and with a hundred nodes each does little else.
 	DefaultRelayThreshold = 12
-	// relaySuspectAfter is how long a node of the own data centre may stay unseen before its
-	// relay reports to others that it is unresponsive: it reports twice a second there.
+	// relaySuspectAfter is how long a node may stay unseen before the relay of its data
+	// centre reports it as unresponsive. Nodes report to their relay twice a second.
 	relaySuspectAfter = 2 * time.Second
 )
 
-// Large reports whether the nodes of a region are so many that they report through
-// relays.
+// Large reports whether a region has so many nodes that they report through relays.
 func (t *Table) Large(now time.Time, region string) bool {
 	threshold := t.RelayThreshold
 	if threshold == 0 {
@@ -29,9 +28,9 @@
 	return t.Count(now, region) >= threshold
 }
 
-// Relay returns the node that the others of its data centre report through: of the
-// live the one of most capacity, the first by name of equals; false if
-// none is believed to live. It may be the node itself.
+// Relay returns the relay of a data centre, through which its other nodes report:
+// the live node with the highest capacity, and of several the first by name. It
+// returns false if no node there is live. The relay may be this node.
 func (t *Table) Relay(now time.Time, dataCentre string) (Member, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -52,16 +51,17 @@
 	return best, ok
 }
 
-// ranksBefore reports whether a relays rather than b.
+// ranksBefore reports whether a is preferred over b as a relay.
 func ranksBefore(a, b Member) bool { return compareRelays(a, b) < 0 }
 
-// compareRelays orders members by who of them relays.
+// compareRelays orders members by preference as a relay: by falling capacity, then
+// by name.
 func compareRelays(a, b Member) int {
 	return cmp.Or(cmp.Compare(b.Capacity, a.Capacity), strings.Compare(a.Name, b.Name))
 }
 
-// AllRelays returns the relays of all data centres, by data centre, the node itself if
-// it is one.
+// AllRelays returns the relays of all data centres, sorted by data centre. It
+// includes this node if it is a relay.
 func (t *Table) AllRelays(now time.Time) []Member {
 	best := make(map[string]Member)
 	for _, m := range t.Live(now, "") {
@@ -76,10 +76,10 @@
 	return list
 }
 
-// roundTripStep is how finely the round trips of nodes to the store are distinguished.
+// roundTripStep is the resolution at which nodes' round trips to the store are compared.
 const roundTripStep = 25 * time.Millisecond
 
-// Reached notes how long a call of the store took.
+// Reached records how long a call to the store took; the shortest one counts.
 func (t *Table) Reached(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,14 +90,15 @@
 	}
 }
 
-// Nearest returns the relays that are nearest to the store, so many at most.
+// Nearest returns the relays with the shortest round trips to the store, at most limit.
 func (t *Table) Nearest(now time.Time, limit int) []Member {
 	list := t.AllRelays(now)
 	slices.SortStableFunc(list, func(a, b Member) int { return cmp.Compare(a.roundTripOrMax(), b.roundTripOrMax()) })
 	return list[:min(len(list), limit)]
 }
 
-// roundTripOrMax orders members by their round roundTripOrMax to the store, those that don't know it last.
+// roundTripOrMax returns the round trip to the store in milliseconds, or the maximum
+// if it is unknown, so that such members sort last.
 func (m *Member) roundTripOrMax() int64 {
 	if m.Trip == 0 {
 		return math.MaxInt64
@@ -105,8 +106,8 @@
 	return m.Trip
 }
 
-// Leads reports whether the node itself is the relay of its data centre, or will be as soon
-// as it serves.
+// Leads reports whether this node is the relay of its data centre, or would be if it
+// served.
 func (t *Table) Leads(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -118,8 +119,9 @@
 	return true
 }
 
-// Root returns the one of some relays at which what belongs to a name is gathered, by
-// rendezvous hashing of their data centres.
+// Root returns the relay that gathers the data of a name, and false if relays is
+// empty. It uses rendezvous hashing over the data centres, so that the choice stays
+// in its data centre when another node becomes the relay there.
 func Root(relays []Member, name string) (Member, bool) {
 	var root Member
 	maxScore := uint64(0)
@@ -131,13 +133,14 @@
 	return root, root.Name != ""
 }
 
-// IsRelay reports whether the node itself is the relay of its data centre.
+// IsRelay reports whether this node is the relay of its data centre.
 func (t *Table) IsRelay(now time.Time) bool {
 	m, ok := t.Relay(now, t.Self.DataCentre)
 	return ok && m.Name == t.Self.Name
 }
 
-// Relays returns the relays of the other data centres of a region, by data centre.
+// Relays returns the relays of a region's data centres except this node's own, sorted
+// by data centre.
 func (t *Table) Relays(now time.Time, region string) []Member {
 	var list []Member
 	for _, dc := range t.dataCentres(region) {
@@ -148,9 +151,10 @@
 	return list
 }
 
-// Unseen returns nodes of the own region that may run though this one has not seen them
-// lately, for a relay to call: of each other data centre without a live node one, and of the
-// own one that would be the relay. Rising turns return others.
+// Unseen returns nodes of this node's region that may be running although this node has
+// not seen them recently, for a relay to call: one from each other data centre without a
+// live node, and one from its own that would be the relay instead of this node. Successive
+// values of turn go through the candidates of each data centre.
 func (t *Table) Unseen(now time.Time, turn int) []Member {
 	var list []Member
 	for _, dc := range t.dataCentres(t.Self.Region) {
@@ -164,9 +168,9 @@
 	return list
 }
 
-// unseen returns the nodes of a data centre that were registered or seen within a minute and
-// aren't taken to run, those first that would be its relay; of the own one only those that
-// would be it before this node.
+// unseen returns the nodes of a data centre that are registered or were seen within a
+// minute but are not considered to be running, in order of preference as its relay. For
+// this node's own data centre it returns only those preferred over this node.
 func (t *Table) unseen(now time.Time, dataCentre string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -184,6 +188,7 @@
 	return list
 }
 
+// dataCentres returns the data centres of a region's known nodes except this one, sorted.
 func (t *Table) dataCentres(region string) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -197,14 +202,15 @@
 	return list
 }
 
-// Liveness is what a relay reports of who lives: all registered nodes but the unresponsive,
-// and those that aren't registered but seen all the same, as while the store is away.
+// Liveness is a relay's report of which nodes are live: all registered nodes except
+// Unresponsive, and those in Unlisted, which are seen without being registered, as happens
+// while the store is unavailable. Both lists are sorted by name.
 type Liveness struct {
 	Unresponsive []string `json:"unresponsive,omitempty"`
 	Unlisted     []string `json:"unlisted,omitempty"`
 }
 
-// Liveness returns who is seen and who isn't, for MergeLiveness elsewhere.
+// Liveness returns this node's report of which nodes are live, for MergeLiveness at others.
 func (t *Table) Liveness(now time.Time) Liveness {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,8 +230,9 @@
 	return report
 }
 
-// MergeLiveness merges the report of a relay of who lives. Where all exchange state with each other
-// SeenByOther does this, by names; the unresponsive are fewer.
+// MergeLiveness merges a relay's report of which nodes are live. Where all nodes exchange
+// state with each other, SeenByOther does this with the names of the live nodes; the
+// unresponsive ones reported here are fewer.
 func (t *Table) MergeLiveness(now time.Time, report Liveness) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -243,8 +250,8 @@
 	}
 }
 
-// Stopping returns the nodes that stop by plan and began so within an age, by name, for
-// MergeStopping elsewhere.
+// Stopping returns the nodes whose planned stop this node learned of within the given age,
+// sorted by name, for MergeStopping at others.
 func (t *Table) Stopping(now time.Time, age time.Duration) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -258,7 +265,8 @@
 	return list
 }
 
-// MergeStopping takes what another node says of a third; it doesn't count as seen.
+// MergeStopping merges the state of a stopping node as a third node reports it. This does
+// not count as seeing the node.
 func (t *Table) MergeStopping(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -11,12 +11,13 @@
 	"pgregory.net/rapid"
 )
 
+// memberIn returns a serving node of a data centre in region r.
 func memberIn(name, dc string, capacity int) Member {
 	return Member{Name: name, Region: "r", DataCentre: dc, Serving: true, Change: 1, Start: 1, Capacity: capacity}
 }
 
-// All nodes of a data centre must take the same one for their relay, and another as soon
-// as that one dies: without a relay they learn of nobody.
+// All nodes of a data centre must choose the same relay, and another one as soon as it
+// dies: without a relay they learn of no other nodes.
 func TestRelay(t *testing.T) {
 	now := time.Unix(100, 0)
 	table := Table{Self: memberIn("b", "d1", 2)}
@@ -28,7 +29,7 @@
 		m, _ := table.Relay(now, dc)
 		return m.Name
 	}
-	assert.Equal(t, relay("d1"), "c", "it has most capacity, and comes first by name")
+	assert.Equal(t, relay("d1"), "c", "c has the highest capacity and comes before d by name")
 	assert.Equal(t, relay("d2"), "z")
 	assert.Equal(t, relay("d3"), "")
 	table.Failed(now.Add(1), "c")
@@ -63,9 +64,9 @@
 	assert.Assert(t, !table.Large(now, "r"))
 }
 
-// Nodes learn of each other through their relay only. One that dies must not be named to
-// callers for long, and one that lives must not be forgotten, also while the store is
-// away and no registration stands.
+// Nodes learn of each other through their relay only. A dead node must soon be dropped from
+// the live ones, and a live node must stay among them, even when the store is unavailable
+// and its registration is gone.
 func TestLivenessThroughRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -87,7 +88,7 @@
 				if dead[name].IsZero() {
 					dead[name] = now
 				}
-			case 1: // its lease ran out
+			case 1: // its lease expires
 				relay.Remove(name)
 				node.Remove(name)
 			case 2: // it is registered again
@@ -106,17 +107,18 @@
 			for _, other := range names {
 				named := slices.Contains(live, other)
 				if at := dead[other]; !at.IsZero() && named && now.Sub(at) > relaySuspectAfter+indirectAge+2*period {
-					t.Fatalf("%s is named %s after its death", other, now.Sub(at))
+					t.Fatalf("%s is reported as live %s after it died", other, now.Sub(at))
 				}
 				if dead[other].IsZero() && !named {
-					t.Fatalf("%s lives and is forgotten", other)
+					t.Fatalf("%s is running but not reported as live", other)
 				}
 			}
 		}
 	})
 }
 
-// A node that stops by plan must not be named to callers until its relay finds it unresponsive.
+// A node in a planned stop must be dropped from the live ones at once, not only when its
+// relay finds it unresponsive.
 func TestStoppingIsReported(t *testing.T) {
 	now := time.Unix(100, 0)
 	relay, node := Table{Self: memberIn("relay", "d", 9)}, Table{Self: memberIn("node", "d", 1)}
@@ -136,8 +138,8 @@
 	assert.Equal(t, len(relay.Stopping(now.Add(time.Minute), 5*time.Second)), 0)
 }
 
-// Many requests in a row ask who lives, and get the same list; but what a node has just
-// learned must count at once, or requests go to a node that is gone.
+// Live and Count return cached results. A change must take effect at once all the same, or
+// requests go to a node that is gone.
 func TestChangesInvalidateViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
@@ -171,10 +173,10 @@
 			count := table.Count(now, "r")
 			table.invalidateViews()
 			if want := namesOf(table.Live(now, "r")); !slices.Equal(got, want) {
-				t.Fatalf("%v is reported, %v live", got, want)
+				t.Fatalf("Live returned %v from the cache, computed anew it is %v", got, want)
 			}
 			if want := table.Count(now, "r"); count != want {
-				t.Fatalf("%d are counted of %d", count, want)
+				t.Fatalf("Count returned %d from the cache, computed anew it is %d", count, want)
 			}
 		}
 	})
@@ -194,8 +196,8 @@
 	}
 }
 
-// Nodes that this one hasn't seen lately are called by turns: those that would be the relay of
-// the own data centre, and any of a data centre where none is known to run.
+// Unseen must return the candidates in turn: the nodes that would be the relay of this
+// node's own data centre, and all nodes of a data centre where none is known to be live.
 func TestUnseen(t *testing.T) {
 	t0 := time.Unix(100, 0)
 	table := &Table{Self: Member{Name: "b1", Region: "r", DataCentre: "b", Serving: true, Capacity: 5}}
@@ -224,5 +226,5 @@
 	for _, name := range []string{"b2", "c0", "c1"} {
 		table.Remove(name)
 	}
-	assert.Equal(t, unseen(now.Add(2*time.Second), 0), "", "nobody is registered or was seen within a minute")
+	assert.Equal(t, unseen(now.Add(2*time.Second), 0), "", "no unseen node is registered or was seen within a minute")
 }
--- a/core/jwmember/share.go
+++ b/core/jwmember/share.go
@@ -5,20 +5,21 @@
 	"time"
 )
 
-// rendezvousScore orders names for rendezvous hashing.
+// rendezvousScore returns the weight of a name for a key in rendezvous hashing; the name
+// with the highest score is chosen.
 func rendezvousScore(name, key string) uint64 {
 	h := fnv.New64a()
 	h.Write([]byte(name + "\x00" + key))
 	return h.Sum64()
 }
 
-// CountedByAll reports whether every node that may share a sum with this one counts
-// it. Otherwise the others may use the whole sum without it; see spec/share. It
-// takes two things. The node has read its own registration in the store: of two
-// that start at once, the one that registered last then knows of the other,
-// however slow the store is. And it has exchanged state with every registered node of its
-// region, lately, and so long ago that what was used among fewer, also by a
-// process before this one, has left the window.
+// CountedByAll reports whether every node that may share a limit with this one counts
+// it. Until then the others may use the whole limit among themselves; see spec/share. Two
+// conditions must hold. First, this node has read its own registration in the store: of
+// two nodes that start at once, the one that registered last then knows of the other,
+// however slow the store is. Second, it has exchanged state with every registered node of
+// its region, both recently and for the first time at least shareWindow ago, so that what
+// fewer nodes used, including an earlier process of this one, has left the window.
 func (t *Table) CountedByAll(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -36,8 +37,9 @@
 	return true
 }
 
-// ListedFor returns how long ago this process read its own registration in the store, 0 if
-// it has not or the registration is gone: the others learn of it at about that time.
+// ListedFor returns how long ago this process first read its own registration in the store,
+// 0 if it has not or the registration is gone. The others learn of the node at about that
+// time.
 func (t *Table) ListedFor(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,13 +49,14 @@
 	return now.Sub(t.listedAt)
 }
 
-// Owns reports whether the node itself is the one of its region that a name
-// falls to, by rendezvous hashing over the live nodes.
+// Owns reports whether this node owns a name in its region, by rendezvous hashing over the
+// live nodes.
 func (t *Table) Owns(now time.Time, name string) bool {
 	return t.OwnsAmong(now, name, func(string) bool { return true })
 }
 
-// OwnsAmong reports the same of the live nodes that may own the name.
+// OwnsAmong is like Owns, but considers only the live nodes for which mayOwn returns true.
+// It reports true if there is none.
 func (t *Table) OwnsAmong(now time.Time, name string, mayOwn func(node string) bool) bool {
 	best, maxScore := "", uint64(0)
 	for _, m := range t.Live(now, t.Self.Region) {
--- a/core/jwmember/start_test.go
+++ b/core/jwmember/start_test.go
@@ -10,10 +10,10 @@
 	"jujubewheel/core/jwbudget"
 )
 
-// A region that was lost comes back: all its nodes start at once and its targets
-// are cold. The store is slow, so that each node reads it before any other has
-// registered, and believes to be alone. If each sent what one node may send, the
-// targets would crash again under it; users would wait for a second warm-up.
+// All nodes of a region start at once after an outage, and its targets are cold. If
+// the store is slow, each node may read it before any other has registered and take
+// itself for the only one. If each then sent as much as a single node may, the
+// targets would crash from overload and have to warm up a second time.
 func TestColdLimitWhileAllStartAndStoreIsSlow(t *testing.T) {
 	const rate, bound = 4.1, 9.1
 	rapid.Check(t, func(t *rapid.T) {
@@ -54,7 +54,7 @@
 				}
 			}
 			if float64(len(sent)) > bound {
-				t.Fatalf("%d requests within a second at %s, allowed are %.1f", len(sent), now.Sub(start), bound)
+				t.Fatalf("%d requests within a second at %s, at most %.1f are allowed", len(sent), now.Sub(start), bound)
 			}
 		}
 	})
@@ -64,13 +64,13 @@
 type startingNode struct {
 	table       *Table
 	registersAt time.Time
-	readsAt     []time.Time
-	sent        []time.Time
+	readsAt     []time.Time // times of the remaining reads of the store
+	sent        []time.Time // requests within the last second
 }
 
 func (n *startingNode) knows(m *startingNode) bool { return n.table.members[m.table.Self.Name] != nil }
 
-// follow makes the readings of the store that are due.
+// readDue performs the reads of the store that are due.
 func (n *startingNode) readDue(now time.Time, all []*startingNode) {
 	for len(n.readsAt) > 0 && !now.Before(n.readsAt[0]) {
 		n.readsAt = n.readsAt[1:]
@@ -86,6 +86,7 @@
 	}
 }
 
+// dropUntil drops the times up to bound; times is sorted.
 func dropUntil(times []time.Time, bound time.Time) []time.Time {
 	for len(times) > 0 && !times[0].After(bound) {
 		times = times[1:]
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -10,70 +10,76 @@
 
 const (
 	// suspectAfter is how long a registered node may stay unseen before it is
-	// taken for dead. Nodes of a region exchange state every second.
+	// considered dead. Nodes of a region exchange state every second.
 	suspectAfter = 3 * time.Second
-	// registrationGrace is how long a new registration counts before the node is seen.
+	// registrationGrace is how long a newly registered node counts as live without
+	// having been seen.
 	registrationGrace = 2 * time.Second
-	// indirectAge is how old the report may be that another node was seen.
+	// indirectAge is the age given to a sighting that another node reports, and the
+	// maximum age of the sightings that a node reports to others.
 	indirectAge = time.Second
-	// forgetAfter is how long an unregistered, unresponsive node is remembered; it still
-	// counts where shares have to be cautious.
+	// forgetAfter is how long an unregistered node is remembered after it was last
+	// seen. Until then Count includes it, since it may still use its share.
 	forgetAfter = time.Minute
-	// countedFor is how long a node relies on being counted by another that it
-	// seen: less than that one remembers it, by more than any way between them.
+	// countedFor is how long after seeing another node this one assumes that the
+	// other counts it. It is below forgetAfter by more than any network delay
+	// between the two.
 	countedFor = 50 * time.Second
-	// shareWindow is what sums are kept within, with some room.
+	// shareWindow is the one-second window over which shared limits hold, with a
+	// margin.
 	shareWindow = 1100 * time.Millisecond
 )
 
-// Member is a node as it describes itself.
+// Member is a node's description of itself, as it registers and reports it.
 type Member struct {
 	Name       string         `json:"name"`
 	Region     string         `json:"region"`
 	DataCentre string         `json:"dataCentre"`
 	Callers    netip.AddrPort `json:"callers"`
 	Nodes      netip.AddrPort `json:"nodes"`
-	Start      int64          `json:"start"`              // Unix nanoseconds; a later one is a new process
-	Change     int            `json:"change"`             // rises when Serving changes
-	Serving    bool           `json:"serving"`            // false before a configuration is known and from a planned stop on
-	Trip       int64          `json:"trip,omitempty"`     // milliseconds to the store and back, in steps of tripStep, 0 if not known
-	Capacity   int            `json:"capacity,omitempty"` // what its host can do, in hundredths of a core or as its link allows, for the choice of relays
+	Start      int64          `json:"start"`              // start of the process in Unix nanoseconds; a later one is a new process
+	Change     int            `json:"change"`             // incremented whenever Serving changes
+	Serving    bool           `json:"serving"`            // false until a configuration is known and after a planned stop begins
+	Trip       int64          `json:"trip,omitempty"`     // shortest round trip to the store in milliseconds, in steps of roundTripStep; 0 if unknown
+	Capacity   int            `json:"capacity,omitempty"` // capacity of its host, from its cores in hundredths of one or from its link, for choosing relays
 }
 
-// Table holds the other nodes; set its fields before use.
+// Table holds this node and what it knows of the others. Set the exported fields
+// before use; the methods are safe for concurrent use.
 type Table struct {
 	Self           Member
-	RelayThreshold int // nodes of a region from which on they report through relays, 0 for DefaultRelayThreshold
+	RelayThreshold int // number of nodes in a region at which they start to report through relays; 0 means DefaultRelayThreshold
 
 	mu            sync.Mutex
 	members       map[string]*record
-	resumedAt     time.Time // from the last pause of the process, zero before one
-	stoppedAt     time.Time // when the node itself ceased to serve
-	listedAt      time.Time // when this process read its own registration in the store, zero while it has not
+	resumedAt     time.Time // when the process last resumed after a pause, zero if it never did
+	stoppedAt     time.Time // when this node stopped serving
+	listedAt      time.Time // when this process first read its own registration in the store, zero if there is none
 	views         map[string]view
-	fleetSize     int       // nodes of all regions as the store keeps it, 0 if that isn't known
-	previousStart int64     // when the process before this one started, Unix nanoseconds, 0 if not known
-	countedAt     time.Time // from when on all others count this node, zero if that isn't known
+	fleetSize     int       // number of nodes in all regions as recorded in the store, 0 if unknown
+	previousStart int64     // start time of this node's previous process in Unix nanoseconds, 0 if unknown
+	countedAt     time.Time // from when on all other nodes count this one, zero if unknown
 }
 
+// record is what this node knows of another one.
 type record struct {
 	Member
 	registered   bool
-	registeredAt time.Time // of the registration
+	registeredAt time.Time // when this process learned of the registration
 	lastSeen     time.Time
-	firstSeen    time.Time // first seen by this process
-	lastFailed   time.Time // last attempt to reach it that failed
-	stoppedAt    time.Time // when it was first seen that this process stops by plan, zero before
+	firstSeen    time.Time // when this process first saw the node directly
+	lastFailed   time.Time // when it was last unreachable, to this node or as a relay reported
+	stoppedAt    time.Time // when this node first learned of its planned stop, zero if it is not stopping
 }
 
-// Leaver is a node that stops by plan.
+// Leaver is a node in a planned stop.
 type Leaver struct {
 	Member
-	Since time.Duration // since its stop was seen of
+	Since time.Duration // time since this node learned of the stop
 }
 
-// Put takes the registration of a node; it reports whether it is of a process
-// that began anew.
+// Put records the registration of a node and reports whether it comes from a
+// later process than the known one.
 func (t *Table) Put(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -89,8 +95,8 @@
 	return r.merge(now, m)
 }
 
-// Seen notes that a node reported itself; it reports whether that is a process that
-// began anew.
+// Seen records that a node reported its own state, and reports whether it is a
+// later process than the known one.
 func (t *Table) Seen(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -108,8 +114,9 @@
 	return r.merge(now, m)
 }
 
-// SeenByOther notes that another node says that it seen these lately. Nodes of
-// other regions are too many to exchange state with each.
+// SeenByOther records that another node has seen the named nodes recently. It
+// covers the nodes of other regions, which are too many to exchange state with
+// each.
 func (t *Table) SeenByOther(now time.Time, names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -124,8 +131,8 @@
 	}
 }
 
-// LocalSeen returns the names of the serving nodes of the own region that were
-// seen lately, for SeenByOther elsewhere.
+// LocalSeen returns the names, sorted, of the serving nodes of this node's region
+// that were seen recently. Other nodes pass them to SeenByOther.
 func (t *Table) LocalSeen(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,9 +146,9 @@
 	return names
 }
 
-// Contact returns the node of another region that this one exchanges state with: by
-// rendezvous among the live, so that each has about as many, or among all that
-// are known where none is believed to live.
+// Contact returns the node of another region that this one exchanges state with,
+// and false if none is known. Rendezvous hashing over the live nodes spreads the
+// contacts evenly; if no node is live, it chooses among all known ones.
 func (t *Table) Contact(now time.Time, region string) (Member, bool) {
 	list := t.Live(now, region)
 	if len(list) == 0 {
@@ -161,7 +168,7 @@
 	return best, best.Name != ""
 }
 
-// Failed notes that a node could not be reached.
+// Failed records that a node could not be reached.
 func (t *Table) Failed(now time.Time, name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -171,9 +178,9 @@
 	}
 }
 
-// Resumed forgets who was seen: the node itself stood still, and by its clock
-// that may look fresh. Those that live are seen within moments.
-// They still count where shares have to be cautious.
+// Resumed discards all sightings after this process was paused: its clock may
+// have stopped too, so that old sightings look recent. Live nodes are seen again
+// soon. Count still includes all of them.
 func (t *Table) Resumed(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -181,8 +188,8 @@
 	t.invalidateViews()
 }
 
-// Listed notes that the node read a registration of its own name in the store;
-// one of an earlier process says nothing about this one.
+// Listed records that this node read a registration under its own name in the
+// store. One of an earlier process is ignored: it says nothing about this process.
 func (t *Table) Listed(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,7 +198,7 @@
 	}
 }
 
-// Remove notes that the registration of a node is gone.
+// Remove records that the registration of a node is gone.
 func (t *Table) Remove(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -204,7 +211,8 @@
 	}
 }
 
-// Keep removes all registrations but those named.
+// Keep removes all registrations except the named ones, and forgets unregistered
+// nodes that were not seen for a minute.
 func (t *Table) Keep(now time.Time, names map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -222,6 +230,8 @@
 	}
 }
 
+// recordOf returns the record of a node and creates it if needed. It returns nil
+// for a node without a name and for this node.
 func (t *Table) recordOf(m Member) *record {
 	if m.Name == "" || m.Name == t.Self.Name {
 		return nil
@@ -237,9 +247,9 @@
 	return r
 }
 
-// merge keeps what is newer: the store may still tell what a process that is
-// stopping wrote before, and callers must not be sent there again. It tells
-// whether the process is a later one.
+// merge takes over m if it is not older than the known state: the store may still
+// hold what a stopping process wrote before its stop, and callers must not be sent
+// there again. It reports whether m comes from a later process.
 func (r *record) merge(now time.Time, m Member) (restarted bool) {
 	restarted = r.Start != 0 && m.Start > r.Start
 	if m.Start > r.Start {
@@ -254,10 +264,10 @@
 	return restarted
 }
 
-// isStopping reports whether a node has served and does not any more.
+// isStopping reports whether a node has served before and no longer does.
 func (m *Member) isStopping() bool { return !m.Serving && m.Change > 0 }
 
-// live reports whether a node is taken to run.
+// live reports whether a node is considered to be running.
 func (t *Table) live(now time.Time, r *record) bool {
 	if !r.lastSeen.After(t.resumedAt) && !t.resumedAt.IsZero() {
 		return false
@@ -268,7 +278,7 @@
 	return r.registered && now.Sub(r.registeredAt) < registrationGrace && !r.lastFailed.After(r.registeredAt)
 }
 
-// RecentlySeen reports whether a node was seen lately.
+// RecentlySeen reports whether a node was seen within half of suspectAfter.
 func (t *Table) RecentlySeen(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -276,8 +286,9 @@
 	return r != nil && now.Sub(r.lastSeen) < suspectAfter/2
 }
 
-// Leaving returns the nodes of a region that stop by plan and were seen, or seen
-// of, since their stop, by name, the node itself among them.
+// Leaving returns the nodes of a region whose planned stop was learned of within
+// the last minute and that were not unreachable since they were last seen, sorted
+// by name. It includes this node while it is stopping.
 func (t *Table) Leaving(now time.Time, region string) []Leaver {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -294,8 +305,8 @@
 	return list
 }
 
-// Peers returns the nodes to talk to: all that are registered or were seen
-// lately, serving or not.
+// Peers returns the nodes to exchange state with, sorted by name: all that are
+// registered or were seen within a minute, serving or not.
 func (t *Table) Peers(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -309,7 +320,7 @@
 	return list
 }
 
-// Serve sets whether the node itself serves.
+// Serve sets whether this node serves, and returns its updated description.
 func (t *Table) Serve(now time.Time, on bool) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -324,7 +335,7 @@
 	return t.Self
 }
 
-// Locate sets where the node itself is reached.
+// Locate sets the addresses at which callers and other nodes reach this node.
 func (t *Table) Locate(callers, nodes netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -332,7 +343,7 @@
 	t.Self.Callers, t.Self.Nodes = callers, nodes
 }
 
-// Me returns the node itself.
+// Me returns the description of this node.
 func (t *Table) Me() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/table_test.go
+++ b/core/jwmember/table_test.go
@@ -9,6 +9,7 @@
 	"gotest.tools/v3/assert"
 )
 
+// member returns a node that serves if change is odd.
 func member(name, region string, change int) Member {
 	return Member{Name: name, Region: region, Start: 1, Change: change, Serving: change%2 == 1}
 }
@@ -30,30 +31,30 @@
 		at   int // milliseconds
 		want []string
 	}{
-		"a new registration is believed for a while": {func(t *Table) { t.Put(at(0), b) }, 1000, []string{"a", "b"}},
-		// A host lost power right after it registered. Its lease has not ended,
-		// and callers sent there would wait in vain.
-		"registered but never seen":              {func(t *Table) { t.Put(at(0), b) }, 2500, []string{"a"}},
-		"seen":                                   {func(t *Table) { t.Put(at(0), b); t.Seen(at(2000), b) }, 4000, []string{"a", "b"}},
-		"seen too long ago":                      {func(t *Table) { t.Put(at(0), b); t.Seen(at(0), b) }, 4000, []string{"a"}},
-		"seen, then it took no connection":       {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b") }, 200, []string{"a"}},
-		"it took none, then was seen again":      {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b"); t.Seen(at(150), b) }, 200, []string{"a", "b"}},
-		"its key is gone, but it reports":        {func(t *Table) { t.Put(at(0), b); t.Seen(at(3000), b); t.Remove("b") }, 3500, []string{"a", "b"}},
-		"its key is gone and it is unresponsive": {func(t *Table) { t.Put(at(0), b); t.Remove("b") }, 1000, []string{"a"}},
-		"it says that it stops":                  {func(t *Table) { t.Seen(at(0), b); t.Seen(at(10), member("b", "r", 2)) }, 20, []string{"a"}},
-		// The clock stood still with the process; what was seen looks fresh.
+		"a new registration counts for a while": {func(t *Table) { t.Put(at(0), b) }, 1000, []string{"a", "b"}},
+		// A host lost power right after its node registered. The lease has not
+		// ended yet, and callers sent there would get no answer.
+		"registered but never seen":                       {func(t *Table) { t.Put(at(0), b) }, 2500, []string{"a"}},
+		"seen":                                            {func(t *Table) { t.Put(at(0), b); t.Seen(at(2000), b) }, 4000, []string{"a", "b"}},
+		"seen too long ago":                               {func(t *Table) { t.Put(at(0), b); t.Seen(at(0), b) }, 4000, []string{"a"}},
+		"seen, then not reachable":                        {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b") }, 200, []string{"a"}},
+		"not reachable, then seen again":                  {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b"); t.Seen(at(150), b) }, 200, []string{"a", "b"}},
+		"its registration is gone, but it reports":        {func(t *Table) { t.Put(at(0), b); t.Seen(at(3000), b); t.Remove("b") }, 3500, []string{"a", "b"}},
+		"its registration is gone and it is unresponsive": {func(t *Table) { t.Put(at(0), b); t.Remove("b") }, 1000, []string{"a"}},
+		"it reports that it is stopping":                  {func(t *Table) { t.Seen(at(0), b); t.Seen(at(10), member("b", "r", 2)) }, 20, []string{"a"}},
+		// The clock was paused with the process, so that old sightings look recent.
 		"seen before this process was paused": {func(t *Table) { t.Put(at(0), b); t.Seen(at(10), b); t.Resumed(at(20)) }, 30, []string{"a"}},
 		"seen after this process was paused":  {func(t *Table) { t.Seen(at(10), b); t.Resumed(at(20)); t.Seen(at(25), b) }, 30, []string{"a", "b"}},
 		"of another region":                   {func(t *Table) { t.Seen(at(0), member("c", "q", 1)) }, 20, []string{"a"}},
-		"another node seen it":                {func(t *Table) { t.Put(at(0), b); t.SeenByOther(at(2900), []string{"b"}) }, 4000, []string{"a", "b"}},
-		"another node seen it, long ago":      {func(t *Table) { t.Put(at(0), b); t.SeenByOther(at(2900), []string{"b"}) }, 5000, []string{"a"}},
-		"another node seen it, this one can't reach it": {func(t *Table) {
+		"another node has seen it":            {func(t *Table) { t.Put(at(0), b); t.SeenByOther(at(2900), []string{"b"}) }, 4000, []string{"a", "b"}},
+		"another node has seen it, long ago":  {func(t *Table) { t.Put(at(0), b); t.SeenByOther(at(2900), []string{"b"}) }, 5000, []string{"a"}},
+		"another node has seen it, this one can't reach it": {func(t *Table) {
 			t.Seen(at(0), b)
 			t.Failed(at(2500), "b")
 			t.SeenByOther(at(2900), []string{"b"})
 		}, 3000, []string{"a"}},
-		// The store still has what a stopping node wrote before; it was read
-		// anew and callers were sent to a node that was about to end.
+		// The store still held what a stopping node had written before its stop.
+		// Reading it again sent callers to a node that was about to exit.
 		"the store has an older registration": {func(t *Table) { t.Seen(at(10), member("b", "r", 2)); t.Put(at(20), b) }, 30, []string{"a"}},
 		"a new process of the same name": {func(t *Table) {
 			t.Seen(at(10), member("b", "r", 2))
@@ -71,8 +72,8 @@
 	}
 }
 
-// Shares of a sum are made from Count. A node that vanished may live behind a
-// cut and go on using its share.
+// Shares of a limit are computed from Count. A node that is no longer seen may be
+// running behind a network partition and still use its share.
 func TestCountIncludesUnseenNodes(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Self: member("a", "r", 1)}
@@ -106,25 +107,25 @@
 	}
 }
 
-// A host lost power and its node runs again. Connections to the process before
-// are dead, though nothing closed them.
+// A host lost power and its node runs again. The connections to the previous
+// process are dead although nothing closed them, so a restart must be detected.
 func TestRestartedProcess(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Self: member("a", "r", 1)}
 	first := member("b", "r", 1)
 	restarted := first
 	restarted.Start = 2
-	assert.Assert(t, !table.Put(now, first), "it is new")
+	assert.Assert(t, !table.Put(now, first), "a node seen for the first time is not restarted")
 	assert.Assert(t, !table.Seen(now, first))
 	assert.Assert(t, table.Seen(now, restarted))
 	assert.Assert(t, !table.Seen(now, restarted))
-	assert.Assert(t, !table.Put(now, first), "the store lags behind")
+	assert.Assert(t, !table.Put(now, first), "the store returns an older registration")
 }
 
-// A node joins behind a cut and another one of the region never hears of it.
-// Each of the old ones uses its half of a sum; with a third more from the new
-// one the sum would be exceeded. Users would see targets that come back cold
-// crash again under what all send to them.
+// A node joins, and a network partition keeps another node of its region from
+// learning of it. If each of two old nodes uses half of a limit and the new one a
+// third, the limit is exceeded, and targets that come back cold crash again from
+// overload.
 func TestCountedByAll(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	self := member("a", "r", 1)
@@ -135,11 +136,11 @@
 		want bool
 	}{
 		"alone and not listed":       {func(*Table) {}, false},
-		"alone":                      {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self) }, true},
+		"alone and listed":           {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self) }, true},
 		"listed a moment ago":        {func(t *Table) { t.Listed(t0, self) }, false},
-		"a process before it listed": {func(t *Table) { t.Listed(t0.Add(-2*time.Second), earlier) }, false},
+		"an earlier process listed":  {func(t *Table) { t.Listed(t0.Add(-2*time.Second), earlier) }, false},
 		"no longer listed":           {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Remove("a") }, false},
-		"not in the whole store":     {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Keep(t0, map[string]bool{"b": true}) }, false},
+		"absent when all was read":   {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Keep(t0, map[string]bool{"b": true}) }, false},
 		"one registered, never seen": {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "r", 1)) }, false},
 		"all seen": {func(t *Table) {
 			listLongAgo(t, t0)
@@ -154,7 +155,7 @@
 			t.Put(t0, member("b", "r", 1))
 			t.Seen(t0.Add(-55*time.Second), member("b", "r", 1))
 		}, false},
-		"seen before its key was read": {func(t *Table) {
+		"seen before its registration was read": {func(t *Table) {
 			listLongAgo(t, t0)
 			t.Seen(t0.Add(-2*time.Second), member("b", "r", 1))
 			t.Put(t0, member("b", "r", 1))
@@ -169,11 +170,12 @@
 	}
 }
 
-// list notes that a table's node has long read its own registration.
+// listLongAgo records that the table's node read its own registration two seconds ago.
 func listLongAgo(t *Table, now time.Time) { t.Listed(now.Add(-2*time.Second), t.Self) }
 
-// Callers of a region whose nodes all stop are told of those that still take
-// requests, which take some for a known time from their stop on.
+// If all nodes of a region are stopping, callers are sent to those that still accept
+// requests, which they do for a known time after their stop begins. Leaving must
+// return these nodes and how long ago that was.
 func TestLeaving(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	serving := member("b", "r", 1)
@@ -191,8 +193,8 @@
 		"stops":                  {func(t *Table) { t.Seen(at(0), serving); t.Seen(at(time.Second), stopped) }, []Leaver{{stopped, 2 * time.Second}}},
 		"is seen again":          {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), stopped) }, []Leaver{{stopped, 2 * time.Second}}},
 		"can't be reached since": {func(t *Table) { t.Seen(at(time.Second), stopped); t.Failed(at(2*time.Second), "b") }, nil},
-		"starts anew":            {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), starting) }, nil},
-		"the store lags behind":  {func(t *Table) { t.Seen(at(time.Second), stopped); t.Put(at(2*time.Second), serving) }, []Leaver{{stopped, 2 * time.Second}}},
+		"restarts":               {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), starting) }, nil},
+		"the store is behind":    {func(t *Table) { t.Seen(at(time.Second), stopped); t.Put(at(2*time.Second), serving) }, []Leaver{{stopped, 2 * time.Second}}},
 		"is of another region":   {func(t *Table) { m := stopped; m.Region = "q"; t.Seen(at(0), m) }, nil},
 		"the node itself":        {func(t *Table) { t.Serve(at(0), true); t.Serve(at(2*time.Second), false) }, []Leaver{{Member{Name: "a", Region: "r", Start: 1, Change: 2}, time.Second}}},
 		"the node itself, once more": {func(t *Table) {
--- a/core/jwmember/view.go
+++ b/core/jwmember/view.go
@@ -5,26 +5,28 @@
 	"time"
 )
 
-// maxViewAge is how long a view of a region serves while nothing changes: many requests ask
-// for the same, and with hundreds of nodes to go over they would do little else.
+// maxViewAge is how long a view of a region is reused while nothing changes. Many requests
+// ask for the same view, and computing it for each would take most of the processor time
+// with hundreds of nodes.
 const maxViewAge = 50 * time.Millisecond
 
-// view is what Live and Count said of a region last.
+// view caches the last results of Live and Count for a region.
 type view struct {
-	liveAt, countAt time.Time // zero before they were asked
+	liveAt, countAt time.Time // when the results were computed, zero before the first time
 	live            []Member
 	count           int
 }
 
-// fresh reports whether a view made at a time still serves.
+// fresh reports whether a result computed at a time may still be used.
 func fresh(now, at time.Time) bool {
 	age := now.Sub(at)
 	return !at.IsZero() && age >= 0 && age < maxViewAge
 }
 
-// invalidateViews forgets the views: what they rest on has invalidateViews.
+// invalidateViews drops the cached views after a change of what they are computed from.
 func (t *Table) invalidateViews() { clear(t.views) }
 
+// cacheView stores the view of a region.
 func (t *Table) cacheView(region string, v view) {
 	if t.views == nil {
 		t.views = make(map[string]view)
@@ -32,9 +34,9 @@
 	t.views[region] = v
 }
 
-// Live returns the nodes taken to run and to serve, by name; region "" is
-// all regions. It includes the node itself if it serves. Several callers may get the
-// same list, which must not be changed.
+// Live returns the nodes considered to be running and serving, sorted by name; region ""
+// means all regions. It includes this node if it serves. The result is shared between
+// callers and must not be modified.
 func (t *Table) Live(now time.Time, region string) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -46,6 +48,7 @@
 	return v.live
 }
 
+// listLive computes the result of Live.
 func (t *Table) listLive(now time.Time, region string) []Member {
 	var list []Member
 	if t.Self.Serving && (region == "" || t.Self.Region == region) {
@@ -60,9 +63,9 @@
 	return list
 }
 
-// Count returns how many nodes of a region there may be, the node itself
-// included: the live, the registered and those seen within the last minute.
-// Shares of a sum that must not be exceeded are made from it.
+// Count returns the maximum number of nodes that may be running in a region, this
+// node included: those that are live, registered or seen within the last minute. Region ""
+// means all regions. Shares of a limit that must not be exceeded are computed from it.
 func (t *Table) Count(now time.Time, region string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -74,6 +77,7 @@
 	return v.count
 }
 
+// countAll computes the result of Count.
 func (t *Table) countAll(now time.Time, region string) int {
 	n := 0
 	if region == "" || t.Self.Region == region {
