--- a/core/jwstore/memory.go
+++ b/core/jwstore/memory.go
@@ -14,7 +14,7 @@
 	"jujubewheel/core/jwclock"
 )
 
-// Calls counts what a store was asked for; a waiting read counts once.
+// Calls counts the calls of a store by kind; a Wait counts once however long it blocks.
 type Calls struct {
 	Reads    uint64 `json:"reads"`
 	Writes   uint64 `json:"writes"`
@@ -22,24 +22,24 @@
 	Failures uint64 `json:"failures"` // calls of all kinds that returned an error
 }
 
-// Memory is a Store in this process; the zero value is empty and healthy.
-// Its faults may be set at any time and by any goroutine.
+// Memory is a Store in memory with faults that can be injected at any time. The
+// zero value is empty and healthy. It is safe for concurrent use.
 type Memory struct {
 	mu            sync.Mutex
 	items         map[string]Item
 	changed       map[string]chan struct{} // closed at the next write of the key
-	index         uint64                   // writes so far; the version of the newest is one more
+	index         uint64                   // number of writes so far; the version of the latest is one higher
 	down          bool
-	wentDown      chan struct{} // closed when the store goes down, so that waits end
+	wentDown      chan struct{} // closed when the store goes down, so that blocked calls of Wait return
 	delay         time.Duration
-	repliesToLose int // writes that are still to lose their reply
+	repliesToLose int // number of upcoming writes that lose their reply
 	calls         Calls
 }
 
 var _ Store = (*Memory)(nil)
 
-// SetDown makes every call fail with ErrUnavailable, waiting ones included,
-// until it is set back.
+// SetDown sets whether every call, including a blocked Wait, fails with
+// ErrUnavailable.
 func (m *Memory) SetDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -50,38 +50,37 @@
 	}
 }
 
-// SetDelay makes every later call take this long before it does its work; a
-// caller that gives up in this time has had no effect.
+// SetDelay delays the start of every later call. A call whose context ends during
+// the delay has no effect.
 func (m *Memory) SetDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delay = delay
 }
 
-// LoseReplies lets the next n writes take effect and then fail with
-// ErrUnknown.
+// LoseReplies makes the next n writes take effect and then fail with ErrUnknown.
 func (m *Memory) LoseReplies(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.repliesToLose = n
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the numbers of calls so far.
 func (m *Memory) Calls() Calls {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// Index returns the version of the newest write of any key, 1 before the first.
+// Index returns the version of the latest write of any key, 1 before the first.
 func (m *Memory) Index() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version()
 }
 
-// version leaves 1 to the empty store, so that an index of its state is above
-// zero and below that of every write.
+// version returns the version of the latest write. The empty store has version 1,
+// so that its index is above zero and below that of every write.
 func (m *Memory) version() uint64 { return m.index + 1 }
 
 // Get implements Reader.
@@ -185,8 +184,8 @@
 	return deleted, nil
 }
 
-// begin counts a call, spends the delay and leaves the table locked unless it
-// returns an error.
+// begin counts a call and waits for the delay. It returns with m.mu locked unless
+// it returns an error.
 func (m *Memory) begin(ctx context.Context, op string, count *uint64) error {
 	m.mu.Lock()
 	*count++
@@ -211,12 +210,13 @@
 	return nil
 }
 
-// contextError keeps the reason of the caller's context beside the certainty that
-// nothing was done.
+// contextError returns ErrUnavailable, as the call had no effect, with the text of
+// the context's error.
 func (m *Memory) contextError(err error, op string) error {
 	return errors.Wrapf(ErrUnavailable, "%s: %v", op, err)
 }
 
+// fail counts a failed call and returns err.
 func (m *Memory) fail(err error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,6 +224,7 @@
 	return err
 }
 
+// loseReply reports whether the current write loses its reply, and counts it.
 func (m *Memory) loseReply() bool {
 	if m.repliesToLose == 0 {
 		return false
@@ -233,6 +234,7 @@
 	return true
 }
 
+// read returns a copy of the item of a key, and whether the key exists.
 func (m *Memory) read(key string) (Item, bool) {
 	item, found := m.items[key]
 	item.Key = key
@@ -240,6 +242,7 @@
 	return item, found
 }
 
+// watch returns a channel that is closed at the next write of a key.
 func (m *Memory) watch(key string) chan struct{} {
 	if m.changed == nil {
 		m.changed = make(map[string]chan struct{})
@@ -252,6 +255,7 @@
 	return ch
 }
 
+// watchDown returns a channel that is closed when the store goes down.
 func (m *Memory) watchDown() chan struct{} {
 	if m.wentDown == nil {
 		m.wentDown = make(chan struct{})
@@ -259,6 +263,7 @@
 	return m.wentDown
 }
 
+// notify wakes the callers that wait for a write of a key.
 func (m *Memory) notify(key string) {
 	if ch, found := m.changed[key]; found {
 		close(ch)
--- a/core/jwstore/memory_test.go
+++ b/core/jwstore/memory_test.go
@@ -14,8 +14,8 @@
 	"pgregory.net/rapid"
 )
 
-// TestMain fixes the seed of the random tests, so that a failure can be
-// repeated.
+// TestMain sets the seed of the random tests, from JUJUBE_SEED or else 1, so that a
+// failure can be reproduced.
 func TestMain(m *testing.M) {
 	seed := os.Getenv("JUJUBE_SEED")
 	if seed == "" {
@@ -62,8 +62,8 @@
 	})
 }
 
-// The service goes down while nodes wait on it. Each of them must learn of it
-// at once, or a change would reach them only when their wait ends.
+// The service goes down while nodes are blocked in Wait. Wait must fail at once, or
+// a change would reach the nodes only when their wait times out.
 func TestDownEndsWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
@@ -81,12 +81,12 @@
 		m.SetDown(false)
 		_, found, err := m.Get(ctx, "k")
 		assert.NilError(t, err)
-		assert.Check(t, !found, "a refused write had no effect")
+		assert.Check(t, !found, "a failed write has no effect")
 	})
 }
 
-// A slow service makes a caller give up. The write must not happen later, when
-// its caller has already told someone that it did not.
+// A slow service makes a caller's context end before the write. The write must not
+// happen later, when the caller has already reported that it did not.
 func TestTimedOutWriteHasNoEffect(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		m := &Memory{}
@@ -102,7 +102,7 @@
 	})
 }
 
-// TestMemoryMatchesModel runs random calls and faults against a plain map.
+// TestMemoryMatchesModel compares a Memory under random calls and faults with a map.
 func TestMemoryMatchesModel(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := &model{items: make(map[string]Item)}
@@ -116,7 +116,7 @@
 	})
 }
 
-// oracle is a Memory beside the map that says what it must hold.
+// model is a Memory with a map of the items that it must hold.
 type model struct {
 	memory   Memory
 	items    map[string]Item
@@ -148,7 +148,7 @@
 		assert.Equal(t, swapped, matches)
 	}
 	if matches {
-		assert.Check(t, next > m.newest, "versions rise")
+		assert.Check(t, next > m.newest, "versions increase")
 		m.newest = next
 		m.items[key] = Item{Key: key, Value: value, Version: next}
 	}
@@ -187,7 +187,7 @@
 	}
 }
 
-// drawVersion draws 0, the version of a key that exists or one of none.
+// drawVersion draws 0, the version of a key or one that no key has yet.
 func (m *model) drawVersion(t *rapid.T) uint64 {
 	versions := []uint64{0, m.newest + 1}
 	for _, key := range []string{"a", "b", "a/b"} {
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// MemoryFeed is a Feed in memory, for tests and stand-ins. The zero value is
-// empty. Leases end when End is called or Lapse takes them.
+// MemoryFeed is a Feed in memory, for tests and simulated platforms. The zero value is
+// empty. Leases end only by End, EndAllLeases and Return. It is safe for concurrent use.
 type MemoryFeed struct {
-	PageSize int // items of a page, 0 for all
+	PageSize int // maximum number of items of a page, 0 for no limit
 
 	mu        sync.Mutex
 	revision  Revision
 	items     map[string]memoryItem
 	events    []Event
-	compacted Revision // history up to this revision is gone
+	compacted Revision // history up to this revision is not kept
 	lastLease Lease
 	live      map[Lease]bool
 	changed   chan struct{}
 	down      error
 }
 
+// memoryItem is an item with the lease it was written under, 0 for none.
 type memoryItem struct {
 	Item
 	lease Lease
@@ -32,7 +33,7 @@
 
 var _ Feed = (*MemoryFeed)(nil)
 
-// Down makes every call fail with err until it is called with nil.
+// Down makes every call of a Feed method fail with err, until Down(nil).
 func (m *MemoryFeed) Down(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -40,7 +41,8 @@
 	m.notify()
 }
 
-// Compact drops the history, so that followers have to read anew.
+// Compact drops the history, so that a Watch from an earlier revision fails with
+// ErrCompacted.
 func (m *MemoryFeed) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -48,21 +50,21 @@
 	m.notify()
 }
 
-// Copy is what a MemoryFeed held at a moment.
+// Copy is a snapshot of the contents of a MemoryFeed.
 type Copy struct {
 	revision Revision
 	items    map[string]memoryItem
 }
 
-// Copy returns what the store holds now.
+// Copy returns a snapshot of the current contents.
 func (m *MemoryFeed) Copy() Copy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Copy{m.revision, maps.Clone(m.items)}
 }
 
-// Return makes the store come back from a copy: all since is lost, leases too, and the
-// numbers of its revisions are given out again in the next era.
+// Return restores the store from a copy: all later changes and all leases with their keys
+// are lost, and revision numbers are assigned again in the next era.
 func (m *MemoryFeed) Return(c Copy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -102,6 +104,7 @@
 	return ok
 }
 
+// set writes a key under a lease, with m.mu locked.
 func (m *MemoryFeed) set(key string, value []byte, lease Lease) {
 	if m.items == nil {
 		m.items = make(map[string]memoryItem)
@@ -112,6 +115,7 @@
 	m.notify()
 }
 
+// remove deletes a key if it exists, with m.mu locked.
 func (m *MemoryFeed) remove(key string) {
 	if _, ok := m.items[key]; !ok {
 		return
@@ -122,6 +126,7 @@
 	m.notify()
 }
 
+// notify wakes the blocked calls of Watch, with m.mu locked.
 func (m *MemoryFeed) notify() {
 	if m.changed != nil {
 		close(m.changed)
@@ -221,7 +226,7 @@
 	return nil
 }
 
-// EndAllLeases ends all leases, as after an outage.
+// EndAllLeases ends all leases and deletes their keys, as after an outage.
 func (m *MemoryFeed) EndAllLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -230,6 +235,7 @@
 	}
 }
 
+// endLease ends a lease and deletes its keys, with m.mu locked.
 func (m *MemoryFeed) endLease(lease Lease) {
 	delete(m.live, lease)
 	for key, i := range m.items {
--- a/core/jwstore/recent.go
+++ b/core/jwstore/recent.go
@@ -8,28 +8,29 @@
 )
 
 const (
-	// maxRecentEvents is how many changes a Recent keeps: some ten seconds of a fleet whose
-	// nodes and targets all start anew.
+	// maxRecentEvents is how many changes a Recent keeps: about ten seconds of changes while
+	// all nodes and targets of a fleet restart.
 	maxRecentEvents = 2000
-	// maxRecentBytes is how many bytes of values it keeps.
+	// maxRecentBytes is how many bytes of values a Recent keeps.
 	maxRecentBytes = 512 << 10
-	// largeValue is the size from which a value is told only if it is the last of its key.
+	// largeValue is the size in bytes above which After returns a value only if it is the
+	// latest of its key.
 	largeValue = 4 << 10
 )
 
-// Recent keeps the last changes of a store that one node has read, for those that read
-// them from it. The zero value is empty; it may be used by several goroutines.
+// Recent keeps the latest changes that a node has read from the store, for other nodes that
+// read them from this one. The zero value is empty. It is safe for concurrent use.
 type Recent struct {
 	mu     sync.Mutex
-	from   Revision // it has all changes after this revision
-	upTo   Revision // up to this one
+	from   Revision // the kept changes are all those after this revision
+	upTo   Revision // and up to this one; 0 before anything was added
 	events []Event
 	bytes  int
-	added  chan struct{} // closed at the next change, nil while nobody waits
+	added  chan struct{} // closed at the next change, nil while no call of Wait is blocked
 }
 
-// Add keeps the changes that a reading from one revision up to another brought. Where
-// it doesn't follow the last one, what was kept is forgotten.
+// Add keeps the changes that were read between two revisions. If they do not continue the
+// changes kept so far, those are dropped.
 func (r *Recent) Add(events []Event, from, to Revision) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -54,9 +55,10 @@
 	r.events = slices.Delete(r.events, 0, expired)
 }
 
-// After returns the changes after a revision and the revision that they lead up to; ok
-// is false if some of them are not kept, or if nothing was read so far as that. Of large
-// values only the last of each key is returned.
+// After returns the changes after a revision and the revision up to which they are complete.
+// ok is false if some of these changes are not kept, or if the revision is later than what
+// was read so far. A value larger than largeValue is returned only if it is the latest of
+// its key.
 func (r *Recent) After(revision Revision) (events []Event, to Revision, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -76,7 +78,7 @@
 	return events, r.upTo, true
 }
 
-// Wait waits until a change after a revision is kept, at most for some time.
+// Wait blocks until a change after a revision is kept or ctx ends, at most for maxWait.
 func (r *Recent) Wait(ctx context.Context, after Revision, maxWait time.Duration) {
 	t := time.NewTimer(maxWait)
 	defer t.Stop()
@@ -97,7 +99,7 @@
 	}
 }
 
-// Forget drops all that is kept.
+// Forget drops all kept changes.
 func (r *Recent) Forget() {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/core/jwstore/recent_test.go
+++ b/core/jwstore/recent_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// A node that reads a store's changes from another one must end up with what the store
-// holds, however both fall behind, start anew or lose what they had. One change that is
-// passed over would be missed for good: a target that has left would get requests.
+// A node that reads the store's changes through another node must end up with the contents
+// of the store, however far both fall behind or drop what they have. A skipped change would
+// be missed for good: for example, a target that has left would go on getting requests.
 func TestRecentOmitsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Recent
@@ -27,15 +27,15 @@
 				e.Value = make([]byte, rapid.SampledFrom([]int{1, largeValue + 1, maxRecentBytes / 2}).Draw(t, "size"))
 				all = append(all, e)
 				store[e.Key] = revision
-			case 2: // the relay reads it
+			case 2: // the relay reads the store
 				r.Add(all[relayRead:revision], relayRead, revision)
 				relayRead = revision
-			case 3: // the relay starts anew, or misses what another read
+			case 3: // the relay skips some changes, and may drop those it kept
 				relayRead = uint64(rapid.IntRange(int(relayRead), int(revision)).Draw(t, "missed"))
 				if rapid.Bool().Draw(t, "forget") {
 					r.Forget()
 				}
-			default: // the other node reads from it
+			default: // the other node reads from the relay
 				events, to, ok := r.After(at)
 				if !ok {
 					continue
@@ -59,6 +59,7 @@
 	})
 }
 
+// lastChanges returns the revision of the latest change of each key.
 func lastChanges(events []Event) map[string]uint64 {
 	last := make(map[string]uint64)
 	for _, e := range events {
@@ -74,7 +75,7 @@
 	}
 	assert.Equal(t, len(r.events), maxRecentEvents)
 	_, _, ok := r.After(1)
-	assert.Assert(t, !ok, "what is dropped can't be told")
+	assert.Assert(t, !ok, "dropped changes can't be returned")
 	events, to, ok := r.After(3*maxRecentEvents - 9)
 	assert.Assert(t, ok)
 	assert.Equal(t, len(events), 10)
--- a/core/jwstore/watch.go
+++ b/core/jwstore/watch.go
@@ -7,49 +7,49 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of a Feed beside those of a Store.
+// The errors of a Feed, in addition to those of a Store.
 var (
-	// ErrCompacted says that the history asked for is no longer kept, or is of an earlier
-	// era: the keys have to be read anew.
+	// ErrCompacted means that the requested history is no longer kept or belongs to an
+	// earlier era: the keys have to be read again.
 	ErrCompacted = errors.New("store history compacted")
-	// ErrNoLease says that a lease has ended.
+	// ErrNoLease means that a lease has ended.
 	ErrNoLease = errors.New("store lease ended")
 )
 
-// Event is a change of one key.
+// Event is a change of one key: a write, or a deletion if Deleted is set.
 type Event struct {
 	Key     string
 	Value   []byte
 	Deleted bool
-	// Revision is the store's at this change.
+	// Revision is the store's revision after this change.
 	Revision Revision
 }
 
-// Page is a part of the items of a Feed.
+// Page is a part of the result of Feed.Range.
 type Page struct {
 	Items    []Item
-	Revision Revision // of the store
-	More     bool     // other items follow
+	Revision Revision // the store's revision when the page was read
+	More     bool     // more items follow this page
 }
 
-// Lease is a lease of the store; keys written under it vanish with it.
+// Lease identifies a lease of the store. Keys written under a lease are deleted when it ends.
 type Lease uint64
 
-// Feed is a store that tells changes by prefix and keeps keys under leases.
+// Feed is a store that reports changes by key prefix and attaches keys to leases.
 type Feed interface {
-	// Range returns a page of the items whose keys begin with prefix, in the order of
-	// their keys, from the one behind a key on. Watch from the revision of the first
-	// page misses nothing that came after the items were read.
+	// Range returns a page of the items whose keys begin with prefix and are greater
+	// than after, sorted by key. Watch from the revision of the first page on returns
+	// all changes made since the items were read.
 	Range(ctx context.Context, prefix, after string) (Page, error)
-	// Watch returns the changes after a revision as soon as there are any, or
-	// none after maxWait, and the revision to go on from.
+	// Watch blocks until there are changes after a revision, at most for maxWait. It
+	// returns the changes, none after a timeout, and the revision to continue from.
 	Watch(ctx context.Context, prefix string, after Revision, maxWait time.Duration) ([]Event, Revision, error)
-	// Grant makes a lease and returns how long it lasts without Renew.
+	// Grant creates a lease and returns it with the time after which it ends unless renewed.
 	Grant(ctx context.Context, ttl time.Duration) (Lease, time.Duration, error)
-	// Renew makes a lease last from now on anew.
+	// Renew restarts the time to live of a lease.
 	Renew(ctx context.Context, lease Lease) error
-	// End ends a lease and removes its keys.
+	// End ends a lease and deletes its keys.
 	End(ctx context.Context, lease Lease) error
-	// Set writes a key under a lease, 0 for none, whatever is there.
+	// Set writes a key under a lease, 0 for none, whatever its current value.
 	Set(ctx context.Context, key string, value []byte, lease Lease) error
 }
