--- a/core/jwresolver/doc.go
+++ b/core/jwresolver/doc.go
@@ -1,4 +1,4 @@
-// Package jwresolver decides which nodes a caller that asks the directory is told
-// to connect to, and for how long it may keep the answer. It knows neither sockets
-// nor tables: a View goes in, an Answer comes out.
+// Package jwresolver decides which nodes the directory returns to a caller and for
+// how long the caller may use the answer. It does no network access and holds no
+// state: Resolve computes an Answer from a View.
 package jwresolver
--- a/core/jwresolver/resolver.go
+++ b/core/jwresolver/resolver.go
@@ -10,60 +10,59 @@
 )
 
 const (
-	// TTL is how long callers may use an answer. It bounds how long a node that
-	// stops is still asked.
+	// TTL is how long callers may use an answer. It bounds how long callers still
+	// send requests to a node that is stopping.
 	TTL = time.Second
-	// OveruseFactor is how many times the life of an answer some callers use it.
+	// OveruseFactor is how many times the TTL of an answer some callers use it.
 	OveruseFactor = 3
-	// Linger is how long a node that stops by plan takes requests: as long as
-	// callers may use an answer that was given before.
+	// Linger is how long a node accepts requests after its planned stop begins: as
+	// long as any caller may use an answer that was given before.
 	Linger = OveruseFactor * TTL
-	// minTTL is the shortest life of an answer that names nodes which stop; a
-	// caller has to be told of others before they end.
+	// minTTL is the shortest TTL of an answer with stopping nodes: callers must get
+	// an answer with other nodes before these end.
 	minTTL = 300 * time.Millisecond
-	// standInTTL is the life of an answer that names nodes of other regions. The
-	// caller's own region is back within a second or two where its nodes are
-	// stopped and started in turn, and requests bound to regions that the stand-ins
-	// aren't in go a long way meanwhile.
+	// standInTTL is the TTL of an answer with nodes of other regions. In a rolling
+	// restart the caller's own region is back within a second or two. Until then,
+	// requests bound to regions without stand-ins take a long way.
 	standInTTL = 300 * time.Millisecond
-	// maxNamed is how many nodes an answer names at most.
+	// maxNamed is the maximum number of nodes in an answer.
 	maxNamed = 64
 )
 
-// Kind tells whom an answer names.
+// Kind says which nodes an answer contains.
 type Kind string
 
 // The kinds of answers.
 const (
 	Own      Kind = "own"      // nodes of the caller's region
-	Stopping Kind = "stopping" // nodes of the caller's region that stop by plan and still take requests
+	Stopping Kind = "stopping" // nodes of the caller's region that are stopping and still accept requests
 	StandIns Kind = "standIns" // nodes of other regions
-	Nobody   Kind = "nobody"
+	Nobody   Kind = "nobody"   // no nodes
 )
 
-// View is what the asked node believes; Members come by name.
+// View is what the node that answers knows of the other nodes. All lists are sorted by name.
 type View struct {
-	Caller  string                                   // who asks, so that it is always named the same nodes of many
-	Own     []jwmember.Member                        // nodes of the caller's region that serve
-	Leaving []jwmember.Leaver                        // those that stop by plan
-	Linger  time.Duration                            // how long these take requests from their stop on
-	All     []jwmember.Member                        // nodes of all regions that serve
-	Ready   bool                                     // the asked node knows enough to name other regions
-	Stand   func(regions []string) (chosen []string) // the regions that may stand in, of those that have nodes
+	Caller  string                                   // address of the caller, which always gets the same selection of many nodes
+	Own     []jwmember.Member                        // serving nodes of the caller's region
+	Leaving []jwmember.Leaver                        // nodes of the caller's region in a planned stop
+	Linger  time.Duration                            // how long nodes accept requests after their stop begins
+	All     []jwmember.Member                        // serving nodes of all regions
+	Ready   bool                                     // whether the node knows enough of other regions to return their nodes
+	Stand   func(regions []string) (chosen []string) // chooses, of the regions with nodes, those that stand in for the caller's
 }
 
-// Answer is whom a caller is told to connect to.
+// Answer contains the nodes that a caller should connect to.
 type Answer struct {
 	Kind  Kind
 	Nodes []jwmember.Member
-	TTL   time.Duration // how long the caller may use it, 0 if it names nobody
+	TTL   time.Duration // how long the caller may use the answer, 0 if it has no nodes
 }
 
-// Resolve names nodes of the caller's region while any serves, then those that
-// stop and take requests for some time yet, and nodes of other regions only
-// where there are none of these. A node that has just started knows no others
-// and would name itself to everybody, so it names no other region's nodes before
-// View.Ready.
+// Resolve returns the serving nodes of the caller's region if there are any, else
+// its stopping nodes that will accept requests for some time, and only without
+// either the nodes of other regions. A node that has just started knows no others
+// and would return itself to every caller, so it returns no nodes of other regions
+// before View.Ready.
 func Resolve(v View) Answer {
 	if len(v.Own) > 0 {
 		return v.answer(Own, v.Own, TTL)
@@ -80,9 +79,9 @@
 	return Answer{Kind: Nobody}
 }
 
-// leaving returns the nodes that stop but still take requests when those who keep
-// the answer longest come, and how long it lives: as the one of them allows that
-// stops first.
+// leaving returns the stopping nodes that still accept requests when the callers that
+// use the answer longest send theirs, and the TTL of the answer, which is set by the
+// node among them that ends first.
 func leaving(list []jwmember.Leaver, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
 	ttl = TTL
 	for _, l := range list {
@@ -96,8 +95,8 @@
 	return nodes, ttl
 }
 
-// standIns returns the nodes of other regions in which most of the requests bound
-// to some may be served.
+// standIns returns the nodes of the regions that View.Stand chooses to stand in for the
+// caller's own: those that may serve most of the requests bound to certain regions.
 func standIns(v View) []jwmember.Member {
 	var regions []string
 	for _, m := range v.All {
@@ -115,9 +114,10 @@
 	return nodes
 }
 
-// answer names the nodes, or of very many those that rank highest for the caller by
-// rendezvous hashing: named to all alike, the others would get no callers, and named at
-// random, callers would give up their connections with each answer.
+// answer returns an answer with the nodes or, of more than maxNamed, those that score highest
+// for the caller in rendezvous hashing. With the same selection for all callers the other
+// nodes would get no callers, and with a random one callers would drop their connections
+// at each answer.
 func (v View) answer(k Kind, nodes []jwmember.Member, ttl time.Duration) Answer {
 	if len(nodes) > maxNamed {
 		caller := jwtarget.NameKey(v.Caller)
--- a/core/jwresolver/resolver_test.go
+++ b/core/jwresolver/resolver_test.go
@@ -13,13 +13,14 @@
 
 func member(name, region string) jwmember.Member { return jwmember.Member{Name: name, Region: region} }
 
+// stopping returns a node whose planned stop began some time ago.
 func stopping(name string, since time.Duration) jwmember.Leaver {
 	return jwmember.Leaver{Member: member(name, "small"), Since: since}
 }
 
 // The two nodes of a small region are restarted in turn, and for a moment neither
-// serves. Users of that region would be sent to other regions for seconds, and
-// those whose data is bound to some regions to one that may not hold it.
+// serves. Callers of that region must not be sent to other regions for seconds,
+// possibly to one that must not hold their data.
 func TestResolve(t *testing.T) {
 	big := []jwmember.Member{member("b1", "big"), member("b2", "big")}
 	other := []jwmember.Member{member("o1", "other")}
@@ -32,15 +33,15 @@
 		want []string
 		ttl  time.Duration
 	}{
-		"one serves":                     {View{Own: []jwmember.Member{member("s1", "small")}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
-		"one serves, one stops":          {View{Own: []jwmember.Member{member("s1", "small")}, Leaving: []jwmember.Leaver{stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
-		"both stop, one a moment ago":    {View{Leaving: []jwmember.Leaver{stopping("s1", 2800*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s2"}, TTL},
-		"both stop, both take requests":  {View{Leaving: []jwmember.Leaver{stopping("s1", 1500*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s1", "s2"}, 500 * time.Millisecond},
-		"the last stops, nearly done":    {View{Leaving: []jwmember.Leaver{stopping("s2", 2200*time.Millisecond)}, All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
-		"all lost":                       {View{All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
-		"all lost, the asked one starts": {View{All: elsewhere, Stand: toBig}, Nobody, nil, 0},
-		"cut from all others":            {View{Ready: true, Stand: nowhere}, Nobody, nil, 0},
-		"starts while the last stops":    {View{Leaving: []jwmember.Leaver{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / OveruseFactor},
+		"one serves":                    {View{Own: []jwmember.Member{member("s1", "small")}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
+		"one serves, one stops":         {View{Own: []jwmember.Member{member("s1", "small")}, Leaving: []jwmember.Leaver{stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
+		"both stop, one a moment ago":   {View{Leaving: []jwmember.Leaver{stopping("s1", 2800*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s2"}, TTL},
+		"both stop, both take requests": {View{Leaving: []jwmember.Leaver{stopping("s1", 1500*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s1", "s2"}, 500 * time.Millisecond},
+		"the last stops, nearly done":   {View{Leaving: []jwmember.Leaver{stopping("s2", 2200*time.Millisecond)}, All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
+		"all lost":                      {View{All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
+		"all lost, the node starts":     {View{All: elsewhere, Stand: toBig}, Nobody, nil, 0},
+		"partitioned from all others":   {View{Ready: true, Stand: nowhere}, Nobody, nil, 0},
+		"starts while the last stops":   {View{Leaving: []jwmember.Leaver{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / OveruseFactor},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -57,9 +58,8 @@
 	}
 }
 
-// A caller that keeps an answer as long as any does must not meet a node that has
-// stopped taking requests: it would see a refusal, or a connection that nobody
-// answers.
+// A caller that uses an answer as long as any caller may must not reach a node that no
+// longer accepts requests: its connection would be refused or get no response.
 func TestAnswersExpireBeforeNodesStop(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		v := View{Linger: min(Linger, time.Duration(rapid.IntRange(0, 4000).Draw(t, "linger"))*time.Millisecond)}
@@ -74,23 +74,23 @@
 		for _, m := range a.Nodes {
 			for _, l := range v.Leaving {
 				if l.Name == m.Name && l.Since+OveruseFactor*a.TTL > v.Linger {
-					t.Fatalf("%s stops since %s and is named for %s", l.Name, l.Since, a.TTL)
+					t.Fatalf("%s began to stop %s ago and is returned with a TTL of %s", l.Name, l.Since, a.TTL)
 				}
 			}
 		}
 	})
 }
 
-// A small region is rolled: each of its nodes stops, takes requests for Linger,
-// ends and is back a moment later, and the next one stops some time after the one
-// before. However many nodes there are, callers are sent elsewhere only while
-// the last one that takes requests can't be named any more.
+// In a rolling restart of a small region each node stops, accepts requests for Linger,
+// ends and is back a moment later, and the next one stops some time after it. However
+// many nodes there are, callers must be sent to other regions only while there is no
+// node left that accepts requests long enough to be returned.
 func TestRollingRestart(t *testing.T) {
 	const away = time.Second // from the end of Linger until it serves again
 	cases := map[string]struct {
 		nodes int
 		gap   time.Duration
-		most  time.Duration // callers may be led elsewhere
+		most  time.Duration // maximum time for which callers are sent to other regions
 	}{
 		"two, seconds apart":       {2, 6 * time.Second, 0},
 		"two, one after the other": {2, 2 * time.Second, 0},
@@ -117,12 +117,12 @@
 					elsewhere += step
 				}
 			}
-			assert.Assert(t, elsewhere <= c.most+2*step, "led elsewhere for %s, at most %s", elsewhere, c.most)
+			assert.Assert(t, elsewhere <= c.most+2*step, "sent elsewhere for %s, want at most %s", elsewhere, c.most)
 		})
 	}
 }
 
-// Of a hundred nodes the first sixty-four by name were named to all callers, and the others
+// Of a hundred nodes, all callers were given the first sixty-four by name, and the others
 // got no requests.
 func TestManyNodes(t *testing.T) {
 	nodes := make([]jwmember.Member, 100)
@@ -135,7 +135,7 @@
 		before := Resolve(v)
 		assert.Equal(t, len(before.Nodes), maxNamed)
 		for i, m := range Resolve(v).Nodes {
-			assert.Equal(t, m.Name, before.Nodes[i].Name, "asked once more, a caller is named others")
+			assert.Equal(t, m.Name, before.Nodes[i].Name, "a caller that asks again gets the same nodes")
 		}
 		kept := make(map[string]bool)
 		for _, m := range before.Nodes {
@@ -149,9 +149,9 @@
 				others++
 			}
 		}
-		assert.Assert(t, others <= 1, "%d others are named", others)
+		assert.Assert(t, others <= 1, "%d nodes were replaced", others)
 	}
 	for _, m := range nodes {
-		assert.Assert(t, named[m.Name] > 80, "%s is named to %d of 200 callers", m.Name, named[m.Name])
+		assert.Assert(t, named[m.Name] > 80, "%s is returned to %d of 200 callers", m.Name, named[m.Name])
 	}
 }
