--- a/core/jwbudget/cold.go
+++ b/core/jwbudget/cold.go
@@ -1,17 +1,18 @@
 package jwbudget
 
-// ColdLimits bound what all nodes together may send to a cold target.
+// ColdLimits limits what all nodes together may send to a cold target, one that is warming
+// up: Rate*Ratio + Slack requests per second.
 type ColdLimits struct {
-	Rate  float64 // requests a second that the target takes
-	Ratio float64 // requests a second allowed for each that it takes
-	Slack float64 // requests a second allowed besides
+	Rate  float64 // requests per second that the target can take
+	Ratio float64 // multiple of Rate that is allowed
+	Slack float64 // additional requests per second
 }
 
-// ColdShare returns how many requests a second one node may send to a cold
-// target. The node of the region that owns the target sends what it takes, the
-// others nothing. Nodes that don't see each other may each believe to be the
-// owner, so none takes more than its even part of the bound; nodes counts all
-// that may live.
+// ColdShare returns how many requests per second a node may send to a cold target.
+// The node of the region that owns the target sends what the target can take, and the
+// others send nothing. Nodes that don't see each other may each take themselves for
+// the owner, so none uses more than its equal part of the limit. nodes is the number
+// of nodes that may be running.
 func ColdShare(l ColdLimits, owner bool, nodes int) float64 {
 	if !owner {
 		return 0
--- a/core/jwbudget/doc.go
+++ b/core/jwbudget/doc.go
@@ -1,3 +1,3 @@
-// Package jwbudget keeps sums that all nodes share without asking anyone: each
-// node takes a part by the number of nodes there may be.
+// Package jwbudget enforces limits on what all nodes do together, without communication
+// for each request: every node uses a share that depends on how many nodes there may be.
 package jwbudget
--- a/core/jwbudget/limit.go
+++ b/core/jwbudget/limit.go
@@ -2,40 +2,40 @@
 
 import "time"
 
-// What a target that names a limit gets of all nodes together within any limitWindow stays
-// below limitRatio times the limit and limitSlack requests.
+// All nodes together send a target that reports a limit fewer requests within any limitWindow
+// than limitRatio times what the limit allows in that time, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
 	limitRatio  = 1.5
 	limitSlack  = 5
-	// LimitSettle is how long a node that starts, or that becomes the owner of a target, sends
-	// nothing to one that names a limit: the others learn of it meanwhile.
+	// LimitSettle is how long a node sends nothing to a target that reports a limit after the
+	// node started or became the owner of the target. Meanwhile the others learn of it.
 	LimitSettle = limitWindow
-	// maxSoleGap is how long ago a node may have looked last whether it is the owner for that to
-	// count: meanwhile another may have been.
+	// maxSoleGap is the maximum time between two calls of Room for which the node counts as the
+	// owner throughout. After a longer gap, another node may have been the owner meanwhile.
 	maxSoleGap = 2 * time.Second
-	// limitReserve is the part of the slack that stays unused, as requests can arrive closer
-	// together than they were sent.
+	// limitReserve is the part of the slack, in requests, that stays unused, since requests can
+	// arrive closer together than they were sent.
 	limitReserve = 1
-	// minLimit keeps some requests coming to a target whose limit is nearly nothing: only
-	// an answer tells that the limit has ended.
+	// minLimit is the lowest limit, in requests per second, that is applied to a target. It
+	// keeps some requests flowing, because only an answer shows that the limit has ended.
 	minLimit = 0.1
 )
 
-// LimitPart is what one node may send to a target that names a limit.
+// LimitPart is the share of a target's limit that one node may use.
 type LimitPart struct {
-	Rate  float64 // requests a second
-	Burst float64 // requests at once after a pause
-	Sole  bool    // no other node may send
+	Rate  float64 // requests per second
+	Burst float64 // requests sent at once after a pause
+	Sole  bool    // whether no other node may send
 }
 
-// PartOf returns the part of one of a number of nodes in a limit, in requests a second.
-// Each has an even part while the bursts of all fit the slack; of more nodes the owner alone
-// sends, since an even part would be less than one request.
+// PartOf returns the share of one of several nodes in a limit of rate requests per second.
+// All nodes have equal shares as long as each share allows a burst of at least one request;
+// with more nodes only the owner of the target sends.
 func PartOf(rate float64, owner bool, nodes int) LimitPart {
 	rate = max(rate, minLimit)
-	// Half of what is left beside the rate: while nodes come and go, the bursts of those
-	// before and of those after can fall into one span.
+	// Half of what the window allows beyond the rate: while nodes join or leave, the bursts
+	// of the nodes before and after the change can fall into one window.
 	burst := ((limitRatio-1)*rate*limitWindow.Seconds() + limitSlack - limitReserve) / 2
 	n := float64(max(nodes, 1))
 	if burst >= n {
@@ -47,20 +47,20 @@
 	return LimitPart{Rate: rate, Burst: burst, Sole: true}
 }
 
-// LimitBucket holds the requests that a node may send to a target that names a limit. It is
-// empty at first.
+// LimitBucket is a token bucket of the requests that a node may send to a target that reports
+// a limit. It is initially empty. It is not safe for concurrent use.
 type LimitBucket struct {
 	Begun time.Time // when the limit was first known
 
 	tokens float64
-	at     time.Time // up to which it is filled
-	seen   time.Time // of the last call of Room
-	sole   time.Time // since when the node is the owner, zero if it isn't
+	at     time.Time // time up to which tokens were added
+	seen   time.Time // time of the last call of Room
+	sole   time.Time // since when the node is the only one that may send, zero if it isn't
 }
 
-// Room reports whether one more request may be sent now by a part. An owner sends nothing
-// for LimitSettle: the owner before, or nodes that count fewer nodes, may not know of it yet.
-// An owner that doesn't ask for some time counts as one that has just become it.
+// Room reports whether this node may send one more request now with the share p. A new owner
+// sends nothing for LimitSettle: the previous owner, or nodes that count fewer nodes, may not
+// know of it yet. An owner that did not call Room for maxSoleGap counts as new.
 func (b *LimitBucket) Room(now time.Time, p LimitPart) bool {
 	if b.at.IsZero() {
 		b.at = b.Begun
@@ -80,7 +80,8 @@
 	return b.tokens >= 1
 }
 
-// Wait returns how long it takes until there is room, as of the last call of Room.
+// Wait returns the time until a request may be sent, as of the last call of Room. Without a
+// share that allows a request it returns limitWindow.
 func (b *LimitBucket) Wait(now time.Time, p LimitPart) time.Duration {
 	if p.Rate <= 0 || p.Burst < 1 {
 		return limitWindow
@@ -89,5 +90,5 @@
 	return max(b.at.Sub(now), 0) + time.Duration(missing*float64(time.Second))
 }
 
-// Take uses up one request.
+// Take removes one request from the bucket.
 func (b *LimitBucket) Take() { b.tokens-- }
--- a/core/jwbudget/limit_test.go
+++ b/core/jwbudget/limit_test.go
@@ -14,13 +14,13 @@
 		nodes int
 		want  LimitPart
 	}{
-		"the only node":                 {2, true, 1, LimitPart{Rate: 2, Burst: 4}},
-		"few nodes have even parts":     {2, false, 4, LimitPart{Rate: 0.5, Burst: 1}},
-		"the owner's is no larger":      {2, true, 4, LimitPart{Rate: 0.5, Burst: 1}},
-		"a large limit is for many":     {20, false, 22, LimitPart{Rate: 20.0 / 22, Burst: 1}},
-		"of many nodes the owner sends": {2, true, 9, LimitPart{Rate: 2, Burst: 4, Sole: true}},
-		"the others don't":              {2, false, 9, LimitPart{}},
-		"a limit of nothing":            {0, true, 1, LimitPart{Rate: minLimit, Burst: 2.1}},
+		"the only node":                      {2, true, 1, LimitPart{Rate: 2, Burst: 4}},
+		"few nodes have equal shares":        {2, false, 4, LimitPart{Rate: 0.5, Burst: 1}},
+		"the owner's share is no larger":     {2, true, 4, LimitPart{Rate: 0.5, Burst: 1}},
+		"a large limit is shared by many":    {20, false, 22, LimitPart{Rate: 20.0 / 22, Burst: 1}},
+		"of many nodes only the owner sends": {2, true, 9, LimitPart{Rate: 2, Burst: 4, Sole: true}},
+		"the others don't":                   {2, false, 9, LimitPart{}},
+		"a limit of zero":                    {0, true, 1, LimitPart{Rate: minLimit, Burst: 2.1}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -29,8 +29,8 @@
 	}
 }
 
-// A node that becomes the owner of a target, or has not looked for some time whether it is,
-// waits until the one before has surely ceased.
+// A node that becomes the owner of a target, or did not call Room for some time, must wait
+// until the previous owner has certainly stopped sending.
 func TestNewOwnerWaits(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := LimitBucket{Begun: now}
--- a/core/jwbudget/retry.go
+++ b/core/jwbudget/retry.go
@@ -5,33 +5,34 @@
 	"time"
 )
 
-// usableFraction is the part of the shared budget that is used at most: windows slide
-// and a request may be counted at another node than its repeat.
+// usableFraction is the fraction of the shared budget that is used at most: windows slide,
+// and a request and its retry may be counted at different nodes.
 const usableFraction = 0.6
 
-// Retry is the budget of sends beyond the first of each request, by service.
-// Set its fields before use.
+// Retry is the budget of retries, the sends of a request after its first, for each
+// service. Set the exported fields before use. It is safe for concurrent use.
 type Retry struct {
 	Limits func() Limits
-	Nodes  func() int // nodes there may be, this one included
+	Nodes  func() int // number of nodes that may be running, this one included
 
 	mu       sync.Mutex
 	services map[string]*window
 }
 
-// Limits bound the repeats of a service over all nodes.
+// Limits limits the retries of a service over all nodes together.
 type Limits struct {
-	Ratio  float64       // repeats allowed for each request
-	Slack  float64       // repeats allowed in a window besides
-	Window time.Duration // the span that the bound holds for
+	Ratio  float64       // retries allowed for each request
+	Slack  float64       // additional retries allowed in a window
+	Window time.Duration // the time span over which the limit holds
 }
 
-// window keeps what happened in the last span.
+// window holds the times of first sends and retries within the last Limits.Window.
 type window struct {
 	requests []time.Time
 	repeats  []time.Time
 }
 
+// window returns the window of a service and creates it if needed.
 func (r *Retry) window(service string) *window {
 	if r.services == nil {
 		r.services = make(map[string]*window)
@@ -44,7 +45,7 @@
 	return w
 }
 
-// Request notes the first send of a request.
+// Request records the first send of a request.
 func (r *Retry) Request(now time.Time, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -52,7 +53,7 @@
 	w.requests = append(dropBefore(w.requests, now.Add(-r.Limits().Window)), now)
 }
 
-// Take reports whether a request may be sent once more, and counts it.
+// Take reports whether a request may be retried now, and if so counts the retry.
 func (r *Retry) Take(now time.Time, service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -64,7 +65,7 @@
 	return true
 }
 
-// Left returns how many repeats this node may make now, by service.
+// Left returns how many retries this node may make now, by service.
 func (r *Retry) Left(now time.Time) map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -75,6 +76,7 @@
 	return left
 }
 
+// left returns how many retries this node may make in a window; the result may be negative.
 func (r *Retry) left(now time.Time, w *window) float64 {
 	l := r.Limits()
 	w.requests = dropBefore(w.requests, now.Add(-l.Window))
@@ -83,7 +85,7 @@
 	return allowed - float64(len(w.repeats))
 }
 
-// dropBefore drops the times before a bound; times rise.
+// dropBefore drops the times before bound; times is sorted.
 func dropBefore(times []time.Time, bound time.Time) []time.Time {
 	i := 0
 	for i < len(times) && times[i].Before(bound) {
--- a/core/jwbudget/retry_test.go
+++ b/core/jwbudget/retry_test.go
@@ -9,14 +9,14 @@
 
 var limits = Limits{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 
-// Targets fail for all nodes at once, and each repeats what it has. Together
-// they must stay within what the service's operators allow in any window, also
-// while nodes come, go and are not seen by each other.
+// Targets fail for all nodes at once, and each node retries its requests. Together
+// they must stay within the limits of the service in any window, also while nodes
+// join, leave or don't see each other.
 func TestAllNodesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 12).Draw(t, "nodes")
-		// A node knows of all others or of more: those that left are counted
-		// for a minute.
+		// A node counts all others or more: it counts a node that left for
+		// another minute.
 		seen := make([]int, nodes)
 		retries := make([]*Retry, nodes)
 		for i := range nodes {
@@ -38,7 +38,7 @@
 			}
 			from := now.Add(-limits.Window)
 			if allowed := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(repeats, from)) > allowed {
-				t.Fatalf("%d repeats within %s, allowed are %.1f", count(repeats, from), limits.Window, allowed)
+				t.Fatalf("%d retries within %s, at most %.1f are allowed", count(repeats, from), limits.Window, allowed)
 			}
 		}
 	})
@@ -58,12 +58,12 @@
 	r := &Retry{Limits: func() Limits { return Limits{Slack: 2, Window: time.Second} }, Nodes: func() int { return 1 }}
 	now := time.Unix(0, 0)
 	if !r.Take(now, "a") || r.Take(now, "a") {
-		t.Fatal("one repeat of service a fits")
+		t.Fatal("service a must have exactly one retry")
 	}
 	if !r.Take(now, "b") {
-		t.Fatal("service b has not used its budget")
+		t.Fatal("service b must still have its budget")
 	}
 	if !r.Take(now.Add(2*time.Second), "a") {
-		t.Fatal("the window has passed")
+		t.Fatal("after the window service a must have a retry again")
 	}
 }
--- a/core/jwentry/config.go
+++ b/core/jwentry/config.go
@@ -9,16 +9,16 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// Config is one whole configuration; it is not changed after Index.
+// Config is a complete configuration. It must not be modified after Index.
 type Config struct {
 	Version    uint64
 	Entries    []*Entry
 	Services   map[string]*Service
-	Workspaces *jwworkspace.Directory // nil where callers need no keys
-	MaxBody    int64                  // bytes of a request's body, 0 if not said
-	Raw        []byte                 // as the store holds it, to be passed on to other nodes
+	Workspaces *jwworkspace.Directory // nil if callers need no keys
+	MaxBody    int64                  // maximum size of a request's body in bytes, 0 if not set
+	Raw        []byte                 // encoded as in the store, for passing it on to other nodes
 
-	byHost map[string][]*Entry // longest prefix first
+	byHost map[string][]*Entry // entries of each host, longest prefix first
 }
 
 // Index prepares the configuration for Match and returns it.
@@ -33,8 +33,8 @@
 	return c
 }
 
-// Match returns the entry of a host with the longest prefix of a path, nil if
-// there is none.
+// Match returns the entry of a host with the longest Prefix that path begins with,
+// nil if there is none.
 func (c *Config) Match(host, path string) *Entry {
 	for _, e := range c.byHost[host] {
 		if strings.HasPrefix(path, e.Prefix) {
@@ -44,8 +44,8 @@
 	return nil
 }
 
-// Caller returns the workspace that holds a key, nil for a caller without one; ok is
-// false if the entry needs a key and nobody holds this one.
+// Caller returns the workspace that a key belongs to, nil if there is none. ok is false
+// if the entry needs a key and this one belongs to no workspace.
 func (c *Config) Caller(e *Entry, key string) (w *jwworkspace.Workspace, ok bool) {
 	if c.Workspaces == nil {
 		return nil, true
@@ -54,17 +54,18 @@
 	return w, w != nil || e.Public
 }
 
-// Table keeps the newest configuration; the zero value has none.
+// Table holds the newest configuration; the zero value has none. It is safe for
+// concurrent use.
 type Table struct {
 	current   atomic.Pointer[Config]
 	firstOnce sync.Once
-	first     chan struct{}
+	first     chan struct{} // closed by the first Put
 }
 
-// Current returns the configuration in force, nil before the first.
+// Current returns the configuration in force, nil if there is none yet.
 func (t *Table) Current() *Config { return t.current.Load() }
 
-// Version returns the version in force, 0 before the first.
+// Version returns the version of the configuration in force, 0 if there is none yet.
 func (t *Table) Version() uint64 {
 	if c := t.Current(); c != nil {
 		return c.Version
@@ -78,8 +79,8 @@
 	return t.first
 }
 
-// Put brings a configuration into force and reports whether it was newer than
-// the one before. An older one is ignored: a source that lags behind, such as
+// Put puts a configuration into force if it is newer than the current one, and
+// reports whether it is. An older one is ignored: a source that is behind, such as
 // a peer or a stale read, must not undo a change.
 func (t *Table) Put(c *Config) bool {
 	for {
--- a/core/jwentry/demand.go
+++ b/core/jwentry/demand.go
@@ -6,14 +6,15 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// Demand counts the requests to entries with homes by the regions that may
-// serve them; the zero value is empty.
+// Demand counts the requests that only certain regions may serve, by region. The zero
+// value is empty. It is safe for concurrent use.
 type Demand struct {
 	mu       sync.Mutex
 	requests map[string]int
 }
 
-// Count notes a request that some regions may serve.
+// Count records a request that only the regions of homes may serve. A request that
+// all may serve (no homes) is not counted.
 func (d *Demand) Count(homes jwworkspace.Regions) {
 	if len(homes) == 0 {
 		return
@@ -28,9 +29,10 @@
 	}
 }
 
-// Stand returns the regions of a choice in which most of the requests with
-// homes may be served: those that callers should be sent to while their own
-// region has no node. Before any request all entries count alike.
+// Stand returns the regions of choice that may serve most of the requests counted so
+// far, several if they are equal. Callers should be sent there while their own region
+// has no node. Before the first counted request, each entry of host counts as one
+// request.
 func (d *Demand) Stand(c *Config, host string, choice []string) []string {
 	weights := make(map[string]int, len(choice))
 	for _, e := range c.byHost[host] {
--- a/core/jwentry/doc.go
+++ b/core/jwentry/doc.go
@@ -1,5 +1,5 @@
-// Package jwentry holds the operators' entries as one whole configuration with
-// a version: which requests there are, told by host and path, which services
-// run them, and within which limits. A Table keeps the newest configuration
-// that a node has seen; its version only rises.
+// Package jwentry defines the configuration of a node: the operators' entries, which
+// say for the requests of a host and path prefix which services run them and within
+// which limits. A configuration is replaced as a whole and has a version. A Table
+// holds the newest one that a node has received; its version never decreases.
 package jwentry
--- a/core/jwentry/entry.go
+++ b/core/jwentry/entry.go
@@ -6,40 +6,41 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// Kind tells what may be repeated of a request.
+// Kind says whether a request may run more than once and how it is answered.
 type Kind string
 
 // The kinds of entries.
 const (
 	Idempotent    Kind = "idempotent"    // may run more than once
 	NonIdempotent Kind = "nonIdempotent" // runs at most once
-	Stream        Kind = "stream"        // answered by events; runs at most once unless it may be resumed
+	Stream        Kind = "stream"        // answered by a stream of events; runs at most once unless Entry.Resumable
 )
 
-// Entry describes one kind of request.
+// Entry configures the requests of one host and path prefix.
 type Entry struct {
 	Name         string
 	Host         string // without a port
 	Prefix       string // of the URL path; begins and ends with a slash
 	Kind         Kind
-	Timeout      time.Duration // longest time a caller is kept waiting, 0 for none
-	Goal         time.Duration // an answer within it is on time
-	GapGoal      time.Duration // longest pause between events that is on time
+	Timeout      time.Duration // maximum time that a caller waits, 0 for no limit
+	Goal         time.Duration // target time for the answer
+	GapGoal      time.Duration // target time for the longest pause between two events
 	Priority     int           // 0 is the most urgent
 	Destinations []Destination
-	MaxAttempts  int                 // targets that one request may be sent to
-	Resumable    bool                // a broken stream may go on at another target
+	MaxAttempts  int                 // maximum number of targets that a request is sent to
+	Resumable    bool                // an interrupted stream may continue at another target
 	Public       bool                // callers need no key
-	Homes        jwworkspace.Regions // that may serve it
+	Homes        jwworkspace.Regions // regions that may serve the requests
 }
 
-// Destination is a service with its share of an entry's requests.
+// Destination is a service that runs a share of an entry's requests. Weight is relative
+// to the sum of the weights of the entry's destinations.
 type Destination struct {
 	Service string
 	Weight  float64
 }
 
-// Repeatable reports whether a request may run a second time.
+// Repeatable reports whether a request may run more than once.
 func (e *Entry) Repeatable() bool {
 	return e.Kind == Idempotent || e.Kind == Stream && e.Resumable
 }
@@ -47,7 +48,8 @@
 // Attempts returns how many targets a request may be sent to, at least one.
 func (e *Entry) Attempts() int { return max(e.MaxAttempts, 1) }
 
-// Choose returns the service that a point of [0, 1) falls on, by weight.
+// Choose returns the service selected by point, a number in [0, 1): each service gets a
+// part of that interval in proportion to its weight. It returns "" without destinations.
 func (e *Entry) Choose(point float64) string {
 	total := 0.0
 	for _, d := range e.Destinations {
@@ -65,19 +67,19 @@
 	return ""
 }
 
-// Service is a group of targets that run the same requests.
+// Service configures a group of targets that run the same requests.
 type Service struct {
 	Name       string
 	HealthPath string
-	MaxConns   int           // connections a target takes from all nodes together
+	MaxConns   int           // maximum number of connections to a target from all nodes together
 	Warmup     time.Duration // how long a target is cold after its start
-	WarmupRate float64       // requests a second that a cold target takes from all nodes together
-	Engine     *Engine       // nil for a plain service
+	WarmupRate float64       // requests per second that a cold target can take from all nodes together
+	Engine     *Engine       // nil for a service without a model engine
 }
 
-// Engine describes the model engine of a service's targets.
+// Engine describes the model engine that runs on a service's targets.
 type Engine struct {
-	Slots    int // requests in one batch
-	Capacity int // tokens of memory
-	Stride   int // tokens of one event
+	Slots    int // maximum number of requests in a batch
+	Capacity int // capacity of the key-value cache in tokens
+	Stride   int // number of tokens in an event
 }
--- a/core/jwentry/entry_test.go
+++ b/core/jwentry/entry_test.go
@@ -23,7 +23,7 @@
 		"the only prefix":          {"a.example", "/menu/x", "short"},
 		"the longest of two":       {"a.example", "/menu/draft/x", "long"},
 		"the prefix itself":        {"a.example", "/menu/draft/", "long"},
-		"half a segment":           {"a.example", "/menu/drafts", "short"},
+		"part of a segment":        {"a.example", "/menu/drafts", "short"},
 		"no slash at the end":      {"a.example", "/menu", ""},
 		"another host":             {"b.example", "/menu/draft/x", "other"},
 		"a host that has no entry": {"c.example", "/menu/x", ""},
@@ -73,8 +73,8 @@
 	assert.Equal(t, (&Entry{}).Choose(0.5), "")
 }
 
-// A source that lags behind, such as a peer or a stale read, offers an older
-// configuration after a newer one. A caller would see a change undone.
+// A source that is behind, such as a peer or a stale read, may offer an older
+// configuration after a newer one. Accepting it would undo a change.
 func TestVersionsOnlyRise(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var table Table
@@ -106,9 +106,9 @@
 		want     []string
 	}{
 		"before any request, by entries":  {nil, []string{"west", "east", "north"}, []string{"north"}},
-		"the best is away":                {nil, []string{"west", "east"}, []string{"east"}},
+		"the best has no node":            {nil, []string{"west", "east"}, []string{"east"}},
 		"by requests, once there are any": {[]*Entry{east}, []string{"west", "east", "north"}, []string{"east"}},
-		"none is a home":                  {[]*Entry{east}, []string{"west", "south"}, []string{"west", "south"}},
+		"none may serve them":             {[]*Entry{east}, []string{"west", "south"}, []string{"west", "south"}},
 	}
 	for name, x := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -121,7 +121,8 @@
 	}
 }
 
-// 400 routes come and go all day; looking one up must not grow with them.
+// BenchmarkMatch measures a lookup among 400 entries. Entries are added and removed all
+// day, and the time of a lookup must not grow with their number.
 func BenchmarkMatch(b *testing.B) {
 	var entries []*Entry
 	for i := range 400 {
@@ -134,13 +135,13 @@
 	}
 }
 
-// Two sources may tell the first configuration at the same moment; who waits for it
-// must be let go once, and the table must bear that.
+// Two sources may deliver the first configuration at the same moment. The channel of
+// First must be closed exactly once: a second close would panic.
 func TestFirst(t *testing.T) {
 	var table Table
 	select {
 	case <-table.First():
-		t.Fatal("nothing is in force")
+		t.Fatal("First is closed before a configuration is in force")
 	default:
 	}
 	var all sync.WaitGroup
--- a/core/jwworkspace/directory.go
+++ b/core/jwworkspace/directory.go
@@ -2,19 +2,21 @@
 
 import "crypto/sha256"
 
-// Directory finds workspaces by their keys and names; the zero value is empty.
-// It keeps digests of the keys only: how long a look-up takes says nothing of how
-// much of a guessed key is right, and the keys show up in no dump of its memory.
+// Directory finds workspaces by their keys and names. The zero value is empty, and
+// a nil Directory may be read. It holds only digests of the keys: the time of a lookup
+// does not reveal how much of a guessed key is right, and a memory dump of the
+// directory contains no keys.
 type Directory struct {
 	byKey   map[digest]*Workspace
 	byName  map[string]*Workspace
-	limited int // workspaces with a quota
+	limited int // number of workspaces with a quota
 }
 
+// digest is the SHA-256 hash of a key.
 type digest [sha256.Size]byte
 
-// Add takes a workspace with its keys. A key that another one has already stays
-// with that one.
+// Add adds a workspace with its keys. A key that already belongs to another
+// workspace stays with it.
 func (d *Directory) Add(w *Workspace, keys ...string) {
 	if d.byName == nil {
 		d.byKey = make(map[digest]*Workspace)
@@ -32,7 +34,7 @@
 	}
 }
 
-// Holder returns the workspace that holds a key, nil if none does.
+// Holder returns the workspace that a key belongs to, nil if there is none.
 func (d *Directory) Holder(key string) *Workspace {
 	if d == nil || key == "" {
 		return nil
@@ -40,7 +42,7 @@
 	return d.byKey[digestOf(key)]
 }
 
-// Named returns the workspace of a name, nil if there is none.
+// Named returns the workspace with a name, nil if there is none.
 func (d *Directory) Named(name string) *Workspace {
 	if d == nil {
 		return nil
@@ -51,9 +53,10 @@
 // Limited reports whether any workspace has a quota.
 func (d *Directory) Limited() bool { return d != nil && d.limited > 0 }
 
-// maxStackKey is the length up to which a key is hashed without an allocation.
+// maxStackKey is the maximum length in bytes of a key that is hashed without an allocation.
 const maxStackKey = 128
 
+// digestOf returns the digest of a key.
 func digestOf(key string) digest {
 	if len(key) > maxStackKey {
 		return sha256.Sum256([]byte(key))
--- a/core/jwworkspace/doc.go
+++ b/core/jwworkspace/doc.go
@@ -1,3 +1,3 @@
-// Package jwworkspace describes the workspaces on whose behalf callers ask: the
-// keys that name them, where they may be served, and how much they may ask for.
+// Package jwworkspace describes the workspaces on whose behalf callers send requests:
+// the keys that identify them, the regions that may serve them, and their quotas.
 package jwworkspace
--- a/core/jwworkspace/regions.go
+++ b/core/jwworkspace/regions.go
@@ -2,16 +2,17 @@
 
 import "slices"
 
-// Regions are those that may serve a request, all where empty.
+// Regions lists the regions that may serve a request; if it is empty, all may.
 type Regions []string
 
-// noRegion stands for no region at all: an empty list allows all.
+// noRegion is the only element of Regions that allow no region, since an empty list
+// allows all.
 const noRegion = ""
 
-// Allows reports whether a region may serve.
+// Allows reports whether a region may serve the request.
 func (r Regions) Allows(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
 
-// Both returns the regions that two lists allow.
+// Both returns the regions that both lists allow.
 func (r Regions) Both(other Regions) Regions {
 	switch {
 	case len(r) == 0:
--- a/core/jwworkspace/workspace_test.go
+++ b/core/jwworkspace/workspace_test.go
@@ -13,28 +13,29 @@
 		tokens int
 		want   float64
 	}{
-		"requests":         {Quota{Unit: Requests, Rate: 5}, 4000, 1},
-		"no unit":          {Quota{Rate: 5}, 4000, 1},
-		"tokens":           {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 4000, 4000},
-		"tokens, a call":   {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 0, 200},
-		"nothing for call": {Quota{Unit: Tokens, Rate: 5}, 0, 0},
+		"requests":                   {Quota{Unit: Requests, Rate: 5}, 4000, 1},
+		"no unit":                    {Quota{Rate: 5}, 4000, 1},
+		"tokens":                     {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 4000, 4000},
+		"no token count":             {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 0, 200},
+		"no token count, no default": {Quota{Unit: Tokens, Rate: 5}, 0, 0},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, c.quota.Cost(c.tokens), c.want) })
 	}
 }
 
-// A workspace and an entry that share no home must be served nowhere, not everywhere.
+// The requests of a workspace to an entry whose regions have none in common with its own
+// must be served nowhere, not everywhere.
 func TestBoth(t *testing.T) {
 	cases := map[string]struct {
 		a, b    Regions
 		allowed []string
 	}{
-		"none bound":      {nil, nil, []string{"north", "south", "east"}},
-		"one bound":       {nil, Regions{"north"}, []string{"north"}},
-		"the other bound": {Regions{"south"}, nil, []string{"south"}},
-		"some shared":     {Regions{"north", "south"}, Regions{"south", "east"}, []string{"south"}},
-		"none shared":     {Regions{"north"}, Regions{"south"}, nil},
+		"neither limited":   {nil, nil, []string{"north", "south", "east"}},
+		"one limited":       {nil, Regions{"north"}, []string{"north"}},
+		"the other limited": {Regions{"south"}, nil, []string{"south"}},
+		"some shared":       {Regions{"north", "south"}, Regions{"south", "east"}, []string{"south"}},
+		"none shared":       {Regions{"north"}, Regions{"south"}, nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -60,15 +61,15 @@
 		key  string
 		want *Workspace
 	}{
-		"first":                {"key-1", a},
-		"second":               {"key-2", a},
-		"of another":           {"key-3", b},
-		"longer than usual":    {long, a},
-		"unknown":              {"key-4", nil},
-		"the begin of a key":   {"key-", nil},
-		"none":                 {"", nil},
-		"a name is not a key":  {"a", nil},
-		"other upper and case": {"KEY-1", nil},
+		"first":                   {"key-1", a},
+		"second":                  {"key-2", a},
+		"of another":              {"key-3", b},
+		"longer than maxStackKey": {long, a},
+		"unknown":                 {"key-4", nil},
+		"a prefix of a key":       {"key-", nil},
+		"none":                    {"", nil},
+		"a name is not a key":     {"a", nil},
+		"in upper case":           {"KEY-1", nil},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) { assert.Equal(t, d.Holder(c.key), c.want) })
@@ -85,7 +86,7 @@
 	assert.Assert(t, !d.Limited())
 }
 
-// BenchmarkHolder looks up one of the 100,000 keys of a fleet of full size.
+// BenchmarkHolder looks up a key among more than 100,000, the number in a fleet of full size.
 func BenchmarkHolder(b *testing.B) {
 	var d Directory
 	for i := range 38_000 {
