--- a/core/jwbudget/limit.go
+++ b/core/jwbudget/limit.go
@@ -52,29 +52,29 @@
 type LimitBucket struct {
 	Begun time.Time // when the limit was first known
 
-	tokens float64
-	at     time.Time // time up to which tokens were added
-	seen   time.Time // time of the last call of Room
-	sole   time.Time // since when the node is the only one that may send, zero if it isn't
+	tokens    float64
+	filledAt  time.Time // time up to which tokens were added
+	lastRoom  time.Time // time of the last call of Room
+	soleSince time.Time // since when the node is the only one that may send, zero if it isn't
 }
 
 // Room reports whether this node may send one more request now with the share p. A new owner
 // sends nothing for LimitSettle: the previous owner, or nodes that count fewer nodes, may not
 // know of it yet. An owner that did not call Room for maxSoleGap counts as new.
 func (b *LimitBucket) Room(now time.Time, p LimitPart) bool {
-	if b.at.IsZero() {
-		b.at = b.Begun
+	if b.filledAt.IsZero() {
+		b.filledAt = b.Begun
 	}
 	switch {
 	case !p.Sole:
-		b.sole = time.Time{}
-	case b.sole.IsZero(), now.Sub(b.seen) > maxSoleGap:
-		b.sole, b.tokens, b.at = now, 0, now.Add(LimitSettle)
+		b.soleSince = time.Time{}
+	case b.soleSince.IsZero(), now.Sub(b.lastRoom) > maxSoleGap:
+		b.soleSince, b.tokens, b.filledAt = now, 0, now.Add(LimitSettle)
 	}
-	b.seen = now
-	if d := now.Sub(b.at); d > 0 {
+	b.lastRoom = now
+	if d := now.Sub(b.filledAt); d > 0 {
 		b.tokens += d.Seconds() * p.Rate
-		b.at = now
+		b.filledAt = now
 	}
 	b.tokens = min(b.tokens, p.Burst)
 	return b.tokens >= 1
@@ -87,7 +87,7 @@
 		return limitWindow
 	}
 	missing := max(1-b.tokens, 0) / p.Rate
-	return max(b.at.Sub(now), 0) + time.Duration(missing*float64(time.Second))
+	return max(b.filledAt.Sub(now), 0) + time.Duration(missing*float64(time.Second))
 }
 
 // Take removes one request from the bucket.
--- a/core/jwbudget/retry.go
+++ b/core/jwbudget/retry.go
@@ -29,7 +29,7 @@
 // window holds the times of first sends and retries within the last Limits.Window.
 type window struct {
 	requests []time.Time
-	repeats  []time.Time
+	retries  []time.Time
 }
 
 // window returns the window of a service and creates it if needed.
@@ -61,7 +61,7 @@
 	if r.left(now, w) < 1 {
 		return false
 	}
-	w.repeats = append(w.repeats, now)
+	w.retries = append(w.retries, now)
 	return true
 }
 
@@ -80,9 +80,9 @@
 func (r *Retry) left(now time.Time, w *window) float64 {
 	l := r.Limits()
 	w.requests = dropBefore(w.requests, now.Add(-l.Window))
-	w.repeats = dropBefore(w.repeats, now.Add(-l.Window))
+	w.retries = dropBefore(w.retries, now.Add(-l.Window))
 	allowed := usableFraction * (l.Ratio*float64(len(w.requests)) + l.Slack/float64(max(r.Nodes(), 1)))
-	return allowed - float64(len(w.repeats))
+	return allowed - float64(len(w.retries))
 }
 
 // dropBefore drops the times before bound; times is sorted.
--- a/core/jwbudget/retry_test.go
+++ b/core/jwbudget/retry_test.go
@@ -18,27 +18,27 @@
 		// A node counts all others or more: it counts a node that left for
 		// another minute.
 		seen := make([]int, nodes)
-		retries := make([]*Retry, nodes)
+		budgets := make([]*Retry, nodes)
 		for i := range nodes {
 			seen[i] = nodes + rapid.IntRange(0, 3).Draw(t, "more")
 			n := seen[i]
-			retries[i] = &Retry{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
+			budgets[i] = &Retry{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			r := retries[rapid.IntRange(0, nodes-1).Draw(t, "node")]
+			r := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "request") {
 				r.Request(now, "s")
 				requests = append(requests, now)
 			}
 			for r.Take(now, "s") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 			from := now.Add(-limits.Window)
-			if allowed := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(repeats, from)) > allowed {
-				t.Fatalf("%d retries within %s, at most %.1f are allowed", count(repeats, from), limits.Window, allowed)
+			if allowed := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(retries, from)) > allowed {
+				t.Fatalf("%d retries within %s, at most %.1f are allowed", count(retries, from), limits.Window, allowed)
 			}
 		}
 	})
