--- a/core/jwmember/fleet.go
+++ b/core/jwmember/fleet.go
@@ -55,8 +55,8 @@
 	}
 }
 
-// Fresh reports whether no earlier process of this node is known to have started less than
-// within before this one.
+// Fresh reports whether this node has no known earlier process that started less than the
+// duration within before this one.
 func (t *Table) Fresh(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/share.go
+++ b/core/jwmember/share.go
@@ -19,7 +19,8 @@
 // two nodes that start at once, the one that registered last then knows of the other,
 // however slow the store is. Second, it has exchanged state with every registered node of
 // its region, both recently and for the first time at least shareWindow ago, so that what
-// fewer nodes used, including an earlier process of this one, has left the window.
+// was used while fewer nodes were counted, also by an earlier process of this node, has
+// left the window.
 func (t *Table) CountedByAll(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
