--- a/core/jwentry/demand.go
+++ b/core/jwentry/demand.go
@@ -29,12 +29,12 @@
 	}
 }
 
-// Stand returns the regions of choice that may serve most of the requests counted so
+// Stand returns the regions of candidates that may serve most of the requests counted so
 // far, several if they are equal. Callers should be sent there while their own region
 // has no node. Before the first counted request, each entry of host counts as one
 // request.
-func (d *Demand) Stand(c *Config, host string, choice []string) []string {
-	weights := make(map[string]int, len(choice))
+func (d *Demand) Stand(c *Config, host string, candidates []string) []string {
+	weights := make(map[string]int, len(candidates))
 	for _, e := range c.byHost[host] {
 		for _, region := range e.Homes {
 			weights[region]++
@@ -42,14 +42,14 @@
 	}
 	d.mu.Lock()
 	if len(d.requests) > 0 {
-		weights = make(map[string]int, len(choice))
+		weights = make(map[string]int, len(candidates))
 		for region, n := range d.requests {
 			weights[region] = n
 		}
 	}
 	d.mu.Unlock()
 	var best []string
-	for _, region := range choice {
+	for _, region := range candidates {
 		switch {
 		case len(best) == 0 || weights[region] > weights[best[0]]:
 			best = []string{region}
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -14,15 +14,15 @@
 type MemoryFeed struct {
 	PageSize int // maximum number of items of a page, 0 for no limit
 
-	mu        sync.Mutex
-	revision  Revision
-	items     map[string]memoryItem
-	events    []Event
-	compacted Revision // history up to this revision is not kept
-	lastLease Lease
-	live      map[Lease]bool
-	changed   chan struct{}
-	down      error
+	mu           sync.Mutex
+	revision     Revision
+	items        map[string]memoryItem
+	events       []Event
+	compacted    Revision // history up to this revision is not kept
+	lastLease    Lease
+	activeLeases map[Lease]bool
+	changed      chan struct{}
+	down         error
 }
 
 // memoryItem is an item with the lease it was written under, 0 for none.
@@ -78,7 +78,7 @@
 		}
 	}
 	m.revision = at(c.revision)
-	m.events, m.compacted, m.live = nil, m.revision, nil
+	m.events, m.compacted, m.activeLeases = nil, m.revision, nil
 	m.notify()
 }
 
@@ -197,11 +197,11 @@
 	if m.down != nil {
 		return 0, 0, m.down
 	}
-	if m.live == nil {
-		m.live = make(map[Lease]bool)
+	if m.activeLeases == nil {
+		m.activeLeases = make(map[Lease]bool)
 	}
 	m.lastLease++
-	m.live[m.lastLease] = true
+	m.activeLeases[m.lastLease] = true
 	return m.lastLease, ttl, nil
 }
 
@@ -209,7 +209,7 @@
 func (m *MemoryFeed) Renew(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down == nil && !m.live[lease] {
+	if m.down == nil && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
 	return m.down
@@ -230,14 +230,14 @@
 func (m *MemoryFeed) EndAllLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for lease := range m.live {
+	for lease := range m.activeLeases {
 		m.endLease(lease)
 	}
 }
 
 // endLease ends a lease and deletes its keys, with m.mu locked.
 func (m *MemoryFeed) endLease(lease Lease) {
-	delete(m.live, lease)
+	delete(m.activeLeases, lease)
 	for key, i := range m.items {
 		if i.lease == lease {
 			m.remove(key)
@@ -252,7 +252,7 @@
 	if m.down != nil {
 		return m.down
 	}
-	if lease != 0 && !m.live[lease] {
+	if lease != 0 && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
 	m.set(key, value, lease)
