--- a/core/jwbudget/retry_test.go
+++ b/core/jwbudget/retry_test.go
@@ -9,36 +9,36 @@
 
 var limits = Limits{Ratio: 0.2, Slack: 58, Window: 10 * time.Second}
 
-// Targets fail for all nodes at once, and each repeats what it has. Together
-// they must stay within what the service's operators allow in any window, also
-// while nodes come, go and are not seen by each other.
-func TestSumStaysWithinTheBudget(t *testing.T) {
+// Targets fail for all nodes at once, and each node retries its requests. Together
+// they must stay within the limits of the service in any window, also while nodes
+// join, leave or don't see each other.
+func TestAllNodesStayWithinBudget(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 12).Draw(t, "nodes")
-		// A node knows of all others or of more: those that left are counted
-		// for a minute.
+		// A node counts all others or more: it counts a node that left for
+		// another minute.
 		seen := make([]int, nodes)
-		retries := make([]*Retry, nodes)
+		budgets := make([]*Retry, nodes)
 		for i := range nodes {
 			seen[i] = nodes + rapid.IntRange(0, 3).Draw(t, "more")
 			n := seen[i]
-			retries[i] = &Retry{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
+			budgets[i] = &Retry{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
 		}
-		var requests, repeats []time.Time
+		var requests, retries []time.Time
 		now := time.Unix(0, 0)
 		for range rapid.IntRange(1, 400).Draw(t, "events") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "ms")) * time.Millisecond)
-			r := retries[rapid.IntRange(0, nodes-1).Draw(t, "node")]
+			r := budgets[rapid.IntRange(0, nodes-1).Draw(t, "node")]
 			if rapid.Bool().Draw(t, "request") {
 				r.Request(now, "s")
 				requests = append(requests, now)
 			}
 			for r.Take(now, "s") {
-				repeats = append(repeats, now)
+				retries = append(retries, now)
 			}
 			from := now.Add(-limits.Window)
-			if most := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(repeats, from)) > most {
-				t.Fatalf("%d repeats within %s, allowed are %.1f", count(repeats, from), limits.Window, most)
+			if allowed := limits.Ratio*float64(count(requests, from)) + limits.Slack; float64(count(retries, from)) > allowed {
+				t.Fatalf("%d retries within %s, at most %.1f are allowed", count(retries, from), limits.Window, allowed)
 			}
 		}
 	})
@@ -54,16 +54,16 @@
 	return n
 }
 
-func TestServicesHaveBudgetsOfTheirOwn(t *testing.T) {
+func TestBudgetsAreSeparatePerService(t *testing.T) {
 	r := &Retry{Limits: func() Limits { return Limits{Slack: 2, Window: time.Second} }, Nodes: func() int { return 1 }}
 	now := time.Unix(0, 0)
 	if !r.Take(now, "a") || r.Take(now, "a") {
-		t.Fatal("one repeat of service a fits")
+		t.Fatal("service a must have exactly one retry")
 	}
 	if !r.Take(now, "b") {
-		t.Fatal("service b has not used its budget")
+		t.Fatal("service b must still have its budget")
 	}
 	if !r.Take(now.Add(2*time.Second), "a") {
-		t.Fatal("the window has passed")
+		t.Fatal("after the window service a must have a retry again")
 	}
 }
--- a/core/jwentry/demand.go
+++ b/core/jwentry/demand.go
@@ -6,14 +6,15 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// Demand counts the requests to entries with homes by the regions that may
-// serve them; the zero value is empty.
+// Demand counts the requests that only certain regions may serve, by region. The zero
+// value is empty. It is safe for concurrent use.
 type Demand struct {
 	mu       sync.Mutex
 	requests map[string]int
 }
 
-// Count notes a request that some regions may serve.
+// Count records a request that only the regions of homes may serve. A request that
+// all may serve (no homes) is not counted.
 func (d *Demand) Count(homes jwworkspace.Regions) {
 	if len(homes) == 0 {
 		return
@@ -28,30 +29,31 @@
 	}
 }
 
-// Stand returns the regions of a choice in which most of the requests with
-// homes may be served: those that callers should be sent to while their own
-// region has no node. Before any request all entries count alike.
-func (d *Demand) Stand(c *Config, host string, choice []string) []string {
-	weight := make(map[string]int, len(choice))
+// Stand returns the regions of candidates that may serve most of the requests counted so
+// far, several if they are equal. Callers should be sent there while their own region
+// has no node. Before the first counted request, each entry of host counts as one
+// request.
+func (d *Demand) Stand(c *Config, host string, candidates []string) []string {
+	weights := make(map[string]int, len(candidates))
 	for _, e := range c.byHost[host] {
 		for _, region := range e.Homes {
-			weight[region]++
+			weights[region]++
 		}
 	}
 	d.mu.Lock()
 	if len(d.requests) > 0 {
-		weight = make(map[string]int, len(choice))
+		weights = make(map[string]int, len(candidates))
 		for region, n := range d.requests {
-			weight[region] = n
+			weights[region] = n
 		}
 	}
 	d.mu.Unlock()
 	var best []string
-	for _, region := range choice {
+	for _, region := range candidates {
 		switch {
-		case len(best) == 0 || weight[region] > weight[best[0]]:
+		case len(best) == 0 || weights[region] > weights[best[0]]:
 			best = []string{region}
-		case weight[region] == weight[best[0]]:
+		case weights[region] == weights[best[0]]:
 			best = append(best, region)
 		}
 	}
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -11,16 +11,17 @@
 	"pgregory.net/rapid"
 )
 
-func centre(name, dc string, capacity int) Member {
+// memberIn returns a serving node of a data centre in region r.
+func memberIn(name, dc string, capacity int) Member {
 	return Member{Name: name, Region: "r", DataCentre: dc, Serving: true, Change: 1, Start: 1, Capacity: capacity}
 }
 
-// All nodes of a data centre must take the same one for their relay, and another as soon
-// as that one dies: without a relay they learn of nobody.
+// All nodes of a data centre must choose the same relay, and another one as soon as it
+// dies: without a relay they learn of no other nodes.
 func TestRelay(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := Table{Self: centre("b", "d1", 2)}
-	for _, m := range []Member{centre("a", "d1", 1), centre("c", "d1", 8), centre("d", "d1", 8), centre("z", "d2", 9)} {
+	table := Table{Self: memberIn("b", "d1", 2)}
+	for _, m := range []Member{memberIn("a", "d1", 1), memberIn("c", "d1", 8), memberIn("d", "d1", 8), memberIn("z", "d2", 9)} {
 		table.Put(now, m)
 		table.Seen(now, m)
 	}
@@ -28,15 +29,15 @@
 		m, _ := table.Relay(now, dc)
 		return m.Name
 	}
-	assert.Equal(t, relay("d1"), "c", "it has most capacity, and comes first by name")
+	assert.Equal(t, relay("d1"), "c", "c has the highest capacity and comes before d by name")
 	assert.Equal(t, relay("d2"), "z")
 	assert.Equal(t, relay("d3"), "")
 	table.Failed(now.Add(1), "c")
 	now = now.Add(time.Millisecond)
 	assert.Equal(t, relay("d1"), "d")
-	stops := centre("d", "d1", 8)
-	stops.Serving, stops.Change = false, 2
-	table.Seen(now, stops)
+	stopped := memberIn("d", "d1", 8)
+	stopped.Serving, stopped.Change = false, 2
+	table.Seen(now, stopped)
 	assert.Equal(t, relay("d1"), "b")
 	assert.Assert(t, table.IsRelay(now))
 	assert.DeepEqual(t, namesOf(table.Relays(now, "r")), []string{"z"})
@@ -50,12 +51,12 @@
 	return names
 }
 
-func TestCrowded(t *testing.T) {
+func TestLarge(t *testing.T) {
 	now := time.Unix(100, 0)
-	table := Table{Self: centre("a", "d1", 1)}
+	table := Table{Self: memberIn("a", "d1", 1)}
 	for i := range DefaultRelayThreshold - 1 {
 		assert.Assert(t, !table.Large(now, "r"))
-		table.Put(now, centre(fmt.Sprint(i), "d1", 1))
+		table.Put(now, memberIn(fmt.Sprint(i), "d1", 1))
 	}
 	assert.Assert(t, table.Large(now, "r"))
 	assert.Assert(t, !table.Large(now, "other"))
@@ -63,19 +64,19 @@
 	assert.Assert(t, !table.Large(now, "r"))
 }
 
-// Nodes learn of each other through their relay only. One that dies must not be named to
-// callers for long, and one that lives must not be forgotten, also while the store is
-// away and no registration stands.
+// Nodes learn of each other through their relay only. A dead node must soon be dropped from
+// the live ones, and a live node must stay among them, even when the store is unavailable
+// and its registration is gone.
 func TestLivenessThroughRelay(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		relay := Table{Self: centre("relay", "d", 9)}
-		node := Table{Self: centre("node", "d", 1)}
+		relay := Table{Self: memberIn("relay", "d", 9)}
+		node := Table{Self: memberIn("node", "d", 1)}
 		names := []string{"a", "b", "c", "e"}
 		dead := make(map[string]time.Time)
 		for _, name := range names {
 			for _, x := range []*Table{&relay, &node} {
-				x.Put(now, centre(name, "d", 1))
+				x.Put(now, memberIn(name, "d", 1))
 			}
 		}
 		const period = 500 * time.Millisecond
@@ -87,18 +88,18 @@
 				if dead[name].IsZero() {
 					dead[name] = now
 				}
-			case 1: // its lease ran out
+			case 1: // its lease expires
 				relay.Remove(name)
 				node.Remove(name)
 			case 2: // it is registered again
 				if dead[name].IsZero() {
-					relay.Put(now, centre(name, "d", 1))
-					node.Put(now, centre(name, "d", 1))
+					relay.Put(now, memberIn(name, "d", 1))
+					node.Put(now, memberIn(name, "d", 1))
 				}
 			}
 			for _, other := range names {
 				if dead[other].IsZero() {
-					relay.Seen(now, centre(other, "d", 1))
+					relay.Seen(now, memberIn(other, "d", 1))
 				}
 			}
 			node.MergeLiveness(now, relay.Liveness(now))
@@ -106,27 +107,28 @@
 			for _, other := range names {
 				named := slices.Contains(live, other)
 				if at := dead[other]; !at.IsZero() && named && now.Sub(at) > relaySuspectAfter+indirectAge+2*period {
-					t.Fatalf("%s is named %s after its death", other, now.Sub(at))
+					t.Fatalf("%s is reported as live %s after it died", other, now.Sub(at))
 				}
 				if dead[other].IsZero() && !named {
-					t.Fatalf("%s lives and is forgotten", other)
+					t.Fatalf("%s is running but not reported as live", other)
 				}
 			}
 		}
 	})
 }
 
-// A node that stops by plan must not be named to callers until its relay finds it unresponsive.
-func TestStoppingIsTold(t *testing.T) {
+// A node in a planned stop must be dropped from the live ones at once, not only when its
+// relay finds it unresponsive.
+func TestStoppingIsReported(t *testing.T) {
 	now := time.Unix(100, 0)
-	relay, node := Table{Self: centre("relay", "d", 9)}, Table{Self: centre("node", "d", 1)}
+	relay, node := Table{Self: memberIn("relay", "d", 9)}, Table{Self: memberIn("node", "d", 1)}
 	for _, x := range []*Table{&relay, &node} {
-		x.Put(now, centre("a", "d", 1))
+		x.Put(now, memberIn("a", "d", 1))
 	}
-	relay.Seen(now, centre("a", "d", 1))
-	stops := centre("a", "d", 1)
-	stops.Serving, stops.Change = false, 2
-	relay.Seen(now, stops)
+	relay.Seen(now, memberIn("a", "d", 1))
+	stopped := memberIn("a", "d", 1)
+	stopped.Serving, stopped.Change = false, 2
+	relay.Seen(now, stopped)
 	stopping := relay.Stopping(now.Add(time.Second), 5*time.Second)
 	assert.DeepEqual(t, namesOf(stopping), []string{"a"})
 	for _, m := range stopping {
@@ -136,15 +138,15 @@
 	assert.Equal(t, len(relay.Stopping(now.Add(time.Minute), 5*time.Second)), 0)
 }
 
-// Many requests in a row ask who lives, and get the same list; but what a node has just
-// learned must count at once, or requests go to a node that is gone.
-func TestViewsFollowTheNews(t *testing.T) {
+// Live and Count return cached results. A change must take effect at once all the same, or
+// requests go to a node that is gone.
+func TestChangesInvalidateViews(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		now := time.Unix(1000, 0)
-		table := Table{Self: centre("self", "d", 1)}
+		table := Table{Self: memberIn("self", "d", 1)}
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
-			m := centre(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), "d", 1)
+			m := memberIn(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), "d", 1)
 			m.Start, m.Change = int64(rapid.IntRange(1, 2).Draw(t, "start")), rapid.IntRange(1, 3).Draw(t, "change")
 			m.Serving = m.Change == 1
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
@@ -169,12 +171,12 @@
 			}
 			got := namesOf(table.Live(now, "r"))
 			count := table.Count(now, "r")
-			table.changed()
+			table.invalidateViews()
 			if want := namesOf(table.Live(now, "r")); !slices.Equal(got, want) {
-				t.Fatalf("%v is reported, %v live", got, want)
+				t.Fatalf("Live returned %v from the cache, computed anew it is %v", got, want)
 			}
 			if want := table.Count(now, "r"); count != want {
-				t.Fatalf("%d are counted of %d", count, want)
+				t.Fatalf("Count returned %d from the cache, computed anew it is %d", count, want)
 			}
 		}
 	})
@@ -182,9 +184,9 @@
 
 func BenchmarkLive(b *testing.B) {
 	now := time.Unix(1000, 0)
-	table := Table{Self: centre("self", "d", 1)}
+	table := Table{Self: memberIn("self", "d", 1)}
 	for i := range 300 {
-		m := centre(fmt.Sprint(i), "d", 1)
+		m := memberIn(fmt.Sprint(i), "d", 1)
 		table.Put(now, m)
 		table.Seen(now, m)
 	}
@@ -194,8 +196,8 @@
 	}
 }
 
-// Nodes that this one hasn't seen lately are called by turns: those that would be the relay of
-// the own data centre, and any of a data centre where none is known to run.
+// Unseen must return the candidates in turn: the nodes that would be the relay of this
+// node's own data centre, and all nodes of a data centre where none is known to be live.
 func TestUnseen(t *testing.T) {
 	t0 := time.Unix(100, 0)
 	table := &Table{Self: Member{Name: "b1", Region: "r", DataCentre: "b", Serving: true, Capacity: 5}}
@@ -224,5 +226,5 @@
 	for _, name := range []string{"b2", "c0", "c1"} {
 		table.Remove(name)
 	}
-	assert.Equal(t, unseen(now.Add(2*time.Second), 0), "", "nobody is registered or was seen within a minute")
+	assert.Equal(t, unseen(now.Add(2*time.Second), 0), "", "no unseen node is registered or was seen within a minute")
 }
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -10,128 +10,135 @@
 
 const (
 	// suspectAfter is how long a registered node may stay unseen before it is
-	// taken for dead. Nodes of a region exchange state every second.
+	// considered dead. Nodes of a region exchange state every second.
 	suspectAfter = 3 * time.Second
-	// trust is how long a new registration counts before the node is seen.
-	trust = 2 * time.Second
-	// indirectAge is how old the report may be that another node was seen.
+	// registrationGrace is how long a newly registered node counts as live without
+	// having been seen.
+	registrationGrace = 2 * time.Second
+	// indirectAge is the age given to a sighting that another node reports, and the
+	// maximum age of the sightings that a node reports to others.
 	indirectAge = time.Second
-	// forget is how long an unregistered, unresponsive node is remembered; it still
-	// counts where shares have to be cautious.
-	forget = time.Minute
-	// knownFor is how long a node relies on being counted by another that it
-	// seen: less than that one remembers it, by more than any way between them.
-	knownFor = 50 * time.Second
-	// window is what sums are kept within, with some room.
-	window = 1100 * time.Millisecond
+	// forgetAfter is how long an unregistered node is remembered after it was last
+	// seen. Until then Count includes it, since it may still use its share.
+	forgetAfter = time.Minute
+	// countedFor is how long after seeing another node this one assumes that the
+	// other counts it. It is below forgetAfter by more than any network delay
+	// between the two.
+	countedFor = 50 * time.Second
+	// shareWindow is the one-second window over which shared limits hold, with a
+	// margin.
+	shareWindow = 1100 * time.Millisecond
 )
 
-// Member is a node as it describes itself.
+// Member is a node's description of itself, as it registers and reports it.
 type Member struct {
 	Name       string         `json:"name"`
 	Region     string         `json:"region"`
 	DataCentre string         `json:"dataCentre"`
 	Callers    netip.AddrPort `json:"callers"`
 	Nodes      netip.AddrPort `json:"nodes"`
-	Start      int64          `json:"start"`              // Unix nanoseconds; a later one is a new process
-	Change     int            `json:"change"`             // rises when Serving changes
-	Serving    bool           `json:"serving"`            // false before a configuration is known and from a planned stop on
-	Trip       int64          `json:"trip,omitempty"`     // milliseconds to the store and back, in steps of tripStep, 0 if not known
-	Capacity   int            `json:"capacity,omitempty"` // what its host can do, in hundredths of a core or as its link allows, for the choice of relays
+	Start      int64          `json:"start"`              // start of the process in Unix nanoseconds; a later one is a new process
+	Change     int            `json:"change"`             // incremented whenever Serving changes
+	Serving    bool           `json:"serving"`            // false until a configuration is known and after a planned stop begins
+	Trip       int64          `json:"trip,omitempty"`     // shortest round trip to the store in milliseconds, in steps of roundTripStep; 0 if unknown
+	Capacity   int            `json:"capacity,omitempty"` // capacity of its host, from its cores in hundredths of one or from its link, for choosing relays
 }
 
-// Table holds the other nodes; set its fields before use.
+// Table holds this node and what it knows of the others. Set the exported fields
+// before use; the methods are safe for concurrent use.
 type Table struct {
 	Self           Member
-	RelayThreshold int // nodes of a region from which on they report through relays, 0 for DefaultRelayThreshold
+	RelayThreshold int // number of nodes in a region at which they start to report through relays; 0 means DefaultRelayThreshold
 
-	mu      sync.Mutex
-	members map[string]*record
-	resumed time.Time // from the last pause of the process, zero before one
-	stopped time.Time // when the node itself ceased to serve
-	listed  time.Time // when this process read its own registration in the store, zero while it has not
-	views   map[string]view
-	fleet   int       // nodes of all regions as the store keeps it, 0 if that isn't known
-	before  int64     // when the process before this one started, Unix nanoseconds, 0 if not known
-	counted time.Time // from when on all others count this node, zero if that isn't known
+	mu            sync.Mutex
+	members       map[string]*record
+	resumedAt     time.Time // when the process last resumed after a pause, zero if it never did
+	stoppedAt     time.Time // when this node stopped serving
+	listedAt      time.Time // when this process first read its own registration in the store, zero if there is none
+	views         map[string]view
+	fleetSize     int       // number of nodes in all regions as recorded in the store, 0 if unknown
+	previousStart int64     // start time of this node's previous process in Unix nanoseconds, 0 if unknown
+	countedAt     time.Time // from when on all other nodes count this one, zero if unknown
 }
 
+// record is what this node knows of another one.
 type record struct {
 	Member
-	registered bool
-	since      time.Time // of the registration
-	seen       time.Time
-	met        time.Time // first seen by this process
-	failed     time.Time // last attempt to reach it that failed
-	stopped    time.Time // when it was first seen that this process stops by plan, zero before
+	registered   bool
+	registeredAt time.Time // when this process learned of the registration
+	lastSeen     time.Time
+	firstSeen    time.Time // when this process first saw the node directly
+	lastFailed   time.Time // when it was last unreachable, to this node or as a relay reported
+	stoppedAt    time.Time // when this node first learned of its planned stop, zero if it is not stopping
 }
 
-// Leaver is a node that stops by plan.
+// Leaver is a node in a planned stop.
 type Leaver struct {
 	Member
-	Since time.Duration // since its stop was seen of
+	Since time.Duration // time since this node learned of the stop
 }
 
-// Put takes the registration of a node; it reports whether it is of a process
-// that began anew.
-func (t *Table) Put(now time.Time, m Member) (anew bool) {
+// Put records the registration of a node and reports whether it comes from a
+// later process than the known one.
+func (t *Table) Put(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(m)
+	r := t.recordOf(m)
 	if r == nil {
 		return false
 	}
 	if !r.registered || r.Start < m.Start {
-		r.since = now
+		r.registeredAt = now
 	}
-	t.changed()
+	t.invalidateViews()
 	r.registered = true
-	return r.take(now, m)
+	return r.merge(now, m)
 }
 
-// Seen notes that a node reported itself; it reports whether that is a process that
-// began anew.
-func (t *Table) Seen(now time.Time, m Member) (anew bool) {
+// Seen records that a node reported its own state, and reports whether it is a
+// later process than the known one.
+func (t *Table) Seen(now time.Time, m Member) (restarted bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	r := t.record(m)
+	r := t.recordOf(m)
 	if r == nil {
 		return false
 	}
-	if r.met.IsZero() {
-		r.met = now
+	if r.firstSeen.IsZero() {
+		r.firstSeen = now
 	}
 	if !t.live(now, r) || r.Start != m.Start || r.Change != m.Change {
-		t.changed()
+		t.invalidateViews()
 	}
-	r.seen = now
-	return r.take(now, m)
+	r.lastSeen = now
+	return r.merge(now, m)
 }
 
-// SeenByOther notes that another node says that it seen these lately. Nodes of
-// other regions are too many to exchange state with each.
+// SeenByOther records that another node has seen the named nodes recently. It
+// covers the nodes of other regions, which are too many to exchange state with
+// each.
 func (t *Table) SeenByOther(now time.Time, names []string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, name := range names {
 		r := t.members[name]
-		if at := now.Add(-indirectAge); r != nil && at.After(r.seen) {
+		if at := now.Add(-indirectAge); r != nil && at.After(r.lastSeen) {
 			if !t.live(now, r) {
-				t.changed()
+				t.invalidateViews()
 			}
-			r.seen = at
+			r.lastSeen = at
 		}
 	}
 }
 
-// LocalSeen returns the names of the serving nodes of the own region that were
-// seen lately, for SeenByOther elsewhere.
+// LocalSeen returns the names, sorted, of the serving nodes of this node's region
+// that were seen recently. Other nodes pass them to SeenByOther.
 func (t *Table) LocalSeen(now time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var names []string
 	for name, r := range t.members {
-		if r.Serving && r.Region == t.Self.Region && now.Sub(r.seen) < indirectAge && !r.failed.After(r.seen) {
+		if r.Serving && r.Region == t.Self.Region && now.Sub(r.lastSeen) < indirectAge && !r.lastFailed.After(r.lastSeen) {
 			names = append(names, name)
 		}
 	}
@@ -139,9 +146,9 @@
 	return names
 }
 
-// Contact returns the node of another region that this one exchanges state with: by
-// rendezvous among the live, so that each has about as many, or among all that
-// are known where none is believed to live.
+// Contact returns the node of another region that this one exchanges state with,
+// and false if none is known. Rendezvous hashing over the live nodes spreads the
+// contacts evenly; if no node is live, it chooses among all known ones.
 func (t *Table) Contact(now time.Time, region string) (Member, bool) {
 	list := t.Live(now, region)
 	if len(list) == 0 {
@@ -152,77 +159,80 @@
 		}
 	}
 	var best Member
-	most := uint64(0)
+	maxScore := uint64(0)
 	for _, m := range list {
-		if s := rank(t.Self.Name, m.Name); best.Name == "" || s > most {
-			best, most = m, s
+		if s := rendezvousScore(t.Self.Name, m.Name); best.Name == "" || s > maxScore {
+			best, maxScore = m, s
 		}
 	}
 	return best, best.Name != ""
 }
 
-// Failed notes that a node could not be reached.
+// Failed records that a node could not be reached.
 func (t *Table) Failed(now time.Time, name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.members[name]; r != nil {
-		r.failed = now
-		t.changed()
+		r.lastFailed = now
+		t.invalidateViews()
 	}
 }
 
-// Resumed forgets who was seen: the node itself stood still, and by its clock
-// that may look fresh. Those that live are seen within moments.
-// They still count where shares have to be cautious.
+// Resumed discards all sightings after this process was paused: its clock may
+// have stopped too, so that old sightings look recent. Live nodes are seen again
+// soon. Count still includes all of them.
 func (t *Table) Resumed(now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.resumed = now
-	t.changed()
+	t.resumedAt = now
+	t.invalidateViews()
 }
 
-// Listed notes that the node read a registration of its own name in the store;
-// one of an earlier process says nothing about this one.
+// Listed records that this node read a registration under its own name in the
+// store. One of an earlier process is ignored: it says nothing about this process.
 func (t *Table) Listed(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if m.Start == t.Self.Start && t.listed.IsZero() {
-		t.listed = now
+	if m.Start == t.Self.Start && t.listedAt.IsZero() {
+		t.listedAt = now
 	}
 }
 
-// Remove notes that the registration of a node is gone.
+// Remove records that the registration of a node is gone.
 func (t *Table) Remove(name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if name == t.Self.Name {
-		t.listed = time.Time{}
+		t.listedAt = time.Time{}
 	}
 	if r := t.members[name]; r != nil {
 		r.registered = false
-		t.changed()
+		t.invalidateViews()
 	}
 }
 
-// Keep removes all registrations but those named.
+// Keep removes all registrations except the named ones, and forgets unregistered
+// nodes that were not seen for a minute.
 func (t *Table) Keep(now time.Time, names map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changed()
+	t.invalidateViews()
 	if !names[t.Self.Name] {
-		t.listed = time.Time{}
+		t.listedAt = time.Time{}
 	}
 	for name, r := range t.members {
 		if !names[name] {
 			r.registered = false
 		}
-		if !r.registered && now.Sub(r.seen) > forget {
+		if !r.registered && now.Sub(r.lastSeen) > forgetAfter {
 			delete(t.members, name)
 		}
 	}
 }
 
-func (t *Table) record(m Member) *record {
+// recordOf returns the record of a node and creates it if needed. It returns nil
+// for a node without a name and for this node.
+func (t *Table) recordOf(m Member) *record {
 	if m.Name == "" || m.Name == t.Self.Name {
 		return nil
 	}
@@ -237,71 +247,72 @@
 	return r
 }
 
-// take keeps what is newer: the store may still tell what a process that is
-// stopping wrote before, and callers must not be sent there again. It tells
-// whether the process is a later one.
-func (r *record) take(now time.Time, m Member) (anew bool) {
-	anew = r.Start != 0 && m.Start > r.Start
+// merge takes over m if it is not older than the known state: the store may still
+// hold what a stopping process wrote before its stop, and callers must not be sent
+// there again. It reports whether m comes from a later process.
+func (r *record) merge(now time.Time, m Member) (restarted bool) {
+	restarted = r.Start != 0 && m.Start > r.Start
 	if m.Start > r.Start {
-		r.stopped = time.Time{}
+		r.stoppedAt = time.Time{}
 	}
 	if m.Start > r.Start || m.Start == r.Start && m.Change >= r.Change {
 		r.Member = m
 	}
-	if r.stopped.IsZero() && r.stops() {
-		r.stopped = now
+	if r.stoppedAt.IsZero() && r.isStopping() {
+		r.stoppedAt = now
 	}
-	return anew
+	return restarted
 }
 
-// stops reports whether a node has served and does not any more.
-func (m *Member) stops() bool { return !m.Serving && m.Change > 0 }
+// isStopping reports whether a node has served before and no longer does.
+func (m *Member) isStopping() bool { return !m.Serving && m.Change > 0 }
 
-// live reports whether a node is taken to run.
+// live reports whether a node is considered to be running.
 func (t *Table) live(now time.Time, r *record) bool {
-	if !r.seen.After(t.resumed) && !t.resumed.IsZero() {
+	if !r.lastSeen.After(t.resumedAt) && !t.resumedAt.IsZero() {
 		return false
 	}
-	if now.Sub(r.seen) < suspectAfter && !r.failed.After(r.seen) {
+	if now.Sub(r.lastSeen) < suspectAfter && !r.lastFailed.After(r.lastSeen) {
 		return true
 	}
-	return r.registered && now.Sub(r.since) < trust && !r.failed.After(r.since)
+	return r.registered && now.Sub(r.registeredAt) < registrationGrace && !r.lastFailed.After(r.registeredAt)
 }
 
-// RecentlySeen reports whether a node was seen lately.
+// RecentlySeen reports whether a node was seen within half of suspectAfter.
 func (t *Table) RecentlySeen(now time.Time, name string) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	r := t.members[name]
-	return r != nil && now.Sub(r.seen) < suspectAfter/2
+	return r != nil && now.Sub(r.lastSeen) < suspectAfter/2
 }
 
-// Leaving returns the nodes of a region that stop by plan and were seen, or seen
-// of, since their stop, by name, the node itself among them.
+// Leaving returns the nodes of a region whose planned stop was learned of within
+// the last minute and that were not unreachable since they were last seen, sorted
+// by name. It includes this node while it is stopping.
 func (t *Table) Leaving(now time.Time, region string) []Leaver {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Leaver
-	if t.Self.stops() && t.Self.Region == region {
-		list = append(list, Leaver{t.Self, now.Sub(t.stopped)})
+	if t.Self.isStopping() && t.Self.Region == region {
+		list = append(list, Leaver{t.Self, now.Sub(t.stoppedAt)})
 	}
 	for _, r := range t.members {
-		if r.Region == region && r.stops() && !r.stopped.IsZero() && now.Sub(r.stopped) < forget && !r.failed.After(r.seen) {
-			list = append(list, Leaver{r.Member, now.Sub(r.stopped)})
+		if r.Region == region && r.isStopping() && !r.stoppedAt.IsZero() && now.Sub(r.stoppedAt) < forgetAfter && !r.lastFailed.After(r.lastSeen) {
+			list = append(list, Leaver{r.Member, now.Sub(r.stoppedAt)})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
 	return list
 }
 
-// Peers returns the nodes to talk to: all that are registered or were seen
-// lately, serving or not.
+// Peers returns the nodes to exchange state with, sorted by name: all that are
+// registered or were seen within a minute, serving or not.
 func (t *Table) Peers(now time.Time) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Member
 	for _, r := range t.members {
-		if r.registered || now.Sub(r.seen) < forget {
+		if r.registered || now.Sub(r.lastSeen) < forgetAfter {
 			list = append(list, r.Member)
 		}
 	}
@@ -309,30 +320,30 @@
 	return list
 }
 
-// Serve sets whether the node itself serves.
+// Serve sets whether this node serves, and returns its updated description.
 func (t *Table) Serve(now time.Time, on bool) Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.Self.Serving != on {
-		t.changed()
+		t.invalidateViews()
 		t.Self.Serving = on
 		t.Self.Change++
 		if !on {
-			t.stopped = now
+			t.stoppedAt = now
 		}
 	}
 	return t.Self
 }
 
-// Locate sets where the node itself is reached.
+// Locate sets the addresses at which callers and other nodes reach this node.
 func (t *Table) Locate(callers, nodes netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.changed()
+	t.invalidateViews()
 	t.Self.Callers, t.Self.Nodes = callers, nodes
 }
 
-// Me returns the node itself.
+// Me returns the description of this node.
 func (t *Table) Me() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwstore/memory.go
+++ b/core/jwstore/memory.go
@@ -14,7 +14,7 @@
 	"jujubewheel/core/jwclock"
 )
 
-// Calls counts what a store was asked for; a waiting read counts once.
+// Calls counts the calls of a store by kind; a Wait counts once however long it blocks.
 type Calls struct {
 	Reads    uint64 `json:"reads"`
 	Writes   uint64 `json:"writes"`
@@ -22,66 +22,65 @@
 	Failures uint64 `json:"failures"` // calls of all kinds that returned an error
 }
 
-// Memory is a Store in this process; the zero value is empty and healthy.
-// Its faults may be set at any time and by any goroutine.
+// Memory is a Store in memory with faults that can be injected at any time. The
+// zero value is empty and healthy. It is safe for concurrent use.
 type Memory struct {
-	mu      sync.Mutex
-	items   map[string]Item
-	changed map[string]chan struct{} // closed at the next write of the key
-	index   uint64                   // writes so far; the version of the newest is one more
-	down    bool
-	downed  chan struct{} // closed when the store goes down, so that waits end
-	delay   time.Duration
-	lose    int // writes that are still to lose their reply
-	calls   Calls
+	mu            sync.Mutex
+	items         map[string]Item
+	changed       map[string]chan struct{} // closed at the next write of the key
+	index         uint64                   // number of writes so far; the version of the latest is one higher
+	down          bool
+	wentDown      chan struct{} // closed when the store goes down, so that blocked calls of Wait return
+	delay         time.Duration
+	repliesToLose int // number of upcoming writes that lose their reply
+	calls         Calls
 }
 
 var _ Store = (*Memory)(nil)
 
-// SetDown makes every call fail with ErrUnavailable, waiting ones included,
-// until it is set back.
+// SetDown sets whether every call, including a blocked Wait, fails with
+// ErrUnavailable.
 func (m *Memory) SetDown(down bool) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = down
-	if down && m.downed != nil {
-		close(m.downed)
-		m.downed = nil
+	if down && m.wentDown != nil {
+		close(m.wentDown)
+		m.wentDown = nil
 	}
 }
 
-// SetDelay makes every later call take this long before it does its work; a
-// caller that gives up in this time has had no effect.
+// SetDelay delays the start of every later call. A call whose context ends during
+// the delay has no effect.
 func (m *Memory) SetDelay(delay time.Duration) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.delay = delay
 }
 
-// LoseReplies lets the next n writes take effect and then fail with
-// ErrUnknown.
+// LoseReplies makes the next n writes take effect and then fail with ErrUnknown.
 func (m *Memory) LoseReplies(n int) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.lose = n
+	m.repliesToLose = n
 }
 
-// Calls returns the number of calls so far.
+// Calls returns the numbers of calls so far.
 func (m *Memory) Calls() Calls {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.calls
 }
 
-// Index returns the version of the newest write of any key, 1 before the first.
+// Index returns the version of the latest write of any key, 1 before the first.
 func (m *Memory) Index() uint64 {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return m.version()
 }
 
-// version leaves 1 to the empty store, so that an index of its state is above
-// zero and below that of every write.
+// version returns the version of the latest write. The empty store has version 1,
+// so that its index is above zero and below that of every write.
 func (m *Memory) version() uint64 { return m.index + 1 }
 
 // Get implements Reader.
@@ -112,12 +111,12 @@
 }
 
 // Wait implements Reader.
-func (m *Memory) Wait(ctx context.Context, key string, after uint64, most time.Duration) (Item, bool, error) {
-	step := "wait " + key
-	if err := m.begin(ctx, step, &m.calls.Waits); err != nil {
+func (m *Memory) Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (Item, bool, error) {
+	op := "wait " + key
+	if err := m.begin(ctx, op, &m.calls.Waits); err != nil {
 		return Item{}, false, err
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		item, found := m.read(key)
@@ -130,9 +129,9 @@
 		select {
 		case <-changed:
 		case <-downed:
-			return Item{}, false, m.fail(errors.Wrap(ErrUnavailable, step))
+			return Item{}, false, m.fail(errors.Wrap(ErrUnavailable, op))
 		case <-ctx.Done():
-			return Item{}, false, m.fail(m.gaveUp(ctx.Err(), step))
+			return Item{}, false, m.fail(m.contextError(ctx.Err(), op))
 		case <-timer.C:
 			return item, found, nil
 		}
@@ -142,8 +141,8 @@
 
 // Swap implements Writer.
 func (m *Memory) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
-	step := "swap " + key
-	if err := m.begin(ctx, step, &m.calls.Writes); err != nil {
+	op := "swap " + key
+	if err := m.begin(ctx, op, &m.calls.Writes); err != nil {
 		return 0, false, err
 	}
 	defer m.mu.Unlock()
@@ -154,10 +153,10 @@
 			m.items = make(map[string]Item)
 		}
 		m.items[key] = Item{Key: key, Value: bytes.Clone(value), Version: m.version()}
-		m.wake(key)
+		m.notify(key)
 	}
 	if m.loseReply() {
-		return 0, false, errors.Wrap(ErrUnknown, step)
+		return 0, false, errors.Wrap(ErrUnknown, op)
 	}
 	if !swapped {
 		return 0, false, nil
@@ -167,8 +166,8 @@
 
 // Delete implements Writer.
 func (m *Memory) Delete(ctx context.Context, key string, version uint64) (bool, error) {
-	step := "delete " + key
-	if err := m.begin(ctx, step, &m.calls.Writes); err != nil {
+	op := "delete " + key
+	if err := m.begin(ctx, op, &m.calls.Writes); err != nil {
 		return false, err
 	}
 	defer m.mu.Unlock()
@@ -177,46 +176,47 @@
 	if deleted {
 		m.index++
 		delete(m.items, key)
-		m.wake(key)
+		m.notify(key)
 	}
 	if m.loseReply() {
-		return false, errors.Wrap(ErrUnknown, step)
+		return false, errors.Wrap(ErrUnknown, op)
 	}
 	return deleted, nil
 }
 
-// begin counts a call, spends the delay and leaves the table locked unless it
-// returns an error.
-func (m *Memory) begin(ctx context.Context, step string, count *uint64) error {
+// begin counts a call and waits for the delay. It returns with m.mu locked unless
+// it returns an error.
+func (m *Memory) begin(ctx context.Context, op string, count *uint64) error {
 	m.mu.Lock()
 	*count++
 	delay := m.delay
 	if delay > 0 {
 		m.mu.Unlock()
 		if err := jwclock.Sleep(ctx, delay); err != nil {
-			return m.fail(m.gaveUp(err, step))
+			return m.fail(m.contextError(err, op))
 		}
 		m.mu.Lock()
 	}
 	if err := ctx.Err(); err != nil {
 		m.calls.Failures++
 		m.mu.Unlock()
-		return m.gaveUp(err, step)
+		return m.contextError(err, op)
 	}
 	if m.down {
 		m.calls.Failures++
 		m.mu.Unlock()
-		return errors.Wrap(ErrUnavailable, step)
+		return errors.Wrap(ErrUnavailable, op)
 	}
 	return nil
 }
 
-// gaveUp keeps the reason of the caller's context beside the certainty that
-// nothing was done.
-func (m *Memory) gaveUp(err error, step string) error {
-	return errors.Wrapf(ErrUnavailable, "%s: %v", step, err)
+// contextError returns ErrUnavailable, as the call had no effect, with the text of
+// the context's error.
+func (m *Memory) contextError(err error, op string) error {
+	return errors.Wrapf(ErrUnavailable, "%s: %v", op, err)
 }
 
+// fail counts a failed call and returns err.
 func (m *Memory) fail(err error) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -224,15 +224,17 @@
 	return err
 }
 
+// loseReply reports whether the current write loses its reply, and counts it.
 func (m *Memory) loseReply() bool {
-	if m.lose == 0 {
+	if m.repliesToLose == 0 {
 		return false
 	}
-	m.lose--
+	m.repliesToLose--
 	m.calls.Failures++
 	return true
 }
 
+// read returns a copy of the item of a key, and whether the key exists.
 func (m *Memory) read(key string) (Item, bool) {
 	item, found := m.items[key]
 	item.Key = key
@@ -240,6 +242,7 @@
 	return item, found
 }
 
+// watch returns a channel that is closed at the next write of a key.
 func (m *Memory) watch(key string) chan struct{} {
 	if m.changed == nil {
 		m.changed = make(map[string]chan struct{})
@@ -252,14 +255,16 @@
 	return ch
 }
 
+// watchDown returns a channel that is closed when the store goes down.
 func (m *Memory) watchDown() chan struct{} {
-	if m.downed == nil {
-		m.downed = make(chan struct{})
+	if m.wentDown == nil {
+		m.wentDown = make(chan struct{})
 	}
-	return m.downed
+	return m.wentDown
 }
 
-func (m *Memory) wake(key string) {
+// notify wakes the callers that wait for a write of a key.
+func (m *Memory) notify(key string) {
 	if ch, found := m.changed[key]; found {
 		close(ch)
 		delete(m.changed, key)
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -9,22 +9,23 @@
 	"time"
 )
 
-// MemoryFeed is a Feed in memory, for tests and stand-ins. The zero value is
-// empty. Leases end when End is called or Lapse takes them.
+// MemoryFeed is a Feed in memory, for tests and simulated platforms. The zero value is
+// empty. Leases end only by End, EndAllLeases and Return. It is safe for concurrent use.
 type MemoryFeed struct {
-	PageSize int // items of a page, 0 for all
+	PageSize int // maximum number of items of a page, 0 for no limit
 
-	mu       sync.Mutex
-	revision Revision
-	items    map[string]memoryItem
-	events   []Event
-	dropped  Revision // history up to this revision is gone
-	leases   Lease
-	live     map[Lease]bool
-	changed  chan struct{}
-	down     error
+	mu           sync.Mutex
+	revision     Revision
+	items        map[string]memoryItem
+	events       []Event
+	compacted    Revision // history up to this revision is not kept
+	lastLease    Lease
+	activeLeases map[Lease]bool
+	changed      chan struct{}
+	down         error
 }
 
+// memoryItem is an item with the lease it was written under, 0 for none.
 type memoryItem struct {
 	Item
 	lease Lease
@@ -32,42 +33,43 @@
 
 var _ Feed = (*MemoryFeed)(nil)
 
-// Down makes every call fail with err until it is called with nil.
+// Down makes every call of a Feed method fail with err, until Down(nil).
 func (m *MemoryFeed) Down(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	m.down = err
-	m.wake()
+	m.notify()
 }
 
-// Compact drops the history, so that followers have to read anew.
+// Compact drops the history, so that a Watch from an earlier revision fails with
+// ErrCompacted.
 func (m *MemoryFeed) Compact() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.events, m.dropped = nil, m.revision
-	m.wake()
+	m.events, m.compacted = nil, m.revision
+	m.notify()
 }
 
-// Copy is what a MemoryFeed held at a moment.
+// Copy is a snapshot of the contents of a MemoryFeed.
 type Copy struct {
 	revision Revision
 	items    map[string]memoryItem
 }
 
-// Copy returns what the store holds now.
+// Copy returns a snapshot of the current contents.
 func (m *MemoryFeed) Copy() Copy {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Copy{m.revision, maps.Clone(m.items)}
 }
 
-// Return makes the store come back from a copy: all since is lost, leases too, and the
-// numbers of its revisions are given out again in the next era.
+// Return restores the store from a copy: all later changes and all leases with their keys
+// are lost, and revision numbers are assigned again in the next era.
 func (m *MemoryFeed) Return(c Copy) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	era := Era(m.revision) + 1
-	at := func(r Revision) Revision { return position(era, Number(r)) }
+	at := func(r Revision) Revision { return makeRevision(era, Number(r)) }
 	m.items = make(map[string]memoryItem, len(c.items))
 	for key, i := range c.items {
 		if i.lease == 0 {
@@ -76,8 +78,8 @@
 		}
 	}
 	m.revision = at(c.revision)
-	m.events, m.dropped, m.live = nil, m.revision, nil
-	m.wake()
+	m.events, m.compacted, m.activeLeases = nil, m.revision, nil
+	m.notify()
 }
 
 // Write sets a key without a lease.
@@ -102,6 +104,7 @@
 	return ok
 }
 
+// set writes a key under a lease, with m.mu locked.
 func (m *MemoryFeed) set(key string, value []byte, lease Lease) {
 	if m.items == nil {
 		m.items = make(map[string]memoryItem)
@@ -109,9 +112,10 @@
 	m.revision++
 	m.items[key] = memoryItem{Item{key, value, m.revision}, lease}
 	m.events = append(m.events, Event{Key: key, Value: value, Revision: m.revision})
-	m.wake()
+	m.notify()
 }
 
+// remove deletes a key if it exists, with m.mu locked.
 func (m *MemoryFeed) remove(key string) {
 	if _, ok := m.items[key]; !ok {
 		return
@@ -119,10 +123,11 @@
 	delete(m.items, key)
 	m.revision++
 	m.events = append(m.events, Event{Key: key, Deleted: true, Revision: m.revision})
-	m.wake()
+	m.notify()
 }
 
-func (m *MemoryFeed) wake() {
+// notify wakes the blocked calls of Watch, with m.mu locked.
+func (m *MemoryFeed) notify() {
 	if m.changed != nil {
 		close(m.changed)
 		m.changed = nil
@@ -147,12 +152,12 @@
 }
 
 // Watch implements Feed.
-func (m *MemoryFeed) Watch(ctx context.Context, prefix string, after Revision, most time.Duration) ([]Event, Revision, error) {
-	timer := time.NewTimer(most)
+func (m *MemoryFeed) Watch(ctx context.Context, prefix string, after Revision, maxWait time.Duration) ([]Event, Revision, error) {
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
-		if m.down != nil || after < m.dropped {
+		if m.down != nil || after < m.compacted {
 			err := m.down
 			if err == nil {
 				err = ErrCompacted
@@ -192,19 +197,19 @@
 	if m.down != nil {
 		return 0, 0, m.down
 	}
-	if m.live == nil {
-		m.live = make(map[Lease]bool)
+	if m.activeLeases == nil {
+		m.activeLeases = make(map[Lease]bool)
 	}
-	m.leases++
-	m.live[m.leases] = true
-	return m.leases, ttl, nil
+	m.lastLease++
+	m.activeLeases[m.lastLease] = true
+	return m.lastLease, ttl, nil
 }
 
 // Renew implements Feed.
 func (m *MemoryFeed) Renew(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down == nil && !m.live[lease] {
+	if m.down == nil && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
 	return m.down
@@ -217,21 +222,22 @@
 	if m.down != nil {
 		return m.down
 	}
-	m.lapse(lease)
+	m.endLease(lease)
 	return nil
 }
 
-// Lapse ends all leases, as after an outage.
-func (m *MemoryFeed) Lapse() {
+// EndAllLeases ends all leases and deletes their keys, as after an outage.
+func (m *MemoryFeed) EndAllLeases() {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	for lease := range m.live {
-		m.lapse(lease)
+	for lease := range m.activeLeases {
+		m.endLease(lease)
 	}
 }
 
-func (m *MemoryFeed) lapse(lease Lease) {
-	delete(m.live, lease)
+// endLease ends a lease and deletes its keys, with m.mu locked.
+func (m *MemoryFeed) endLease(lease Lease) {
+	delete(m.activeLeases, lease)
 	for key, i := range m.items {
 		if i.lease == lease {
 			m.remove(key)
@@ -246,7 +252,7 @@
 	if m.down != nil {
 		return m.down
 	}
-	if lease != 0 && !m.live[lease] {
+	if lease != 0 && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
 	m.set(key, value, lease)
--- a/core/jwworkspace/directory.go
+++ b/core/jwworkspace/directory.go
@@ -2,19 +2,21 @@
 
 import "crypto/sha256"
 
-// Directory finds workspaces by their keys and names; the zero value is empty.
-// It keeps digests of the keys only: how long a look-up takes says nothing of how
-// much of a guessed key is right, and the keys show up in no dump of its memory.
+// Directory finds workspaces by their keys and names. The zero value is empty, and
+// a nil Directory may be read. It holds only digests of the keys: the time of a lookup
+// does not reveal how much of a guessed key is right, and a memory dump of the
+// directory contains no keys.
 type Directory struct {
-	byKey  map[digest]*Workspace
-	byName map[string]*Workspace
-	bound  int // workspaces with a quota
+	byKey   map[digest]*Workspace
+	byName  map[string]*Workspace
+	limited int // number of workspaces with a quota
 }
 
+// digest is the SHA-256 hash of a key.
 type digest [sha256.Size]byte
 
-// Add takes a workspace with its keys. A key that another one has already stays
-// with that one.
+// Add adds a workspace with its keys. A key that already belongs to another
+// workspace stays with it.
 func (d *Directory) Add(w *Workspace, keys ...string) {
 	if d.byName == nil {
 		d.byKey = make(map[digest]*Workspace)
@@ -22,25 +24,25 @@
 	}
 	d.byName[w.Name] = w
 	if w.Quota.Limited() {
-		d.bound++
+		d.limited++
 	}
 	for _, key := range keys {
-		sum := sumOf(key)
+		sum := digestOf(key)
 		if d.byKey[sum] == nil {
 			d.byKey[sum] = w
 		}
 	}
 }
 
-// Holder returns the workspace that holds a key, nil if none does.
+// Holder returns the workspace that a key belongs to, nil if there is none.
 func (d *Directory) Holder(key string) *Workspace {
 	if d == nil || key == "" {
 		return nil
 	}
-	return d.byKey[sumOf(key)]
+	return d.byKey[digestOf(key)]
 }
 
-// Named returns the workspace of a name, nil if there is none.
+// Named returns the workspace with a name, nil if there is none.
 func (d *Directory) Named(name string) *Workspace {
 	if d == nil {
 		return nil
@@ -49,15 +51,16 @@
 }
 
 // Limited reports whether any workspace has a quota.
-func (d *Directory) Limited() bool { return d != nil && d.bound > 0 }
+func (d *Directory) Limited() bool { return d != nil && d.limited > 0 }
 
-// usualKey is the length up to which a key is hashed without an allocation.
-const usualKey = 128
+// maxStackKey is the maximum length in bytes of a key that is hashed without an allocation.
+const maxStackKey = 128
 
-func sumOf(key string) digest {
-	if len(key) > usualKey {
+// digestOf returns the digest of a key.
+func digestOf(key string) digest {
+	if len(key) > maxStackKey {
 		return sha256.Sum256([]byte(key))
 	}
-	var buf [usualKey]byte
+	var buf [maxStackKey]byte
 	return sha256.Sum256(buf[:copy(buf[:], key)])
 }
