--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -10,74 +10,74 @@
 )
 
 const (
-	// heldRequest is how much of a request's body is held, so that it can be
+	// maxBufferedBody is how much of a request's body is held, so that it can be
 	// sent again; a larger one is passed on as it comes, and sent once. With it a
 	// thousand requests in flight hold 64 MB at most.
-	heldRequest = 64 << 10
-	// bodyLimit bounds a body until a configuration says otherwise.
-	bodyLimit = 1 << 20
+	maxBufferedBody = 64 << 10
+	// defaultMaxBody bounds a body until a configuration says otherwise.
+	defaultMaxBody = 1 << 20
 )
 
 var (
 	errBodyTooLarge = errors.New("body too large")
-	errBodyOver     = errors.New("the request is over")
+	errBodyClosed   = errors.New("the request is over")
 )
 
 // body is what a caller sends: all of it held, or its begin with the rest to
 // be read. The zero value is empty.
 type body struct {
-	held   []byte
-	length int64 // -1 if not known
-	rest   *rest // nil if all is held
+	buffered []byte
+	length   int64     // -1 if not known
+	rest     *bodyRest // nil if all is held
 }
 
-// rest is what follows the held part of a body.
-type rest struct {
-	w    http.ResponseWriter
-	mu   sync.Mutex // held during each read
-	r    io.Reader
-	left int64 // bytes that it may still have
-	read bool  // some of it was
-	err  error // why it ended, io.EOF at its end
+// bodyRest is what follows the held part of a body.
+type bodyRest struct {
+	w         http.ResponseWriter
+	mu        sync.Mutex // held during each read
+	r         io.Reader
+	remaining int64 // bytes that it may still have
+	consumed  bool  // some of it was
+	err       error // why it ended, io.EOF at its end
 }
 
 // readBody reads the held part of a body of at most so many bytes.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) (b body, err error) {
-	if r.ContentLength > most {
+func readBody(w http.ResponseWriter, r *http.Request, maxSize int64) (b body, err error) {
+	if r.ContentLength > maxSize {
 		return b, errBodyTooLarge
 	}
 	b.length = r.ContentLength
-	if r.ContentLength >= 0 && r.ContentLength <= heldRequest {
-		b.held = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(r.Body, b.held)
+	if r.ContentLength >= 0 && r.ContentLength <= maxBufferedBody {
+		b.buffered = make([]byte, r.ContentLength)
+		_, err = io.ReadFull(r.Body, b.buffered)
 		return b, err
 	}
-	b.held, err = io.ReadAll(io.LimitReader(r.Body, min(heldRequest, most+1)))
+	b.buffered, err = io.ReadAll(io.LimitReader(r.Body, min(maxBufferedBody, maxSize+1)))
 	switch {
 	case err != nil:
 		return b, err
-	case int64(len(b.held)) > most:
+	case int64(len(b.buffered)) > maxSize:
 		return b, errBodyTooLarge
-	case len(b.held) < heldRequest:
-		b.length = int64(len(b.held))
+	case len(b.buffered) < maxBufferedBody:
+		b.length = int64(len(b.buffered))
 		return b, nil
 	}
 	// The library would read the rest itself before the answer's head.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
 		return b, errors.Wrap(err, "body beside its answer")
 	}
-	b.rest = &rest{w: w, r: r.Body, left: most - int64(len(b.held))}
+	b.rest = &bodyRest{w: w, r: r.Body, remaining: maxSize - int64(len(b.buffered))}
 	return b, nil
 }
 
-// once reports whether the body can't be sent again.
-func (b *body) once() bool {
+// consumed reports whether the body can't be sent again.
+func (b *body) consumed() bool {
 	if b.rest == nil {
 		return false
 	}
 	b.rest.mu.Lock()
 	defer b.rest.mu.Unlock()
-	return b.rest.read
+	return b.rest.consumed
 }
 
 // reader returns what follows the held part; nil if nothing does.
@@ -101,7 +101,7 @@
 	}
 	defer b.rest.mu.Unlock()
 	if b.rest.err == nil {
-		b.rest.err = errBodyOver
+		b.rest.err = errBodyClosed
 	}
 }
 
@@ -116,16 +116,16 @@
 }
 
 // Read implements io.Reader.
-func (r *rest) Read(p []byte) (int, error) {
+func (r *bodyRest) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read = true
+	r.consumed = true
 	if r.err != nil {
 		return 0, r.err
 	}
 	n, err := r.r.Read(p)
-	r.left -= int64(n)
-	if r.left < 0 {
+	r.remaining -= int64(n)
+	if r.remaining < 0 {
 		err = errBodyTooLarge
 	}
 	r.err = err
--- a/io/jwgateway/body_test.go
+++ b/io/jwgateway/body_test.go
@@ -15,11 +15,11 @@
 	"jujubewheel/core/jwstore"
 )
 
-// reading starts a target that reads bodies by itself and tells each begin
+// startReadingTarget starts a target that reads bodies by itself and tells each begin
 // and end of one.
-func reading(t *testing.T, feed *jwstore.MemoryFeed, id, dataCentre string, status int) (begun chan string, ended chan error) {
+func startReadingTarget(t *testing.T, feed *jwstore.MemoryFeed, id, dataCentre string, status int) (started chan string, ended chan error) {
 	t.Helper()
-	begun, ended = make(chan string, 8), make(chan error, 8)
+	started, ended = make(chan string, 8), make(chan error, 8)
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header().Set("Jujubewheel-Request-Id", r.Header.Get("Jujubewheel-Request-Id"))
 		w.Header().Set("Jujubewheel-Server-Seal", "seal-"+id)
@@ -28,7 +28,7 @@
 		}
 		first := make([]byte, 1)
 		_, _ = io.ReadFull(r.Body, first)
-		begun <- fmt.Sprintf("%s %d %v", first, r.ContentLength, r.TransferEncoding)
+		started <- fmt.Sprintf("%s %d %v", first, r.ContentLength, r.TransferEncoding)
 		n, err := io.Copy(io.Discard, r.Body)
 		ended <- err
 		w.WriteHeader(status)
@@ -36,7 +36,7 @@
 	}))
 	t.Cleanup(s.Close)
 	register(feed, id, "s", s.Listener.Addr().String(), dataCentre, "ready")
-	return begun, ended
+	return started, ended
 }
 
 // post begins a request whose body of so many bytes, -1 for chunks, is
@@ -55,22 +55,22 @@
 	return c, bufio.NewReader(c)
 }
 
-func largeBodies(feed *jwstore.MemoryFeed, limit int, homes string) {
+func configureLargeBodies(feed *jwstore.MemoryFeed, limit int, homes string) {
 	feed.Write("op/config", fmt.Appendf(nil, `{"Version":1,"Routes":[%s,%s],"Services":[{"Name":"s","WarmupS":0,"WarmupPerS":0}],
 		"Limits":{"MaxHeaderBytes":16384,"MaxBodyBytes":%d,"HeaderTimeoutMs":3000,"IdleTimeoutMs":15000}}`,
 		route("/a/", "idempotent", homes), route("/w/", "idempotent", ""), limit))
 }
 
 const (
-	bodyPart = 80 << 10 // more than a node holds of a body
-	maxBody  = 1 << 20
+	largePart = 80 << 10 // more than a node holds of a body
+	maxBody   = 1 << 20
 )
 
 // A caller sends a large body slowly. Held whole, some of them would take a
 // node's memory, and the target would begin late.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
-	part := strings.Repeat("a", bodyPart)
+	part := strings.Repeat("a", largePart)
 	cases := map[string]struct {
 		length int
 		homes  string // of the entry
@@ -78,9 +78,9 @@
 		begun  string
 		body   string
 	}{
-		"sized":               {2 * bodyPart, "", [2]string{part, part}, "a 163840 []", "163840"},
-		"in chunks":           {-1, "", [2]string{fmt.Sprintf("%x\r\n%s\r\n", bodyPart, part), fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", bodyPart, part)}, "a -1 [chunked]", "163840"},
-		"sized, other region": {2 * bodyPart, `,"HomeRegions":["south"]`, [2]string{part, part}, "a 163840 []", "163840"},
+		"sized":               {2 * largePart, "", [2]string{part, part}, "a 163840 []", "163840"},
+		"in chunks":           {-1, "", [2]string{fmt.Sprintf("%x\r\n%s\r\n", largePart, part), fmt.Sprintf("%x\r\n%s\r\n0\r\n\r\n", largePart, part)}, "a -1 [chunked]", "163840"},
+		"sized, other region": {2 * largePart, `,"HomeRegions":["south"]`, [2]string{part, part}, "a 163840 []", "163840"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -90,17 +90,17 @@
 			if c.homes != "" {
 				dataCentre = "south-a"
 			}
-			begun, ended := reading(t, &feed, "t1", dataCentre, http.StatusOK)
-			largeBodies(&feed, maxBody, c.homes)
+			started, ended := startReadingTarget(t, &feed, "t1", dataCentre, http.StatusOK)
+			configureLargeBodies(&feed, maxBody, c.homes)
 			n := start(t, &feed, "n1", "north")
 			if c.homes != "" {
 				start(t, &feed, "n2", "south")
 			}
-			until(t, n, "/a/x", served)
+			sendUntil(t, n, "/a/x", served)
 			cn, r := post(t, n, "one", c.length)
 			_, err := io.WriteString(cn, c.write[0])
 			assert.NilError(t, err)
-			assert.Equal(t, <-begun, c.begun) // with half of the body still to come
+			assert.Equal(t, <-started, c.begun) // with half of the body still to come
 			_, err = io.WriteString(cn, c.write[1])
 			assert.NilError(t, err)
 			assert.NilError(t, <-ended)
@@ -120,19 +120,19 @@
 func TestLargeBodyBrokenOff(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, ended := reading(t, &feed, "t1", "north-a", http.StatusOK)
-	largeBodies(&feed, maxBody, "")
+	started, ended := startReadingTarget(t, &feed, "t1", "north-a", http.StatusOK)
+	configureLargeBodies(&feed, maxBody, "")
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
-	for name, length := range map[string]int{"sized": 2 * bodyPart, "in chunks": -1} {
+	sendUntil(t, n, "/w/x", served)
+	for name, length := range map[string]int{"sized": 2 * largePart, "in chunks": -1} {
 		cn, _ := post(t, n, name, length)
-		body := strings.Repeat("a", bodyPart)
+		body := strings.Repeat("a", largePart)
 		if length < 0 {
-			body = fmt.Sprintf("%x\r\n%s\r\n", bodyPart, body)
+			body = fmt.Sprintf("%x\r\n%s\r\n", largePart, body)
 		}
 		_, err := io.WriteString(cn, body)
 		assert.NilError(t, err)
-		<-begun
+		<-started
 		assert.NilError(t, cn.Close())
 		assert.Assert(t, <-ended != nil, name)
 	}
@@ -143,15 +143,15 @@
 func TestLargeBodyTooLarge(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, ended := reading(t, &feed, "t1", "north-a", http.StatusOK)
-	largeBodies(&feed, bodyPart+1, "")
+	started, ended := startReadingTarget(t, &feed, "t1", "north-a", http.StatusOK)
+	configureLargeBodies(&feed, largePart+1, "")
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	cn, r := post(t, n, "one", -1)
-	chunk := fmt.Sprintf("%x\r\n%s\r\n", bodyPart, strings.Repeat("a", bodyPart))
+	chunk := fmt.Sprintf("%x\r\n%s\r\n", largePart, strings.Repeat("a", largePart))
 	_, err := io.WriteString(cn, chunk)
 	assert.NilError(t, err)
-	<-begun
+	<-started
 	_, err = io.WriteString(cn, chunk)
 	assert.NilError(t, err)
 	res, err := http.ReadResponse(r, nil)
@@ -166,17 +166,17 @@
 func TestLargeBodyIsSentOnce(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, _ := reading(t, &feed, "t1", "north-a", http.StatusInternalServerError)
-	others, _ := reading(t, &feed, "t2", "north-a", http.StatusInternalServerError)
-	largeBodies(&feed, maxBody, "")
+	started, _ := startReadingTarget(t, &feed, "t1", "north-a", http.StatusInternalServerError)
+	others, _ := startReadingTarget(t, &feed, "t2", "north-a", http.StatusInternalServerError)
+	configureLargeBodies(&feed, maxBody, "")
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
-	cn, r := post(t, n, "one", 2*bodyPart)
-	_, err := io.WriteString(cn, strings.Repeat("a", 2*bodyPart))
+	sendUntil(t, n, "/w/x", served)
+	cn, r := post(t, n, "one", 2*largePart)
+	_, err := io.WriteString(cn, strings.Repeat("a", 2*largePart))
 	assert.NilError(t, err)
 	res, err := http.ReadResponse(r, nil)
 	assert.NilError(t, err)
 	assert.Equal(t, res.StatusCode, http.StatusInternalServerError)
 	assert.NilError(t, res.Body.Close())
-	assert.Equal(t, len(begun)+len(others), 1)
+	assert.Equal(t, len(started)+len(others), 1)
 }
--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// quotaPatience bounds how long a request waits for units that other nodes hold: a
+	// maxQuotaWait bounds how long a request waits for units that other nodes hold: a
 	// way to another region and back, and one more look there.
-	quotaPatience = 400 * time.Millisecond
-	// quotaShare is the part of its time that a request may wait so.
-	quotaShare = 0.15
+	maxQuotaWait = 400 * time.Millisecond
+	// quotaWaitShare is the part of its time that a request may wait so.
+	quotaWaitShare = 0.15
 	// keyRetryAfter is the Retry-After for a key that a node without a fresh view of the
 	// configuration doesn't know.
 	keyRetryAfter = 300 * time.Millisecond
-	// syncedPeerFor is how long a node that is cut off from the store takes its configuration
+	// configTrustPeriod is how long a node that is cut off from the store takes its configuration
 	// for the newest after one that reaches the store reported nothing newer.
-	syncedPeerFor = 3 * syncedPeerAge
+	configTrustPeriod = 3 * syncedPeerAge
 )
 
 // Why callers are refused.
 const (
-	unknownKey = "unknown key"
-	unsureKey  = "the key is not known at this node, which can't read the configuration now"
-	overQuota  = "the workspace is over its quota"
+	unknownKey    = "unknown key"
+	unverifiedKey = "the key is not known at this node, which can't read the configuration now"
+	overQuota     = "the workspace is over its quota"
 )
 
 // identify finds the workspace of the caller and what follows from it; it answers the
@@ -36,8 +36,8 @@
 	q.homes, q.priority = q.entry.Homes, q.entry.Priority
 	if !known {
 		// A node that lags behind must not turn away a key that was added meanwhile.
-		if g.store.stale(q.arrived) && q.arrived.Sub(time.Unix(0, g.store.syncedPeer.Load())) > syncedPeerFor {
-			g.refuseRequest(q, http.StatusServiceUnavailable, keyRetryAfter, unsureKey, nil)
+		if g.store.stale(q.arrived) && q.arrived.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > configTrustPeriod {
+			g.refuseRequest(q, http.StatusServiceUnavailable, keyRetryAfter, unverifiedKey, nil)
 			return false
 		}
 		g.refuseRequest(q, http.StatusUnauthorized, 0, unknownKey, nil)
@@ -66,7 +66,7 @@
 	if d.Outcome == jwquota.Waits {
 		d = g.awaitUnits(ctx, q, d)
 	}
-	g.meters.charged(q.workspace, string(d.Outcome), units)
+	g.metrics.countUnits(q.workspace, string(d.Outcome), units)
 	if d.Outcome == jwquota.Taken {
 		return true
 	}
@@ -75,7 +75,7 @@
 }
 
 func (g *Gateway) awaitUnits(ctx context.Context, q *request, d jwquota.Decision) jwquota.Decision {
-	t := time.NewTimer(min(quotaPatience, time.Duration(quotaShare*float64(q.deadline.Sub(q.arrived)))))
+	t := time.NewTimer(min(maxQuotaWait, time.Duration(quotaWaitShare*float64(q.deadline.Sub(q.arrived)))))
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
@@ -94,19 +94,19 @@
 }
 
 // refuseRequest answers a request that is not served at all, before its body is read.
-func (g *Gateway) refuseRequest(q *request, status int, again time.Duration, why string, quota *jwquota.Decision) {
-	g.meters.ended(string(q.entry.Kind), outcomeRefused, placeNone, time.Since(q.arrived))
-	d := q.decision(stepAnswer)
-	d.Outcome, d.Reason, d.Status = outcomeRefused, why, status
+func (g *Gateway) refuseRequest(q *request, status int, retryAfter time.Duration, reason string, quota *jwquota.Decision) {
+	g.metrics.countRequest(string(q.entry.Kind), outcomeRefused, placeNone, time.Since(q.arrived))
+	d := q.newDecision(stepAnswer)
+	d.Outcome, d.Reason, d.Status = outcomeRefused, reason, status
 	if quota != nil {
 		d.Level = quota.Level
 	}
 	g.Decisions.Write(&d)
-	g.refuse(q.w, q.ID, status, again, why)
+	g.refuse(q.w, q.ID, status, retryAfter, reason)
 }
 
-// limited reports whether any workspace of the configuration in force has a quota.
-func (g *Gateway) limited() bool {
+// hasQuotas reports whether any workspace of the configuration in force has a quota.
+func (g *Gateway) hasQuotas() bool {
 	c := g.entries.Current()
 	return c != nil && c.Workspaces.Limited()
 }
--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -28,11 +28,11 @@
 func TestKeys(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	configureKeys(&feed, 1, `{"Name":"w1","ApiKeys":["k1","k2"],"Priority":3},{"Name":"w2","ApiKeys":["k3"]}`,
 		route("/a/", "non_idempotent", `,"Priority":1`), route("/open/", "non_idempotent", `,"Public":true`))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/open/x", served)
+	sendUntil(t, n, "/open/x", served)
 	cases := map[string]struct {
 		path      string
 		header    http.Header
@@ -78,13 +78,13 @@
 }
 
 // Where callers need no keys, what they send in that header is theirs.
-func TestNoKeys(t *testing.T) {
+func TestWithoutKeys(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	_, err := send(t, n, http.MethodGet, "/a/x", "one", http.Header{"Authorization": {"Token k"}, "Jujubewheel-Tenant": {"w"}}, "")
 	assert.NilError(t, err)
 	all := x.requests()
@@ -102,8 +102,8 @@
 	return r.status
 }
 
-// becomes waits until callers with a key get a status.
-func becomes(t *testing.T, n node, k string, status int) {
+// waitForStatus waits until callers with a key get a status.
+func waitForStatus(t *testing.T, n node, k string, status int) {
 	t.Helper()
 	for range 1000 {
 		if statusOf(t, n, k) == status {
@@ -116,26 +116,26 @@
 
 // A key that is taken away stops working, and one that comes back works, also on a node
 // that has lost the store but reaches another one.
-func TestKeyTakenAway(t *testing.T) {
+func TestKeyRemoved(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	with, without := `{"Name":"w","ApiKeys":["k1","k2"]}`, `{"Name":"w","ApiKeys":["k2"]}`
 	configureKeys(&feed, 1, with, route("/a/", "idempotent", ""))
-	sees := start(t, &feed, "n1", "north")
-	link := &cutFeed{Feed: &feed}
-	blind := start(t, link, "n2", "north", sees.nodes)
-	for _, n := range []node{sees, blind} {
-		becomes(t, n, "k1", http.StatusOK)
+	connected := start(t, &feed, "n1", "north")
+	link := &disconnectableFeed{Feed: &feed}
+	disconnected := start(t, link, "n2", "north", connected.nodes)
+	for _, n := range []node{connected, disconnected} {
+		waitForStatus(t, n, "k1", http.StatusOK)
 	}
-	link.off.Store(true)
+	link.disconnected.Store(true)
 	for version, step := range []struct {
 		tenants string
 		status  int
 	}{{without, http.StatusUnauthorized}, {with, http.StatusOK}} {
 		configureKeys(&feed, version+2, step.tenants, route("/a/", "idempotent", ""))
-		for _, n := range []node{sees, blind} {
-			becomes(t, n, "k1", step.status)
+		for _, n := range []node{connected, disconnected} {
+			waitForStatus(t, n, "k1", step.status)
 			assert.Equal(t, statusOf(t, n, "k2"), http.StatusOK)
 		}
 	}
@@ -146,32 +146,32 @@
 func TestUnknownKeyWhileCutOff(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	configureKeys(&feed, 1, `{"Name":"w","ApiKeys":["k1"]}`, route("/a/", "idempotent", ""))
-	link := &cutFeed{Feed: &feed}
+	link := &disconnectableFeed{Feed: &feed}
 	n := start(t, link, "n1", "north")
-	becomes(t, n, "k1", http.StatusOK)
+	waitForStatus(t, n, "k1", http.StatusOK)
 	assert.Equal(t, statusOf(t, n, "k2"), http.StatusUnauthorized)
-	link.off.Store(true)
-	becomes(t, n, "k2", http.StatusServiceUnavailable)
+	link.disconnected.Store(true)
+	waitForStatus(t, n, "k2", http.StatusServiceUnavailable)
 	assert.Equal(t, statusOf(t, n, "k1"), http.StatusOK)
 	configureKeys(&feed, 2, `{"Name":"w","ApiKeys":["k1","k2"]}`, route("/a/", "idempotent", ""))
-	link.off.Store(false)
-	becomes(t, n, "k2", http.StatusOK)
-	becomes(t, n, "k3", http.StatusUnauthorized)
+	link.disconnected.Store(false)
+	waitForStatus(t, n, "k2", http.StatusOK)
+	waitForStatus(t, n, "k3", http.StatusUnauthorized)
 }
 
 // The homes of a workspace bind beside those of the entry, and its name travels along.
-func TestHomesOfWorkspace(t *testing.T) {
+func TestWorkspaceHomes(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	here := startTarget(t, &feed, "t1", "s", "north-a", text("north"))
-	there := startTarget(t, &feed, "t2", "s", "south-a", text("south"))
+	here := startTarget(t, &feed, "t1", "s", "north-a", respondText("north"))
+	there := startTarget(t, &feed, "t2", "s", "south-a", respondText("south"))
 	configureKeys(&feed, 1, `{"Name":"w1","ApiKeys":["k1"],"HomeRegions":["south"],"Priority":2},{"Name":"w2","ApiKeys":["k2"],"HomeRegions":["east"]},{"Name":"w3","ApiKeys":["k3"]}`,
 		route("/b/", "non_idempotent", `,"HomeRegions":["south","north"]`), route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
 	start(t, &feed, "n2", "south", n.nodes)
-	becomes(t, n, "k1", http.StatusOK)
+	waitForStatus(t, n, "k1", http.StatusOK)
 	before := len(here.requests())
 	r, err := send(t, n, http.MethodPost, "/b/x", "two", key("k1"), "body")
 	assert.NilError(t, err)
@@ -191,18 +191,18 @@
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	feed.Write("jujubewheel/fleet", []byte(`{"nodes":1}`))
-	startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	configureKeys(&feed, 1, `{"Name":"hot","ApiKeys":["k1"],"Unit":"tokens","PlainTokens":5,"RatePerS":20,"Burst":20},{"Name":"calm","ApiKeys":["k2"]}`,
 		route("/a/", "non_idempotent", ""), route("/w/", "idempotent", `,"Public":true`))
 	n := startWith(t, &feed, "n1", "north", func(g *jwgateway.Gateway) {
 		g.Settings.Gateway.Bounds.QuotaWindow = 8 * time.Second
 		g.Settings.Gateway.Bounds.QuotaRatio = 0.1
 	})
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	var refused atomic.Int64
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for i := range 40 {
-		all.Go(func() {
+		wg.Go(func() {
 			r, err := send(t, n, http.MethodPost, "/a/x", fmt.Sprint("hot", i), key("k1"), "body")
 			assert.Check(t, err)
 			if r.status == http.StatusTooManyRequests {
@@ -213,7 +213,7 @@
 			assert.Check(t, r.status == http.StatusOK, r.body)
 		})
 	}
-	all.Wait()
+	wg.Wait()
 	assert.Assert(t, refused.Load() > 0)
 	r, err := send(t, n, http.MethodPost, "/a/x", "calm", key("k2"), "body")
 	assert.NilError(t, err)
@@ -222,21 +222,21 @@
 
 // A request larger than what its node may hold of the quota gets the units of the other
 // node, whose own callers don't need them.
-func TestUnitsOfAnotherNode(t *testing.T) {
+func TestQuotaUnitsFromAnotherNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	feed.Write("jujubewheel/fleet", []byte(`{"nodes":2}`))
-	startTarget(t, &feed, "t1", "s", "north-a", text("done"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("done"))
 	configureKeys(&feed, 1, `{"Name":"w","ApiKeys":["k1"],"Unit":"tokens","RatePerS":1000,"Burst":1000}`,
 		route("/b/", "non_idempotent", ""), route("/a/", "idempotent", `,"Public":true`))
-	bounds := func(g *jwgateway.Gateway) {
+	setQuotaBounds := func(g *jwgateway.Gateway) {
 		g.Settings.Gateway.Bounds.QuotaWindow = 8 * time.Second
 		g.Settings.Gateway.Bounds.QuotaRatio = 0.1
 	}
-	first := startWith(t, &feed, "n1", "north", bounds)
-	second := startWith(t, &feed, "n2", "north", bounds, first.nodes)
+	first := startWith(t, &feed, "n1", "north", setQuotaBounds)
+	second := startWith(t, &feed, "n2", "north", setQuotaBounds, first.nodes)
 	for _, n := range []node{first, second} {
-		until(t, n, "/a/x", served)
+		sendUntil(t, n, "/a/x", served)
 	}
 	large := key("k1")
 	large["Jujubewheel-Token-Count"] = []string{"300,100"}
--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -15,8 +15,8 @@
 	stepAnswer  = "answer"  // what the caller was answered
 )
 
-// decision begins a line about a request.
-func (q *request) decision(step string) jwlog.Decision {
+// newDecision begins a line about a request.
+func (q *request) newDecision(step string) jwlog.Decision {
 	now := time.Now()
 	d := jwlog.Decision{
 		Step: step, Request: q.ID, Entry: q.entry.Name, Version: q.version, Workspace: q.workspace, Service: q.service,
@@ -41,22 +41,22 @@
 
 // logSend logs a send to a target.
 func (g *Gateway) logSend(q *request, c jwinstance.Choice, v Verdict, status int, p progress) {
-	g.meters.sent(stepSend, string(q.entry.Kind), v)
+	g.metrics.countSend(stepSend, string(q.entry.Kind), v)
 	if p.first > 0 {
-		g.meters.begun(placeHere, p.first)
+		g.metrics.recordFirstEvent(placeHere, p.first)
 	}
-	if v == finished && !q.forward {
-		g.meters.ended(string(q.entry.Kind), outcomeOf(status), placeHere, time.Since(q.arrived))
+	if v == finished && !q.forwarded {
+		g.metrics.countRequest(string(q.entry.Kind), outcomeOf(status), placeHere, time.Since(q.arrived))
 	}
-	d := q.decision(stepSend)
+	d := q.newDecision(stepSend)
 	d.Target, d.Expected, d.Cold, d.Calls = c.Target.ID, c.Expected, c.Cold, c.Calls
 	d.Prompt, d.Miss, d.Ahead = q.Prompt.Tokens, c.Miss, c.Ahead
 	d.First, d.Pause = p.first, p.pause
-	d.Silent = p.silent(v, time.Now())
+	d.Silent = p.silence(v, time.Now())
 	d.ViewAge, d.Outcome, d.Status = c.Age, string(v), status
 	d.Minor = v == finished && status < 500
 	if !d.Minor {
-		d.Reason = q.refused
+		d.Reason = q.lastReason
 	}
 	g.Decisions.Write(&d)
 }
@@ -64,33 +64,33 @@
 // logBegun logs that the first event of a stream is there. Streams last for
 // seconds; of one whose node is killed nothing else would be known.
 func (g *Gateway) logBegun(q *request) {
-	d := q.decision(stepBegun)
+	d := q.newDecision(stepBegun)
 	d.Peer, d.Outcome, d.Minor = q.sentTo, outcomeBegun, true
 	g.Decisions.Write(&d)
 }
 
 // logForward logs a request passed on to another node.
 func (g *Gateway) logForward(q *request, peer string, v Verdict, status int, p progress) {
-	g.meters.sent(stepForward, string(q.entry.Kind), v)
+	g.metrics.countSend(stepForward, string(q.entry.Kind), v)
 	if v == finished {
-		g.meters.ended(string(q.entry.Kind), outcomeOf(status), placeAway, time.Since(q.arrived))
+		g.metrics.countRequest(string(q.entry.Kind), outcomeOf(status), placeAway, time.Since(q.arrived))
 	}
-	d := q.decision(stepForward)
+	d := q.newDecision(stepForward)
 	d.Peer, d.Outcome, d.Status = peer, string(v), status
 	d.First, d.Pause = p.first, p.pause
 	d.Minor = v == finished && status < 500
 	if !d.Minor {
-		d.Reason = q.refused
+		d.Reason = q.lastReason
 	}
 	g.Decisions.Write(&d)
 }
 
 // logAnswer logs an answer of the gateway's own, or that there is none.
 func (g *Gateway) logAnswer(q *request, outcome, reason string, status int) {
-	if !q.forward {
-		g.meters.ended(string(q.entry.Kind), outcome, placeNone, time.Since(q.arrived))
+	if !q.forwarded {
+		g.metrics.countRequest(string(q.entry.Kind), outcome, placeNone, time.Since(q.arrived))
 	}
-	d := q.decision(stepAnswer)
+	d := q.newDecision(stepAnswer)
 	d.Outcome, d.Reason, d.Status = outcome, reason, status
 	g.Decisions.Write(&d)
 }
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -10,9 +10,9 @@
 	"jujubewheel/core/jwresolver"
 )
 
-// firstRead is how long a node waits for its first reading of the store before it
+// maxFirstRead is how long a node waits for its first reading of the store before it
 // answers by what it has.
-const firstRead = 3 * time.Second
+const maxFirstRead = 3 * time.Second
 
 // serveReady reports to the platform whether the node serves.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
@@ -29,7 +29,7 @@
 	v := g.resolverView(time.Now(), host, region)
 	v.Caller = callerOf(r.RemoteAddr)
 	a := jwresolver.Resolve(v)
-	g.meters.named(a.Kind)
+	g.metrics.countDirectoryAnswer(a.Kind)
 	if a.Kind == jwresolver.Nobody {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
@@ -52,7 +52,7 @@
 		return v
 	}
 	v.All = g.members.Live(now, "")
-	v.Ready = g.synced.Load() || now.Sub(g.begun) >= firstRead
+	v.Ready = g.storeRead.Load() || now.Sub(g.startTime) >= maxFirstRead
 	v.Stand = func(regions []string) []string { return g.demand.Stand(c, host, regions) }
 	return v
 }
--- a/io/jwgateway/era_test.go
+++ b/io/jwgateway/era_test.go
@@ -14,12 +14,12 @@
 
 // The store comes back from an older copy and gives out revisions again: a node that goes
 // by their numbers drops what is new, and stays unregistered.
-func TestStoreComesBackOlder(t *testing.T) {
+func TestStoreRestoredFromOlderCopy(t *testing.T) {
 	for name, relays := range map[string]bool{"each node reads": false, "through a relay": true} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var feed jwstore.MemoryFeed
-			startTarget(t, &feed, "t1", "s", "north-a", text("t1"))
+			startTarget(t, &feed, "t1", "s", "north-a", respondText("t1"))
 			configure(&feed, 1, route("/a/", "idempotent", ""))
 			old := feed.Copy()
 			var nodes []node
@@ -30,14 +30,14 @@
 					}
 				}))
 			}
-			until(t, nodes[0], "/a/x", served)
+			sendUntil(t, nodes[0], "/a/x", served)
 			for range 100 {
 				register(&feed, "t2", "s", "127.0.0.1:1", "north-a", "draining")
 			}
 			configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
 			for _, n := range nodes {
-				until(t, n, "/b/x", served)
-				names(t, n, "north", nodes...)
+				sendUntil(t, n, "/b/x", served)
+				waitForDirectory(t, n, "north", nodes...)
 			}
 			feed.Return(old)
 			for _, n := range nodes { // the copy's configuration is no newer
@@ -47,11 +47,11 @@
 			}
 			configure(&feed, 3, route("/c/", "idempotent", ""))
 			for _, n := range nodes {
-				until(t, n, "/c/x", served)
+				sendUntil(t, n, "/c/x", served)
 				r, err := send(t, n, http.MethodGet, "/b/x", "two", nil, "")
 				assert.NilError(t, err)
 				assert.Equal(t, r.status, http.StatusNotFound)
-				names(t, n, "north", nodes...)
+				waitForDirectory(t, n, "north", nodes...)
 			}
 			for _, name := range []string{"n1", "n2"} {
 				eventually(t, func() bool { return feed.Has("jujubewheel/nodes/" + name) })
@@ -62,37 +62,37 @@
 
 // The copy is older than an evacuation and than the notice of a target that leaves; both are
 // written again a moment later, and until then callers must not be sent there.
-func TestOlderCopyEndsNoEvacuation(t *testing.T) {
+func TestRestoredStoreKeepsEvacuations(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	evacuated := startTarget(t, &feed, "t1", "s", "north-b", text("t1"))
-	leaver := startTarget(t, &feed, "t2", "s", "north-a", text("t2"))
+	evacuated := startTarget(t, &feed, "t1", "s", "north-b", respondText("t1"))
+	draining := startTarget(t, &feed, "t2", "s", "north-a", respondText("t2"))
 	startTarget(t, &feed, "t3", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
 		time.Sleep(30 * time.Millisecond) // the others would be preferred
-		text("t3")(w, r)
+		respondText("t3")(w, r)
 	})
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	old := feed.Copy()
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	feed.Write("op/evacuate/north-b", nil)
-	register(&feed, "t2", "s", leaver.addr, "north-a", "draining")
+	register(&feed, "t2", "s", draining.addr, "north-a", "draining")
 	configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
-	until(t, n, "/b/x", served)
-	before := len(evacuated.requests()) + len(leaver.requests())
+	sendUntil(t, n, "/b/x", served)
+	before := len(evacuated.requests()) + len(draining.requests())
 	feed.Return(old)
 	configure(&feed, 3, route("/a/", "idempotent", ""), route("/c/", "idempotent", ""))
-	until(t, n, "/c/x", served)
+	sendUntil(t, n, "/c/x", served)
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("r", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.body, "t3")
 	}
-	assert.Equal(t, len(evacuated.requests())+len(leaver.requests()), before)
+	assert.Equal(t, len(evacuated.requests())+len(draining.requests()), before)
 
 	// What is written again, and ended then, counts.
 	feed.Write("op/evacuate/north-b", nil)
 	feed.Remove("op/evacuate/north-b")
 	register(&feed, "t3", "s", "127.0.0.1:1", "north-a", "draining")
-	until(t, n, "/a/x", func(r reply) bool { return r.body == "t1" })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "t1" })
 }
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -28,33 +28,33 @@
 	// localPeriod is the time between two exchanges with a node of the region;
 	// targets are chosen by what these have in flight.
 	localPeriod = 100 * time.Millisecond
-	// localNodes is the number of nodes in a region up to which localPeriod
+	// localPeriodNodes is the number of nodes in a region up to which localPeriod
 	// holds; it grows with more, so that the work of each stays the same.
-	localNodes      = 4
-	exchangeTimeout = time.Second
-	maxState        = 4 << 20
-	// localNewsAge and remoteNewsAge are how long an event is reported within the region and to
+	localPeriodNodes = 4
+	exchangeTimeout  = time.Second
+	maxStateSize     = 4 << 20
+	// localReportAge and remoteNewsAge are how long an event is reported within the region and to
 	// others: several exchanges, as one may be lost.
-	localNewsAge  = 4 * localPeriod
-	remoteNewsAge = 2*exchangePeriod + exchangePeriod/2
+	localReportAge  = 4 * localPeriod
+	remoteReportAge = 2*exchangePeriod + exchangePeriod/2
 )
 
 // state is what a node reports of itself to another one.
 type state struct {
-	Member    jwmember.Member                   `json:"member"`
-	Version   uint64                            `json:"version"`            // of the configuration in force
-	Waits     map[string]int64                  `json:"waits,omitempty"`    // milliseconds until a first event, by service, for other regions
-	Gaps      map[string]int64                  `json:"gaps,omitempty"`     // milliseconds between two events, by service, for other regions
-	InSync    bool                              `json:"inSync"`             // it reaches the store
-	Revision  jwstore.Revision                  `json:"revision"`           // of the store, up to which it was read
-	Cold      map[string]int64                  `json:"cold,omitempty"`     // milliseconds for which targets stay cold, within the region only
-	Limits    map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // that targets name, within the region only
-	Leaving   map[string]int64                  `json:"leaving,omitempty"`  // targets that said so, by their start, within the region only
-	Suspects  []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight as targets crashed
-	Placed    *jwinstance.Places                `json:"placed,omitempty"`
-	LocalSeen []string                          `json:"localSeen,omitempty"` // nodes of the region seen lately, for other regions
-	Loads     *jwinstance.Loads                 `json:"loads,omitempty"`     // within the region only
-	Through   *through                          `json:"through,omitempty"`   // where nodes report through relays
+	Member      jwmember.Member                   `json:"member"`
+	Version     uint64                            `json:"version"`            // of the configuration in force
+	Waits       map[string]int64                  `json:"waits,omitempty"`    // milliseconds until a first event, by service, for other regions
+	Gaps        map[string]int64                  `json:"gaps,omitempty"`     // milliseconds between two events, by service, for other regions
+	InSync      bool                              `json:"inSync"`             // it reaches the store
+	Revision    jwstore.Revision                  `json:"revision"`           // of the store, up to which it was read
+	Cold        map[string]int64                  `json:"cold,omitempty"`     // milliseconds for which targets stay cold, within the region only
+	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // that targets name, within the region only
+	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that said so, by their start, within the region only
+	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight as targets crashed
+	Placed      *jwinstance.Places                `json:"placed,omitempty"`
+	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen lately, for other regions
+	Loads       *jwinstance.Loads                 `json:"loads,omitempty"`     // within the region only
+	RelayReport *relayReport                      `json:"through,omitempty"`   // where nodes report through relays
 }
 
 // state returns what is reported to a node of a region.
@@ -77,18 +77,18 @@
 		s.Cold = g.targets.ReportCold(now)
 		s.Limits = g.targets.ReportLimits(now, false)
 		s.Leaving = g.targets.ReportLeaving()
-		s.Suspects = g.notices(now, region, localNewsAge)
+		s.Suspects = g.suspectNotices(now, region, localReportAge)
 	} else {
 		s.Placed = jwinstance.PlaceColumns(g.targets.ReportRemote(now))
 		s.LocalSeen = g.members.LocalSeen(now)
-		s.Suspects = g.notices(now, region, remoteNewsAge)
+		s.Suspects = g.suspectNotices(now, region, remoteReportAge)
 	}
 	return s
 }
 
-// exchange pushes the state of the node to its peers and pulls theirs, those of
+// exchangeStates pushes the state of the node to its peers and pulls theirs, those of
 // the region more often.
-func (g *Gateway) exchange(ctx context.Context) {
+func (g *Gateway) exchangeStates(ctx context.Context) {
 	var far time.Time
 	for ctx.Err() == nil {
 		now := time.Now()
@@ -97,8 +97,8 @@
 				far = now
 				g.exchangeRemote(ctx, now)
 			}
-			g.exchangeThrough(ctx, now)
-			jwclock.Sleep(ctx, g.throughPeriod(now))
+			g.exchangeViaRelay(ctx, now)
+			jwclock.Sleep(ctx, g.relayExchangePeriod(now))
 			continue
 		}
 		peers := g.members.Peers(now)
@@ -113,7 +113,7 @@
 			far = now
 			g.exchangeRemote(ctx, now)
 		}
-		jwclock.Sleep(ctx, min(localPeriod*time.Duration(max(near, localNodes))/localNodes, exchangePeriod))
+		jwclock.Sleep(ctx, min(localPeriod*time.Duration(max(near, localPeriodNodes))/localPeriodNodes, exchangePeriod))
 	}
 }
 
@@ -148,7 +148,7 @@
 
 // sendStateTo exchanges state with a peer, unless it has not answered yet.
 func (g *Gateway) sendStateTo(ctx context.Context, now time.Time, m jwmember.Member) {
-	if _, busy := g.exchanging.LoadOrStore(m.Name, true); busy {
+	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
 	}
 	g.sendState(ctx, m, g.state(now, m.Region))
@@ -158,12 +158,12 @@
 func (g *Gateway) sendState(ctx context.Context, m jwmember.Member, s state) {
 	body, err := json.Marshal(s)
 	if err != nil {
-		g.exchanging.Delete(m.Name)
+		g.exchangesInFlight.Delete(m.Name)
 		g.Log.Error(err, "state not encoded")
 		return
 	}
 	go func() {
-		defer g.exchanging.Delete(m.Name)
+		defer g.exchangesInFlight.Delete(m.Name)
 		g.exchangeState(ctx, m, body)
 	}()
 }
@@ -171,7 +171,7 @@
 func (g *Gateway) exchangeState(ctx context.Context, m jwmember.Member, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
-	begun := time.Now()
+	start := time.Now()
 	answer, err := g.nodeCall(ctx, m, http.MethodPost, statePath, body)
 	if err != nil {
 		g.members.Failed(time.Now(), m.Name)
@@ -184,7 +184,7 @@
 		return
 	}
 	g.mergeState(s, m)
-	g.regions.noteTrip(s.Member.Region, time.Since(begun))
+	g.regions.recordRoundTrip(s.Member.Region, time.Since(start))
 }
 
 // nodeCall makes a call to another node and returns the body of the answer.
@@ -201,16 +201,16 @@
 func (g *Gateway) mergeState(s state, from jwmember.Member) {
 	now := time.Now()
 	if g.members.Seen(now, s.Member) {
-		g.beganAnew(s.Member)
+		g.dropOldConnections(s.Member)
 	}
 	g.regions.merge(now, s)
 	g.members.SeenByOther(now, s.LocalSeen)
-	if s.Through != nil && s.Through.Relay {
+	if s.RelayReport != nil && s.RelayReport.FromRelay {
 		g.targets.MergeRelay(now, s.Member.Name, s.Loads.List(), s.Placed.List())
 	} else {
 		g.targets.Merge(now, s.Member.Name, s.Loads.List(), s.Placed.List())
 	}
-	g.mergeThrough(now, s)
+	g.mergeRelayReport(now, s)
 	g.targets.MergeCold(now, s.Cold)
 	g.targets.MergeLimits(now, s.Limits)
 	for _, id := range g.targets.MergeLeaving(s.Leaving) {
@@ -218,25 +218,25 @@
 	}
 	g.suspects.Merge(s.Suspects, now)
 	if s.InSync && s.Member.Region == g.Settings.Region {
-		g.store.syncedPeer.Store(now.UnixNano())
+		g.store.syncedPeerSeen.Store(now.UnixNano())
 	}
-	if s.Version > g.entries.Version() || g.behind(now, s.Revision) {
+	if s.Version > g.entries.Version() || g.peerIsAhead(now, s.Revision) {
 		if from.Name == "" {
 			from = s.Member
 		}
-		go g.pull(from.Nodes)
+		go g.pullView(from.Nodes)
 	}
 }
 
 func (g *Gateway) serveState(w http.ResponseWriter, r *http.Request) {
 	var s state
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxState)).Decode(&s); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxStateSize)).Decode(&s); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	g.mergeState(s, jwmember.Member{})
 	w.Header()["Content-Type"] = []string{"application/json"}
-	if err := json.NewEncoder(w).Encode(g.answer(time.Now(), s)); err != nil {
+	if err := json.NewEncoder(w).Encode(g.replyState(time.Now(), s)); err != nil {
 		g.Log.V(1).Info("state not sent", "peer", s.Member.Name, "error", err.Error())
 	}
 }
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -19,61 +19,61 @@
 const (
 	// nodePrefix is where nodes register themselves.
 	nodePrefix = "jujubewheel/nodes/"
-	// fleetKey is where the size of the fleet stands.
-	fleetKey = "jujubewheel/fleet"
-	// followPause is the wait between two readings of changes. Targets register
+	// fleetSizeKey is where the size of the fleet stands.
+	fleetSizeKey = "jujubewheel/fleet"
+	// minWatchPause is the wait between two readings of changes. Targets register
 	// about once a second each; without it every one would cost a call.
-	followPause = 700 * time.Millisecond
-	// mostFollowPause and followNodes bound what a large fleet asks of the store, which
+	minWatchPause = 700 * time.Millisecond
+	// maxWatchPause and followNodes bound what a large fleet asks of the store, which
 	// prices each call: from followNodes on the pause grows with the fleet, so that all
 	// together make as many calls. Changes have three seconds to be in force.
-	mostFollowPause = 1400 * time.Millisecond
-	followNodes     = 40
-	// followWait is how long a reading waits for a change. A connection that
+	maxWatchPause = 1400 * time.Millisecond
+	scaleNodes    = 40
+	// watchTimeout is how long a reading waits for a change. A connection that
 	// fell silent is noticed after it.
-	followWait = 4 * time.Second
-	// followRetry is the wait after a reading that failed.
-	followRetry = 300 * time.Millisecond
-	// mostRetry bounds what it grows to in a large fleet.
-	mostRetry = time.Second
+	watchTimeout = 4 * time.Second
+	// watchRetry is the wait after a reading that failed.
+	watchRetry = 300 * time.Millisecond
+	// maxStoreRetry bounds what it grows to in a large fleet.
+	maxStoreRetry = time.Second
 )
 
-// follower keeps the tables as the store has them.
-type follower struct {
-	g    *Gateway
-	lost time.Time // when the store stopped answering, zero while it answers
+// storeWatcher keeps the tables as the store has them.
+type storeWatcher struct {
+	g         *Gateway
+	lostSince time.Time // when the store stopped answering, zero while it answers
 
-	mu       sync.Mutex       // held while changes are applied
-	revision jwstore.Revision // the changes after it are to be read
-	known    jwstore.Revision // the last one, also while everything is to be read anew
-	relayAt  time.Time        // when a relay passed changes on last, zero if it can't be relied on
-	refused  time.Time        // when a relay that reads the store could not pass its changes on
+	mu               sync.Mutex       // held while changes are applied
+	revision         jwstore.Revision // the changes after it are to be read
+	lastRevision     jwstore.Revision // the last one, also while everything is to be read anew
+	relayedAt        time.Time        // when a relay passed changes on last, zero if it can't be relied on
+	upstreamFailedAt time.Time        // when a relay that reads the store could not pass its changes on
 
-	evacuated map[string]time.Time // data centres whose evacuation is held, and until when
-	alone     chan struct{}        // the relay can't be relied on any more
+	heldEvacuations map[string]time.Time // data centres whose evacuation is held, and until when
+	relayUnusable   chan struct{}        // the relay can't be relied on any more
 }
 
-// newFollower returns a follower of a node.
-func newFollower(g *Gateway) *follower {
-	return &follower{g: g, evacuated: make(map[string]time.Time), alone: make(chan struct{}, 1)}
+// newStoreWatcher returns a follower of a node.
+func newStoreWatcher(g *Gateway) *storeWatcher {
+	return &storeWatcher{g: g, heldEvacuations: make(map[string]time.Time), relayUnusable: make(chan struct{}, 1)}
 }
 
-// follow reads all keys once and then their changes, until ctx ends.
-func (g *Gateway) follow(ctx context.Context) {
-	f := g.follower
-	known := g.epoch.Load()
+// watchStore reads all keys once and then their changes, until ctx ends.
+func (g *Gateway) watchStore(ctx context.Context) {
+	f := g.storeWatcher
+	lastEpoch := g.epoch.Load()
 	for ctx.Err() == nil {
-		f.endHeld(time.Now())
+		f.endHeldEvacuations(time.Now())
 		epoch := g.epoch.Load()
-		if epoch != known {
-			f.restart() // the node was paused, and its history may be gone
-			known = epoch
+		if epoch != lastEpoch {
+			f.resetRevision() // the node was paused, and its history may be gone
+			lastEpoch = epoch
 		}
-		if d := f.relies(time.Now()); d > 0 && !g.reads(time.Now()) && epoch.Err() == nil {
-			f.rest(epoch, d)
+		if d := f.relayValidFor(time.Now()); d > 0 && !g.readsForOthers(time.Now()) && epoch.Err() == nil {
+			f.waitForRelay(epoch, d)
 			continue
 		}
-		seen, err := f.step(epoch)
+		readAt, err := f.readOnce(epoch)
 		if ctx.Err() != nil {
 			return
 		}
@@ -82,160 +82,160 @@
 		}
 		now := time.Now()
 		if err == nil {
-			g.viewed.Store(int64(seen.Sub(g.begun)))
-			if !f.lost.IsZero() {
-				g.Log.Info("store regained", "after", now.Sub(f.lost).String())
-				f.lost = time.Time{}
+			g.storeReadAt.Store(int64(readAt.Sub(g.startTime)))
+			if !f.lostSince.IsZero() {
+				g.Log.Info("store regained", "after", now.Sub(f.lostSince).String())
+				f.lostSince = time.Time{}
 			}
-			jwclock.Sleep(epoch, g.followPause(now))
+			jwclock.Sleep(epoch, g.watchPause(now))
 			continue
 		}
 		if errors.Is(err, jwstore.ErrCompacted) {
-			g.Log.Info("store history gone, reading anew", "revision", f.at())
-			f.restart()
-			g.spreadReading(epoch)
+			g.Log.Info("store history gone, reading anew", "revision", f.currentRevision())
+			f.resetRevision()
+			g.delayFullRead(epoch)
 			continue
 		}
-		if f.lost.IsZero() {
-			f.lost = now
+		if f.lostSince.IsZero() {
+			f.lostSince = now
 			g.Log.Info("store lost", "error", err.Error())
 		}
-		jwclock.Sleep(epoch, g.retryWait(followRetry)+rand.N(followRetry))
+		jwclock.Sleep(epoch, g.retryWait(watchRetry)+rand.N(watchRetry))
 	}
 }
 
-// reads reports whether the node reads the store for others.
-func (g *Gateway) reads(now time.Time) bool {
+// readsForOthers reports whether the node reads the store for others.
+func (g *Gateway) readsForOthers(now time.Time) bool {
 	return g.members.IsRelay(now) && g.members.Large(now, g.members.Me().Region)
 }
 
-// followPause returns the wait between two readings of changes.
-func (g *Gateway) followPause(now time.Time) time.Duration {
-	if g.reads(now) {
-		return relayPause
+// watchPause returns the wait between two readings of changes.
+func (g *Gateway) watchPause(now time.Time) time.Duration {
+	if g.readsForOthers(now) {
+		return relayWatchPause
 	}
-	return pauseOf(g.members.Count(now, ""))
+	return watchPauseFor(g.members.Count(now, ""))
 }
 
-// pauseOf returns the wait between two readings of changes in a fleet.
-func pauseOf(nodes int) time.Duration { return spread(followPause, nodes, mostFollowPause) }
+// watchPauseFor returns the wait between two readings of changes in a fleet.
+func watchPauseFor(nodes int) time.Duration { return scaleWait(minWatchPause, nodes, maxWatchPause) }
 
-// spread returns a wait between two calls of the store, which from followNodes on grows
+// scaleWait returns a wait between two calls of the store, which from followNodes on grows
 // with the fleet up to a bound.
-func spread(wait time.Duration, nodes int, most time.Duration) time.Duration {
-	return min(wait*time.Duration(max(nodes, followNodes))/followNodes, most)
+func scaleWait(wait time.Duration, nodes int, maxWait time.Duration) time.Duration {
+	return min(wait*time.Duration(max(nodes, scaleNodes))/scaleNodes, maxWait)
 }
 
 // retryWait returns the wait after a call of the store that failed. The store turns
 // whole parts of a fleet away at times, and each call counts, refused ones too.
 func (g *Gateway) retryWait(wait time.Duration) time.Duration {
-	return spread(wait, g.members.Count(time.Now(), ""), mostRetry)
+	return scaleWait(wait, g.members.Count(time.Now(), ""), maxStoreRetry)
 }
 
-// restart makes the next reading one of everything.
-func (f *follower) restart() {
+// resetRevision makes the next reading one of everything.
+func (f *storeWatcher) resetRevision() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.revision, f.relayAt = 0, time.Time{}
-	f.g.recent.Forget()
+	f.revision, f.relayedAt = 0, time.Time{}
+	f.g.recentChanges.Forget()
 }
 
-// step reads once, and returns as of when the store was read.
-func (f *follower) step(ctx context.Context) (seen time.Time, err error) {
-	from := f.at()
-	if from == 0 {
+// readOnce reads once, and returns as of when the store was read.
+func (f *storeWatcher) readOnce(ctx context.Context) (readAt time.Time, err error) {
+	after := f.currentRevision()
+	if after == 0 {
 		return time.Now(), f.readAll(ctx)
 	}
-	reads := f.g.reads(time.Now())
-	wait := followWait
-	if reads {
-		wait = relayWait
+	readsForOthers := f.g.readsForOthers(time.Now())
+	wait := watchTimeout
+	if readsForOthers {
+		wait = relayWatchTimeout
 	}
-	if reads {
-		if c, ok := f.askUpstream(ctx, from); ok {
-			return f.passOn(time.Now(), c, from), nil
+	if readsForOthers {
+		if c, ok := f.askUpstream(ctx, after); ok {
+			return f.applyUpstream(time.Now(), c, after), nil
 		}
 	}
-	events, revision, err := f.g.Feed.Watch(ctx, "", from, wait)
-	now := f.answered(ctx, err)
+	events, revision, err := f.g.Feed.Watch(ctx, "", after, wait)
+	now := f.noteStoreCall(ctx, err)
 	if err != nil {
 		return now, err
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	changed := f.take(now, events, revision)
-	if reads {
-		f.g.recent.Add(changed, from, revision)
+	changed := f.applyChanges(now, events, revision)
+	if readsForOthers {
+		f.g.recentChanges.Add(changed, after, revision)
 	} else {
-		f.g.recent.Forget()
+		f.g.recentChanges.Forget()
 	}
 	return now, nil
 }
 
-// take brings changes into the tables that follow what was read before, up to a
+// applyChanges brings changes into the tables that follow what was read before, up to a
 // revision, and returns those that changed something; f.mu is held.
-func (f *follower) take(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
+func (f *storeWatcher) applyChanges(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
 	changed := events[:0:0]
 	for i, e := range events {
 		// Each configuration is whole, so that only the last one counts; in quick
 		// succession, decoding all of them would hold up requests.
-		if e.Revision <= f.revision || f.g.Records.IsConfig(e.Key) && changedAgain(events[i+1:], e.Key) {
+		if e.Revision <= f.revision || f.g.Records.IsConfig(e.Key) && hasLaterChange(events[i+1:], e.Key) {
 			continue
 		}
-		if f.apply(now, e) {
+		if f.applyChange(now, e) {
 			changed = append(changed, e)
 		}
 	}
 	f.revision = max(f.revision, revision)
-	f.known = f.revision
+	f.lastRevision = f.revision
 	f.g.store.revision.Store(f.revision)
 	return changed
 }
 
-// answered notes how a call of the store ended, before what it brought is taken:
+// noteStoreCall notes how a call of the store ended, before what it brought is taken:
 // that lasts, and a target would be asked meanwhile as if the store were away.
-func (f *follower) answered(ctx context.Context, err error) time.Time {
+func (f *storeWatcher) noteStoreCall(ctx context.Context, err error) time.Time {
 	now := time.Now()
 	if ctx.Err() == nil {
-		f.g.store.called(now, err)
+		f.g.store.recordCall(now, err)
 	}
 	return now
 }
 
-func changedAgain(later []jwstore.Event, key string) bool {
+func hasLaterChange(later []jwstore.Event, key string) bool {
 	return slices.ContainsFunc(later, func(e jwstore.Event) bool { return e.Key == key && !e.Deleted })
 }
 
-// apply brings one change into the tables and reports whether it changes anything: targets
+// applyChange brings one change into the tables and reports whether it changes anything: targets
 // register about once a second, and most of it says what they said before.
-func (f *follower) apply(now time.Time, e jwstore.Event) bool {
+func (f *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
 	g := f.g
 	if g.Records.IsConfig(e.Key) {
 		if !e.Deleted {
-			g.takeConfig(e.Value, "store")
+			g.applyConfig(e.Value, "store")
 		}
 		return true
 	}
 	if dc, ok := g.Records.Evacuation(e.Key); ok {
-		delete(f.evacuated, dc)
-		g.evacuate(now, dc, !e.Deleted)
+		delete(f.heldEvacuations, dc)
+		g.setEvacuated(now, dc, !e.Deleted)
 		return true
 	}
 	if id, ok := g.Records.TargetID(e.Key); ok {
-		return g.takeTarget(now, id, e)
+		return g.applyTarget(now, id, e)
 	}
-	if e.Key == fleetKey && !e.Deleted {
-		g.takeFleet(now, e.Value)
+	if e.Key == fleetSizeKey && !e.Deleted {
+		g.applyFleetSize(now, e.Value)
 		return true
 	}
 	if name, ok := strings.CutPrefix(e.Key, nodePrefix); ok {
-		g.takeNode(now, name, e)
+		g.applyNode(now, name, e)
 		return true
 	}
 	return false
 }
 
-func (g *Gateway) takeTarget(now time.Time, id string, e jwstore.Event) (changed bool) {
+func (g *Gateway) applyTarget(now time.Time, id string, e jwstore.Event) (changed bool) {
 	if e.Deleted {
 		g.Log.Info("target registration gone", "target", id)
 		g.targets.Remove(now, id, e.Revision)
@@ -253,7 +253,7 @@
 	if change == jwinstance.Same {
 		return false
 	}
-	if !g.synced.Load() || !g.targets.Knows(id) {
+	if !g.storeRead.Load() || !g.targets.Knows(id) {
 		return true // thousands of lines at the start of each node, of targets that it never uses
 	}
 	g.logTarget(in, change)
@@ -265,7 +265,7 @@
 		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.Left.Milliseconds())
 }
 
-func (g *Gateway) takeNode(now time.Time, name string, e jwstore.Event) {
+func (g *Gateway) applyNode(now time.Time, name string, e jwstore.Event) {
 	if e.Deleted {
 		g.members.Remove(name)
 		if name == g.Settings.Node {
@@ -284,46 +284,46 @@
 		return
 	}
 	if g.members.Put(now, m) {
-		g.beganAnew(m)
+		g.dropOldConnections(m)
 	}
 }
 
-// beganAnew drops the connections to the process before: where its host lost
+// dropOldConnections drops the connections to the process before: where its host lost
 // power, nothing has closed them, and the next request on one would be lost.
-func (g *Gateway) beganAnew(m jwmember.Member) {
+func (g *Gateway) dropOldConnections(m jwmember.Member) {
 	if g.Nodes.Kept(m.Nodes) > 0 {
 		g.Log.Info("node began anew", "peer", m.Name)
 	}
 	g.Nodes.Drop(m.Nodes)
 }
 
-// keepEvacuated ends all evacuations but those named.
-func (g *Gateway) keepEvacuated(now time.Time, dataCentres map[string]bool) {
+// endEvacuationsExcept ends all evacuations but those named.
+func (g *Gateway) endEvacuationsExcept(now time.Time, dataCentres map[string]bool) {
 	for _, dc := range g.targets.Evacuated() {
 		if !dataCentres[dc] {
-			g.evacuate(now, dc, false)
+			g.setEvacuated(now, dc, false)
 		}
 	}
 }
 
-func (g *Gateway) evacuate(now time.Time, dataCentre string, on bool) {
-	g.Log.Info("evacuation", "dataCentre", dataCentre, "on", on)
-	g.targets.Evacuate(now, dataCentre, on)
+func (g *Gateway) setEvacuated(now time.Time, dataCentre string, active bool) {
+	g.Log.Info("evacuation", "dataCentre", dataCentre, "on", active)
+	g.targets.Evacuate(now, dataCentre, active)
 }
 
-// takeConfig brings a configuration into force if it is newer.
-func (g *Gateway) takeConfig(raw []byte, from string) {
+// applyConfig brings a configuration into force if it is newer.
+func (g *Gateway) applyConfig(raw []byte, source string) {
 	c, err := g.Records.Config(raw)
 	if err != nil {
-		g.Log.Error(err, "configuration not readable", "from", from)
+		g.Log.Error(err, "configuration not readable", "from", source)
 		return
 	}
-	old := g.entries.Version()
+	oldVersion := g.entries.Version()
 	if !g.entries.Put(c) {
 		return
 	}
-	g.Log.Info("configuration in force", "version", c.Version, "before", old, "entries", len(c.Entries), "from", from)
-	if old == 0 {
+	g.Log.Info("configuration in force", "version", c.Version, "before", oldVersion, "entries", len(c.Entries), "from", source)
+	if oldVersion == 0 {
 		g.members.Serve(time.Now(), !g.stopping.Load())
 		g.reregister()
 	}
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -21,19 +21,19 @@
 
 // The headers of a request on its way between two nodes.
 const (
-	headService  = "Jujube-Service"
-	headKind     = "Jujube-Kind" // kind, resumable, attempts, priority, goal, homes
-	headOutcome  = "Jujube-Outcome"
-	headCallerID = "Jujube-Caller" // set on forwards only
-	headMark     = "Jujube-Mark"   // fingerprint of the request
-	headOwner    = "Jujube-Workspace"
+	headerService     = "Jujube-Service"
+	headerKind        = "Jujube-Kind" // kind, resumable, attempts, priority, goal, homes
+	headerOutcome     = "Jujube-Outcome"
+	headerSender      = "Jujube-Caller" // set on forwards only
+	headerFingerprint = "Jujube-Mark"   // fingerprint of the request
+	headerWorkspace   = "Jujube-Workspace"
 )
 
-// place chooses the region that serves a request.
-func (g *Gateway) place(now time.Time, q *request) jwplacement.Choice {
-	n := g.need(q)
+// chooseRegion chooses the region that serves a request.
+func (g *Gateway) chooseRegion(now time.Time, q *request) jwplacement.Choice {
+	n := g.targetNeed(q)
 	var here *jwplacement.Option
-	if q.forward || q.homes.Allows(g.Settings.Region) {
+	if q.forwarded || q.homes.Allows(g.Settings.Region) {
 		if c, ok := g.targets.Look(now, n); ok {
 			here = &jwplacement.Option{
 				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.Own, Later: c.Cost - c.Expected, Miss: c.Miss,
@@ -41,30 +41,30 @@
 		}
 	}
 	var others []jwplacement.Option
-	if !q.forward {
+	if !q.forwarded {
 		for _, region := range g.otherRegions(q) {
-			if !q.full[region] && g.anyUntried(q, g.members.Live(now, region)) {
-				others = append(others, g.option(now, region, n))
+			if !q.fullRegions[region] && g.anyUntried(q, g.members.Live(now, region)) {
+				others = append(others, g.regionOption(now, region, n))
 			}
 		}
 	}
 	return g.Placement.Choose(here, others)
 }
 
-// option estimates what Look of a node of another region would say, with the
+// regionOption estimates what Look of a node of another region would say, with the
 // way there and back.
-func (g *Gateway) option(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
-	w, known := g.regions.expect(now, region, n.Service)
-	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.trip(region) + w.wait}
+func (g *Gateway) regionOption(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
+	w, known := g.regions.waitFor(now, region, n.Service)
+	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.roundTrip(region) + w.wait}
 	if n.Prompt.Tokens > 0 {
 		miss, targets := g.targets.MissIn(now, region, n)
 		o.Miss = miss
 		// The other nodes of this region see the same and send there too.
-		unseen := g.regions.unseen(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
+		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
 		o.Own = g.targets.Read(n.Service, 0, miss)
-		o.Expected += g.targets.Read(n.Service, unseen/max(targets, 1), miss)
+		o.Expected += g.targets.Read(n.Service, unreported/max(targets, 1), miss)
 	}
-	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.gap))
+	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.eventGap))
 	return o
 }
 
@@ -87,12 +87,12 @@
 	if len(nodes) == 0 {
 		return q.reject(noTarget, jwadmission.MinRetryAfter)
 	}
-	g.regions.send(now, region, q.service, miss)
-	return g.forward(ctx, q, g.near(nodes, point(q.ID)))
+	g.regions.recordSend(now, region, q.service, miss)
+	return g.forward(ctx, q, g.chooseNode(nodes, hashFraction(q.ID)))
 }
 
-// near returns the node of another region that a request is passed on to.
-func (g *Gateway) near(nodes []jwmember.Member, point float64) jwmember.Member {
+// chooseNode returns the node of another region that a request is passed on to.
+func (g *Gateway) chooseNode(nodes []jwmember.Member, point float64) jwmember.Member {
 	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, point)
 }
 
@@ -115,16 +115,16 @@
 	q.tried[m.Name], q.sentTo = true, m.Name
 	h := q.header.Clone()
 	e := q.entry
-	h[headService] = []string{q.service}
-	h[headKind] = []string{strings.Join([]string{
+	h[headerService] = []string{q.service}
+	h[headerKind] = []string{strings.Join([]string{
 		string(e.Kind), strconv.FormatBool(e.Resumable), strconv.Itoa(max(e.Attempts()-q.attempts, 1)),
 		strconv.Itoa(q.priority), strconv.FormatInt(e.Goal.Milliseconds(), 10), strings.Join(q.homes, "|"),
 	}, ",")}
-	h[headCallerID] = []string{g.Settings.Node}
-	h[headMark] = []string{q.mark.String()}
-	delete(h, headOwner)
+	h[headerSender] = []string{g.Settings.Node}
+	h[headerFingerprint] = []string{q.fingerprint.String()}
+	delete(h, headerWorkspace)
 	if q.workspace != "" {
-		h[headOwner] = []string{q.workspace}
+		h[headerWorkspace] = []string{q.workspace}
 	}
 	g.Dialect.Left(h, time.Until(q.deadline))
 	if id := q.lastEvent(); id != "" {
@@ -132,22 +132,22 @@
 	}
 	call := &jwconn.Call{
 		Peer: m.Nodes, Method: q.method, Target: q.target, Host: q.host, Header: h,
-		Body: q.body.held, Rest: q.body.reader(), Length: q.body.length,
+		Body: q.body.buffered, Rest: q.body.reader(), Length: q.body.length,
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
 	status := 0
-	begun := time.Now()
+	start := time.Now()
 	var p progress
 	verdict := func() Verdict {
 		a, err := g.Nodes.Do(ctx, call)
 		if err != nil {
-			return g.forwardFailed(ctx, q, m, err)
+			return g.classifyForwardError(ctx, q, m, err)
 		}
 		defer a.Close()
 		status = a.Status
-		return g.judgeForward(q, m, a, func(int) {
-			if p.came(begun, time.Now()) == 0 {
-				g.meters.begun(placeAway, time.Since(q.arrived))
+		return g.relayForwardAnswer(q, m, a, func(int) {
+			if p.record(start, time.Now()) == 0 {
+				g.metrics.recordFirstEvent(placeAway, time.Since(q.arrived))
 			}
 		})
 	}()
@@ -155,31 +155,31 @@
 	return verdict
 }
 
-// judgeForward passes the answer of another node on, if it is a target's.
-func (g *Gateway) judgeForward(q *request, m jwmember.Member, a *jwconn.Answer, came func(int)) Verdict {
-	outcome := a.Header.Get(headOutcome)
-	delete(a.Header, headOutcome)
+// relayForwardAnswer passes the answer of another node on, if it is a target's.
+func (g *Gateway) relayForwardAnswer(q *request, m jwmember.Member, a *jwconn.Answer, onEvents func(int)) Verdict {
+	outcome := a.Header.Get(headerOutcome)
+	delete(a.Header, headerOutcome)
 	switch outcome {
 	case outcomeNotRun:
-		q.refused = "refused by " + m.Name
-		if q.full == nil {
-			q.full = make(map[string]bool)
+		q.lastReason = "refused by " + m.Name
+		if q.fullRegions == nil {
+			q.fullRegions = make(map[string]bool)
 		}
-		q.full[m.Region] = true
+		q.fullRegions[m.Region] = true
 		drain(a)
 		return notRun
 	case outcomeServed:
 		q.attempts++
-		return g.relay(q, a, came)
+		return g.passAnswer(q, a, onEvents)
 	}
-	q.refused = "unknown at " + m.Name
+	q.lastReason = "unknown at " + m.Name
 	q.attempts++
 	drain(a)
 	return failed
 }
 
-func (g *Gateway) forwardFailed(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
-	q.refused = err.Error()
+func (g *Gateway) classifyForwardError(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
+	q.lastReason = err.Error()
 	var rest *jwconn.RestError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
 		g.members.Failed(time.Now(), m.Name)
@@ -205,37 +205,37 @@
 	defer g.inFlight.Add(-1)
 	q := &request{
 		Call: g.Dialect.Call(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
-		header: r.Header, arrived: time.Now(), forward: true, service: r.Header.Get(headService),
+		header: r.Header, arrived: time.Now(), forwarded: true, service: r.Header.Get(headerService),
 	}
 	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.Answer(h).Signed }}
-	q.entry = readKind(r.Header.Get(headKind))
-	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headOwner)
-	if mark, err := jwsuspect.ParseFingerprint(r.Header.Get(headMark)); err == nil {
-		q.mark = mark
+	q.entry = parseKind(r.Header.Get(headerKind))
+	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headerWorkspace)
+	if fingerprint, err := jwsuspect.ParseFingerprint(r.Header.Get(headerFingerprint)); err == nil {
+		q.fingerprint = fingerprint
 	}
-	for _, name := range []string{headService, headKind, headCallerID, headMark, headOwner} {
+	for _, name := range []string{headerService, headerKind, headerSender, headerFingerprint, headerWorkspace} {
 		delete(q.header, name)
 	}
 	q.deadline = q.arrived.Add(max(q.Deadline, time.Millisecond))
-	if !g.pulse.Alive() {
+	if !g.pauseDetector.Alive() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
-	if g.leaving() {
+	if g.rejectsNewRequests() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
 		return
 	}
-	if !g.takeBody(q, r) {
+	if !g.bufferBody(q, r) {
 		return
 	}
 	defer q.body.close()
-	stripHop(q.header)
+	stripHopByHop(q.header)
 	g.serve(r.Context(), q)
 }
 
-// readKind reads what the first node says of the entry. The entry itself may
+// parseKind reads what the first node says of the entry. The entry itself may
 // not be known here yet, or no longer.
-func readKind(s string) *jwentry.Entry {
+func parseKind(s string) *jwentry.Entry {
 	f := strings.Split(s, ",")
 	e := &jwentry.Entry{Kind: jwentry.NonIdempotent, MaxAttempts: 1}
 	const fields = 6
@@ -244,16 +244,16 @@
 	}
 	e.Kind = jwentry.Kind(f[0])
 	e.Resumable = f[1] == "true"
-	e.MaxAttempts = count(f[2])
-	e.Priority = count(f[3])
-	e.Goal = time.Duration(count(f[4])) * time.Millisecond
+	e.MaxAttempts = parseCount(f[2])
+	e.Priority = parseCount(f[3])
+	e.Goal = time.Duration(parseCount(f[4])) * time.Millisecond
 	if f[5] != "" {
 		e.Homes = strings.Split(f[5], "|")
 	}
 	return e
 }
 
-func count(s string) int {
+func parseCount(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0
@@ -272,9 +272,9 @@
 	h := o.Header()
 	switch {
 	case o.signed(h):
-		h[headOutcome] = []string{outcomeServed}
+		h[headerOutcome] = []string{outcomeServed}
 	case status == http.StatusServiceUnavailable:
-		h[headOutcome] = []string{outcomeNotRun}
+		h[headerOutcome] = []string{outcomeNotRun}
 	}
 	o.ResponseWriter.WriteHeader(status)
 }
@@ -292,10 +292,10 @@
 // serveNode answers other nodes.
 func (g *Gateway) serveNode(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case r.Header.Get(headService) != "":
+	case r.Header.Get(headerService) != "":
 		g.serveForward(w, r)
 	case r.URL.Path == jwquotaexchange.Path:
-		g.sharing.ServeHTTP(w, r)
+		g.quotaExchange.ServeHTTP(w, r)
 	case r.URL.Path == statePath:
 		g.serveState(w, r)
 	case r.URL.Path == changesPath:
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -50,38 +50,38 @@
 	RelayThreshold int                         // nodes of a region from which on they exchange state through relays, 0 for the usual number
 	Boot           func() time.Duration        // time since the host started, suspended or not; nil for the host's own
 
-	views      encodedViews
-	pulse      jwclock.Pulse
-	epoch      atomic.Pointer[epoch]
-	meters     *meters
-	store      storeState
-	follower   *follower
-	recent     jwstore.Recent // changes of the store, kept by a relay for others
-	pulledTo   atomic.Uint64  // revision of the store up to which another node's view was taken
-	pulling    atomic.Bool    // another node is asked
-	viewed     atomic.Int64   // when the store was read last, nanoseconds since begun
-	bounds     atomic.Pointer[jwsettings.Bounds]
-	entries    jwentry.Table
-	targets    jwinstance.Table
-	members    jwmember.Table
-	retries    jwbudget.Retry
-	quotas     jwquota.Ledger
-	sharing    jwquotaexchange.Exchange // of the quotas' units with other nodes
-	regions    regionTable
-	unseenAt   time.Time // when nodes that were not seen were called last; of exchange only, as unseenTurn
-	unseenTurn int
-	exchanging sync.Map // names of the peers that an exchange waits for
-	demand     jwentry.Demand
-	suspects   jwsuspect.Table
-	crashes    singleflight.Group // questions whether targets have crashed
-	synced     atomic.Bool        // the store was read once
-	stopping   atomic.Bool
-	ending     atomic.Bool // the grace period is over: what still runs is cut off
-	begun      time.Time
-	stopFrom   atomic.Int64  // when the planned stop began, nanoseconds since begun
-	fleetLost  atomic.Bool   // the store came back without the size of the fleet
-	changed    chan struct{} // the registration has to be written anew
-	inFlight   atomic.Int64
+	viewCache           viewCache
+	pauseDetector       jwclock.Pulse
+	epoch               atomic.Pointer[epoch]
+	metrics             *metrics
+	store               storeState
+	storeWatcher        *storeWatcher
+	recentChanges       jwstore.Recent // changes of the store, kept by a relay for others
+	pulledRevision      atomic.Uint64  // revision of the store up to which another node's view was taken
+	pullingView         atomic.Bool    // another node is asked
+	storeReadAt         atomic.Int64   // when the store was read last, nanoseconds since begun
+	bounds              atomic.Pointer[jwsettings.Bounds]
+	entries             jwentry.Table
+	targets             jwinstance.Table
+	members             jwmember.Table
+	retryBudget         jwbudget.Retry
+	quotas              jwquota.Ledger
+	quotaExchange       jwquotaexchange.Exchange // of the quotas' units with other nodes
+	regions             regionTable
+	unseenCalledAt      time.Time // when nodes that were not seen were called last; of exchange only, as unseenTurn
+	unseenTurn          int
+	exchangesInFlight   sync.Map // names of the peers that an exchange waits for
+	demand              jwentry.Demand
+	suspects            jwsuspect.Table
+	crashChecks         singleflight.Group // questions whether targets have crashed
+	storeRead           atomic.Bool        // the store was read once
+	stopping            atomic.Bool
+	graceOver           atomic.Bool // the grace period is over: what still runs is cut off
+	startTime           time.Time
+	stopStart           atomic.Int64  // when the planned stop began, nanoseconds since begun
+	fleetSizeMissing    atomic.Bool   // the store came back without the size of the fleet
+	registrationChanged chan struct{} // the registration has to be written anew
+	inFlight            atomic.Int64
 }
 
 // Run serves until ctx ends and the requests in flight are done or the grace
@@ -105,16 +105,16 @@
 		group.Go(func() error { return s.Run(work) })
 	}
 	g.newEpoch(work)
-	g.pulse.Begin()
-	group.Go(func() error { g.watchPulse(work); return nil })
-	group.Go(func() error { g.follow(work); return nil })
-	group.Go(func() error { g.start(work); return nil })
-	group.Go(func() error { g.register(work); return nil })
-	group.Go(func() error { g.exchange(work); return nil })
-	group.Go(func() error { g.sharing.Run(work); return nil })
-	group.Go(func() error { g.probe(work); return nil })
+	g.pauseDetector.Begin()
+	group.Go(func() error { g.watchPauses(work); return nil })
+	group.Go(func() error { g.watchStore(work); return nil })
+	group.Go(func() error { g.bootstrapFromPeers(work); return nil })
+	group.Go(func() error { g.keepRegistered(work); return nil })
+	group.Go(func() error { g.exchangeStates(work); return nil })
+	group.Go(func() error { g.quotaExchange.Run(work); return nil })
+	group.Go(func() error { g.probeTargets(work); return nil })
 	group.Go(func() error { g.reload(work); return nil })
-	group.Go(func() error { g.observe(work); return nil })
+	group.Go(func() error { g.updateGauges(work); return nil })
 	g.Log.Info("started", "bounds", *g.bounds.Load(), "region", g.Settings.Region, "dataCentre", g.Settings.DataCentre)
 	select {
 	case <-ctx.Done():
@@ -129,13 +129,13 @@
 
 func (g *Gateway) prepare() {
 	s, o := g.Settings, g.Settings.Gateway
-	g.begun = time.Now()
-	g.pulse.Limit, g.pulse.Boot = pauseLimit, g.Boot
-	g.meters = newMeters(g.Meter)
-	g.follower = newFollower(g)
-	g.Targets.Share = g.connShare
-	g.Targets.Opened = func() { g.meters.opened.Inc(1) }
-	g.changed = make(chan struct{}, 1)
+	g.startTime = time.Now()
+	g.pauseDetector.Limit, g.pauseDetector.Boot = pauseLimit, g.Boot
+	g.metrics = newMetrics(g.Meter)
+	g.storeWatcher = newStoreWatcher(g)
+	g.Targets.Share = g.maxIdleConns
+	g.Targets.Opened = func() { g.metrics.connectionsOpened.Inc(1) }
+	g.registrationChanged = make(chan struct{}, 1)
 	g.members.Self = jwmember.Member{
 		Name: s.Node, Region: s.Region, DataCentre: s.DataCentre,
 		Callers: o.Listen.Callers, Nodes: o.Listen.Nodes,
@@ -145,12 +145,12 @@
 	g.targets.Node, g.targets.Region = s.Node, s.Region
 	g.suspects.Node, g.suspects.Region = s.Node, s.Region
 	g.targets.Warmup = g.warmup
-	g.targets.Share = g.coldShare
+	g.targets.Share = g.coldRate
 	g.targets.LimitPart = g.limitPart
 	g.targets.Rand = rand.IntN
 	g.targets.Nodes = func() int { return g.members.Count(time.Now(), s.Region) }
 	g.bounds.Store(&o.Bounds)
-	g.retries.Limits = func() jwbudget.Limits {
+	g.retryBudget.Limits = func() jwbudget.Limits {
 		b := g.bounds.Load()
 		return jwbudget.Limits{Ratio: b.RetryRatio, Slack: b.RetrySlack, Window: b.RetryWindow}
 	}
@@ -159,11 +159,11 @@
 		b := g.bounds.Load()
 		return jwquota.Bounds{Window: b.QuotaWindow, Ratio: b.QuotaRatio, Slack: b.QuotaSlack}
 	}
-	g.quotas.Lacks = g.sharing.Kick
-	g.sharing.Ledger, g.sharing.Members, g.sharing.Limited = &g.quotas, &g.members, g.limited
-	g.sharing.Window = func() time.Duration { return g.bounds.Load().QuotaWindow }
-	g.sharing.Call, g.sharing.Log = g.nodeCall, g.Log
-	g.retries.Nodes = func() int { return g.members.Count(time.Now(), "") }
+	g.quotas.Lacks = g.quotaExchange.Kick
+	g.quotaExchange.Ledger, g.quotaExchange.Members, g.quotaExchange.Limited = &g.quotas, &g.members, g.hasQuotas
+	g.quotaExchange.Window = func() time.Duration { return g.bounds.Load().QuotaWindow }
+	g.quotaExchange.Call, g.quotaExchange.Log = g.nodeCall, g.Log
+	g.retryBudget.Nodes = func() int { return g.members.Count(time.Now(), "") }
 }
 
 // The places of some listeners in what servers returns.
@@ -206,12 +206,12 @@
 	return s.Warmup, s.WarmupRate
 }
 
-// connUse is the part of the connections that a target takes which nodes keep
+// idleConnShare is the part of the connections that a target takes which nodes keep
 // unused; the rest is for what is in flight.
-const connUse = 0.5
+const idleConnShare = 0.5
 
-// connShare is how many unused connections to a target this node may keep.
-func (g *Gateway) connShare(a netip.AddrPort) int {
+// maxIdleConns is how many unused connections to a target this node may keep.
+func (g *Gateway) maxIdleConns(a netip.AddrPort) int {
 	c := g.entries.Current()
 	if c == nil {
 		return 1
@@ -220,11 +220,11 @@
 	if s == nil || s.MaxConns == 0 {
 		return 1
 	}
-	return int(connUse*float64(s.MaxConns)) / g.members.Count(time.Now(), g.Settings.Region)
+	return int(idleConnShare*float64(s.MaxConns)) / g.members.Count(time.Now(), g.Settings.Region)
 }
 
-// coldShare is how many requests a second this node may send to a cold target.
-func (g *Gateway) coldShare(service, target string) float64 {
+// coldRate is how many requests a second this node may send to a cold target.
+func (g *Gateway) coldRate(service, target string) float64 {
 	now := time.Now()
 	if !g.members.CountedByAll(now) {
 		return 0
@@ -236,23 +236,23 @@
 }
 
 // limitPart is this node's part in the limit that a target names.
-func (g *Gateway) limitPart(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart {
+func (g *Gateway) limitPart(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
 	now := time.Now()
 	if g.members.ListedFor(now) < jwbudget.LimitSettle {
 		return jwbudget.LimitPart{}
 	}
-	return jwbudget.PartOf(rate, g.members.OwnsAmong(now, target, knows), g.members.Count(now, g.Settings.Region))
+	return jwbudget.PartOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
 }
 
-// leaving reports whether the node has been stopping for so long that a new
+// rejectsNewRequests reports whether the node has been stopping for so long that a new
 // request might outlast it.
-func (g *Gateway) leaving() bool {
-	return g.stopping.Load() && time.Since(g.begun) > time.Duration(g.stopFrom.Load())+g.linger()
+func (g *Gateway) rejectsNewRequests() bool {
+	return g.stopping.Load() && time.Since(g.startTime) > time.Duration(g.stopStart.Load())+g.linger()
 }
 
 // ready reports whether the node serves callers.
 func (g *Gateway) ready() bool {
-	return g.entries.Current() != nil && !g.stopping.Load() && g.pulse.Alive()
+	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Alive()
 }
 
 // reload takes settings that changed; what can change while the node runs are
@@ -273,22 +273,22 @@
 	}
 }
 
-// observePeriod is the time between two settings of the gauges.
-const observePeriod = time.Second
+// gaugePeriod is the time between two settings of the gauges.
+const gaugePeriod = time.Second
 
-// observe sets the gauges now and then.
-func (g *Gateway) observe(ctx context.Context) {
+// updateGauges sets the gauges now and then.
+func (g *Gateway) updateGauges(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
-		g.meters.version.Update(float64(g.entries.Version()))
-		g.meters.nodes.Update(float64(len(g.members.Live(now, ""))))
-		g.meters.inFlight.Update(float64(g.inFlight.Load()))
-		g.meters.limited.Update(float64(g.targets.LimitedTargets()))
-		g.meters.budget(g.retries.Left(now))
-		g.meters.storeAge.Update((now.Sub(g.begun) - time.Duration(g.viewed.Load())).Seconds())
+		g.metrics.version.Update(float64(g.entries.Version()))
+		g.metrics.nodes.Update(float64(len(g.members.Live(now, ""))))
+		g.metrics.inFlight.Update(float64(g.inFlight.Load()))
+		g.metrics.limitedTargets.Update(float64(g.targets.LimitedTargets()))
+		g.metrics.setRetriesLeft(g.retryBudget.Left(now))
+		g.metrics.storeReadAge.Update((now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())).Seconds())
 		if g.LostLines != nil {
-			g.meters.lost.Update(float64(g.LostLines()))
+			g.metrics.logLinesLost.Update(float64(g.LostLines()))
 		}
-		jwclock.Sleep(ctx, observePeriod)
+		jwclock.Sleep(ctx, gaugePeriod)
 	}
 }
--- a/io/jwgateway/leaving_test.go
+++ b/io/jwgateway/leaving_test.go
@@ -15,43 +15,43 @@
 
 // A target says in an answer that it leaves while the store is away, so that no
 // registration says so, and goes on to get requests, of the node that had the answer too.
-func TestTargetThatSaysItLeaves(t *testing.T) {
+func TestTargetAnnouncesLeaving(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	// Of two equal targets the first by name is chosen.
-	leaver := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
+	leaving := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/last") {
 			w.Header().Set("Server-Leaving", "1")
 		}
 		_, _ = io.WriteString(w, "t1")
 	})
-	startTarget(t, &feed, "t2", "s", "north-a", text("t2"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("t2"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n1 := start(t, &feed, "n1", "north")
 	n2 := start(t, &feed, "n2", "north")
 	for _, n := range []node{n1, n2} {
-		until(t, n, "/a/x", func(r reply) bool { return r.body == "t1" })
-		names(t, n, "north", n1, n2)
+		sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "t1" })
+		waitForDirectory(t, n, "north", n1, n2)
 	}
 	feed.Down(jwstore.ErrUnavailable)
 	r, err := send(t, n1, http.MethodGet, "/a/last", "last", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.body, "t1")
-	before := len(leaver.requests())
+	before := len(leaving.requests())
 	for i := range 10 {
 		r, err := send(t, n1, http.MethodGet, "/a/x", fmt.Sprint("r", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.body, "t2")
 	}
-	assert.Equal(t, len(leaver.requests()), before)
-	until(t, n2, "/a/x", func(r reply) bool { return r.body == "t2" })
+	assert.Equal(t, len(leaving.requests()), before)
+	sendUntil(t, n2, "/a/x", func(r reply) bool { return r.body == "t2" })
 
 	// The store comes back and has the registration of before, written anew.
-	register(&feed, "t1", "s", leaver.addr, "north-a", "ready")
+	register(&feed, "t1", "s", leaving.addr, "north-a", "ready")
 	feed.Down(nil)
 	configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
 	for _, n := range []node{n1, n2} {
-		until(t, n, "/b/x", func(r reply) bool { return r.body == "t2" })
+		sendUntil(t, n, "/b/x", func(r reply) bool { return r.body == "t2" })
 		time.Sleep(20 * time.Millisecond)
 		r, err := send(t, n, http.MethodGet, "/a/x", "later", nil, "")
 		assert.NilError(t, err)
--- a/io/jwgateway/limit_test.go
+++ b/io/jwgateway/limit_test.go
@@ -13,33 +13,33 @@
 )
 
 // A target names in its answers how much it takes, and goes on to get all requests.
-func TestTargetThatNamesALimit(t *testing.T) {
+func TestTargetLimit(t *testing.T) {
 	t.Parallel()
 	const limit, most = 1.0, 60
 	var feed jwstore.MemoryFeed
-	var over atomic.Bool
+	var limitLifted atomic.Bool
 	x := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, _ *http.Request) {
-		if !over.Load() {
+		if !limitLifted.Load() {
 			w.Header().Set("Server-Limit", fmt.Sprint(limit))
 		}
 	})
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
-	begun, before := time.Now(), len(x.requests())
+	sendUntil(t, n, "/a/x", served)
+	started, before := time.Now(), len(x.requests())
 	var last reply
 	for i := range most {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("r", i), nil, "")
 		assert.NilError(t, err)
 		last = r
 	}
-	allowed := 1.5*limit*max(time.Since(begun).Seconds(), 4) + 5
+	allowed := 1.5*limit*max(time.Since(started).Seconds(), 4) + 5
 	got := len(x.requests()) - before
 	assert.Assert(t, float64(got) <= allowed, "%d requests reached it, %.1f are allowed", got, allowed)
 	assert.Equal(t, last.status, http.StatusServiceUnavailable)
 	assert.Assert(t, last.header.Get("Retry-After") != "")
-	over.Store(true)
-	until(t, n, "/a/x", served)
+	limitLifted.Store(true)
+	sendUntil(t, n, "/a/x", served)
 	for i := range most {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("s", i), nil, "")
 		assert.NilError(t, err)
--- a/io/jwgateway/meters_test.go
+++ b/io/jwgateway/meters_test.go
@@ -10,11 +10,11 @@
 )
 
 // Thirty-eight thousand workspaces must not make as many series.
-func TestSeriesOfWorkspaces(t *testing.T) {
-	m := newMeters(&jwmeter.Meter{})
+func TestWorkspaceSeriesAreBounded(t *testing.T) {
+	m := newMetrics(&jwmeter.Meter{})
 	for i := range 1000 {
-		m.charged(fmt.Sprint("w", i), "taken", 1)
-		m.charged(fmt.Sprint("w", i), "refused", 1)
+		m.countUnits(fmt.Sprint("w", i), "taken", 1)
+		m.countUnits(fmt.Sprint("w", i), "refused", 1)
 	}
-	assert.Assert(t, len(m.units) <= maxWorkspaces+2, "%d series", len(m.units))
+	assert.Assert(t, len(m.unitCounts) <= maxWorkspaces+2, "%d series", len(m.unitCounts))
 }
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	// staleAfter is how long a node without an answer of the store takes it to
+	// storeStaleAfter is how long a node without an answer of the store takes it to
 	// be away: its lease is renewed more often.
-	staleAfter = leaseTTL/renewals + 800*time.Millisecond
+	storeStaleAfter = leaseTTL/renewalsPerLease + 800*time.Millisecond
 	// syncedPeerAge is how long a peer's report counts that it reaches the store.
 	syncedPeerAge = 500 * time.Millisecond
 	// probePeriod is the time between two questions to a target. At seven
@@ -24,45 +24,45 @@
 	// nodes of the region know, half of its capacity.
 	probePeriod  = 250 * time.Millisecond
 	probeTimeout = 300 * time.Millisecond
-	// idleProbe is the time between two looks whether that has begun.
-	idleProbe = 2 * probePeriod
+	// staleCheckPeriod is the time between two looks whether that has begun.
+	staleCheckPeriod = 2 * probePeriod
 )
 
 // storeState holds how the node stands with the store.
 type storeState struct {
-	revision   atomic.Uint64 // up to which changes were read
-	answered   atomic.Int64  // last answer, Unix nanoseconds
-	failed     atomic.Bool   // the last call had none
-	syncedPeer atomic.Int64  // when a peer said last that it reaches the store
+	revision       atomic.Uint64 // up to which changes were read
+	lastAnswer     atomic.Int64  // last answer, Unix nanoseconds
+	lastCallFailed atomic.Bool   // the last call had none
+	syncedPeerSeen atomic.Int64  // when a peer said last that it reaches the store
 }
 
-// called notes how a call ended.
-func (s *storeState) called(now time.Time, err error) {
+// recordCall notes how a call ended.
+func (s *storeState) recordCall(now time.Time, err error) {
 	answer := err == nil || errors.Is(err, jwstore.ErrNoLease) || errors.Is(err, jwstore.ErrCompacted)
-	s.failed.Store(!answer)
+	s.lastCallFailed.Store(!answer)
 	if answer {
-		s.answered.Store(now.UnixNano())
+		s.lastAnswer.Store(now.UnixNano())
 	}
 }
 
 // stale reports whether the store may know what the node does not.
 func (s *storeState) stale(now time.Time) bool {
-	return s.failed.Load() || now.Sub(time.Unix(0, s.answered.Load())) > staleAfter
+	return s.lastCallFailed.Load() || now.Sub(time.Unix(0, s.lastAnswer.Load())) > storeStaleAfter
 }
 
-// probe asks targets how long they stay cold while no node of the region
+// probeTargets asks targets how long they stay cold while no node of the region
 // reaches the store, until ctx ends. A target may go cold at any moment; informed by
 // nobody, all nodes would go on sending what a warm one takes.
-func (g *Gateway) probe(ctx context.Context) {
+func (g *Gateway) probeTargets(ctx context.Context) {
 	for ctx.Err() == nil {
-		now, wait := time.Now(), idleProbe
+		now, wait := time.Now(), staleCheckPeriod
 		if g.store.stale(now) {
 			wait = probePeriod
 		}
-		if wait == probePeriod && now.Sub(time.Unix(0, g.store.syncedPeer.Load())) > syncedPeerAge {
+		if wait == probePeriod && now.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > syncedPeerAge {
 			for _, x := range g.targets.Probes(now) {
 				if path := g.healthPath(x.Service); path != "" && g.members.Owns(now, x.ID) {
-					go g.probeOne(ctx, x, path)
+					go g.probeTarget(ctx, x, path)
 				}
 			}
 		}
@@ -80,10 +80,10 @@
 	return c.Services[service].HealthPath
 }
 
-func (g *Gateway) probeOne(ctx context.Context, x *jwinstance.Target, path string) {
+func (g *Gateway) probeTarget(ctx context.Context, x *jwinstance.Target, path string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	g.meters.probes.Inc(1)
+	g.metrics.probes.Inc(1)
 	a, err := g.Targets.Do(ctx, &jwconn.Call{Peer: x.Address, Method: http.MethodGet, Target: path, Host: x.Address.String()})
 	if err != nil {
 		return // a request that fails there is judged by its own outcome
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -21,27 +21,27 @@
 // Another region tells its wait once a second. Going by that alone, all prompts
 // of a second went to the region that was free at its beginning, and every third
 // of them was late.
-func TestRegionFillsBetweenItsWords(t *testing.T) {
+func TestPromptsSentSinceLastRegionReport(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
-	word := func(region string) state {
+	report := func(region string) state {
 		return state{Member: jwmember.Member{Region: region}, Waits: map[string]int64{"s": 10}}
 	}
 	var table regionTable
-	table.noteTrip("q", 200*time.Millisecond)
-	table.merge(t0, word("q"))
-	assert.Equal(t, table.unseen("q", "s"), 0)
-	table.send(at(100), "q", "s", 1000)
-	table.send(at(900), "q", "s", 2000)
-	table.send(at(900), "q", "other", 4000)
-	assert.Equal(t, table.unseen("q", "s"), 3000)
-	assert.Equal(t, table.unseen("p", "s"), 0)
-	table.merge(at(1000), word("p"))
-	assert.Equal(t, table.unseen("q", "s"), 3000, "another region spoke")
-	table.merge(at(1000), word("q"))
-	assert.Equal(t, table.unseen("q", "s"), 2000, "sent while the word was on its way")
-	table.merge(at(2000), word("q"))
-	assert.Equal(t, table.unseen("q", "s"), 0)
+	table.recordRoundTrip("q", 200*time.Millisecond)
+	table.merge(t0, report("q"))
+	assert.Equal(t, table.unreportedTokens("q", "s"), 0)
+	table.recordSend(at(100), "q", "s", 1000)
+	table.recordSend(at(900), "q", "s", 2000)
+	table.recordSend(at(900), "q", "other", 4000)
+	assert.Equal(t, table.unreportedTokens("q", "s"), 3000)
+	assert.Equal(t, table.unreportedTokens("p", "s"), 0)
+	table.merge(at(1000), report("p"))
+	assert.Equal(t, table.unreportedTokens("q", "s"), 3000, "another region spoke")
+	table.merge(at(1000), report("q"))
+	assert.Equal(t, table.unreportedTokens("q", "s"), 2000, "sent while the word was on its way")
+	table.merge(at(2000), report("q"))
+	assert.Equal(t, table.unreportedTokens("q", "s"), 0)
 }
 
 // The same load as the nodes choose: two regions are as near and as free.
@@ -59,16 +59,16 @@
 	n := jwinstance.Need{Service: "s", Prompt: jwinstance.Prompt{Tokens: 5000}}
 	sent := map[string]int{}
 	for range 20 {
-		c := g.Placement.Choose(nil, []jwplacement.Option{g.option(now, "p", n), g.option(now, "q", n)})
+		c := g.Placement.Choose(nil, []jwplacement.Option{g.regionOption(now, "p", n), g.regionOption(now, "q", n)})
 		sent[c.Region]++
-		g.regions.send(now, c.Region, "s", c.Miss)
+		g.regions.recordSend(now, c.Region, "s", c.Miss)
 	}
 	assert.DeepEqual(t, sent, map[string]int{"q": 10, "p": 10})
 }
 
 // The load: a few bound requests a second to each node of the home region. Each
 // went to another node, over a new connection, and took twice as long.
-func TestNodeWithAnOpenConnectionIsNear(t *testing.T) {
+func TestForwardPrefersOpenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
 	s := &http.Server{Handler: http.NotFoundHandler()}
@@ -78,13 +78,13 @@
 	closed := netip.MustParseAddrPort("127.0.0.1:1")
 	nodes := []jwmember.Member{{Name: "a", Nodes: closed}, {Name: "b", Nodes: open}, {Name: "c", Nodes: closed}}
 	g := &Gateway{Nodes: &jwconn.Pool{}}
-	assert.Equal(t, g.near(nodes, 0.1).Name, "a")
+	assert.Equal(t, g.chooseNode(nodes, 0.1).Name, "a")
 	a, err := g.Nodes.Do(t.Context(), &jwconn.Call{Peer: open, Method: http.MethodGet, Target: "/", Host: "h"})
 	assert.NilError(t, err)
 	_, err = io.Copy(io.Discard, a.Body)
 	assert.NilError(t, err)
 	a.Close()
 	for _, point := range []float64{0, 0.1, 0.9} {
-		assert.Equal(t, g.near(nodes, point).Name, "b")
+		assert.Equal(t, g.chooseNode(nodes, point).Name, "b")
 	}
 }
--- a/io/jwgateway/relay.go
+++ b/io/jwgateway/relay.go
@@ -11,11 +11,11 @@
 )
 
 const (
-	// heldBody is the size up to which an answer that is no stream is held
+	// maxBufferedAnswer is the size up to which an answer that is no stream is held
 	// until it is whole, so that one that breaks off can be told apart.
-	heldBody = 256 << 10
-	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
+	maxBufferedAnswer = 256 << 10
+	// maxEventSize bounds one event of a stream.
+	maxEventSize = 1 << 20
 	// maxDrain bounds what is read of an answer that nobody wants, to keep
 	// its connection.
 	maxDrain = 64 << 10
@@ -28,43 +28,43 @@
 	_, _ = io.CopyN(io.Discard, a.Body, maxDrain)
 }
 
-// relay passes an answer on; came is called with the number of events that are
+// passAnswer passes an answer on; came is called with the number of events that are
 // there, for an answer without events once.
-func (g *Gateway) relay(q *request, a *jwconn.Answer, came func(events int)) Verdict {
+func (g *Gateway) passAnswer(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
 	if strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") && a.Status == http.StatusOK {
-		return g.relayStream(q, a, came)
+		return g.passStream(q, a, onEvents)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, heldBody))
-	came(1)
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswer))
+	onEvents(1)
 	if err != nil {
-		q.refused = err.Error()
+		q.lastReason = err.Error()
 		return failed
 	}
-	if q.started {
+	if q.answerStarted {
 		// A stream can't go on with an answer that is none.
-		q.refused = "the stream was not resumed"
+		q.lastReason = "the stream was not resumed"
 		return failed
 	}
-	q.started = true
-	g.head(q, a)
-	if a.Whole() || len(body) < heldBody {
+	q.answerStarted = true
+	g.copyHeaders(q, a)
+	if a.Whole() || len(body) < maxBufferedAnswer {
 		q.w.Header()["Content-Length"] = []string{strconv.Itoa(len(body))}
 	}
 	q.w.WriteHeader(a.Status)
 	_, _ = q.w.Write(body)
-	if len(body) == heldBody && !a.Whole() {
+	if len(body) == maxBufferedAnswer && !a.Whole() {
 		if _, err := io.Copy(q.w, a.Body); err != nil {
-			q.refused = err.Error()
+			q.lastReason = err.Error()
 			return failed
 		}
 	}
 	return finished
 }
 
-// head copies the headers of an answer.
-func (g *Gateway) head(q *request, a *jwconn.Answer) {
+// copyHeaders copies the headers of an answer.
+func (g *Gateway) copyHeaders(q *request, a *jwconn.Answer) {
 	length := a.Header.Get("Content-Length")
-	stripHop(a.Header)
+	stripHopByHop(a.Header)
 	h := q.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
@@ -74,72 +74,72 @@
 	}
 }
 
-// relayStream passes whole events on as they come. What stands before the end
+// passStream passes whole events on as they come. What stands before the end
 // of an event when the stream breaks off is not passed on, so that another
 // target can go on after the last whole one.
-func (g *Gateway) relayStream(q *request, a *jwconn.Answer, came func(events int)) Verdict {
-	var held []byte
-	resumed := q.started
-	wanted := ""
+func (g *Gateway) passStream(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
+	var buffered []byte
+	resumed := q.answerStarted
+	wantID := ""
 	if resumed {
-		wanted = next(q.lastEvent())
+		wantID = nextID(q.lastEvent())
 	}
 	buf := make([]byte, readSize)
 	first := true
 	for {
 		n, err := a.Body.Read(buf)
-		held = append(held, buf[:n]...)
-		if end := bytes.LastIndex(held, []byte("\n\n")); end >= 0 {
-			events := held[:end+2]
-			came(bytes.Count(events, []byte("\n\n")))
+		buffered = append(buffered, buf[:n]...)
+		if end := bytes.LastIndex(buffered, []byte("\n\n")); end >= 0 {
+			events := buffered[:end+2]
+			onEvents(bytes.Count(events, []byte("\n\n")))
 			if first {
 				first = false
 				g.logBegun(q)
-				if wanted != "" && firstID(events) != wanted {
-					q.refused = "the stream was resumed at another event"
+				if wantID != "" && firstID(events) != wantID {
+					q.lastReason = "the stream was resumed at another event"
 					return failed
 				}
 			}
-			if !g.pass(q, a, events) {
+			if !g.writeEvents(q, a, events) {
 				return failed
 			}
-			held = append(held[:0], held[end+2:]...)
+			buffered = append(buffered[:0], buffered[end+2:]...)
 		}
 		switch {
 		case err == io.EOF:
-			if len(held) > 0 || !q.started {
-				if !g.pass(q, a, held) {
+			if len(buffered) > 0 || !q.answerStarted {
+				if !g.writeEvents(q, a, buffered) {
 					return failed
 				}
 			}
 			return finished
 		case err != nil:
-			q.refused = err.Error()
+			q.lastReason = err.Error()
 			return broken
-		case len(held) > maxEvent:
-			q.refused = "an event is too large"
+		case len(buffered) > maxEventSize:
+			q.lastReason = "an event is too large"
 			return failed
 		}
 	}
 }
 
-// pass writes events to the caller at once, after the head if they are the
+// writeEvents writes events to the caller at once, after the head if they are the
 // first.
-func (g *Gateway) pass(q *request, a *jwconn.Answer, events []byte) bool {
-	if !q.started {
-		q.started = true
-		g.head(q, a)
+func (g *Gateway) writeEvents(q *request, a *jwconn.Answer, events []byte) bool {
+	if !q.answerStarted {
+		q.answerStarted = true
+		g.copyHeaders(q, a)
 		q.w.WriteHeader(a.Status)
 	}
 	if _, err := q.w.Write(events); err != nil {
-		q.refused = "the caller is gone"
+		q.lastReason = "the caller is gone"
 		return false
 	}
 	if f, ok := q.w.(http.Flusher); ok {
 		f.Flush()
 	}
 	if id := lastID(events); id != "" {
-		q.lastID = id
+		q.lastEventID = id
 	}
 	return true
 }
@@ -155,22 +155,22 @@
 	default:
 		return ""
 	}
-	return idAt(events[i:])
+	return parseID(events[i:])
 }
 
 // firstID returns the identifier of the first event that has one.
 func firstID(events []byte) string {
 	if bytes.HasPrefix(events, []byte("id:")) {
-		return idAt(events)
+		return parseID(events)
 	}
 	i := bytes.Index(events, []byte("\nid:"))
 	if i < 0 {
 		return ""
 	}
-	return idAt(events[i+1:])
+	return parseID(events[i+1:])
 }
 
-func idAt(line []byte) string {
+func parseID(line []byte) string {
 	line = bytes.TrimPrefix(line, []byte("id:"))
 	if end := bytes.IndexByte(line, '\n'); end >= 0 {
 		line = line[:end]
@@ -178,8 +178,8 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// next returns the identifier after one, "" if there is no telling.
-func next(id string) string {
+// nextID returns the identifier after one, "" if there is no telling.
+func nextID(id string) string {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return ""
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -21,14 +21,14 @@
 )
 
 const (
-	// startHold is how long after its start a node lets a request wait for the first
+	// maxConfigWait is how long after its start a node lets a request wait for the first
 	// configuration: three trips to a store in another region and back. Most callers
 	// retry once, and one that is rejected in that moment has used that up.
-	startHold = 600 * time.Millisecond
-	// holdShare is the part of its time that a request may wait so.
-	holdShare = 0.25
-	// firstRetryAfter is the Retry-After of a node that knows no configuration yet.
-	firstRetryAfter = 500 * time.Millisecond
+	maxConfigWait = 600 * time.Millisecond
+	// configWaitShare is the part of its time that a request may wait so.
+	configWaitShare = 0.25
+	// noConfigRetryAfter is the Retry-After of a node that knows no configuration yet.
+	noConfigRetryAfter = 500 * time.Millisecond
 	// stopRetryAfter is the Retry-After of a node that is stopping: others serve.
 	stopRetryAfter = 20 * time.Millisecond
 	// defaultDeadline bounds a request that names none.
@@ -47,31 +47,31 @@
 	priority  int                 // 0 is the most urgent
 	units     float64             // of the workspace's quota that it took
 
-	method   string
-	target   string // path and query as the caller wrote them
-	host     string
-	header   http.Header
-	body     body
-	arrived  time.Time
-	deadline time.Time
-	forward  bool // came from another node, and is not passed on again
-
-	w          http.ResponseWriter
-	started    bool // the head of an answer went to the caller
-	tried      map[string]bool
-	attempts   int         // sends that a target may have run
-	sends      int         // sends that reached a target
-	paid       atomic.Bool // the next send was taken from the retry budget already
-	lastID     string
-	mark       jwsuspect.Fingerprint
-	sentTo     string          // the target or node that answers
-	retryAfter time.Duration   // after a refusal
-	full       map[string]bool // regions that had no room for it
-	refused    string          // why the last send or choice did not run
+	method    string
+	target    string // path and query as the caller wrote them
+	host      string
+	header    http.Header
+	body      body
+	arrived   time.Time
+	deadline  time.Time
+	forwarded bool // came from another node, and is not passed on again
+
+	w             http.ResponseWriter
+	answerStarted bool // the head of an answer went to the caller
+	tried         map[string]bool
+	attempts      int         // sends that a target may have run
+	sends         int         // sends that reached a target
+	budgetTaken   atomic.Bool // the next send was taken from the retry budget already
+	lastEventID   string
+	fingerprint   jwsuspect.Fingerprint
+	sentTo        string          // the target or node that answers
+	retryAfter    time.Duration   // after a refusal
+	fullRegions   map[string]bool // regions that had no room for it
+	lastReason    string          // why the last send or choice did not run
 }
 
-// need describes the request to those who look for a target.
-func (g *Gateway) need(q *request) jwinstance.Need {
+// targetNeed describes the request to those who look for a target.
+func (g *Gateway) targetNeed(q *request) jwinstance.Need {
 	n := jwinstance.Need{Service: q.service, Prompt: q.Prompt, Homes: q.homes, Priority: q.priority, Goal: q.entry.Goal, Exclude: q.tried}
 	c := g.entries.Current()
 	if c == nil {
@@ -90,7 +90,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-func stripHop(h http.Header) {
+func stripHopByHop(h http.Header) {
 	for _, field := range h["Connection"] {
 		for _, name := range strings.Split(field, ",") {
 			h.Del(strings.TrimSpace(name))
@@ -106,18 +106,18 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	call := g.Dialect.Call(r.Header)
-	cfg := g.startConfig(r.Context(), call.Deadline)
+	cfg := g.awaitConfig(r.Context(), call.Deadline)
 	if cfg == nil {
 		// The longer it lasts, the longer it will: the store is away then.
-		again := min(max(time.Since(g.begun), firstRetryAfter), jwadmission.MaxRetryAfter)
-		g.refuse(w, call.ID, http.StatusServiceUnavailable, again, "no configuration yet")
+		retryAfter := min(max(time.Since(g.startTime), noConfigRetryAfter), jwadmission.MaxRetryAfter)
+		g.refuse(w, call.ID, http.StatusServiceUnavailable, retryAfter, "no configuration yet")
 		return
 	}
-	if !g.pulse.Alive() {
+	if !g.pauseDetector.Alive() {
 		g.refuse(w, call.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
-	if g.leaving() {
+	if g.rejectsNewRequests() {
 		g.refuse(w, call.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
 		return
 	}
@@ -138,7 +138,7 @@
 		Call: call, entry: e, version: cfg.Version, method: r.Method, target: target, host: r.Host,
 		header: r.Header, arrived: time.Now(), w: w,
 	}
-	q.service = e.Choose(point(call.ID))
+	q.service = e.Choose(hashFraction(call.ID))
 	limit := defaultDeadline
 	if call.Deadline > 0 {
 		limit = call.Deadline
@@ -147,38 +147,38 @@
 		limit = min(limit, e.Timeout)
 	}
 	q.deadline = q.arrived.Add(limit)
-	space, known := cfg.Caller(e, call.Key)
-	if !g.identify(q, space, known) {
+	workspace, known := cfg.Caller(e, call.Key)
+	if !g.identify(q, workspace, known) {
 		return
 	}
 	g.demand.Count(q.homes)
-	if space != nil && !g.charge(r.Context(), q, space.Quota) {
+	if workspace != nil && !g.charge(r.Context(), q, workspace.Quota) {
 		return
 	}
-	if !g.takeBody(q, r) {
+	if !g.bufferBody(q, r) {
 		g.refund(q)
 		return
 	}
 	defer q.body.close()
-	stripHop(q.header)
+	stripHopByHop(q.header)
 	g.Dialect.Strip(q.header)
 	if cfg.Workspaces != nil {
 		g.Dialect.StripKey(q.header)
 	}
-	q.mark = g.markOf(q, callerOf(r.RemoteAddr))
+	q.fingerprint = g.fingerprintOf(q, callerOf(r.RemoteAddr))
 	g.serve(r.Context(), q)
 }
 
-// startConfig returns the configuration in force. A node that has just started
+// awaitConfig returns the configuration in force. A node that has just started
 // waits for it a moment; nil is returned if there is none then.
-func (g *Gateway) startConfig(ctx context.Context, deadline time.Duration) *jwentry.Config {
+func (g *Gateway) awaitConfig(ctx context.Context, deadline time.Duration) *jwentry.Config {
 	if c := g.entries.Current(); c != nil {
 		return c
 	}
 	if deadline == 0 {
 		deadline = defaultDeadline
 	}
-	wait := min(startHold-time.Since(g.begun), time.Duration(holdShare*float64(deadline)))
+	wait := min(maxConfigWait-time.Since(g.startTime), time.Duration(configWaitShare*float64(deadline)))
 	if wait <= 0 {
 		return nil
 	}
@@ -192,14 +192,14 @@
 	return g.entries.Current()
 }
 
-// takeBody reads what is held of the body, or answers the caller why not.
-func (g *Gateway) takeBody(q *request, r *http.Request) bool {
-	most := int64(bodyLimit)
+// bufferBody reads what is held of the body, or answers the caller why not.
+func (g *Gateway) bufferBody(q *request, r *http.Request) bool {
+	maxSize := int64(defaultMaxBody)
 	if c := g.entries.Current(); c != nil && c.MaxBody > 0 {
-		most = c.MaxBody
+		maxSize = c.MaxBody
 	}
 	var err error
-	q.body, err = readBody(q.w, r, most)
+	q.body, err = readBody(q.w, r, maxSize)
 	switch {
 	case err == nil:
 		return true
@@ -211,8 +211,8 @@
 	return false
 }
 
-// point spreads identifiers over [0, 1).
-func point(id string) float64 {
+// hashFraction spreads identifiers over [0, 1).
+func hashFraction(id string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return float64(h.Sum32()) / (1 << 32)
@@ -220,16 +220,16 @@
 
 // refuse answers a request that has not run and never will, or that can't be
 // answered; again is its Retry-After, 0 if retrying would not help.
-func (g *Gateway) refuse(w http.ResponseWriter, id string, status int, again time.Duration, why string) {
+func (g *Gateway) refuse(w http.ResponseWriter, id string, status int, retryAfter time.Duration, reason string) {
 	h := w.Header()
 	g.Dialect.Refuse(h, id)
 	h["Content-Type"] = []string{"application/json"}
-	if again > 0 {
-		h["Retry-After"] = []string{strconv.FormatFloat(again.Seconds(), 'f', 3, 64)}
+	if retryAfter > 0 {
+		h["Retry-After"] = []string{strconv.FormatFloat(retryAfter.Seconds(), 'f', 3, 64)}
 	}
 	if g.stopping.Load() {
 		h["Connection"] = []string{"close"}
 	}
 	w.WriteHeader(status)
-	_, _ = io.WriteString(w, `{"error":`+strconv.Quote(why)+"}\n")
+	_, _ = io.WriteString(w, `{"error":`+strconv.Quote(reason)+"}\n")
 }
--- a/io/jwgateway/retryafter_test.go
+++ b/io/jwgateway/retryafter_test.go
@@ -13,7 +13,7 @@
 
 // A target turns a request away and says for how long it wants nothing, and goes on to be
 // asked by the same node.
-func TestTargetThatSaysWhenToRetry(t *testing.T) {
+func TestTargetRetryAfter(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	busy := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, _ *http.Request) {
@@ -24,7 +24,7 @@
 	})
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", func(reply) bool { return len(busy.requests()) > 0 })
+	sendUntil(t, n, "/a/x", func(reply) bool { return len(busy.requests()) > 0 })
 	for i := range 10 {
 		time.Sleep(50 * time.Millisecond)
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("r", i), nil, "")
--- a/io/jwgateway/return_test.go
+++ b/io/jwgateway/return_test.go
@@ -18,7 +18,7 @@
 )
 
 // jsonRecords decodes targets that are written as they are.
-type jsonRecords struct{ countedRecords }
+type jsonRecords struct{ countingRecords }
 
 func (*jsonRecords) TargetID(key string) (string, bool) { return strings.CutPrefix(key, "targets/") }
 
@@ -27,7 +27,7 @@
 }
 
 // What a return of the store from an older copy costs a node that reads everything itself.
-func BenchmarkReturn(b *testing.B) {
+func BenchmarkStoreRestore(b *testing.B) {
 	for _, size := range []struct{ nodes, targets int }{{300, 3000}, {970, 3200}} {
 		b.Run(fmt.Sprintf("%d nodes", size.nodes), func(b *testing.B) {
 			var feed jwstore.MemoryFeed
@@ -48,17 +48,17 @@
 				id := fmt.Sprintf("i-%010d", i)
 				write("targets/"+id, jwinstance.Instance{ID: id, Service: "s", Address: address, DataCentre: "r-a", Region: "r", Slots: 24})
 			}
-			g := &Gateway{Feed: &feed, Records: &jsonRecords{}, Log: logr.Discard(), Settings: &jwsettings.Settings{Node: "self"}, changed: make(chan struct{}, 1)}
-			g.meters = newMeters(nil)
-			f := newFollower(g)
-			_, err := f.step(context.Background())
+			g := &Gateway{Feed: &feed, Records: &jsonRecords{}, Log: logr.Discard(), Settings: &jwsettings.Settings{Node: "self"}, registrationChanged: make(chan struct{}, 1)}
+			g.metrics = newMetrics(nil)
+			f := newStoreWatcher(g)
+			_, err := f.readOnce(context.Background())
 			assert.NilError(b, err)
 			calls := (size.nodes+size.targets)/feed.PageSize + 2 // and the watch that is refused
 			b.ReportAllocs()
 			for b.Loop() {
 				feed.Return(feed.Copy())
-				f.restart()
-				_, err := f.step(context.Background())
+				f.resetRevision()
+				_, err := f.readOnce(context.Background())
 				assert.NilError(b, err)
 			}
 			b.ReportMetric(float64(bytes), "bytes-read/op")
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -10,9 +10,9 @@
 	"jujubewheel/io/jwconn"
 )
 
-// freshOnce is how long a connection may have been unused for a request that
+// maxIdleForSingleSend is how long a connection may have been unused for a request that
 // must not be sent twice.
-const freshOnce = time.Second
+const maxIdleForSingleSend = time.Second
 
 // sendTarget sends the request to one target.
 func (g *Gateway) sendTarget(ctx context.Context, q *request, c jwinstance.Choice) Verdict {
@@ -20,42 +20,42 @@
 	q.tried[x.ID], q.sentTo = true, x.ID
 	var p progress
 	if q.sends == 0 {
-		g.retries.Request(time.Now(), q.service)
+		g.retryBudget.Request(time.Now(), q.service)
 	}
 	bound := len(q.homes) > 0
-	g.suspects.Begin(q.mark, x.Address, bound)
-	begun := time.Now()
+	g.suspects.Begin(q.fingerprint, x.Address, bound)
+	start := time.Now()
 	status := 0
-	sendCtx, patience := g.patience(ctx, q, c)
-	defer patience.Stop()
+	sendCtx, timer := g.withSendTimeout(ctx, q, c)
+	defer timer.Stop()
 	verdict := func() Verdict {
 		a, err := g.Targets.Do(sendCtx, g.targetCall(q, c))
 		if err != nil {
-			return g.sendFailed(ctx, q, x, err)
+			return g.classifySendError(ctx, q, x, err)
 		}
 		defer a.Close()
 		q.sends++
 		status = a.Status
-		if v, ok := g.judge(q, x, a); !ok {
+		if v, ok := g.checkAnswer(q, x, a); !ok {
 			return v
 		}
-		return g.relay(q, a, func(events int) {
+		return g.passAnswer(q, a, func(events int) {
 			now := time.Now()
-			pause := p.came(begun, now)
+			pause := p.record(start, now)
 			if pause == 0 {
 				g.targets.Started(x, c, q.Prompt, p.first)
 			} else {
 				g.targets.Passed(now, x, events, pause)
-				g.meters.pauses.RecordDuration(pause)
+				g.metrics.eventPauses.RecordDuration(pause)
 			}
-			patience.Reset(mostPause)
+			timer.Reset(maxEventPause)
 		})
 	}()
 	g.targets.Done(time.Now(), x, c, p.first)
 	if (verdict == failed || verdict == broken) && status != http.StatusInternalServerError && sendCtx.Err() == nil {
-		g.brokeOff(ctx, x)
+		g.checkCrash(ctx, x)
 	}
-	g.suspects.End(q.mark, x.Address, verdict == finished, time.Now())
+	g.suspects.End(q.fingerprint, x.Address, verdict == finished, time.Now())
 	if verdict == finished && status < http.StatusInternalServerError {
 		g.targets.Served(x)
 	}
@@ -73,11 +73,11 @@
 	last  time.Time
 }
 
-// came notes events and returns the pause before them, 0 for the first.
-func (p *progress) came(begun, now time.Time) time.Duration {
+// record notes events and returns the pause before them, 0 for the first.
+func (p *progress) record(start, now time.Time) time.Duration {
 	defer func() { p.last = now }()
 	if p.first == 0 {
-		p.first = max(now.Sub(begun), 1)
+		p.first = max(now.Sub(start), 1)
 		return 0
 	}
 	pause := max(now.Sub(p.last), 1)
@@ -85,9 +85,9 @@
 	return pause
 }
 
-// silent returns how long nothing had come when a send ended that was not
+// silence returns how long nothing had come when a send ended that was not
 // finished.
-func (p *progress) silent(v Verdict, now time.Time) time.Duration {
+func (p *progress) silence(v Verdict, now time.Time) time.Duration {
 	if v == finished || p.last.IsZero() {
 		return 0
 	}
@@ -95,64 +95,64 @@
 }
 
 const (
-	// leastPatience is the shortest wait for a target before another is tried.
-	leastPatience = 250 * time.Millisecond
-	// goalPatience is the part of the goal that a target may use up before
+	// minSendTimeout is the shortest wait for a target before another is tried.
+	minSendTimeout = 250 * time.Millisecond
+	// goalTimeoutShare is the part of the goal that a target may use up before
 	// another is tried: the rest has to do for that one.
-	goalPatience = 1.0
-	// expectedPatience is how many times the expected wait a target may take.
-	expectedPatience = 4
-	// mostPause is the longest pause between events before a stream is taken
+	goalTimeoutShare = 1.0
+	// expectedWaitFactor is how many times the expected wait a target may take.
+	expectedWaitFactor = 4
+	// maxEventPause is the longest pause between events before a stream is taken
 	// for dead and resumed elsewhere; callers leave after two seconds.
-	mostPause = 1500 * time.Millisecond
+	maxEventPause = 1500 * time.Millisecond
 )
 
-// errImpatient ends a send that took too long where another may help.
-var errImpatient = errors.New("the target took too long")
+// errSendTimeout ends a send that took too long where another may help.
+var errSendTimeout = errors.New("the target took too long")
 
-// patience returns the context of one send, which ends early where the request
+// withSendTimeout returns the context of one send, which ends early where the request
 // may be sent to another target: one that has fallen silent must not use up
 // the caller's time.
-func (g *Gateway) patience(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, stopper) {
+func (g *Gateway) withSendTimeout(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, sendTimer) {
 	if !q.entry.Repeatable() || q.body.rest != nil || q.attempts+1 >= q.entry.Attempts() {
-		return ctx, stopper{}
+		return ctx, sendTimer{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	d := max(leastPatience, time.Duration(goalPatience*float64(q.entry.Goal)), expectedPatience*c.Expected)
-	give := func() {
+	d := max(minSendTimeout, time.Duration(goalTimeoutShare*float64(q.entry.Goal)), expectedWaitFactor*c.Expected)
+	expire := func() {
 		// Without a repeat in hand waiting on is the better chance.
-		if g.retries.Take(time.Now(), q.service) {
-			q.paid.Store(true)
-			cancel(errImpatient)
+		if g.retryBudget.Take(time.Now(), q.service) {
+			q.budgetTaken.Store(true)
+			cancel(errSendTimeout)
 		}
 	}
-	return ctx, stopper{time.AfterFunc(d, give), cancel}
+	return ctx, sendTimer{time.AfterFunc(d, expire), cancel}
 }
 
-// stopper is the timer of a send; the zero value does nothing.
-type stopper struct {
+// sendTimer is the timer of a send; the zero value does nothing.
+type sendTimer struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
 // Reset starts the timer anew.
-func (s stopper) Reset(d time.Duration) {
+func (s sendTimer) Reset(d time.Duration) {
 	if s.timer != nil {
 		s.timer.Reset(d)
 	}
 }
 
 // Stop ends the timer and frees the context.
-func (s stopper) Stop() {
+func (s sendTimer) Stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 		s.cancel(nil)
 	}
 }
 
-// judge looks at the head of an answer; ok reports whether it goes to the
+// checkAnswer looks at the head of an answer; ok reports whether it goes to the
 // caller, and otherwise the verdict on the send is returned.
-func (g *Gateway) judge(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
+func (g *Gateway) checkAnswer(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
 	reply := g.Dialect.Answer(a.Header)
 	g.noteCold(x, reply)
 	// Otherwise the answer isn't known to be the target's.
@@ -164,7 +164,7 @@
 	now := time.Now()
 	switch {
 	case reply.NotRun || a.Status == http.StatusMisdirectedRequest:
-		q.refused = "refused by the target"
+		q.lastReason = "refused by the target"
 		if a.Status == http.StatusMisdirectedRequest {
 			g.targets.Replaced(now, x)
 		} else {
@@ -174,7 +174,7 @@
 		return notRun, false
 	case !reply.Signed || a.Header.Get("Content-Encoding") != "":
 		q.attempts++
-		q.refused = "the answer is not the target's"
+		q.lastReason = "the answer is not the target's"
 		g.targets.Failed(x)
 		return failed, false
 	}
@@ -183,12 +183,12 @@
 		return finished, true
 	}
 	g.targets.Failed(x)
-	if q.started || !g.mayRepeat(q, failed) {
+	if q.answerStarted || !g.mayRetry(q, failed) {
 		return finished, true // the caller gets the target's own failure
 	}
 	drain(a)
-	q.refused = "the target failed"
-	q.paid.Store(true)
+	q.lastReason = "the target failed"
+	q.budgetTaken.Store(true)
 	return failed, false
 }
 
@@ -201,26 +201,26 @@
 	})
 	call := &jwconn.Call{
 		Peer: x.Address, Method: q.method, Target: q.target, Host: q.host, Header: h,
-		Body: q.body.held, Rest: q.body.reader(), Length: q.body.length,
+		Body: q.body.buffered, Rest: q.body.reader(), Length: q.body.length,
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
 	if !q.entry.Repeatable() {
-		call.Fresh = freshOnce
+		call.Fresh = maxIdleForSingleSend
 	}
 	return call
 }
 
 // lastEvent is the event after which the next target goes on.
 func (q *request) lastEvent() string {
-	if q.lastID != "" {
-		return q.lastID
+	if q.lastEventID != "" {
+		return q.lastEventID
 	}
 	return q.LastEvent
 }
 
-// sendFailed judges a send without an answer.
-func (g *Gateway) sendFailed(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
-	q.refused = err.Error()
+// classifySendError judges a send without an answer.
+func (g *Gateway) classifySendError(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
+	q.lastReason = err.Error()
 	var ce *jwconn.CallError
 	if errors.As(err, &ce) && ce.Stage == jwconn.Dial {
 		if ctx.Err() == nil {
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -41,58 +41,58 @@
 			return
 		}
 		ran = ran || verdict == failed || verdict == broken
-		if ctx.Err() != nil || !g.mayRepeat(q, verdict) {
+		if ctx.Err() != nil || !g.mayRetry(q, verdict) {
 			break
 		}
 	}
 	if !ran {
 		g.refund(q)
 	}
-	g.giveUp(ctx, parent, q, ran)
+	g.answerUnserved(ctx, parent, q, ran)
 }
 
-// giveUp answers the caller that its request was not served.
-func (g *Gateway) giveUp(ctx, parent context.Context, q *request, ran bool) {
+// answerUnserved answers the caller that its request was not served.
+func (g *Gateway) answerUnserved(ctx, parent context.Context, q *request, ran bool) {
 	switch {
-	case parent.Err() != nil && g.ending.Load():
+	case parent.Err() != nil && g.graceOver.Load():
 		g.logAnswer(q, "cut", "the node stopped and its grace period was over", 0)
 		panic(http.ErrAbortHandler)
 	case parent.Err() != nil:
-		g.logAnswer(q, "callerGone", q.refused, 0)
+		g.logAnswer(q, "callerGone", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
-	case q.started:
+	case q.answerStarted:
 		// An answer that ends early must not look whole.
-		g.logAnswer(q, "cut", q.refused, 0)
+		g.logAnswer(q, "cut", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
 	case q.body.tooLarge():
 		g.logAnswer(q, outcomeRefused, errBodyTooLarge.Error(), http.StatusRequestEntityTooLarge)
 		g.refuse(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
 	case !ran:
-		g.logAnswer(q, "notRun", q.refused, http.StatusServiceUnavailable)
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.refused)
+		g.logAnswer(q, "notRun", q.lastReason, http.StatusServiceUnavailable)
+		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
 	case ctx.Err() != nil:
-		g.logAnswer(q, "unknown", q.refused, http.StatusGatewayTimeout)
+		g.logAnswer(q, "unknown", q.lastReason, http.StatusGatewayTimeout)
 		g.refuse(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
 	default:
-		g.logAnswer(q, "unknown", q.refused, http.StatusBadGateway)
-		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.refused)
+		g.logAnswer(q, "unknown", q.lastReason, http.StatusBadGateway)
+		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
 	}
 }
 
-// mayRepeat reports whether a request may be sent once more after a verdict.
-func (g *Gateway) mayRepeat(q *request, v Verdict) bool {
+// mayRetry reports whether a request may be sent once more after a verdict.
+func (g *Gateway) mayRetry(q *request, v Verdict) bool {
 	reason := jwrepeat.Decide(jwrepeat.Request{
-		Final: v == rejected, Streamed: q.body.once(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
-		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.paid.Load(),
-	}, func() bool { return g.retries.Take(time.Now(), q.service) })
+		Final: v == rejected, Streamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
+		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.budgetTaken.Load(),
+	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
 	case jwrepeat.NoBudget:
-		g.meters.noBudget.Inc(1)
+		g.metrics.retriesRefused.Inc(1)
 	case jwrepeat.Paid:
-		q.paid.Store(false)
-		g.meters.repeats.Inc(1)
+		q.budgetTaken.Store(false)
+		g.metrics.retries.Inc(1)
 	case jwrepeat.Again:
-		g.meters.repeats.Inc(1)
+		g.metrics.retries.Inc(1)
 	}
 	return reason.May()
 }
@@ -107,20 +107,20 @@
 func (g *Gateway) send(ctx context.Context, q *request) Verdict {
 	now := time.Now()
 	if !g.mayRun(now, q) {
-		return q.reject(barred, barredRetryAfter)
+		return q.reject(quarantined, quarantineRetryAfter)
 	}
-	p := g.place(now, q)
+	p := g.chooseRegion(now, q)
 	if p.Reason == jwplacement.Nowhere && len(q.tried) > 0 && q.entry.Repeatable() {
 		// All that are left were tried: over a new connection one may answer.
 		clear(q.tried)
-		p = g.place(now, q)
+		p = g.chooseRegion(now, q)
 	}
 	if p.Reason == jwplacement.Nowhere {
 		return g.rejectNowhere(now, q)
 	}
 	d := g.Admission.Decide(jwadmission.Request{
 		Goal: q.entry.Goal, Left: q.deadline.Sub(now), Expected: p.Expected, Own: p.Own,
-		Engine: q.Prompt.Tokens > 0, Begun: q.forward || q.started || q.sends > 0,
+		Engine: q.Prompt.Tokens > 0, Begun: q.forwarded || q.answerStarted || q.sends > 0,
 	})
 	if !d.Taken() {
 		return q.reject(string(d.Reason), d.RetryAfter)
@@ -128,8 +128,8 @@
 	if p.Region != g.Settings.Region {
 		return g.sendNode(ctx, q, p.Region, p.Miss)
 	}
-	need := g.need(q)
-	g.keepApart(now, q, &need)
+	need := g.targetNeed(q)
+	g.excludeSuspectTargets(now, q, &need)
 	c, ok := g.targets.Best(now, need)
 	if !ok {
 		return g.rejectNowhere(now, q)
@@ -149,7 +149,7 @@
 }
 
 // reject notes why no target is asked to run the request, and its Retry-After.
-func (q *request) reject(why string, again time.Duration) Verdict {
-	q.refused, q.retryAfter = why, again
+func (q *request) reject(reason string, retryAfter time.Duration) Verdict {
+	q.lastReason, q.retryAfter = reason, retryAfter
 	return rejected
 }
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -13,21 +13,21 @@
 )
 
 const (
-	// crashCheck bounds the question whether a target that broke off has
+	// crashCheckTimeout bounds the question whether a target that broke off has
 	// crashed; a crashed one refuses connections at once.
-	crashCheck = 50 * time.Millisecond
-	// barredRetryAfter is the Retry-After of a request that crashes its targets.
-	barredRetryAfter = 30 * time.Second
+	crashCheckTimeout = 50 * time.Millisecond
+	// quarantineRetryAfter is the Retry-After of a request that crashes its targets.
+	quarantineRetryAfter = 30 * time.Second
 )
 
-// barred is why a request was refused that has crashed targets.
-const barred = "it was in flight on two targets as they crashed"
+// quarantined is why a request was refused that has crashed targets.
+const quarantined = "it was in flight on two targets as they crashed"
 
-// markOf returns what stands for a request that comes again: what it asks for,
+// fingerprintOf returns what stands for a request that comes again: what it asks for,
 // who asks, and the begin of its body. Requests without a body differ by their
 // callers.
-func (g *Gateway) markOf(q *request, caller string) jwsuspect.Fingerprint {
-	return jwsuspect.FingerprintOf(q.method+" "+q.host+" "+q.target+" "+caller, q.body.held)
+func (g *Gateway) fingerprintOf(q *request, caller string) jwsuspect.Fingerprint {
+	return jwsuspect.FingerprintOf(q.method+" "+q.host+" "+q.target+" "+caller, q.body.buffered)
 }
 
 // callerOf returns the address of a caller without its port.
@@ -40,25 +40,25 @@
 
 // mayRun reports whether a request may be sent to a target at all.
 func (g *Gateway) mayRun(now time.Time, q *request) bool {
-	state, _ := g.suspects.Check(q.mark, now)
+	state, _ := g.suspects.Check(q.fingerprint, now)
 	return state != jwsuspect.Quarantined
 }
 
-// keepApart adds to the targets that a suspect must not run on. Were two of
+// excludeSuspectTargets adds to the targets that a suspect must not run on. Were two of
 // them on one target when it crashes, the innocent one would be barred too.
-func (g *Gateway) keepApart(now time.Time, q *request, n *jwinstance.Need) {
-	if state, _ := g.suspects.Check(q.mark, now); state != jwsuspect.Suspected {
+func (g *Gateway) excludeSuspectTargets(now time.Time, q *request, n *jwinstance.Need) {
+	if state, _ := g.suspects.Check(q.fingerprint, now); state != jwsuspect.Suspected {
 		return
 	}
-	n.Apart = g.suspects.Apart(q.mark, g.targets.Addresses(q.service), now)
+	n.Apart = g.suspects.Apart(q.fingerprint, g.targets.Addresses(q.service), now)
 }
 
-// brokeOff finds out whether a target that broke off a call has crashed, and
+// checkCrash finds out whether a target that broke off a call has crashed, and
 // holds that against all that was in flight there. It is asked before the
 // request is sent again: the next target might crash too.
-func (g *Gateway) brokeOff(ctx context.Context, x *jwinstance.Target) {
-	crashed, _, _ := g.crashes.Do(x.Address.String(), func() (any, error) {
-		c, err := net.DialTimeout("tcp", x.Address.String(), crashCheck)
+func (g *Gateway) checkCrash(ctx context.Context, x *jwinstance.Target) {
+	crashed, _, _ := g.crashChecks.Do(x.Address.String(), func() (any, error) {
+		c, err := net.DialTimeout("tcp", x.Address.String(), crashCheckTimeout)
 		if err == nil {
 			c.Close()
 		}
@@ -74,13 +74,13 @@
 	}
 }
 
-// notices returns what was learned of suspects within an age, to be reported.
-func (g *Gateway) notices(now time.Time, region string, age time.Duration) []jwsuspect.Notice {
-	var young []jwsuspect.Notice
+// suspectNotices returns what was learned of suspects within an age, to be reported.
+func (g *Gateway) suspectNotices(now time.Time, region string, age time.Duration) []jwsuspect.Notice {
+	var recent []jwsuspect.Notice
 	for _, n := range g.suspects.Notices(region, now) {
 		if n.Age <= age {
-			young = append(young, n)
+			recent = append(recent, n)
 		}
 	}
-	return young
+	return recent
 }
--- a/io/jwgateway/suspect_test.go
+++ b/io/jwgateway/suspect_test.go
@@ -42,15 +42,15 @@
 	}
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	nodes := []node{start(t, &feed, "n1", "north"), start(t, &feed, "n2", "north")}
-	names(t, nodes[0], "north", nodes...)
-	names(t, nodes[1], "north", nodes...)
+	waitForDirectory(t, nodes[0], "north", nodes...)
+	waitForDirectory(t, nodes[1], "north", nodes...)
 	for i := range 10 {
 		r, err := send(t, nodes[i%2], http.MethodPost, "/a/x", fmt.Sprint("bad", i), nil, "the poison")
 		assert.NilError(t, err)
 		assert.Assert(t, r.status == http.StatusBadGateway || r.status == http.StatusServiceUnavailable, r.status)
 		if i == 0 {
 			// The other node hears of it with the next exchange.
-			until(t, nodes[1], "/a/x", served)
+			sendUntil(t, nodes[1], "/a/x", served)
 			for refused := false; !refused; {
 				r, err := send(t, nodes[1], http.MethodPost, "/a/x", "again", nil, "the poison")
 				assert.NilError(t, err)
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -86,8 +86,8 @@
 	return n
 }
 
-// seen is what a target got.
-type seen struct {
+// receivedRequest is what a target got.
+type receivedRequest struct {
 	header http.Header
 	path   string
 	body   string
@@ -95,16 +95,16 @@
 
 // target is a stand-in of a target that answers by a function.
 type target struct {
-	id   string
-	addr string
-	mu   sync.Mutex
-	got  []seen
+	id       string
+	addr     string
+	mu       sync.Mutex
+	received []receivedRequest
 }
 
-func (x *target) requests() []seen {
+func (x *target) requests() []receivedRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return append([]seen(nil), x.got...)
+	return append([]receivedRequest(nil), x.received...)
 }
 
 // startTarget starts a target and registers it. Its answers carry the
@@ -118,7 +118,7 @@
 			return
 		}
 		x.mu.Lock()
-		x.got = append(x.got, seen{r.Header.Clone(), r.RequestURI, string(body)})
+		x.received = append(x.received, receivedRequest{r.Header.Clone(), r.RequestURI, string(body)})
 		x.mu.Unlock()
 		w.Header().Set("Jujubewheel-Request-Id", r.Header.Get("Jujubewheel-Request-Id"))
 		w.Header().Set("Jujubewheel-Server-Seal", "seal-"+id)
@@ -178,8 +178,8 @@
 	return reply{res.StatusCode, res.Header, string(text), err}, nil
 }
 
-// until tries a request until ok says that the nodes have caught up.
-func until(t *testing.T, n node, path string, ok func(reply) bool) reply {
+// sendUntil tries a request until ok says that the nodes have caught up.
+func sendUntil(t *testing.T, n node, path string, ok func(reply) bool) reply {
 	t.Helper()
 	for i := range 1000 {
 		r, err := send(t, n, http.MethodGet, path, fmt.Sprintf("w%d", i), nil, "")
@@ -194,7 +194,7 @@
 
 func served(r reply) bool { return r.status == http.StatusOK }
 
-func text(s string) http.HandlerFunc {
+func respondText(s string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, s) }
 }
 
@@ -212,7 +212,7 @@
 	assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "")
 }
 
-func TestPassedOnUnchanged(t *testing.T) {
+func TestRequestAndAnswerAreUnchanged(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	x := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, _ *http.Request) {
@@ -222,7 +222,7 @@
 	})
 	configure(&feed, 1, route("/a/", "non_idempotent", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", func(r reply) bool { return r.status == http.StatusCreated })
+	sendUntil(t, n, "/w/x", func(r reply) bool { return r.status == http.StatusCreated })
 	r, err := send(t, n, http.MethodPost, "/a/x%2Fy?q=1&q=2", "one", http.Header{
 		"X-Caller":                     {"kept"},
 		"Jujubewheel-Token-Count":      {"10,20"},
@@ -256,7 +256,7 @@
 
 // What a caller is told when its target fails, by what may be repeated. The
 // first target fails in some way, the second one serves.
-func TestFailures(t *testing.T) {
+func TestTargetFailures(t *testing.T) {
 	t.Parallel()
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
@@ -311,10 +311,10 @@
 				register(&feed, "t1", "s", l.Addr().String(), "north-a", "ready")
 				l.Close()
 			}
-			x := startTarget(t, &feed, "t2", "s", "north-a", text("fine"))
+			x := startTarget(t, &feed, "t2", "s", "north-a", respondText("fine"))
 			configure(&feed, 1, route("/a/", c.kind, ""))
 			n := start(t, &feed, "n1", "north")
-			until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+			sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 			r, err := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 			assert.NilError(t, err)
 			assert.Equal(t, r.status, c.want, "%s", r.body)
@@ -368,7 +368,7 @@
 			}
 			configure(&feed, 1, route("/a/", "stream", c.more))
 			n := start(t, &feed, "n1", "north")
-			until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+			sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 			r, err := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 			assert.NilError(t, err)
 			assert.Equal(t, r.status, http.StatusOK)
@@ -387,13 +387,13 @@
 func TestOtherRegion(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	here := startTarget(t, &feed, "t1", "s", "north-a", text("north"))
-	there := startTarget(t, &feed, "t2", "s", "south-a", text("south"))
+	here := startTarget(t, &feed, "t1", "s", "north-a", respondText("north"))
+	there := startTarget(t, &feed, "t2", "s", "south-a", respondText("south"))
 	configure(&feed, 1, route("/w/", "idempotent", ""), route("/bound/", "non_idempotent", `,"HomeRegions":["south"]`),
 		route("/far/", "stream", `,"HomeRegions":["east"]`))
 	north := start(t, &feed, "n1", "north")
 	start(t, &feed, "n2", "south")
-	until(t, north, "/w/x", served)
+	sendUntil(t, north, "/w/x", served)
 	before := len(here.requests())
 	var r reply
 	for range 1000 { // until the nodes know of each other
@@ -445,8 +445,8 @@
 	t.Fatal("it does not come about")
 }
 
-// names waits until a node names just these to callers of a region.
-func names(t *testing.T, at node, region string, all ...node) {
+// waitForDirectory waits until a node names just these to callers of a region.
+func waitForDirectory(t *testing.T, at node, region string, all ...node) {
 	t.Helper()
 	want := map[string]bool{}
 	for _, n := range all {
@@ -469,8 +469,8 @@
 	south := start(t, &feed, "n2", "south")
 	// Each has to know the other: a node that stops within its first second,
 	// before it read who else there is, is named until the store has its end.
-	names(t, north, "south", south)
-	names(t, south, "north", north)
+	waitForDirectory(t, north, "south", south)
+	waitForDirectory(t, south, "north", north)
 	assert.DeepEqual(t, directory(t, north, "north"), []string{north.callers.String()})
 	// No node of the east lives. Sent north, its callers' bound data would be
 	// in a region where it must not be.
@@ -481,38 +481,38 @@
 }
 
 // The store is away while a node starts; another one still knows all.
-func TestStartByAnotherNode(t *testing.T) {
+func TestStartFromPeerWithoutStore(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 7, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
-	until(t, first, "/a/x", served)
+	sendUntil(t, first, "/a/x", served)
 	feed.Down(jwstore.ErrUnavailable)
 	second := start(t, &feed, "n2", "north", first.nodes)
-	until(t, second, "/a/x", served)
+	sendUntil(t, second, "/a/x", served)
 }
 
 // All nodes of a region come back at once, in another region than the store, and their
 // callers are there before the first configuration. Each may come back once; told to,
 // it would be late, and refused if it had come back before.
-func TestRequestThatIsThereBeforeTheConfiguration(t *testing.T) {
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	n := start(t, lateReading{&feed}, "n1", "north")
+	n := start(t, slowRange{&feed}, "n1", "north")
 	r, err := send(t, n, http.MethodGet, "/a/x", "first", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK, "%s", r.body)
 }
 
-// lateReading is a store that is slow to be read.
-type lateReading struct {
+// slowRange is a store that is slow to be read.
+type slowRange struct {
 	jwstore.Feed
 }
 
-func (l lateReading) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+func (l slowRange) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
 	jwclock.Sleep(ctx, 100*time.Millisecond)
 	return l.Feed.Range(ctx, prefix, after)
 }
@@ -522,26 +522,26 @@
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	started, proceed := make(chan struct{}), make(chan struct{})
 	startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/a/x" {
 			return
 		}
 		events(1, 2, true)(w, r)
 		w.(http.Flusher).Flush()
-		close(begun)
-		<-goOn
+		close(started)
+		<-proceed
 		events(2, 4, true)(w, r)
 	})
 	configure(&feed, 1, route("/a/", "stream", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	got := make(chan reply)
 	go func() {
 		r, _ := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 		got <- r
 	}()
-	<-begun
+	<-started
 	ended := make(chan struct{})
 	go func() {
 		n.stop()
@@ -550,7 +550,7 @@
 	for len(directory(t, n, "north")) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	close(goOn)
+	close(proceed)
 	r := <-got
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.body, threeEvents)
@@ -561,36 +561,36 @@
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	startTarget(t, &feed, "t1", "s", "north-a", func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/a/x" {
 			return
 		}
-		close(begun)
+		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
 	configure(&feed, 1, route("/a/", "non_idempotent", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	c, err := net.Dial("tcp", n.callers.String())
 	assert.NilError(t, err)
 	fmt.Fprintf(c, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nJujubewheel-Request-Id: one\r\nContent-Length: 0\r\n\r\n")
-	<-begun
+	<-started
 	c.Close()
 	<-ended
 }
 
 // A target falls silent with a request that may be repeated. The caller must
 // not wait until its own time is over.
-func TestSilentTarget(t *testing.T) {
+func TestSilentTargetIsReplaced(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	startTarget(t, &feed, "t1", "s", "north-a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	startTarget(t, &feed, "t2", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+	sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 	r, err := send(t, n, http.MethodGet, "/a/x", "one", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.body, "fine")
@@ -598,17 +598,17 @@
 
 // The store forgets its history while a target leaves: its removal is never
 // told, only missing.
-func TestHistoryGone(t *testing.T) {
+func TestCompactedHistory(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	feed.Remove("servers/t1")
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	feed.Compact()
-	until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint(i), nil, "")
 		assert.NilError(t, err)
@@ -622,7 +622,7 @@
 func TestPausedNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	var paused atomic.Bool
 	var boot atomic.Int64
@@ -634,7 +634,7 @@
 			return time.Duration(boot.Load())
 		}
 	})
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	feed.Down(jwstore.ErrUnavailable)
 	paused.Store(true)
 	for i := range 20 {
@@ -644,19 +644,19 @@
 		assert.Assert(t, r.header.Get("Retry-After") != "")
 	}
 	paused.Store(false)
-	until(t, n, "/a/x", served) // a region cut off from the store goes on
+	sendUntil(t, n, "/a/x", served) // a region cut off from the store goes on
 	paused.Store(true)
-	until(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
 	feed.Down(nil)
 	paused.Store(false)
-	r := until(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
+	r := sendUntil(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
 	assert.Equal(t, r.status, http.StatusNotFound)
 }
 
 // A data centre was evacuated as the store went down, so that no node knows,
 // and its targets have gone cold. Sent what a warm one bears, they would crash.
-func TestColdWhileTheStoreIsAway(t *testing.T) {
+func TestColdTargetWhileStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
@@ -667,20 +667,20 @@
 	})
 	configureService(&feed, 1, `{"Name":"s","HealthPath":"/healthz","WarmupS":60,"WarmupPerS":1}`, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	for i := range 20 { // it is taken for warm while the store answers
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("warm", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	feed.Down(jwstore.ErrUnavailable)
-	until(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 }
 
 // A node that starts takes long over what the store told. While it does, the store
 // isn't away, and no target is to be asked whether it is cold: one that says so
 // by mistake would be refused requests for as long.
-func TestStoreThatAnsweredIsNotAway(t *testing.T) {
+func TestNoProbesWhileStoreAnswers(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	configureService(&feed, 1, `{"Name":"s","HealthPath":"/healthz","WarmupS":60,"WarmupPerS":1}`, route("/a/", "idempotent", ""))
@@ -692,11 +692,11 @@
 	})
 	register(&feed, "t2", "s", "127.0.0.1:1", "north-a", "draining")
 	taken := make(chan struct{})
-	n := startWith(t, lateLeases{&feed}, "n1", "north", func(g *jwgateway.Gateway) {
+	n := startWith(t, slowGrant{&feed}, "n1", "north", func(g *jwgateway.Gateway) {
 		g.Records = slowRecords{g.Records, "t2", sync.OnceFunc(func() { close(taken) })}
 	})
 	<-taken
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("warm", i), nil, "")
 		assert.NilError(t, err)
@@ -707,12 +707,12 @@
 	}
 }
 
-// lateLeases is a store that is slow to grant leases.
-type lateLeases struct {
+// slowGrant is a store that is slow to grant leases.
+type slowGrant struct {
 	jwstore.Feed
 }
 
-func (l lateLeases) Grant(ctx context.Context, ttl time.Duration) (jwstore.Lease, time.Duration, error) {
+func (l slowGrant) Grant(ctx context.Context, ttl time.Duration) (jwstore.Lease, time.Duration, error) {
 	jwclock.Sleep(ctx, time.Second)
 	return l.Feed.Grant(ctx, ttl)
 }
@@ -721,12 +721,12 @@
 // waits between two questions to targets.
 type slowRecords struct {
 	jwgateway.Records
-	slow  string
-	taken func()
+	slowID string
+	taken  func()
 }
 
 func (s slowRecords) Target(id string, value []byte) (jwinstance.Instance, error) {
-	if id == s.slow {
+	if id == s.slowID {
 		time.Sleep(600 * time.Millisecond)
 		s.taken()
 	}
@@ -735,20 +735,20 @@
 
 // One node can't reach the store, another can. The first must learn of a target
 // that leaves, although the configuration has not changed.
-func TestNodeOutOfReachOfTheStore(t *testing.T) {
+func TestNodeWithoutStoreLearnsFromPeer(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
-	cut := &cutFeed{Feed: &feed}
+	cut := &disconnectableFeed{Feed: &feed}
 	n := start(t, cut, "n2", "north")
-	until(t, n, "/a/x", served)
-	names(t, n, "north", first, n)
-	cut.off.Store(true)
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	sendUntil(t, n, "/a/x", served)
+	waitForDirectory(t, n, "north", first, n)
+	cut.disconnected.Store(true)
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	register(&feed, "t1", "s", x.addr, "north-a", "draining")
-	until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("after", i), nil, "")
 		assert.NilError(t, err)
@@ -756,32 +756,32 @@
 	}
 }
 
-// cutFeed is a store that a node can't reach while off is set.
-type cutFeed struct {
+// disconnectableFeed is a store that a node can't reach while off is set.
+type disconnectableFeed struct {
 	jwstore.Feed
-	off atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (c *cutFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
-	if c.off.Load() {
+func (c *disconnectableFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+	if c.disconnected.Load() {
 		return jwstore.Page{}, jwstore.ErrUnavailable
 	}
 	return c.Feed.Range(ctx, prefix, after)
 }
 
-func (c *cutFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
-	if c.off.Load() {
+func (c *disconnectableFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+	if c.disconnected.Load() {
 		return nil, 0, jwstore.ErrUnavailable
 	}
 	events, revision, err := c.Feed.Watch(ctx, prefix, after, most)
-	if c.off.Load() {
+	if c.disconnected.Load() {
 		return nil, 0, jwstore.ErrUnavailable // cut while it waited
 	}
 	return events, revision, err
 }
 
-func (c *cutFeed) Renew(ctx context.Context, lease jwstore.Lease) error {
-	if c.off.Load() {
+func (c *disconnectableFeed) Renew(ctx context.Context, lease jwstore.Lease) error {
+	if c.disconnected.Load() {
 		return jwstore.ErrUnavailable
 	}
 	return c.Feed.Renew(ctx, lease)
@@ -794,19 +794,19 @@
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
-	link := &forgetful{to: x.addr}
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
+	link := &lossyProxy{target: x.addr}
 	register(&feed, "t1", "s", link.listen(t), "north-a", "ready")
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
-	link.forget()
-	begun := time.Now()
+	sendUntil(t, n, "/a/x", served)
+	link.dropOpen()
+	started := time.Now()
 	r, err := send(t, n, http.MethodGet, "/a/x", "silent", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK)
 	assert.Equal(t, r.body, "fine")
-	t.Logf("answered after %v", time.Since(begun))
+	t.Logf("answered after %v", time.Since(started))
 	for i := range 10 { // the other connections of before are not used
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("after", i), nil, "")
 		assert.NilError(t, err)
@@ -814,15 +814,15 @@
 	}
 }
 
-// forgetful passes connections on until it forgets those that are open.
-type forgetful struct {
-	to   string
-	mu   sync.Mutex
-	lost atomic.Int64 // connections up to this number
-	made int64
+// lossyProxy passes connections on until it forgets those that are open.
+type lossyProxy struct {
+	target      string
+	mu          sync.Mutex
+	droppedUpTo atomic.Int64 // connections up to this number
+	accepted    int64
 }
 
-func (f *forgetful) listen(t *testing.T) string {
+func (f *lossyProxy) listen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -834,8 +834,8 @@
 				return
 			}
 			f.mu.Lock()
-			f.made++
-			number := f.made
+			f.accepted++
+			number := f.accepted
 			f.mu.Unlock()
 			go f.pass(c, number)
 		}
@@ -843,14 +843,14 @@
 	return l.Addr().String()
 }
 
-func (f *forgetful) forget() {
+func (f *lossyProxy) dropOpen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost.Store(f.made)
+	f.droppedUpTo.Store(f.accepted)
 }
 
-func (f *forgetful) pass(c net.Conn, number int64) {
-	out, err := net.Dial("tcp", f.to)
+func (f *lossyProxy) pass(c net.Conn, number int64) {
+	out, err := net.Dial("tcp", f.target)
 	if err != nil {
 		_ = c.Close()
 		return
@@ -859,11 +859,11 @@
 		buf := make([]byte, 4<<10)
 		for {
 			n, err := from.Read(buf)
-			lost := number <= f.lost.Load()
-			if lost && err != nil {
+			dropped := number <= f.droppedUpTo.Load()
+			if dropped && err != nil {
 				return // the other side is not told
 			}
-			if n > 0 && !lost {
+			if n > 0 && !dropped {
 				_, _ = to.Write(buf[:n])
 			}
 			if err != nil {
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -17,43 +17,43 @@
 const (
 	// relayPeriod is the time between two exchanges through a relay, mostRelayPeriod that
 	// in the largest regions; from relayNodes on it grows, as a relay serves more.
-	relayPeriod     = 250 * time.Millisecond
-	mostRelayPeriod = 500 * time.Millisecond
-	relayNodes      = 40
-	// relayNewsPeriods is how long a placement is reported through relays, in periods: until the
+	relayPeriod      = 250 * time.Millisecond
+	maxRelayPeriod   = 500 * time.Millisecond
+	relayPeriodNodes = 40
+	// placementReportPeriods is how long a placement is reported through relays, in periods: until the
 	// next exchange has ended.
-	relayNewsPeriods = 1.5
-	// relayWait and relayPause are how long a relay waits for a change of the store and
+	placementReportPeriods = 1.5
+	// relayWatchTimeout and relayPause are how long a relay waits for a change of the store and
 	// between two readings: those who learn of it there rely on it.
-	relayWait  = time.Second
-	relayPause = 300 * time.Millisecond
-	// relayAge is how old a relay's last reading may be for others to rely on it, and
+	relayWatchTimeout = time.Second
+	relayWatchPause   = 300 * time.Millisecond
+	// maxRelayReadAge is how old a relay's last reading may be for others to rely on it, and
 	// relaySeenFor how old its report. Both together, with a reading of one's own, stay below
 	// the time that a change has to be in force.
-	relayAge     = 2 * time.Second
-	relaySeenFor = 1300 * time.Millisecond
-	// stopNewsAge is how long a relay reports that a node stops.
-	stopNewsAge = 5 * time.Second
+	maxRelayReadAge   = 2 * time.Second
+	maxRelayReportAge = 1300 * time.Millisecond
+	// stopReportAge is how long a relay reports that a node stops.
+	stopReportAge = 5 * time.Second
 )
 
-// through is what nodes report where they exchange state through relays.
-type through struct {
-	Relay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for others too
-	Asks     bool               `json:"asks,omitempty"`     // for the changes of the store
-	After    jwstore.Revision   `json:"after,omitempty"`    // the revision which these are to follow
-	Liveness *jwmember.Liveness `json:"liveness,omitempty"` // from a relay to those who report through it
-	Stopping []jwmember.Member  `json:"stopping,omitempty"` // nodes that stop by plan
-	Remote   []regionReport     `json:"remote,omitempty"`   // of other regions
-	Changes  *changes           `json:"changes,omitempty"`
+// relayReport is what nodes report where they exchange state through relays.
+type relayReport struct {
+	FromRelay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for others too
+	WantsChanges bool               `json:"asks,omitempty"`     // for the changes of the store
+	After        jwstore.Revision   `json:"after,omitempty"`    // the revision which these are to follow
+	Liveness     *jwmember.Liveness `json:"liveness,omitempty"` // from a relay to those who report through it
+	Stopping     []jwmember.Member  `json:"stopping,omitempty"` // nodes that stop by plan
+	Remote       []regionReport     `json:"remote,omitempty"`   // of other regions
+	Changes      *changes           `json:"changes,omitempty"`
 }
 
 // regionReport is what a relay knows of another region.
 type regionReport struct {
-	Region string           `json:"region"`
-	Age    int64            `json:"age"`  // milliseconds
-	Trip   int64            `json:"trip"` // milliseconds there and back
-	Waits  map[string]int64 `json:"waits"`
-	Gaps   map[string]int64 `json:"gaps"`
+	Region    string           `json:"region"`
+	Age       int64            `json:"age"`  // milliseconds
+	RoundTrip int64            `json:"trip"` // milliseconds there and back
+	Waits     map[string]int64 `json:"waits"`
+	Gaps      map[string]int64 `json:"gaps"`
 }
 
 // changes are changes of the store as a relay read them.
@@ -71,68 +71,68 @@
 	Revision jwstore.Revision `json:"revision"`
 }
 
-// throughPeriod returns the time between two exchanges through a relay.
-func (g *Gateway) throughPeriod(now time.Time) time.Duration {
+// relayExchangePeriod returns the time between two exchanges through a relay.
+func (g *Gateway) relayExchangePeriod(now time.Time) time.Duration {
 	nodes := g.members.Count(now, g.Settings.Region)
-	return min(relayPeriod*time.Duration(max(nodes, relayNodes))/relayNodes, mostRelayPeriod)
+	return min(relayPeriod*time.Duration(max(nodes, relayPeriodNodes))/relayPeriodNodes, maxRelayPeriod)
 }
 
-// exchangeThrough exchanges state with the relay of the own data centre or, as the relay, to the
+// exchangeViaRelay exchanges state with the relay of the own data centre or, as the relay, to the
 // others of the region.
-func (g *Gateway) exchangeThrough(ctx context.Context, now time.Time) {
+func (g *Gateway) exchangeViaRelay(ctx context.Context, now time.Time) {
 	relay, ok := g.members.Relay(now, g.Settings.DataCentre)
 	if !ok {
 		return
 	}
 	me := g.members.Me()
 	if relay.Name != me.Name {
-		g.exchangeWithRelay(ctx, now, relay, through{Asks: true, After: g.follower.at()})
+		g.exchangeWithRelay(ctx, now, relay, relayReport{WantsChanges: true, After: g.storeWatcher.currentRevision()})
 		return
 	}
 	for _, m := range g.members.Relays(now, g.Settings.Region) {
 		if m.Name < me.Name && g.members.RecentlySeen(now, m.Name) {
 			continue // of two one begins
 		}
-		g.exchangeWithRelay(ctx, now, m, through{Relay: true})
+		g.exchangeWithRelay(ctx, now, m, relayReport{FromRelay: true})
 	}
-	g.callUnseen(ctx, now)
+	g.exchangeWithUnseen(ctx, now)
 }
 
-// callUnseen exchanges state, once a second, with nodes that this relay has not seen lately.
+// exchangeWithUnseen exchanges state, once a second, with nodes that this relay has not seen lately.
 // Two that don't see each other, as after a pause of one, may each take itself for the relay,
 // and would call nobody in their data centre.
-func (g *Gateway) callUnseen(ctx context.Context, now time.Time) {
-	if now.Sub(g.unseenAt) < exchangePeriod {
+func (g *Gateway) exchangeWithUnseen(ctx context.Context, now time.Time) {
+	if now.Sub(g.unseenCalledAt) < exchangePeriod {
 		return
 	}
-	g.unseenAt = now
+	g.unseenCalledAt = now
 	g.unseenTurn++
 	for _, m := range g.members.Unseen(now, g.unseenTurn) {
 		g.sendStateTo(ctx, now, m)
 	}
 }
 
-func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, t through) {
-	if _, busy := g.exchanging.LoadOrStore(m.Name, true); busy {
+func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, t relayReport) {
+	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
 	}
-	g.sendState(ctx, m, g.throughState(now, m.Name, t))
+	g.sendState(ctx, m, g.relayState(now, m.Name, t))
 }
 
-// throughState is the state as it is reported through relays.
-func (g *Gateway) throughState(now time.Time, to string, t through) state {
-	age := time.Duration(relayNewsPeriods * float64(g.throughPeriod(now)))
+// relayState is the state as it is reported through relays.
+func (g *Gateway) relayState(now time.Time, to string, t relayReport) state {
+	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
 	s := state{
 		Member: g.members.Me(), Version: g.entries.Version(), InSync: !g.store.stale(now),
 		Revision: g.store.revision.Load(), Cold: g.targets.ReportCold(now),
-		Suspects: g.notices(now, g.Settings.Region, localNewsAge), Through: &t,
-		Limits: g.targets.ReportLimits(now, t.Relay), Leaving: g.targets.ReportLeaving(),
+		Suspects: g.suspectNotices(now, g.Settings.Region, localReportAge), RelayReport: &t,
+		Limits: g.targets.ReportLimits(now, t.FromRelay), Leaving: g.targets.ReportLeaving(),
 	}
 	switch {
 	case t.Liveness != nil:
 		s.Loads = jwinstance.Columns(g.targets.ReportTo(now, to))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, false))
-	case t.Relay:
+	case t.FromRelay:
 		s.Loads = jwinstance.Columns(g.targets.ReportToRelay(now))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, true))
 		s.LocalSeen = g.members.LocalSeen(now)
@@ -143,30 +143,30 @@
 	return s
 }
 
-// answer returns the state for a node that sent its own.
-func (g *Gateway) answer(now time.Time, s state) state {
+// replyState returns the state for a node that sent its own.
+func (g *Gateway) replyState(now time.Time, s state) state {
 	switch {
-	case s.Through == nil || s.Member.Region != g.Settings.Region:
+	case s.RelayReport == nil || s.Member.Region != g.Settings.Region:
 		return g.state(now, s.Member.Region)
-	case s.Through.Relay:
-		return g.throughState(now, s.Member.Name, through{Relay: true})
+	case s.RelayReport.FromRelay:
+		return g.relayState(now, s.Member.Name, relayReport{FromRelay: true})
 	}
 	if !g.members.IsRelay(now) {
 		// The sender is wrong about who relays. This node sees few others, and may only say
 		// who runs, not who doesn't.
-		own := g.throughState(now, s.Member.Name, through{})
+		own := g.relayState(now, s.Member.Name, relayReport{})
 		own.LocalSeen = g.members.LocalSeen(now)
 		return own
 	}
 	h := g.members.Liveness(now)
-	return g.throughState(now, s.Member.Name, through{
-		Relay: true, Liveness: &h, Stopping: g.members.Stopping(now, stopNewsAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.Through),
+	return g.relayState(now, s.Member.Name, relayReport{
+		FromRelay: true, Liveness: &h, Stopping: g.members.Stopping(now, stopReportAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.RelayReport),
 	})
 }
 
 // changesFor returns the changes of the store that a node asks for.
-func (g *Gateway) changesFor(now time.Time, t *through) *changes {
-	if !t.Asks {
+func (g *Gateway) changesFor(now time.Time, t *relayReport) *changes {
+	if !t.WantsChanges {
 		return nil
 	}
 	return g.changesAfter(now, t.After)
@@ -174,9 +174,9 @@
 
 // changesAfter returns the changes after a revision, as far as they are kept.
 func (g *Gateway) changesAfter(now time.Time, after jwstore.Revision) *changes {
-	age := now.Sub(g.begun) - time.Duration(g.viewed.Load())
-	events, to, ok := g.recent.After(after)
-	if !ok || !g.pulse.Alive() {
+	age := now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())
+	events, to, ok := g.recentChanges.After(after)
+	if !ok || !g.pauseDetector.Alive() {
 		return &changes{Lost: true}
 	}
 	c := &changes{To: to, Age: age.Milliseconds()}
@@ -186,9 +186,9 @@
 	return c
 }
 
-// mergeThrough merges what came through a relay.
-func (g *Gateway) mergeThrough(now time.Time, s state) {
-	t := s.Through
+// mergeRelayReport merges what came through a relay.
+func (g *Gateway) mergeRelayReport(now time.Time, s state) {
+	t := s.RelayReport
 	if t == nil || s.Member.Region != g.Settings.Region {
 		return
 	}
@@ -200,7 +200,7 @@
 	}
 	g.regions.mergeRelayed(now, t.Remote)
 	if t.Changes != nil {
-		g.follower.relayed(now, t.Changes)
+		g.storeWatcher.applyRelayed(now, t.Changes)
 	}
 }
 
@@ -217,30 +217,30 @@
 	return nil
 }
 
-// at returns the revision up to which the store was read, by itself or through a relay.
-func (f *follower) at() jwstore.Revision {
+// currentRevision returns the revision up to which the store was read, by itself or through a relay.
+func (f *storeWatcher) currentRevision() jwstore.Revision {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.revision
 }
 
-// relayed takes changes that a relay read. What it doesn't have, or is late with, the node
+// applyRelayed takes changes that a relay read. What it doesn't have, or is late with, the node
 // reads itself.
-func (f *follower) relayed(now time.Time, c *changes) {
+func (f *storeWatcher) applyRelayed(now time.Time, c *changes) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	age := time.Duration(c.Age) * time.Millisecond
-	if c.Lost || f.revision == 0 || c.To < f.revision || age > relayAge {
-		f.relayAt = time.Time{}
+	if c.Lost || f.revision == 0 || c.To < f.revision || age > maxRelayReadAge {
+		f.relayedAt = time.Time{}
 		select {
-		case f.alone <- struct{}{}:
+		case f.relayUnusable <- struct{}{}:
 		default:
 		}
 		return
 	}
-	f.relayAt = now
-	f.take(now, c.events(), c.To)
-	f.g.viewed.Store(int64(now.Sub(f.g.begun) - age))
+	f.relayedAt = now
+	f.applyChanges(now, c.events(), c.To)
+	f.g.storeReadAt.Store(int64(now.Sub(f.g.startTime) - age))
 }
 
 // events returns the changes as a reading of the store brings them.
@@ -252,24 +252,24 @@
 	return events
 }
 
-// relies returns for how long a relay is still relied on to read the store for this
+// relayValidFor returns for how long a relay is still relied on to read the store for this
 // node, 0 if none is.
-func (f *follower) relies(now time.Time) time.Duration {
+func (f *storeWatcher) relayValidFor(now time.Time) time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.revision == 0 || f.relayAt.IsZero() {
+	if f.revision == 0 || f.relayedAt.IsZero() {
 		return 0
 	}
-	return max(relaySeenFor-now.Sub(f.relayAt), 0)
+	return max(maxRelayReportAge-now.Sub(f.relayedAt), 0)
 }
 
-// rest waits until a relay may not be relied on any more.
-func (f *follower) rest(ctx context.Context, d time.Duration) {
+// waitForRelay waits until a relay may not be relied on any more.
+func (f *storeWatcher) waitForRelay(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-f.alone:
+	case <-f.relayUnusable:
 	}
 }
--- a/io/jwgateway/through_test.go
+++ b/io/jwgateway/through_test.go
@@ -17,15 +17,15 @@
 	"jujubewheel/io/jwgateway"
 )
 
-// hangingFeed is a store whose watches tell nothing while hang is set: the connection
+// silentFeed is a store whose watches tell nothing while hang is set: the connection
 // has fallen silent.
-type hangingFeed struct {
+type silentFeed struct {
 	jwstore.Feed
-	hang atomic.Bool
+	silent atomic.Bool
 }
 
-func (h *hangingFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
-	for h.hang.Load() {
+func (h *silentFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+	for h.silent.Load() {
 		select {
 		case <-ctx.Done():
 			return nil, 0, ctx.Err()
@@ -33,18 +33,18 @@
 		}
 	}
 	events, revision, err := h.Feed.Watch(ctx, prefix, after, min(most, 100*time.Millisecond))
-	if h.hang.Load() {
+	if h.silent.Load() {
 		return nil, after, nil
 	}
 	return events, revision, err
 }
 
-func (h *hangingFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+func (h *silentFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
 	return h.Feed.Range(ctx, prefix, after)
 }
 
-// relayed sets from how many nodes of a region on they exchange state through relays.
-func relayed(nodes int) func(*jwgateway.Gateway) {
+// withRelayThreshold sets from how many nodes of a region on they exchange state through relays.
+func withRelayThreshold(nodes int) func(*jwgateway.Gateway) {
 	return func(g *jwgateway.Gateway) { g.RelayThreshold = nodes }
 }
 
@@ -53,11 +53,11 @@
 	t.Helper()
 	nodes := make([]node, 0, len(feeds))
 	for i, feed := range feeds {
-		nodes = append(nodes, startWith(t, feed, fmt.Sprintf("n%d", i+1), "north", relayed(2)))
+		nodes = append(nodes, startWith(t, feed, fmt.Sprintf("n%d", i+1), "north", withRelayThreshold(2)))
 	}
 	for _, n := range nodes {
-		until(t, n, "/a/x", served)
-		names(t, n, "north", nodes...)
+		sendUntil(t, n, "/a/x", served)
+		waitForDirectory(t, n, "north", nodes...)
 	}
 	return nodes
 }
@@ -67,59 +67,59 @@
 func TestRelayReadsTheStore(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	second, third := &hangingFeed{Feed: &feed}, &hangingFeed{Feed: &feed}
+	second, third := &silentFeed{Feed: &feed}, &silentFeed{Feed: &feed}
 	nodes := startRelayed(t, &feed, second, third)
-	second.hang.Store(true)
-	third.hang.Store(true)
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	second.silent.Store(true)
+	third.silent.Store(true)
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	register(&feed, "t1", "s", x.addr, "north-a", "draining")
 	for _, n := range nodes {
-		until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+		sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	}
 }
 
 // The relay dies, and another node takes its place: the third one still hears of what
 // changes in the store.
-func TestRelayDies(t *testing.T) {
+func TestRelayFails(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	third := &hangingFeed{Feed: &feed}
+	third := &silentFeed{Feed: &feed}
 	nodes := startRelayed(t, &feed, &feed, third)
-	third.hang.Store(true)
+	third.silent.Store(true)
 	nodes[0].stop()
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	register(&feed, "t1", "s", x.addr, "north-a", "draining")
 	for _, n := range nodes[1:] {
-		until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+		sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	}
 }
 
 // The relay lives, but its connection to the store has fallen silent, or it is cut off.
 // The others must not go on by what it knows: they read the store themselves.
-func TestRelayTellsOldThings(t *testing.T) {
+func TestRelayWithStaleStoreView(t *testing.T) {
 	t.Parallel()
-	cases := map[string]func(first *hangingFeed, cut *cutFeed){
-		"silent":  func(first *hangingFeed, _ *cutFeed) { first.hang.Store(true) },
-		"cut off": func(_ *hangingFeed, cut *cutFeed) { cut.off.Store(true) },
+	cases := map[string]func(first *silentFeed, cut *disconnectableFeed){
+		"silent":  func(first *silentFeed, _ *disconnectableFeed) { first.silent.Store(true) },
+		"cut off": func(_ *silentFeed, cut *disconnectableFeed) { cut.disconnected.Store(true) },
 	}
 	for name, fail := range cases {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var feed jwstore.MemoryFeed
-			x := startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+			x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 			configure(&feed, 1, route("/a/", "idempotent", ""))
-			cut := &cutFeed{Feed: &feed}
-			first := &hangingFeed{Feed: cut}
+			cut := &disconnectableFeed{Feed: &feed}
+			first := &silentFeed{Feed: cut}
 			nodes := startRelayed(t, first, &feed, &feed)
 			fail(first, cut)
-			startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+			startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 			register(&feed, "t1", "s", x.addr, "north-a", "draining")
 			for _, n := range nodes[1:] {
-				until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+				sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 			}
 		})
 	}
@@ -130,48 +130,48 @@
 func TestConfigurationThroughRelay(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	nodes := startRelayed(t, &feed, &feed, &feed)
 	for version := 2; version < 8; version++ {
 		configure(&feed, version, route("/a/", "idempotent", ""), route(fmt.Sprintf("/v%d/", version), "idempotent", ""))
 	}
 	for _, n := range nodes {
-		until(t, n, "/v7/x", served)
+		sendUntil(t, n, "/v7/x", served)
 		r, err := send(t, n, http.MethodGet, "/v6/x", "old", nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusNotFound)
 	}
 }
 
-// countingFeed counts how often everything is read.
-type countingFeed struct {
+// rangeCountingFeed counts how often everything is read.
+type rangeCountingFeed struct {
 	jwstore.Feed
 	ranges atomic.Int64
 }
 
-func (c *countingFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+func (c *rangeCountingFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
 	c.ranges.Add(1)
 	return c.Feed.Range(ctx, prefix, after)
 }
 
-// pausable starts two nodes of one data centre that exchange state through a relay, the first;
+// startRelayedPair starts two nodes of one data centre that exchange state through a relay, the first;
 // pause suspends the second one, and reports later whether that has read everything anew.
-func pausable(t *testing.T) (first, second node, pause func() (reread func() bool)) {
+func startRelayedPair(t *testing.T) (first, second node, pause func() (reread func() bool)) {
 	t.Helper()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	counting := &countingFeed{Feed: &feed}
+	counting := &rangeCountingFeed{Feed: &feed}
 	var boot atomic.Int64
-	first = startWith(t, &feed, "n1", "north", relayed(2))
+	first = startWith(t, &feed, "n1", "north", withRelayThreshold(2))
 	second = startWith(t, counting, "n2", "north", func(g *jwgateway.Gateway) {
-		relayed(2)(g)
+		withRelayThreshold(2)(g)
 		g.Boot = func() time.Duration { return time.Duration(boot.Load()) }
 	})
 	for _, n := range []node{first, second} {
-		until(t, n, "/a/x", served)
-		names(t, n, "north", first, second)
+		sendUntil(t, n, "/a/x", served)
+		waitForDirectory(t, n, "north", first, second)
 	}
 	return first, second, func() func() bool {
 		before := counting.ranges.Load()
@@ -184,16 +184,16 @@
 // the relay's report is young. Going on by that, it would serve by what it knew before.
 func TestPausedNodeDoesNotRelyOnItsRelay(t *testing.T) {
 	t.Parallel()
-	_, second, pause := pausable(t)
+	_, second, pause := startRelayedPair(t)
 	reread := pause()
-	until(t, second, "/a/x", func(r reply) bool { return served(r) && reread() })
+	sendUntil(t, second, "/a/x", func(r reply) bool { return served(r) && reread() })
 }
 
 // A node that reports through a relay was paused and has seen nobody since, so that it takes
 // itself for the relay. If neither calls the other, it stays alone for good.
-func TestPausedNodeFindsItsRelay(t *testing.T) {
+func TestPausedNodeRejoinsItsRelay(t *testing.T) {
 	t.Parallel()
-	first, second, pause := pausable(t)
+	first, second, pause := startRelayedPair(t)
 	eventually(t, pause())
 	eventually(t, func() bool {
 		return len(directory(t, first, "north")) == 2 && len(directory(t, second, "north")) == 2
@@ -202,10 +202,10 @@
 
 // A node that is no relay is taken for one. It has exchanged state with its relay only, and the
 // others that it hasn't seen would be taken for unresponsive.
-func TestOnlyTheRelayReportsWhoIsUnresponsive(t *testing.T) {
+func TestOnlyRelayReportsUnresponsiveNodes(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	nodes := startRelayed(t, &feed, &feed, &feed)
 	ask := func(n node) (out struct {
--- a/io/jwgateway/upstream_test.go
+++ b/io/jwgateway/upstream_test.go
@@ -14,35 +14,35 @@
 	"jujubewheel/io/jwgateway"
 )
 
-// pagesFeed counts the pages that a node reads and the changes that it asks for.
-type pagesFeed struct {
+// callCountingFeed counts the pages that a node reads and the changes that it asks for.
+type callCountingFeed struct {
 	jwstore.Feed
 	pages, watches atomic.Int64
 }
 
-func (p *pagesFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+func (p *callCountingFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
 	p.pages.Add(1)
 	return p.Feed.Range(ctx, prefix, after)
 }
 
-func (p *pagesFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+func (p *callCountingFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
 	p.watches.Add(1)
 	return p.Feed.Watch(ctx, prefix, after, most)
 }
 
 // Three thousand targets are registered, and three hundred nodes start at once: read by
 // each, the registrations filled the store's link and nobody served for half a minute.
-func TestStartInALargeRegion(t *testing.T) {
+func TestStartInLargeRegion(t *testing.T) {
 	t.Parallel()
 	feed := jwstore.MemoryFeed{PageSize: 20}
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	for i := range 200 {
 		register(&feed, fmt.Sprint("u", i), "other", "127.0.0.1:9", "north-a", "ready")
 	}
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	through := relayed(2)
+	through := withRelayThreshold(2)
 	first := startWith(t, &feed, "n1", "north", through)
-	until(t, first, "/a/x", served)
+	sendUntil(t, first, "/a/x", served)
 	for i := range 1000 {
 		if feed.Has("jujubewheel/nodes/n1") {
 			break
@@ -50,27 +50,27 @@
 		assert.Assert(t, i < 999, "the first node is not registered")
 		time.Sleep(10 * time.Millisecond)
 	}
-	counting := &pagesFeed{Feed: &feed}
+	counting := &callCountingFeed{Feed: &feed}
 	second := startWith(t, counting, "n2", "north", through)
-	until(t, second, "/a/x", served)
+	sendUntil(t, second, "/a/x", served)
 	assert.Equal(t, counting.pages.Load(), int64(1))
 	register(&feed, "t1", "s", "127.0.0.1:9", "north-a", "draining")
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
-	until(t, second, "/a/x", func(r reply) bool { return r.body == "second" })
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
+	sendUntil(t, second, "/a/x", func(r reply) bool { return r.body == "second" })
 }
 
 // The relay that the registrations name is gone. The node that starts reads all itself.
-func TestStartWithoutTheRelay(t *testing.T) {
+func TestStartWithUnreachableRelay(t *testing.T) {
 	t.Parallel()
 	feed := jwstore.MemoryFeed{PageSize: 20}
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	for i := range 50 {
 		register(&feed, fmt.Sprint("u", i), "other", "127.0.0.1:9", "north-a", "ready")
 	}
 	feed.Write("jujubewheel/nodes/n1", []byte(`{"name":"n1","region":"north","dataCentre":"north-a","callers":"127.0.0.1:9","nodes":"127.0.0.1:9","start":1,"change":1,"serving":true}`))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := startWith(t, &feed, "n2", "north", func(g *jwgateway.Gateway) { g.RelayThreshold = 2 })
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 }
 
 // In a fleet of many nodes two relays read the store, and those of other regions learn of
@@ -78,16 +78,16 @@
 func TestRelayOfAnotherRegion(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "east-a", text("first"))
+	x := startTarget(t, &feed, "t1", "s", "east-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	through := relayed(1)
-	north, south := &hangingFeed{Feed: &feed}, &hangingFeed{Feed: &feed}
-	counting := &pagesFeed{Feed: &feed}
+	through := withRelayThreshold(1)
+	north, south := &silentFeed{Feed: &feed}, &silentFeed{Feed: &feed}
+	counting := &callCountingFeed{Feed: &feed}
 	nodes := []node{startWith(t, north, "n1", "north", through)}
 	nodes = append(nodes, startWith(t, south, "n2", "south", through, nodes[0].nodes))
 	nodes = append(nodes, startWith(t, counting, "n3", "east", through, nodes[0].nodes))
 	for _, n := range nodes {
-		until(t, n, "/a/x", served)
+		sendUntil(t, n, "/a/x", served)
 	}
 	quiet := int64(0)
 	for i := range 1000 {
@@ -99,11 +99,11 @@
 		assert.Assert(t, i < 20, "the third node reads the store itself")
 	}
 	register(&feed, "t1", "s", x.addr, "east-a", "draining")
-	startTarget(t, &feed, "t2", "s", "east-a", text("second"))
-	until(t, nodes[2], "/a/x", func(r reply) bool { return r.body == "second" })
-	north.hang.Store(true)
-	south.hang.Store(true)
+	startTarget(t, &feed, "t2", "s", "east-a", respondText("second"))
+	sendUntil(t, nodes[2], "/a/x", func(r reply) bool { return r.body == "second" })
+	north.silent.Store(true)
+	south.silent.Store(true)
 	startTarget(t, &feed, "t3", "s", "east-a", func(w http.ResponseWriter, _ *http.Request) { _, _ = w.Write([]byte("third")) })
 	register(&feed, "t2", "s", "127.0.0.1:9", "east-a", "draining")
-	until(t, nodes[2], "/a/x", func(r reply) bool { return r.body == "third" })
+	sendUntil(t, nodes[2], "/a/x", func(r reply) bool { return r.body == "third" })
 }
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -21,8 +21,8 @@
 	"jujubewheel/core/jwstore"
 )
 
-// viewRetry is the wait between two rounds of questions.
-const viewRetry = 400 * time.Millisecond
+// viewRetryPause is the wait between two rounds of questions.
+const viewRetryPause = 400 * time.Millisecond
 
 // view is what a node needs to serve while it can't reach the store: what
 // another one has that it lacks.
@@ -42,7 +42,7 @@
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	body, err := g.views.encode(time.Now(), numberOf(r, "version"), numberOf(r, "revision"), g.viewSince)
+	body, err := g.viewCache.encode(time.Now(), queryUint(r, "version"), queryUint(r, "revision"), g.viewSince)
 	if err == nil {
 		_, err = w.Write(body)
 	}
@@ -53,61 +53,61 @@
 
 // viewSince returns what is newer than a version and a revision.
 func (g *Gateway) viewSince(now time.Time, version, revision uint64) view {
-	var b view
+	var v view
 	if c := g.entries.Current(); c != nil && c.Version > version {
-		b.Config = c.Raw
+		v.Config = c.Raw
 	}
-	if known := g.store.revision.Load(); known > revision {
-		b.Revision = known
-		b.Targets, b.Evacuated = g.targets.Instances(now), g.targets.Evacuated()
-		b.Members, b.Fleet = g.members.Live(now, ""), g.members.FleetSize()
+	if current := g.store.revision.Load(); current > revision {
+		v.Revision = current
+		v.Targets, v.Evacuated = g.targets.Instances(now), g.targets.Evacuated()
+		v.Members, v.Fleet = g.members.Live(now, ""), g.members.FleetSize()
 	}
-	return b
+	return v
 }
 
-// encodedAge is how long an encoded view serves those that know nothing. All nodes of a
+// maxEncodedViewAge is how long an encoded view serves those that know nothing. All nodes of a
 // data centre that start at once ask the same, and with thousands of targets encoding it
 // for each took the relay longer than they wait.
-const encodedAge = 300 * time.Millisecond
+const maxEncodedViewAge = 300 * time.Millisecond
 
-// encodedViews keeps the last view that was encoded for a node that knows nothing.
-type encodedViews struct {
-	mu   sync.Mutex
-	at   time.Time
-	body []byte
+// viewCache keeps the last view that was encoded for a node that knows nothing.
+type viewCache struct {
+	mu        sync.Mutex
+	encodedAt time.Time
+	body      []byte
 }
 
-func (e *encodedViews) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
+func (e *viewCache) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
 	if version > 0 || revision > 0 {
 		return encodeView(since(now, version, revision))
 	}
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.body != nil && now.Sub(e.at) < encodedAge {
+	if e.body != nil && now.Sub(e.encodedAt) < maxEncodedViewAge {
 		return e.body, nil
 	}
 	v := since(now, 0, 0)
 	body, err := encodeView(v)
 	if err == nil && v.Revision > 0 {
-		e.at, e.body = now, body
+		e.encodedAt, e.body = now, body
 	}
 	return body, err
 }
 
 func encodeView(v view) ([]byte, error) {
 	var out bytes.Buffer
-	z, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
+	zw, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
 	if err == nil {
-		err = json.NewEncoder(z).Encode(v)
+		err = json.NewEncoder(zw).Encode(v)
 	}
 	if err == nil {
-		err = z.Close()
+		err = zw.Close()
 	}
 	return out.Bytes(), errors.Wrap(err, "encode view")
 }
 
-// numberOf reads a number of the query, 0 if there is none.
-func numberOf(r *http.Request, name string) uint64 {
+// queryUint reads a number of the query, 0 if there is none.
+func queryUint(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
 		return 0
@@ -115,52 +115,52 @@
 	return n
 }
 
-// start asks other nodes for their views until the store was read: the
+// bootstrapFromPeers asks other nodes for their views until the store was read: the
 // store may be away when a node starts, and callers wait.
-func (g *Gateway) start(ctx context.Context) {
-	for !g.synced.Load() && g.entries.Current() == nil && ctx.Err() == nil {
+func (g *Gateway) bootstrapFromPeers(ctx context.Context) {
+	for !g.storeRead.Load() && g.entries.Current() == nil && ctx.Err() == nil {
 		for _, a := range g.Settings.Gateway.Seeds {
 			if a != g.Settings.Gateway.Listen.Nodes {
-				g.pull(a)
+				g.pullView(a)
 			}
 		}
-		jwclock.Sleep(ctx, viewRetry)
+		jwclock.Sleep(ctx, viewRetryPause)
 	}
 }
 
-// behind reports whether a peer has read more of the store while it is out of
+// peerIsAhead reports whether a peer has read more of the store while it is out of
 // this node's reach.
-func (g *Gateway) behind(now time.Time, revision jwstore.Revision) bool {
-	return revision > max(g.store.revision.Load(), g.pulledTo.Load()) && g.store.stale(now)
+func (g *Gateway) peerIsAhead(now time.Time, revision jwstore.Revision) bool {
+	return revision > max(g.store.revision.Load(), g.pulledRevision.Load()) && g.store.stale(now)
 }
 
-// pull takes what another node has read that this one has not: the store may
+// pullView takes what another node has read that this one has not: the store may
 // be out of this node's reach. One question is asked at a time.
-func (g *Gateway) pull(a netip.AddrPort) {
-	if !g.pulling.CompareAndSwap(false, true) {
+func (g *Gateway) pullView(a netip.AddrPort) {
+	if !g.pullingView.CompareAndSwap(false, true) {
 		return
 	}
-	defer g.pulling.Store(false)
-	revision := max(g.store.revision.Load(), g.pulledTo.Load())
+	defer g.pullingView.Store(false)
+	revision := max(g.store.revision.Load(), g.pulledRevision.Load())
 	if !g.store.stale(time.Now()) {
 		revision = math.MaxUint64 // the store has it
 	}
-	b, err := g.askView(context.Background(), a, g.entries.Version(), revision)
+	v, err := g.fetchView(context.Background(), a, g.entries.Version(), revision)
 	if err != nil {
 		g.Log.V(1).Info("view not pulled", "peer", a.String(), "error", err.Error())
 		return
 	}
-	if now := time.Now(); g.behind(now, b.Revision) {
-		g.take(now, b, a)
+	if now := time.Now(); g.peerIsAhead(now, v.Revision) {
+		g.applyView(now, v, a)
 	}
-	if len(b.Config) > 0 {
-		g.takeConfig(b.Config, a.String())
+	if len(v.Config) > 0 {
+		g.applyConfig(v.Config, a.String())
 	}
 }
 
-// askView asks a node for what its view has beyond a version of the configuration and
+// fetchView asks a node for what its view has beyond a version of the configuration and
 // a revision of the store.
-func (g *Gateway) askView(ctx context.Context, a netip.AddrPort, version, revision uint64) (b view, err error) {
+func (g *Gateway) fetchView(ctx context.Context, a netip.AddrPort, version, revision uint64) (v view, err error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
 	q := url.Values{
@@ -169,35 +169,35 @@
 	}
 	raw, err := g.nodeCall(ctx, jwmember.Member{Nodes: a}, http.MethodGet, viewPath+"?"+q.Encode(), nil)
 	if err != nil {
-		return b, err
+		return v, err
 	}
-	in, err := gzip.NewReader(bytes.NewReader(raw))
+	zr, err := gzip.NewReader(bytes.NewReader(raw))
 	if err != nil {
-		return b, errors.Wrap(err, "view")
+		return v, errors.Wrap(err, "view")
 	}
-	return b, errors.Wrap(json.NewDecoder(in).Decode(&b), "view")
+	return v, errors.Wrap(json.NewDecoder(zr).Decode(&v), "view")
 }
 
-// take takes targets, evacuations and nodes. What the store has for this node
+// applyView takes targets, evacuations and nodes. What the store has for this node
 // itself meanwhile is newer and stays, by its revisions.
-func (g *Gateway) take(now time.Time, b view, from netip.AddrPort) {
+func (g *Gateway) applyView(now time.Time, v view, from netip.AddrPort) {
 	targets, evacuated := map[string]bool{}, map[string]bool{}
-	for _, in := range b.Targets {
-		g.targets.Put(now, in)
-		targets[in.ID] = true
+	for _, target := range v.Targets {
+		g.targets.Put(now, target)
+		targets[target.ID] = true
 	}
-	g.targets.Keep(now, targets, b.Revision)
-	for _, dc := range b.Evacuated {
-		g.evacuate(now, dc, true)
+	g.targets.Keep(now, targets, v.Revision)
+	for _, dc := range v.Evacuated {
+		g.setEvacuated(now, dc, true)
 		evacuated[dc] = true
 	}
-	g.keepEvacuated(now, evacuated)
-	for _, m := range b.Members {
+	g.endEvacuationsExcept(now, evacuated)
+	for _, m := range v.Members {
 		g.members.Put(now, m)
 	}
-	if b.Fleet > 0 {
-		g.members.SetFleet(now, b.Fleet, !g.synced.Load())
+	if v.Fleet > 0 {
+		g.members.SetFleet(now, v.Fleet, !g.storeRead.Load())
 	}
-	g.pulledTo.Store(b.Revision)
-	g.Log.Info("view taken from another node", "peer", from.String(), "revision", b.Revision, "targets", len(b.Targets))
+	g.pulledRevision.Store(v.Revision)
+	g.Log.Info("view taken from another node", "peer", from.String(), "revision", v.Revision, "targets", len(v.Targets))
 }
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -11,10 +11,10 @@
 	// pauseLimit is the longest pause after which a node goes on by what it
 	// knew: the store is read about as often.
 	pauseLimit = time.Second
-	// wakeLimit is how long a node that woke waits for the store; without it, it
+	// maxWakeWait is how long a node that woke waits for the store; without it, it
 	// serves by what it knew and what other nodes reported since, or a region cut off
 	// would not serve after a pause.
-	wakeLimit = 2 * time.Second
+	maxWakeWait = 2 * time.Second
 	// wakeRetryAfter is the Retry-After of a node that woke and has not read the
 	// store yet: a way there and back.
 	wakeRetryAfter = 100 * time.Millisecond
@@ -35,28 +35,28 @@
 	}
 }
 
-// watchPulse notices pauses until ctx ends.
-func (g *Gateway) watchPulse(ctx context.Context) {
+// watchPauses notices pauses until ctx ends.
+func (g *Gateway) watchPauses(ctx context.Context) {
 	for ctx.Err() == nil {
-		if g.pulse.Run(ctx) == jwclock.ErrPaused {
-			g.wake(ctx)
+		if g.pauseDetector.Run(ctx) == jwclock.ErrPaused {
+			g.resumeAfterPause(ctx)
 		}
 	}
 }
 
-// wake drops what a node knew of before a pause and waits until the store was
+// resumeAfterPause drops what a node knew of before a pause and waits until the store was
 // read anew.
-func (g *Gateway) wake(ctx context.Context) {
-	begun := time.Now()
+func (g *Gateway) resumeAfterPause(ctx context.Context) {
+	start := time.Now()
 	g.Log.Info("woke from a pause", "version", g.entries.Version())
-	g.members.Resumed(begun)
+	g.members.Resumed(start)
 	g.targets.Resumed()
 	g.newEpoch(ctx)
 	const step = 10 * time.Millisecond
-	for !g.pulse.Alive() && time.Since(begun) < wakeLimit && ctx.Err() == nil {
+	for !g.pauseDetector.Alive() && time.Since(start) < maxWakeWait && ctx.Err() == nil {
 		jwclock.Sleep(ctx, step)
 	}
-	read := g.pulse.Alive()
-	g.pulse.Begin()
-	g.Log.Info("serves after a pause", "storeRead", read, "after", time.Since(begun).String(), "version", g.entries.Version())
+	read := g.pauseDetector.Alive()
+	g.pauseDetector.Begin()
+	g.Log.Info("serves after a pause", "storeRead", read, "after", time.Since(start).String(), "version", g.entries.Version())
 }
