--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -37,7 +37,7 @@
 	mu        sync.Mutex // held during each read
 	r         io.Reader
 	remaining int64 // bytes that it may still have
-	consumed  bool  // some of it was
+	readStarted  bool  // some of it was
 	err       error // why it ended, io.EOF at its end
 }
 
@@ -77,7 +77,7 @@
 	}
 	b.rest.mu.Lock()
 	defer b.rest.mu.Unlock()
-	return b.rest.consumed
+	return b.rest.readStarted
 }
 
 // reader returns what follows the held part; nil if nothing does.
@@ -119,7 +119,7 @@
 func (r *bodyRest) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.consumed = true
+	r.readStarted = true
 	if r.err != nil {
 		return 0, r.err
 	}
--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -124,8 +124,8 @@
 	configureKeys(&feed, 1, with, route("/a/", "idempotent", ""))
 	connected := start(t, &feed, "n1", "north")
 	link := &disconnectableFeed{Feed: &feed}
-	disconnected := start(t, link, "n2", "north", connected.nodes)
-	for _, n := range []node{connected, disconnected} {
+	isolated := start(t, link, "n2", "north", connected.nodes)
+	for _, n := range []node{connected, isolated} {
 		waitForStatus(t, n, "k1", http.StatusOK)
 	}
 	link.disconnected.Store(true)
@@ -134,7 +134,7 @@
 		status  int
 	}{{without, http.StatusUnauthorized}, {with, http.StatusOK}} {
 		configureKeys(&feed, version+2, step.tenants, route("/a/", "idempotent", ""))
-		for _, n := range []node{connected, disconnected} {
+		for _, n := range []node{connected, isolated} {
 			waitForStatus(t, n, "k1", step.status)
 			assert.Equal(t, statusOf(t, n, "k2"), http.StatusOK)
 		}
--- a/io/jwgateway/era.go
+++ b/io/jwgateway/era.go
@@ -15,31 +15,31 @@
 
 // checkStoreRestored notes whether a reading of everything shows that the store has come back from an
 // older copy; f.mu is held.
-func (f *storeWatcher) checkStoreRestored(now time.Time, r *fullRead) {
-	oldEra, newEra := jwstore.Era(f.lastRevision), jwstore.Era(r.revision)
-	if f.lastRevision == 0 || newEra <= oldEra {
+func (w *storeWatcher) checkStoreRestored(now time.Time, r *fullRead) {
+	oldEra, newEra := jwstore.Era(w.lastRevision), jwstore.Era(r.revision)
+	if w.lastRevision == 0 || newEra <= oldEra {
 		return
 	}
-	for _, dc := range f.g.targets.Evacuated() {
+	for _, dc := range w.g.targets.Evacuated() {
 		if !r.evacuated[dc] {
-			f.heldEvacuations[dc] = now.Add(restoredEvacuationHold)
+			w.heldEvacuations[dc] = now.Add(restoredEvacuationHold)
 		}
 	}
-	f.g.fleetSizeMissing.Store(r.fleet == nil && f.g.members.FleetSize() > 0)
-	f.g.metrics.storeRestores.Inc(1)
-	f.g.Log.Info("store came back from an older copy", "eraBefore", oldEra, "era", newEra,
-		"revisionBefore", jwstore.Number(f.lastRevision), "revision", jwstore.Number(r.revision),
-		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(f.heldEvacuations))
+	w.g.fleetSizeMissing.Store(r.fleet == nil && w.g.members.FleetSize() > 0)
+	w.g.metrics.storeRestores.Inc(1)
+	w.g.Log.Info("store came back from an older copy", "eraBefore", oldEra, "era", newEra,
+		"revisionBefore", jwstore.Number(w.lastRevision), "revision", jwstore.Number(r.revision),
+		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(w.heldEvacuations))
 }
 
 // endHeldEvacuations ends the evacuations that were held for long enough and not written again.
-func (f *storeWatcher) endHeldEvacuations(now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for dc, until := range f.heldEvacuations {
+func (w *storeWatcher) endHeldEvacuations(now time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for dc, until := range w.heldEvacuations {
 		if now.After(until) {
-			delete(f.heldEvacuations, dc)
-			f.g.setEvacuated(now, dc, false)
+			delete(w.heldEvacuations, dc)
+			w.g.setEvacuated(now, dc, false)
 		}
 	}
 }
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -60,20 +60,20 @@
 
 // watchStore reads all keys once and then their changes, until ctx ends.
 func (g *Gateway) watchStore(ctx context.Context) {
-	f := g.storeWatcher
+	w := g.storeWatcher
 	lastEpoch := g.epoch.Load()
 	for ctx.Err() == nil {
-		f.endHeldEvacuations(time.Now())
+		w.endHeldEvacuations(time.Now())
 		epoch := g.epoch.Load()
 		if epoch != lastEpoch {
-			f.resetRevision() // the node was paused, and its history may be gone
+			w.resetRevision() // the node was paused, and its history may be gone
 			lastEpoch = epoch
 		}
-		if d := f.relayValidFor(time.Now()); d > 0 && !g.readsForOthers(time.Now()) && epoch.Err() == nil {
-			f.waitForRelay(epoch, d)
+		if d := w.relayValidFor(time.Now()); d > 0 && !g.readsForOthers(time.Now()) && epoch.Err() == nil {
+			w.waitForRelay(epoch, d)
 			continue
 		}
-		readAt, err := f.readOnce(epoch)
+		readAt, err := w.readOnce(epoch)
 		if ctx.Err() != nil {
 			return
 		}
@@ -83,21 +83,21 @@
 		now := time.Now()
 		if err == nil {
 			g.storeReadAt.Store(int64(readAt.Sub(g.startTime)))
-			if !f.lostSince.IsZero() {
-				g.Log.Info("store regained", "after", now.Sub(f.lostSince).String())
-				f.lostSince = time.Time{}
+			if !w.lostSince.IsZero() {
+				g.Log.Info("store regained", "after", now.Sub(w.lostSince).String())
+				w.lostSince = time.Time{}
 			}
 			jwclock.Sleep(epoch, g.watchPause(now))
 			continue
 		}
 		if errors.Is(err, jwstore.ErrCompacted) {
-			g.Log.Info("store history gone, reading anew", "revision", f.currentRevision())
-			f.resetRevision()
+			g.Log.Info("store history gone, reading anew", "revision", w.currentRevision())
+			w.resetRevision()
 			g.delayFullRead(epoch)
 			continue
 		}
-		if f.lostSince.IsZero() {
-			f.lostSince = now
+		if w.lostSince.IsZero() {
+			w.lostSince = now
 			g.Log.Info("store lost", "error", err.Error())
 		}
 		jwclock.Sleep(epoch, g.retryWait(watchRetry)+rand.N(watchRetry))
@@ -133,71 +133,71 @@
 }
 
 // resetRevision makes the next reading one of everything.
-func (f *storeWatcher) resetRevision() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.revision, f.relayedAt = 0, time.Time{}
-	f.g.recentChanges.Forget()
+func (w *storeWatcher) resetRevision() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.revision, w.relayedAt = 0, time.Time{}
+	w.g.recentChanges.Forget()
 }
 
 // readOnce reads once, and returns as of when the store was read.
-func (f *storeWatcher) readOnce(ctx context.Context) (readAt time.Time, err error) {
-	after := f.currentRevision()
+func (w *storeWatcher) readOnce(ctx context.Context) (readAt time.Time, err error) {
+	after := w.currentRevision()
 	if after == 0 {
-		return time.Now(), f.readAll(ctx)
+		return time.Now(), w.readAll(ctx)
 	}
-	readsForOthers := f.g.readsForOthers(time.Now())
+	readsForOthers := w.g.readsForOthers(time.Now())
 	wait := watchTimeout
 	if readsForOthers {
 		wait = relayWatchTimeout
 	}
 	if readsForOthers {
-		if c, ok := f.askUpstream(ctx, after); ok {
-			return f.applyUpstream(time.Now(), c, after), nil
+		if c, ok := w.askUpstream(ctx, after); ok {
+			return w.applyUpstream(time.Now(), c, after), nil
 		}
 	}
-	events, revision, err := f.g.Feed.Watch(ctx, "", after, wait)
-	now := f.noteStoreCall(ctx, err)
+	events, revision, err := w.g.Feed.Watch(ctx, "", after, wait)
+	now := w.noteStoreCall(ctx, err)
 	if err != nil {
 		return now, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	changed := f.applyChanges(now, events, revision)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	changed := w.applyChanges(now, events, revision)
 	if readsForOthers {
-		f.g.recentChanges.Add(changed, after, revision)
+		w.g.recentChanges.Add(changed, after, revision)
 	} else {
-		f.g.recentChanges.Forget()
+		w.g.recentChanges.Forget()
 	}
 	return now, nil
 }
 
 // applyChanges brings changes into the tables that follow what was read before, up to a
 // revision, and returns those that changed something; f.mu is held.
-func (f *storeWatcher) applyChanges(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
+func (w *storeWatcher) applyChanges(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
 	changed := events[:0:0]
 	for i, e := range events {
 		// Each configuration is whole, so that only the last one counts; in quick
 		// succession, decoding all of them would hold up requests.
-		if e.Revision <= f.revision || f.g.Records.IsConfig(e.Key) && hasLaterChange(events[i+1:], e.Key) {
+		if e.Revision <= w.revision || w.g.Records.IsConfig(e.Key) && hasLaterChange(events[i+1:], e.Key) {
 			continue
 		}
-		if f.applyChange(now, e) {
+		if w.applyChange(now, e) {
 			changed = append(changed, e)
 		}
 	}
-	f.revision = max(f.revision, revision)
-	f.lastRevision = f.revision
-	f.g.store.revision.Store(f.revision)
+	w.revision = max(w.revision, revision)
+	w.lastRevision = w.revision
+	w.g.store.revision.Store(w.revision)
 	return changed
 }
 
 // noteStoreCall notes how a call of the store ended, before what it brought is taken:
 // that lasts, and a target would be asked meanwhile as if the store were away.
-func (f *storeWatcher) noteStoreCall(ctx context.Context, err error) time.Time {
+func (w *storeWatcher) noteStoreCall(ctx context.Context, err error) time.Time {
 	now := time.Now()
 	if ctx.Err() == nil {
-		f.g.store.recordCall(now, err)
+		w.g.store.recordCall(now, err)
 	}
 	return now
 }
@@ -208,8 +208,8 @@
 
 // applyChange brings one change into the tables and reports whether it changes anything: targets
 // register about once a second, and most of it says what they said before.
-func (f *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
-	g := f.g
+func (w *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
+	g := w.g
 	if g.Records.IsConfig(e.Key) {
 		if !e.Deleted {
 			g.applyConfig(e.Value, "store")
@@ -217,7 +217,7 @@
 		return true
 	}
 	if dc, ok := g.Records.Evacuation(e.Key); ok {
-		delete(f.heldEvacuations, dc)
+		delete(w.heldEvacuations, dc)
 		g.setEvacuated(now, dc, !e.Deleted)
 		return true
 	}
--- a/io/jwgateway/follow_test.go
+++ b/io/jwgateway/follow_test.go
@@ -38,14 +38,14 @@
 	var feed jwstore.MemoryFeed
 	r := &countingRecords{}
 	g := &Gateway{Feed: &feed, Records: r, Log: logr.Discard(), registrationChanged: make(chan struct{}, 1)}
-	f := &storeWatcher{g: g}
+	w := &storeWatcher{g: g}
 	feed.Write("op/config", []byte("1"))
-	_, err := f.readOnce(context.Background())
+	_, err := w.readOnce(context.Background())
 	assert.NilError(t, err)
 	for v := 2; v <= 25; v++ {
 		feed.Write("op/config", fmt.Append(nil, v))
 	}
-	_, err = f.readOnce(context.Background())
+	_, err = w.readOnce(context.Background())
 	assert.NilError(t, err)
 	assert.Equal(t, g.entries.Version(), uint64(25))
 	assert.Equal(t, r.decoded, 2)
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -50,7 +50,7 @@
 	RelayThreshold int                         // nodes of a region from which on they exchange state through relays, 0 for the usual number
 	Boot           func() time.Duration        // time since the host started, suspended or not; nil for the host's own
 
-	viewCache           viewCache
+	viewCache           encodedViewCache
 	pauseDetector       jwclock.Pulse
 	epoch               atomic.Pointer[epoch]
 	metrics             *metrics
--- a/io/jwgateway/meters.go
+++ b/io/jwgateway/meters.go
@@ -46,7 +46,7 @@
 }
 
 func newMetrics(m *jwmeter.Meter) *metrics {
-	x := &metrics{
+	ms := &metrics{
 		meter:      m,
 		sendCounts: make(map[[3]string]tally.Counter), requestCounts: make(map[[2]string]tally.Counter),
 		answerTimes: make(map[[3]string]tally.Histogram), retriesLeft: make(map[string]tally.Gauge),
@@ -70,9 +70,9 @@
 		storeRestores:     m.Counter("store_returns_total", nil),
 	}
 	for _, k := range []jwresolver.Kind{jwresolver.Own, jwresolver.Stopping, jwresolver.StandIns, jwresolver.Nobody} {
-		x.directoryAnswers[k] = m.Counter("directory_answers_total", jwmeter.Tags{"names": string(k)})
+		ms.directoryAnswers[k] = m.Counter("directory_answers_total", jwmeter.Tags{"names": string(k)})
 	}
-	return x
+	return ms
 }
 
 // countSend counts a send to a target or a node.
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -31,39 +31,39 @@
 
 // readAll reads everything, page by page; what is not there any more is gone. In a
 // large region the relay knows the targets, which are most of it.
-func (f *storeWatcher) readAll(ctx context.Context) error {
+func (w *storeWatcher) readAll(ctx context.Context) error {
 	r := &fullRead{targets: map[string]bool{}, nodes: map[string]bool{}, evacuated: map[string]bool{}}
 	last := ""
 	for {
-		p, err := f.g.Feed.Range(ctx, "", last)
-		now := f.noteStoreCall(ctx, err)
+		p, err := w.g.Feed.Range(ctx, "", last)
+		now := w.noteStoreCall(ctx, err)
 		if err != nil {
 			return err
 		}
 		if r.revision == 0 {
 			r.revision = p.Revision
 		}
-		f.applyPage(now, p, r)
+		w.applyPage(now, p, r)
 		if !p.More {
 			break
 		}
 		last = p.Items[len(p.Items)-1].Key
 		// The registrations of targets come after all others.
-		if _, ok := f.g.Records.TargetID(last); ok && f.pullTargetsFromRelay(ctx, r) {
+		if _, ok := w.g.Records.TargetID(last); ok && w.pullTargetsFromRelay(ctx, r) {
 			break
 		}
 	}
-	f.finishRead(time.Now(), r)
+	w.finishRead(time.Now(), r)
 	return nil
 }
 
 // applyPage brings a page into the tables, but for the configuration: requests that wait
 // for the first one find targets then.
-func (f *storeWatcher) applyPage(now time.Time, p jwstore.Page, r *fullRead) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (w *storeWatcher) applyPage(now time.Time, p jwstore.Page, r *fullRead) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, i := range p.Items {
-		if f.g.Records.IsConfig(i.Key) {
+		if w.g.Records.IsConfig(i.Key) {
 			r.config = &i
 			continue
 		}
@@ -71,58 +71,58 @@
 			r.fleet = &i // after the nodes, which it is compared with
 			continue
 		}
-		f.applyItem(now, &i)
-		if id, ok := f.g.Records.TargetID(i.Key); ok {
+		w.applyItem(now, &i)
+		if id, ok := w.g.Records.TargetID(i.Key); ok {
 			r.targets[id] = true
 		}
 		if name, ok := strings.CutPrefix(i.Key, nodePrefix); ok {
 			r.nodes[name] = true
 		}
-		if dc, ok := f.g.Records.Evacuation(i.Key); ok {
+		if dc, ok := w.g.Records.Evacuation(i.Key); ok {
 			r.evacuated[dc] = true
 		}
 	}
 }
 
-func (f *storeWatcher) applyItem(now time.Time, i *jwstore.Item) {
+func (w *storeWatcher) applyItem(now time.Time, i *jwstore.Item) {
 	if i != nil {
-		f.applyChange(now, jwstore.Event{Key: i.Key, Value: i.Value, Revision: i.Version})
+		w.applyChange(now, jwstore.Event{Key: i.Key, Value: i.Value, Revision: i.Version})
 	}
 }
 
 // finishRead drops what is gone and brings the configuration into force.
-func (f *storeWatcher) finishRead(now time.Time, r *fullRead) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (w *storeWatcher) finishRead(now time.Time, r *fullRead) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	if !r.targetsFromRelay {
-		f.g.targets.Keep(now, r.targets, r.revision)
+		w.g.targets.Keep(now, r.targets, r.revision)
 	}
-	f.g.members.Keep(now, r.nodes)
-	if !r.nodes[f.g.members.Me().Name] {
-		f.g.reregister()
+	w.g.members.Keep(now, r.nodes)
+	if !r.nodes[w.g.members.Me().Name] {
+		w.g.reregister()
 	}
-	f.checkStoreRestored(now, r)
-	for dc := range f.heldEvacuations {
+	w.checkStoreRestored(now, r)
+	for dc := range w.heldEvacuations {
 		r.evacuated[dc] = true
 	}
-	f.g.endEvacuationsExcept(now, r.evacuated)
-	f.applyItem(now, r.fleet)
-	f.applyItem(now, r.config)
-	f.revision, f.lastRevision = r.revision, r.revision
-	f.g.store.revision.Store(r.revision)
-	if f.g.storeRead.CompareAndSwap(false, true) {
-		for _, in := range f.g.targets.Known(now) {
-			f.g.logTarget(in, jwinstance.Appeared)
+	w.g.endEvacuationsExcept(now, r.evacuated)
+	w.applyItem(now, r.fleet)
+	w.applyItem(now, r.config)
+	w.revision, w.lastRevision = r.revision, r.revision
+	w.g.store.revision.Store(r.revision)
+	if w.g.storeRead.CompareAndSwap(false, true) {
+		for _, in := range w.g.targets.Known(now) {
+			w.g.logTarget(in, jwinstance.Appeared)
 		}
 	}
-	f.g.pauseDetector.Begin()
+	w.g.pauseDetector.Begin()
 }
 
 // pullTargetsFromRelay takes the targets from the relay of the data centre, if there is one that
 // this node reports through; all nodes that start at once would fill the store's link and
 // the smallest of their own with them.
-func (f *storeWatcher) pullTargetsFromRelay(ctx context.Context, r *fullRead) bool {
-	g := f.g
+func (w *storeWatcher) pullTargetsFromRelay(ctx context.Context, r *fullRead) bool {
+	g := w.g
 	start := time.Now()
 	for now := start; now.Sub(start) < maxRelayPull && ctx.Err() == nil; now = time.Now() {
 		if !g.members.Large(now, g.Settings.Region) || g.members.Leads(now) {
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -118,12 +118,12 @@
 
 // applyFleetSize takes the size of the fleet from the store.
 func (g *Gateway) applyFleetSize(now time.Time, value []byte) {
-	var f fleetSize
-	if err := json.Unmarshal(value, &f); err != nil || f.Nodes <= 0 {
+	var size fleetSize
+	if err := json.Unmarshal(value, &size); err != nil || size.Nodes <= 0 {
 		g.Log.Info("size of the fleet not readable")
 		return
 	}
-	g.members.SetFleet(now, f.Nodes, !g.storeRead.Load())
+	g.members.SetFleet(now, size.Nodes, !g.storeRead.Load())
 }
 
 // waitForChange waits and reports whether the registration is to be written anew.
--- a/io/jwgateway/return_test.go
+++ b/io/jwgateway/return_test.go
@@ -50,15 +50,15 @@
 			}
 			g := &Gateway{Feed: &feed, Records: &jsonRecords{}, Log: logr.Discard(), Settings: &jwsettings.Settings{Node: "self"}, registrationChanged: make(chan struct{}, 1)}
 			g.metrics = newMetrics(nil)
-			f := newStoreWatcher(g)
-			_, err := f.readOnce(context.Background())
+			w := newStoreWatcher(g)
+			_, err := w.readOnce(context.Background())
 			assert.NilError(b, err)
 			calls := (size.nodes+size.targets)/feed.PageSize + 2 // and the watch that is refused
 			b.ReportAllocs()
 			for b.Loop() {
 				feed.Return(feed.Copy())
-				f.resetRevision()
-				_, err := f.readOnce(context.Background())
+				w.resetRevision()
+				_, err := w.readOnce(context.Background())
 				assert.NilError(b, err)
 			}
 			b.ReportMetric(float64(bytes), "bytes-read/op")
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -149,7 +149,7 @@
 }
 
 // reject notes why no target is asked to run the request, and its Retry-After.
-func (q *request) reject(reason string, retryAfter time.Duration) Verdict {
-	q.lastReason, q.retryAfter = reason, retryAfter
+func (q *request) reject(reason string, wait time.Duration) Verdict {
+	q.lastReason, q.retryAfter = reason, wait
 	return rejected
 }
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -218,29 +218,29 @@
 }
 
 // currentRevision returns the revision up to which the store was read, by itself or through a relay.
-func (f *storeWatcher) currentRevision() jwstore.Revision {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.revision
+func (w *storeWatcher) currentRevision() jwstore.Revision {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.revision
 }
 
 // applyRelayed takes changes that a relay read. What it doesn't have, or is late with, the node
 // reads itself.
-func (f *storeWatcher) applyRelayed(now time.Time, c *changes) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+func (w *storeWatcher) applyRelayed(now time.Time, c *changes) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	age := time.Duration(c.Age) * time.Millisecond
-	if c.Lost || f.revision == 0 || c.To < f.revision || age > maxRelayReadAge {
-		f.relayedAt = time.Time{}
+	if c.Lost || w.revision == 0 || c.To < w.revision || age > maxRelayReadAge {
+		w.relayedAt = time.Time{}
 		select {
-		case f.relayUnusable <- struct{}{}:
+		case w.relayUnusable <- struct{}{}:
 		default:
 		}
 		return
 	}
-	f.relayedAt = now
-	f.applyChanges(now, c.events(), c.To)
-	f.g.storeReadAt.Store(int64(now.Sub(f.g.startTime) - age))
+	w.relayedAt = now
+	w.applyChanges(now, c.events(), c.To)
+	w.g.storeReadAt.Store(int64(now.Sub(w.g.startTime) - age))
 }
 
 // events returns the changes as a reading of the store brings them.
@@ -254,22 +254,22 @@
 
 // relayValidFor returns for how long a relay is still relied on to read the store for this
 // node, 0 if none is.
-func (f *storeWatcher) relayValidFor(now time.Time) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.revision == 0 || f.relayedAt.IsZero() {
+func (w *storeWatcher) relayValidFor(now time.Time) time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.revision == 0 || w.relayedAt.IsZero() {
 		return 0
 	}
-	return max(maxRelayReportAge-now.Sub(f.relayedAt), 0)
+	return max(maxRelayReportAge-now.Sub(w.relayedAt), 0)
 }
 
 // waitForRelay waits until a relay may not be relied on any more.
-func (f *storeWatcher) waitForRelay(ctx context.Context, d time.Duration) {
+func (w *storeWatcher) waitForRelay(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-f.relayUnusable:
+	case <-w.relayUnusable:
 	}
 }
--- a/io/jwgateway/upstream.go
+++ b/io/jwgateway/upstream.go
@@ -31,30 +31,30 @@
 // upstreamRelay returns the relay from which this one, itself a relay, takes the changes of
 // the store: one of those that are nearest to it. The others would each read what all
 // targets register, over the links between regions.
-func (f *storeWatcher) upstreamRelay(now time.Time) (jwmember.Member, bool) {
-	if !f.upstreamFailedAt.IsZero() && now.Sub(f.upstreamFailedAt) < upstreamRetryPause {
+func (w *storeWatcher) upstreamRelay(now time.Time) (jwmember.Member, bool) {
+	if !w.upstreamFailedAt.IsZero() && now.Sub(w.upstreamFailedAt) < upstreamRetryPause {
 		return jwmember.Member{}, false
 	}
-	list := f.g.members.Nearest(now, directReaders)
+	list := w.g.members.Nearest(now, directReaders)
 	for _, m := range list {
-		if m.Name == f.g.Settings.Node {
+		if m.Name == w.g.Settings.Node {
 			return jwmember.Member{}, false
 		}
 	}
-	return jwmember.Root(list, f.g.Settings.Node)
+	return jwmember.Root(list, w.g.Settings.Node)
 }
 
 // askUpstream asks another relay for the changes after a revision; ok is false if there
 // is none or it can't be relied on.
-func (f *storeWatcher) askUpstream(ctx context.Context, after jwstore.Revision) (c *changes, ok bool) {
-	m, ok := f.upstreamRelay(time.Now())
+func (w *storeWatcher) askUpstream(ctx context.Context, after jwstore.Revision) (c *changes, ok bool) {
+	m, ok := w.upstreamRelay(time.Now())
 	if !ok {
 		return nil, false
 	}
 	ctx, cancel := context.WithTimeout(ctx, upstreamWait+exchangeTimeout)
 	defer cancel()
 	q := url.Values{"after": {strconv.FormatUint(after, 10)}}
-	raw, err := f.g.nodeCall(ctx, m, http.MethodGet, changesPath+"?"+q.Encode(), nil)
+	raw, err := w.g.nodeCall(ctx, m, http.MethodGet, changesPath+"?"+q.Encode(), nil)
 	c = &changes{Lost: true}
 	if err == nil {
 		err = json.Unmarshal(raw, c)
@@ -62,17 +62,17 @@
 	if err == nil && !c.Lost && c.To >= after && time.Duration(c.Age)*time.Millisecond <= maxUpstreamReadAge {
 		return c, true
 	}
-	f.upstreamFailedAt = time.Now()
-	f.g.Log.Info("relay reads the store itself", "peer", m.Name, "lost", c.Lost, "ageMs", c.Age)
+	w.upstreamFailedAt = time.Now()
+	w.g.Log.Info("relay reads the store itself", "peer", m.Name, "lost", c.Lost, "ageMs", c.Age)
 	return nil, false
 }
 
 // applyUpstream takes changes that another relay read, keeps them for those that report through
 // this one, and returns of when they are.
-func (f *storeWatcher) applyUpstream(now time.Time, c *changes, after jwstore.Revision) time.Time {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.g.recentChanges.Add(f.applyChanges(now, c.events(), c.To), after, c.To)
+func (w *storeWatcher) applyUpstream(now time.Time, c *changes, after jwstore.Revision) time.Time {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.g.recentChanges.Add(w.applyChanges(now, c.events(), c.To), after, c.To)
 	return now.Add(-time.Duration(c.Age) * time.Millisecond)
 }
 
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -70,14 +70,14 @@
 // for each took the relay longer than they wait.
 const maxEncodedViewAge = 300 * time.Millisecond
 
-// viewCache keeps the last view that was encoded for a node that knows nothing.
-type viewCache struct {
+// encodedViewCache keeps the last view that was encoded for a node that knows nothing.
+type encodedViewCache struct {
 	mu        sync.Mutex
 	encodedAt time.Time
 	body      []byte
 }
 
-func (e *viewCache) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
+func (e *encodedViewCache) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
 	if version > 0 || revision > 0 {
 		return encodeView(since(now, version, revision))
 	}
--- a/io/jwgateway/view_test.go
+++ b/io/jwgateway/view_test.go
@@ -10,7 +10,7 @@
 // All nodes of a data centre start at once and ask their relay for everything it knows;
 // encoding that for each, it answered the last ones after they had given up.
 func TestViewIsEncodedOnceForNewNodes(t *testing.T) {
-	var cache viewCache
+	var cache encodedViewCache
 	encoded := 0
 	since := func(_ time.Time, version, revision uint64) view {
 		encoded++
@@ -32,7 +32,7 @@
 
 // A relay that has read nothing yet must not answer so for longer than it lasts.
 func TestEmptyViewIsNotCached(t *testing.T) {
-	var cache viewCache
+	var cache encodedViewCache
 	revision := uint64(0)
 	since := func(time.Time, uint64, uint64) view { return view{Revision: revision} }
 	now := time.Unix(1000, 0)
