--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -33,12 +33,12 @@
 
 // bodyRest is what follows the held part of a body.
 type bodyRest struct {
-	w         http.ResponseWriter
-	mu        sync.Mutex // held during each read
-	r         io.Reader
-	remaining int64 // bytes that it may still have
-	readStarted  bool  // some of it was
-	err       error // why it ended, io.EOF at its end
+	w           http.ResponseWriter
+	mu          sync.Mutex // held during each read
+	r           io.Reader
+	remaining   int64 // bytes that it may still have
+	readStarted bool  // some of it was
+	err         error // why it ended, io.EOF at its end
 }
 
 // readBody reads the held part of a body of at most so many bytes.
--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -7,15 +7,15 @@
 	"jujubewheel/io/jwlog"
 )
 
-// The steps of a request in the log.
+// Steps of a request in the decision log.
 const (
-	stepSend    = "send"    // to a target
-	stepForward = "forward" // to a node of another region
-	stepBegun   = "begun"   // a stream began; its end may never be logged if the node is killed
-	stepAnswer  = "answer"  // what the caller was answered
+	stepSend    = "send"    // sent to a target
+	stepForward = "forward" // forwarded to a node of another region
+	stepBegun   = "begun"   // the first event of a stream arrived; its end is never logged if the node is killed
+	stepAnswer  = "answer"  // answered by the gateway itself
 )
 
-// newDecision begins a line about a request.
+// newDecision returns a log record about the request with the fields common to all steps.
 func (q *request) newDecision(step string) jwlog.Decision {
 	now := time.Now()
 	d := jwlog.Decision{
@@ -25,13 +25,13 @@
 	return d
 }
 
-// outcomeRefused is the outcome of a request that the node refused at once.
+// outcomeRefused is the outcome of a request that the node rejected without sending it.
 const outcomeRefused = "refused"
 
 // outcomeBegun is the outcome of stepBegun.
 const outcomeBegun = "begun"
 
-// outcomeOf returns how a request ended that a target answered.
+// outcomeOf returns the outcome of a request for the status of its target's answer.
 func outcomeOf(status int) string {
 	if status >= 500 {
 		return "failedByTarget"
@@ -39,7 +39,7 @@
 	return outcomeServed
 }
 
-// logSend logs a send to a target.
+// logSend logs and counts a send to a target.
 func (g *Gateway) logSend(q *request, c jwinstance.Choice, v Verdict, status int, p progress) {
 	g.metrics.countSend(stepSend, string(q.entry.Kind), v)
 	if p.first > 0 {
@@ -61,15 +61,15 @@
 	g.Decisions.Write(&d)
 }
 
-// logBegun logs that the first event of a stream is there. Streams last for
-// seconds; of one whose node is killed nothing else would be known.
+// logBegun logs the first event of a stream. Streams last for seconds, and if the node is killed,
+// this is the only record of them.
 func (g *Gateway) logBegun(q *request) {
 	d := q.newDecision(stepBegun)
 	d.Peer, d.Outcome, d.Minor = q.sentTo, outcomeBegun, true
 	g.Decisions.Write(&d)
 }
 
-// logForward logs a request passed on to another node.
+// logForward logs and counts a request forwarded to another node.
 func (g *Gateway) logForward(q *request, peer string, v Verdict, status int, p progress) {
 	g.metrics.countSend(stepForward, string(q.entry.Kind), v)
 	if v == finished {
@@ -85,7 +85,7 @@
 	g.Decisions.Write(&d)
 }
 
-// logAnswer logs an answer of the gateway's own, or that there is none.
+// logAnswer logs and counts an answer of the gateway itself, or that the request ended without one.
 func (g *Gateway) logAnswer(q *request, outcome, reason string, status int) {
 	if !q.forwarded {
 		g.metrics.countRequest(string(q.entry.Kind), outcome, placeNone, time.Since(q.arrived))
--- a/io/jwgateway/doc.go
+++ b/io/jwgateway/doc.go
@@ -1,8 +1,8 @@
-// Package jwgateway is a node that takes its entries, targets and peers from a
-// Feed of the platform: it passes requests to targets of its region or to a
-// node of another one, names live nodes to callers, and stops without cutting
-// off what it runs.
+// Package jwgateway implements a gateway node. The node reads its entries, targets and peers from a
+// jwstore.Feed of the platform's store, sends requests to targets of its own region or forwards
+// them to a node of another region, names live nodes to callers, and stops without aborting the
+// requests in flight before its grace period ends.
 //
-// What it reads and writes towards callers, targets and the store goes through
-// a Dialect and Records, so that it knows no name of the platform's.
+// All headers and store records of the platform are translated by a Dialect and by Records, so that
+// this package contains none of the platform's names.
 package jwgateway
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -31,7 +31,7 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// Gateway is one node; set its fields, then call Run.
+// Gateway is one node. Set its exported fields, then call Run.
 type Gateway struct {
 	Settings       *jwsettings.Settings
 	Feed           jwstore.Feed
@@ -40,15 +40,15 @@
 	Targets        *jwconn.Pool                                   // connections to targets
 	Nodes          *jwconn.Pool                                   // connections to other nodes
 	Meter          *jwmeter.Meter                                 // counters and histograms; nil for none
-	LostLines      func() int64                                   // lines of the log that were dropped so far, if set
-	Listening      func(callers, directory, nodes netip.AddrPort) // called once the ports are open, if set
+	LostLines      func() int64                                   // returns how many log lines were dropped so far; may be nil
+	Listening      func(callers, directory, nodes netip.AddrPort) // called once all ports are open; may be nil
 	Log            logr.Logger
-	Decisions      *jwlog.Decisions            // a line for each decision about a request; nil for none
-	Reload         <-chan *jwsettings.Settings // settings that changed while the node runs
+	Decisions      *jwlog.Decisions            // log of the decisions about requests; nil for none
+	Reload         <-chan *jwsettings.Settings // receives settings that changed while the node runs
 	Admission      jwadmission.Policy          // which requests are rejected
 	Placement      jwplacement.Policy          // which region serves a request
-	RelayThreshold int                         // nodes of a region from which on they exchange state through relays, 0 for the usual number
-	Boot           func() time.Duration        // time since the host started, suspended or not; nil for the host's own
+	RelayThreshold int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
+	Boot           func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
 
 	viewCache           encodedViewCache
 	pauseDetector       jwclock.Pulse
@@ -56,36 +56,36 @@
 	metrics             *metrics
 	store               storeState
 	storeWatcher        *storeWatcher
-	recentChanges       jwstore.Recent // changes of the store, kept by a relay for others
-	pulledRevision      atomic.Uint64  // revision of the store up to which another node's view was taken
-	pullingView         atomic.Bool    // another node is asked
-	storeReadAt         atomic.Int64   // when the store was read last, nanoseconds since begun
+	recentChanges       jwstore.Recent // changes of the store that a relay keeps for other nodes
+	pulledRevision      atomic.Uint64  // store revision of the last view taken from another node
+	pullingView         atomic.Bool    // a view is being fetched from another node
+	storeReadAt         atomic.Int64   // time of the last successful store read, nanoseconds since startTime
 	bounds              atomic.Pointer[jwsettings.Bounds]
 	entries             jwentry.Table
 	targets             jwinstance.Table
 	members             jwmember.Table
 	retryBudget         jwbudget.Retry
 	quotas              jwquota.Ledger
-	quotaExchange       jwquotaexchange.Exchange // of the quotas' units with other nodes
+	quotaExchange       jwquotaexchange.Exchange // exchanges quota units with other nodes
 	regions             regionTable
-	unseenCalledAt      time.Time // when nodes that were not seen were called last; of exchange only, as unseenTurn
+	unseenCalledAt      time.Time // time of the last exchange with unseen nodes; used by exchangeStates only, like unseenTurn
 	unseenTurn          int
-	exchangesInFlight   sync.Map // names of the peers that an exchange waits for
+	exchangesInFlight   sync.Map // names of the peers with an exchange in flight
 	demand              jwentry.Demand
 	suspects            jwsuspect.Table
-	crashChecks         singleflight.Group // questions whether targets have crashed
-	storeRead           atomic.Bool        // the store was read once
+	crashChecks         singleflight.Group // checks in flight of whether a target has crashed
+	storeRead           atomic.Bool        // all keys of the store were read once
 	stopping            atomic.Bool
-	graceOver           atomic.Bool // the grace period is over: what still runs is cut off
+	graceOver           atomic.Bool // the grace period is over and requests in flight are aborted
 	startTime           time.Time
-	stopStart           atomic.Int64  // when the planned stop began, nanoseconds since begun
-	fleetSizeMissing    atomic.Bool   // the store came back without the size of the fleet
-	registrationChanged chan struct{} // the registration has to be written anew
+	stopStart           atomic.Int64  // when the planned stop began, nanoseconds since startTime
+	fleetSizeMissing    atomic.Bool   // the store was restored without the size of the fleet
+	registrationChanged chan struct{} // requests that the registration is written again
 	inFlight            atomic.Int64
 }
 
-// Run serves until ctx ends and the requests in flight are done or the grace
-// period is nearly over.
+// Run serves until ctx ends and then until the requests in flight are done or most of the grace
+// period has passed.
 func (g *Gateway) Run(ctx context.Context) error {
 	g.prepare()
 	work, cancel := context.WithCancel(context.Background())
@@ -166,10 +166,10 @@
 	g.retryBudget.Nodes = func() int { return g.members.Count(time.Now(), "") }
 }
 
-// The places of some listeners in what servers returns.
+// Indexes of servers in the result of Gateway.servers.
 const (
 	callersServer = iota
-	_             // that reports whether the node serves
+	_             // the readiness server
 	directoryServer
 	nodesServer
 )
@@ -192,8 +192,8 @@
 	return &jwrest.Server{Name: name, Address: a, Handler: h, Log: g.Log, DrainLimit: 50 * time.Millisecond}
 }
 
-// warmup returns how long a target of a service is cold and what all nodes
-// together may send to it in a second meanwhile.
+// warmup returns how long a target of a service stays cold after its start and how many requests
+// per second all nodes together may send to it during that time.
 func (g *Gateway) warmup(service string) (time.Duration, float64) {
 	c := g.entries.Current()
 	if c == nil {
@@ -206,11 +206,11 @@
 	return s.Warmup, s.WarmupRate
 }
 
-// idleConnShare is the part of the connections that a target takes which nodes keep
-// unused; the rest is for what is in flight.
+// idleConnShare is the share of a target's maximum number of connections that the nodes keep idle.
+// The rest is left for requests in flight.
 const idleConnShare = 0.5
 
-// maxIdleConns is how many unused connections to a target this node may keep.
+// maxIdleConns returns how many idle connections to a target this node may keep.
 func (g *Gateway) maxIdleConns(a netip.AddrPort) int {
 	c := g.entries.Current()
 	if c == nil {
@@ -223,7 +223,7 @@
 	return int(idleConnShare*float64(s.MaxConns)) / g.members.Count(time.Now(), g.Settings.Region)
 }
 
-// coldRate is how many requests a second this node may send to a cold target.
+// coldRate returns how many requests per second this node may send to a cold target.
 func (g *Gateway) coldRate(service, target string) float64 {
 	now := time.Now()
 	if !g.members.CountedByAll(now) {
@@ -235,7 +235,8 @@
 	return jwbudget.ColdShare(l, g.members.Owns(now, target), g.members.Count(now, g.Settings.Region))
 }
 
-// limitPart is this node's part in the limit that a target names.
+// limitPart returns this node's part of the limit that a target announces. mayOwn reports whether a
+// node may own the target.
 func (g *Gateway) limitPart(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
 	now := time.Now()
 	if g.members.ListedFor(now) < jwbudget.LimitSettle {
@@ -244,19 +245,19 @@
 	return jwbudget.PartOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
 }
 
-// rejectsNewRequests reports whether the node has been stopping for so long that a new
-// request might outlast it.
+// rejectsNewRequests reports whether the node has been stopping for so long that a new request
+// might not finish in the grace period.
 func (g *Gateway) rejectsNewRequests() bool {
 	return g.stopping.Load() && time.Since(g.startTime) > time.Duration(g.stopStart.Load())+g.linger()
 }
 
-// ready reports whether the node serves callers.
+// ready reports whether the node accepts callers' requests.
 func (g *Gateway) ready() bool {
 	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Alive()
 }
 
-// reload takes settings that changed; what can change while the node runs are
-// its bounds, and an address that differs is only logged.
+// reload applies changed settings. Only the bounds can change while the node runs; a changed
+// address is only logged.
 func (g *Gateway) reload(ctx context.Context) {
 	for {
 		select {
@@ -273,10 +274,10 @@
 	}
 }
 
-// gaugePeriod is the time between two settings of the gauges.
+// gaugePeriod is the time between two updates of the gauges.
 const gaugePeriod = time.Second
 
-// updateGauges sets the gauges now and then.
+// updateGauges updates the gauges periodically until ctx ends.
 func (g *Gateway) updateGauges(ctx context.Context) {
 	for ctx.Err() == nil {
 		now := time.Now()
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -22,55 +22,57 @@
 
 const (
 	// maxConfigWait is how long after its start a node lets a request wait for the first
-	// configuration: three trips to a store in another region and back. Most callers
-	// retry once, and one that is rejected in that moment has used that up.
+	// configuration: three round trips to a store in another region. Most callers retry once, and a
+	// rejection at this point would use up that retry.
 	maxConfigWait = 600 * time.Millisecond
-	// configWaitShare is the part of its time that a request may wait so.
+	// configWaitShare is the maximum share of a request's time that it waits for the first
+	// configuration.
 	configWaitShare = 0.25
-	// noConfigRetryAfter is the Retry-After of a node that knows no configuration yet.
+	// noConfigRetryAfter is the minimum Retry-After of a node without a configuration.
 	noConfigRetryAfter = 500 * time.Millisecond
-	// stopRetryAfter is the Retry-After of a node that is stopping: others serve.
+	// stopRetryAfter is the Retry-After of a node that is stopping. It is short because other nodes
+	// serve.
 	stopRetryAfter = 20 * time.Millisecond
-	// defaultDeadline bounds a request that names none.
+	// defaultDeadline applies to a request without a deadline of its own.
 	defaultDeadline = 30 * time.Second
 )
 
-// request is one request on its way through the node.
+// request is the state of one request while the node handles it.
 type request struct {
 	Call
 	entry   *jwentry.Entry
-	version uint64 // of the configuration that it is judged by
+	version uint64 // of the configuration that the entry belongs to
 	service string
 
-	workspace string              // name of the caller's, "" if it has none
-	homes     jwworkspace.Regions // that may serve it
+	workspace string              // name of the caller's workspace, "" if the caller has none
+	homes     jwworkspace.Regions // regions that may serve the request
 	priority  int                 // 0 is the most urgent
-	units     float64             // of the workspace's quota that it took
+	units     float64             // units taken from the workspace's quota
 
 	method    string
-	target    string // path and query as the caller wrote them
+	target    string // path and query as the caller sent them
 	host      string
 	header    http.Header
 	body      body
 	arrived   time.Time
 	deadline  time.Time
-	forwarded bool // came from another node, and is not passed on again
+	forwarded bool // received from another node; must not be forwarded again
 
 	w             http.ResponseWriter
-	answerStarted bool // the head of an answer went to the caller
+	answerStarted bool // the status and headers were sent to the caller
 	tried         map[string]bool
-	attempts      int         // sends that a target may have run
-	sends         int         // sends that reached a target
-	budgetTaken   atomic.Bool // the next send was taken from the retry budget already
+	attempts      int         // number of sends that a target may have run
+	sends         int         // number of sends that reached a target
+	budgetTaken   atomic.Bool // the next send has already been taken from the retry budget
 	lastEventID   string
 	fingerprint   jwsuspect.Fingerprint
-	sentTo        string          // the target or node that answers
-	retryAfter    time.Duration   // after a refusal
-	fullRegions   map[string]bool // regions that had no room for it
-	lastReason    string          // why the last send or choice did not run
+	sentTo        string          // the target or node that the request was sent to last
+	retryAfter    time.Duration   // Retry-After of the last rejection
+	fullRegions   map[string]bool // regions whose nodes rejected the request
+	lastReason    string          // why the last send or choice of a target failed
 }
 
-// targetNeed describes the request to those who look for a target.
+// targetNeed describes the request for the choice of a target.
 func (g *Gateway) targetNeed(q *request) jwinstance.Need {
 	n := jwinstance.Need{Service: q.service, Prompt: q.Prompt, Homes: q.homes, Priority: q.priority, Goal: q.entry.Goal, Exclude: q.tried}
 	c := g.entries.Current()
@@ -84,7 +86,8 @@
 	return n
 }
 
-// hopHeaders concern one connection only.
+// hopHeaders are the hop-by-hop headers, which apply to one connection only, and the headers that
+// are set anew for each send.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
@@ -101,14 +104,15 @@
 	}
 }
 
-// serveCaller answers callers.
+// serveCaller handles a request of a caller.
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	call := g.Dialect.Call(r.Header)
 	cfg := g.awaitConfig(r.Context(), call.Deadline)
 	if cfg == nil {
-		// The longer it lasts, the longer it will: the store is away then.
+		// The longer the configuration has been missing, the longer the store is likely to stay
+		// unavailable.
 		retryAfter := min(max(time.Since(g.startTime), noConfigRetryAfter), jwadmission.MaxRetryAfter)
 		g.refuse(w, call.ID, http.StatusServiceUnavailable, retryAfter, "no configuration yet")
 		return
@@ -169,8 +173,8 @@
 	g.serve(r.Context(), q)
 }
 
-// awaitConfig returns the configuration in force. A node that has just started
-// waits for it a moment; nil is returned if there is none then.
+// awaitConfig returns the configuration in force. A node that has just started waits for its first
+// one, up to maxConfigWait after its start; the result is nil if there is none by then.
 func (g *Gateway) awaitConfig(ctx context.Context, deadline time.Duration) *jwentry.Config {
 	if c := g.entries.Current(); c != nil {
 		return c
@@ -192,7 +196,8 @@
 	return g.entries.Current()
 }
 
-// bufferBody reads what is held of the body, or answers the caller why not.
+// bufferBody reads the part of the body that is buffered. On failure it answers the request and
+// returns false.
 func (g *Gateway) bufferBody(q *request, r *http.Request) bool {
 	maxSize := int64(defaultMaxBody)
 	if c := g.entries.Current(); c != nil && c.MaxBody > 0 {
@@ -211,15 +216,15 @@
 	return false
 }
 
-// hashFraction spreads identifiers over [0, 1).
+// hashFraction hashes an identifier to a number in [0, 1).
 func hashFraction(id string) float64 {
 	h := fnv.New32a()
 	h.Write([]byte(id))
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// refuse answers a request that has not run and never will, or that can't be
-// answered; again is its Retry-After, 0 if retrying would not help.
+// refuse answers a request with an error. retryAfter is the value of its Retry-After header; 0
+// omits the header, for errors that a retry would not resolve.
 func (g *Gateway) refuse(w http.ResponseWriter, id string, status int, retryAfter time.Duration, reason string) {
 	h := w.Header()
 	g.Dialect.Refuse(h, id)
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -10,31 +10,30 @@
 	"jujubewheel/core/jwrepeat"
 )
 
-// Verdict is how one send of a request ended.
+// Verdict is the result of one send of a request.
 type Verdict string
 
-// The verdicts on a send.
+// Verdicts on a send.
 const (
-	finished Verdict = "finished" // the caller has its final answer
-	notRun   Verdict = "notRun"   // no target ran it or will
-	rejected Verdict = "rejected" // the same, and no target was asked
-	failed   Verdict = "failed"   // a target ran it and reported a failure, or may have run it
-	broken   Verdict = "broken"   // a stream broke off; what came of it went to the caller
+	finished Verdict = "finished" // the caller got its final answer
+	notRun   Verdict = "notRun"   // no target has run the request or will run it
+	rejected Verdict = "rejected" // as notRun, and the request was not sent to any target
+	failed   Verdict = "failed"   // a target ran the request and reported a failure, or may have run it
+	broken   Verdict = "broken"   // a stream broke off after events were passed to the caller
 )
 
 const (
-	// maxSends bounds how often one request is sent, whatever became of it.
+	// maxSends limits how often one request is sent, whatever the verdicts are.
 	maxSends = 4
 )
 
-// serve sends a request until it is answered, may not be sent again, or its
-// time is over.
+// serve sends a request until it is answered, must not be sent again, or its deadline has passed.
 func (g *Gateway) serve(parent context.Context, q *request) {
 	ctx, cancel := context.WithDeadline(parent, q.deadline)
 	defer cancel()
 	q.tried = make(map[string]bool, 2)
 	verdict := notRun
-	ran := false // some target may have run it
+	ran := false // a target may have run the request
 	for range maxSends {
 		verdict = g.send(ctx, q)
 		if verdict == finished {
@@ -51,7 +50,8 @@
 	g.answerUnserved(ctx, parent, q, ran)
 }
 
-// answerUnserved answers the caller that its request was not served.
+// answerUnserved answers a request that was not served, or aborts its connection if an answer has
+// started or nobody waits for one. ran reports whether a target may have run the request.
 func (g *Gateway) answerUnserved(ctx, parent context.Context, q *request, ran bool) {
 	switch {
 	case parent.Err() != nil && g.graceOver.Load():
@@ -61,7 +61,7 @@
 		g.logAnswer(q, "callerGone", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
 	case q.answerStarted:
-		// An answer that ends early must not look whole.
+		// An incomplete answer must not look complete to the caller.
 		g.logAnswer(q, "cut", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
 	case q.body.tooLarge():
@@ -79,7 +79,8 @@
 	}
 }
 
-// mayRetry reports whether a request may be sent once more after a verdict.
+// mayRetry reports whether a request may be sent again after a verdict, and takes the retry from
+// the budget if it has not been taken yet.
 func (g *Gateway) mayRetry(q *request, v Verdict) bool {
 	reason := jwrepeat.Decide(jwrepeat.Request{
 		Final: v == rejected, Streamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
@@ -97,13 +98,14 @@
 	return reason.May()
 }
 
-// noTarget is why a request was refused that found no target.
+// noTarget is the reason for rejecting a request that no target can take.
 const noTarget = "no target has room"
 
-// atLimit is why a request was refused whose targets said that they take no more.
+// atLimit is the reason for rejecting a request whose targets have announced a limit that is used
+// up.
 const atLimit = "the targets take no more for now"
 
-// send makes one try: here or at a node of another region.
+// send sends the request once, to a target of this region or to a node of another one.
 func (g *Gateway) send(ctx context.Context, q *request) Verdict {
 	now := time.Now()
 	if !g.mayRun(now, q) {
@@ -111,7 +113,7 @@
 	}
 	p := g.chooseRegion(now, q)
 	if p.Reason == jwplacement.Nowhere && len(q.tried) > 0 && q.entry.Repeatable() {
-		// All that are left were tried: over a new connection one may answer.
+		// All remaining targets were tried; one of them may answer on a new connection.
 		clear(q.tried)
 		p = g.chooseRegion(now, q)
 	}
@@ -137,10 +139,10 @@
 	return g.sendTarget(ctx, q, c)
 }
 
-// rejectNowhere rejects a request for which there is no target.
+// rejectNowhere rejects a request for which no target was found.
 func (g *Gateway) rejectNowhere(now time.Time, q *request) Verdict {
 	if len(g.targets.Regions(q.service)) == 0 {
-		return q.reject(noTarget, jwadmission.MaxRetryAfter) // not one is left; coming back at once is in vain
+		return q.reject(noTarget, jwadmission.MaxRetryAfter) // no target is registered, so an early retry would be useless
 	}
 	if d, ok := g.targets.RoomWait(now, q.service); ok {
 		return q.reject(atLimit, min(max(d, jwadmission.MinRetryAfter), jwadmission.MaxRetryAfter))
@@ -148,7 +150,7 @@
 	return q.reject(noTarget, jwadmission.MinRetryAfter)
 }
 
-// reject notes why no target is asked to run the request, and its Retry-After.
+// reject records the reason for the rejection and the wait for its Retry-After header.
 func (q *request) reject(reason string, wait time.Duration) Verdict {
 	q.lastReason, q.retryAfter = reason, wait
 	return rejected
