--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -15,49 +15,48 @@
 	"jujubewheel/io/jwconn"
 )
 
-// The paths of the calls between nodes that are no forwards.
+// Paths of the calls between nodes other than forwarded requests.
 const (
 	statePath = "/state"
 	viewPath  = "/view"
 )
 
 const (
-	// exchangePeriod is the time between two exchanges with the nodes of other
-	// regions.
+	// exchangePeriod is the time between two exchanges with the nodes of other regions.
 	exchangePeriod = time.Second
-	// localPeriod is the time between two exchanges with a node of the region;
-	// targets are chosen by what these have in flight.
+	// localPeriod is the time between two exchanges with a node of the same region. It is short
+	// because targets are chosen by the requests that these nodes have in flight.
 	localPeriod = 100 * time.Millisecond
-	// localPeriodNodes is the number of nodes in a region up to which localPeriod
-	// holds; it grows with more, so that the work of each stays the same.
+	// localPeriodNodes is the number of nodes in a region up to which localPeriod applies. With
+	// more nodes the period grows in proportion, so that the load of each node stays constant.
 	localPeriodNodes = 4
 	exchangeTimeout  = time.Second
 	maxStateSize     = 4 << 20
-	// localReportAge and remoteNewsAge are how long an event is reported within the region and to
-	// others: several exchanges, as one may be lost.
+	// localReportAge and remoteReportAge are how long an event is reported within the region and to
+	// other regions. They span several exchanges, because one may be lost.
 	localReportAge  = 4 * localPeriod
 	remoteReportAge = 2*exchangePeriod + exchangePeriod/2
 )
 
-// state is what a node reports of itself to another one.
+// state is what a node reports about itself to another one.
 type state struct {
 	Member      jwmember.Member                   `json:"member"`
 	Version     uint64                            `json:"version"`            // of the configuration in force
-	Waits       map[string]int64                  `json:"waits,omitempty"`    // milliseconds until a first event, by service, for other regions
-	Gaps        map[string]int64                  `json:"gaps,omitempty"`     // milliseconds between two events, by service, for other regions
-	InSync      bool                              `json:"inSync"`             // it reaches the store
-	Revision    jwstore.Revision                  `json:"revision"`           // of the store, up to which it was read
-	Cold        map[string]int64                  `json:"cold,omitempty"`     // milliseconds for which targets stay cold, within the region only
-	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // that targets name, within the region only
-	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that said so, by their start, within the region only
-	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight as targets crashed
+	Waits       map[string]int64                  `json:"waits,omitempty"`    // milliseconds until a first event by service, sent to other regions only
+	Gaps        map[string]int64                  `json:"gaps,omitempty"`     // milliseconds between two events by service, sent to other regions only
+	InSync      bool                              `json:"inSync"`             // the node reaches the store
+	Revision    jwstore.Revision                  `json:"revision"`           // store revision up to which the node has read
+	Cold        map[string]int64                  `json:"cold,omitempty"`     // milliseconds for which targets stay cold, sent within the region only
+	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // limits that targets announce, sent within the region only
+	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that announced leaving, with the start of their incarnation; sent within the region only
+	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight when targets crashed
 	Placed      *jwinstance.Places                `json:"placed,omitempty"`
-	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen lately, for other regions
-	Loads       *jwinstance.Loads                 `json:"loads,omitempty"`     // within the region only
-	RelayReport *relayReport                      `json:"through,omitempty"`   // where nodes report through relays
+	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen recently, sent to other regions only
+	Loads       *jwinstance.Loads                 `json:"loads,omitempty"`     // sent within the region only
+	RelayReport *relayReport                      `json:"through,omitempty"`   // set if state is exchanged through relays
 }
 
-// state returns what is reported to a node of a region.
+// state returns the state to be reported to a node of a region.
 func (g *Gateway) state(now time.Time, region string) state {
 	s := state{
 		Member: g.members.Me(), Version: g.entries.Version(), Waits: map[string]int64{}, Gaps: map[string]int64{},
@@ -86,8 +85,8 @@
 	return s
 }
 
-// exchangeStates pushes the state of the node to its peers and pulls theirs, those of
-// the region more often.
+// exchangeStates sends the node's state to its peers and merges theirs, more often within the
+// region, until ctx ends.
 func (g *Gateway) exchangeStates(ctx context.Context) {
 	var far time.Time
 	for ctx.Err() == nil {
@@ -117,8 +116,8 @@
 	}
 }
 
-// exchangeRemote exchanges state with one node of each other region, which knows what all of
-// that region know, or to its relays.
+// exchangeRemote exchanges state with one node of each other region, which knows what all nodes of
+// its region know, or with that region's relays.
 func (g *Gateway) exchangeRemote(ctx context.Context, now time.Time) {
 	asked := make(map[string]bool)
 	for _, region := range g.Settings.Gateway.DataCentres {
@@ -132,13 +131,13 @@
 	}
 }
 
-// exchangeWith exchanges state once with each of the peers that fit; of two peers one
-// begins.
+// exchangeWith exchanges state once with each peer that fits selects. Of two peers that see each
+// other, the one whose name sorts first starts the exchange.
 func (g *Gateway) exchangeWith(ctx context.Context, peers []jwmember.Member, fits func(jwmember.Member) bool) {
 	now := time.Now()
 	me := g.members.Me()
 	for _, m := range peers {
-		// One that is not seen may have started anew and know nobody.
+		// A peer that was not seen recently may have restarted without knowing any other node.
 		if m.Name < me.Name && me.Serving && g.members.RecentlySeen(now, m.Name) || !fits(m) {
 			continue
 		}
@@ -146,7 +145,7 @@
 	}
 }
 
-// sendStateTo exchanges state with a peer, unless it has not answered yet.
+// sendStateTo exchanges state with a peer unless an exchange with it is in flight.
 func (g *Gateway) sendStateTo(ctx context.Context, now time.Time, m jwmember.Member) {
 	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
@@ -154,7 +153,8 @@
 	g.sendState(ctx, m, g.state(now, m.Region))
 }
 
-// sendState pushes a state to a peer and merges its answer; g.exchanging holds its name.
+// sendState sends a state to a peer and merges the state in its answer. The peer's name must be in
+// g.exchangesInFlight.
 func (g *Gateway) sendState(ctx context.Context, m jwmember.Member, s state) {
 	body, err := json.Marshal(s)
 	if err != nil {
@@ -187,7 +187,7 @@
 	g.regions.recordRoundTrip(s.Member.Region, time.Since(start))
 }
 
-// nodeCall makes a call to another node and returns the body of the answer.
+// nodeCall calls another node and returns the body of the answer.
 func (g *Gateway) nodeCall(ctx context.Context, m jwmember.Member, method, path string, body []byte) ([]byte, error) {
 	a, err := g.Nodes.Do(ctx, &jwconn.Call{Peer: m.Nodes, Method: method, Target: path, Host: m.Nodes.String(), Body: body})
 	if err != nil {
@@ -197,7 +197,8 @@
 	return io.ReadAll(io.LimitReader(a.Body, 8<<20))
 }
 
-// mergeState merges what a peer reports of itself.
+// mergeState merges the state that a peer reported. from is the peer if this node called it, and
+// zero if the peer called.
 func (g *Gateway) mergeState(s state, from jwmember.Member) {
 	now := time.Now()
 	if g.members.Seen(now, s.Member) {
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -19,13 +19,13 @@
 	"jujubewheel/io/jwquotaexchange"
 )
 
-// The headers of a request on its way between two nodes.
+// Headers of a request that one node forwards to another.
 const (
 	headerService     = "Jujube-Service"
-	headerKind        = "Jujube-Kind" // kind, resumable, attempts, priority, goal, homes
+	headerKind        = "Jujube-Kind" // kind, resumable, attempts left, priority, goal in milliseconds, homes
 	headerOutcome     = "Jujube-Outcome"
-	headerSender      = "Jujube-Caller" // set on forwards only
-	headerFingerprint = "Jujube-Mark"   // fingerprint of the request
+	headerSender      = "Jujube-Caller" // name of the node that forwards the request
+	headerFingerprint = "Jujube-Mark"   // fingerprint of the request, see jwsuspect
 	headerWorkspace   = "Jujube-Workspace"
 )
 
@@ -51,15 +51,15 @@
 	return g.Placement.Choose(here, others)
 }
 
-// regionOption estimates what Look of a node of another region would say, with the
-// way there and back.
+// regionOption estimates what Look would return at a node of another region, plus the round trip to
+// that region.
 func (g *Gateway) regionOption(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
 	w, known := g.regions.waitFor(now, region, n.Service)
 	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.roundTrip(region) + w.wait}
 	if n.Prompt.Tokens > 0 {
 		miss, targets := g.targets.MissIn(now, region, n)
 		o.Miss = miss
-		// The other nodes of this region see the same and send there too.
+		// The other nodes of this region see the same state and send prompts there too.
 		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
 		o.Own = g.targets.Read(n.Service, 0, miss)
 		o.Expected += g.targets.Read(n.Service, unreported/max(targets, 1), miss)
@@ -68,7 +68,7 @@
 	return o
 }
 
-// otherRegions returns the regions that may serve the request and have nodes.
+// otherRegions returns the other regions that may serve the request and have usable targets.
 func (g *Gateway) otherRegions(q *request) []string {
 	var list []string
 	for region, slots := range g.targets.Regions(q.service) {
@@ -80,7 +80,7 @@
 	return list
 }
 
-// sendNode sends the request to a node of another region.
+// sendNode forwards the request to a node of another region.
 func (g *Gateway) sendNode(ctx context.Context, q *request, region string, miss int) Verdict {
 	now := time.Now()
 	nodes := g.untried(q, g.members.Live(now, region))
@@ -91,12 +91,13 @@
 	return g.forward(ctx, q, g.chooseNode(nodes, hashFraction(q.ID)))
 }
 
-// chooseNode returns the node of another region that a request is passed on to.
+// chooseNode returns the node of another region to forward a request to. It prefers nodes with an
+// open connection.
 func (g *Gateway) chooseNode(nodes []jwmember.Member, point float64) jwmember.Member {
 	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, point)
 }
 
-// anyUntried reports whether the request was not sent to one of the nodes yet.
+// anyUntried reports whether the request has not been sent to at least one of the nodes.
 func (g *Gateway) anyUntried(q *request, nodes []jwmember.Member) bool {
 	return slices.ContainsFunc(nodes, func(m jwmember.Member) bool { return !q.tried[m.Name] })
 }
@@ -155,7 +156,8 @@
 	return verdict
 }
 
-// relayForwardAnswer passes the answer of another node on, if it is a target's.
+// relayForwardAnswer passes the answer of another node to the caller if it is a target's, and
+// returns the verdict on the send.
 func (g *Gateway) relayForwardAnswer(q *request, m jwmember.Member, a *jwconn.Answer, onEvents func(int)) Verdict {
 	outcome := a.Header.Get(headerOutcome)
 	delete(a.Header, headerOutcome)
@@ -193,13 +195,13 @@
 	return failed
 }
 
-// The outcomes that a node reports to another one.
+// Outcomes of a forwarded request that a node reports to the forwarding one in headerOutcome.
 const (
 	outcomeServed = "served" // the answer is a target's
-	outcomeNotRun = "notRun" // no target ran the request or will
+	outcomeNotRun = "notRun" // no target has run the request or will run it
 )
 
-// serveForward answers a request that another node passes on.
+// serveForward handles a request that another node forwarded.
 func (g *Gateway) serveForward(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
@@ -233,8 +235,9 @@
 	g.serve(r.Context(), q)
 }
 
-// parseKind reads what the first node says of the entry. The entry itself may
-// not be known here yet, or no longer.
+// parseKind parses the header with the properties of the entry. The entry itself may not be known
+// to this node yet, or no longer. A malformed header gives the strictest kind: one attempt and no
+// retry.
 func parseKind(s string) *jwentry.Entry {
 	f := strings.Split(s, ",")
 	e := &jwentry.Entry{Kind: jwentry.NonIdempotent, MaxAttempts: 1}
@@ -261,7 +264,7 @@
 	return n
 }
 
-// outcomeWriter adds to an answer what became of the request.
+// outcomeWriter adds the outcome of the request to the headers of its answer.
 type outcomeWriter struct {
 	http.ResponseWriter
 	signed func(http.Header) bool
@@ -279,7 +282,7 @@
 	o.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap serves http.ResponseController.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (o *outcomeWriter) Unwrap() http.ResponseWriter { return o.ResponseWriter }
 
 // Flush implements http.Flusher.
@@ -289,7 +292,7 @@
 	}
 }
 
-// serveNode answers other nodes.
+// serveNode handles the requests of other nodes.
 func (g *Gateway) serveNode(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case r.Header.Get(headerService) != "":
--- a/io/jwgateway/relay.go
+++ b/io/jwgateway/relay.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// maxBufferedAnswer is the size up to which an answer that is no stream is held
-	// until it is whole, so that one that breaks off can be told apart.
+	// maxBufferedAnswer is the size up to which an answer other than a stream is buffered
+	// completely, so that an incomplete one can be detected before anything is sent to the caller.
 	maxBufferedAnswer = 256 << 10
-	// maxEventSize bounds one event of a stream.
+	// maxEventSize limits the size of one event of a stream.
 	maxEventSize = 1 << 20
-	// maxDrain bounds what is read of an answer that nobody wants, to keep
-	// its connection.
+	// maxDrain limits how much of an unwanted answer is read to keep its connection usable.
 	maxDrain = 64 << 10
-	// readSize is how much of a stream is read at once: some events.
+	// readSize is the size of one read from a stream; it holds several events.
 	readSize = 1 << 10
 )
 
@@ -28,8 +27,8 @@
 	_, _ = io.CopyN(io.Discard, a.Body, maxDrain)
 }
 
-// passAnswer passes an answer on; came is called with the number of events that are
-// there, for an answer without events once.
+// passAnswer passes an answer to the caller. onEvents is called with the number of events that have
+// arrived; for an answer that is not a stream it is called once.
 func (g *Gateway) passAnswer(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
 	if strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") && a.Status == http.StatusOK {
 		return g.passStream(q, a, onEvents)
@@ -41,7 +40,7 @@
 		return failed
 	}
 	if q.answerStarted {
-		// A stream can't go on with an answer that is none.
+		// A stream can't be resumed with an answer that is not a stream.
 		q.lastReason = "the stream was not resumed"
 		return failed
 	}
@@ -61,7 +60,7 @@
 	return finished
 }
 
-// copyHeaders copies the headers of an answer.
+// copyHeaders copies the end-to-end headers of an answer to the caller's.
 func (g *Gateway) copyHeaders(q *request, a *jwconn.Answer) {
 	length := a.Header.Get("Content-Length")
 	stripHopByHop(a.Header)
@@ -74,9 +73,8 @@
 	}
 }
 
-// passStream passes whole events on as they come. What stands before the end
-// of an event when the stream breaks off is not passed on, so that another
-// target can go on after the last whole one.
+// passStream passes complete events on as they arrive. If the stream breaks off within an event,
+// the incomplete event is dropped, so that another target can resume after the last complete one.
 func (g *Gateway) passStream(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
 	var buffered []byte
 	resumed := q.answerStarted
@@ -123,8 +121,8 @@
 	}
 }
 
-// writeEvents writes events to the caller at once, after the head if they are the
-// first.
+// writeEvents writes events to the caller and flushes them, preceded by the status and headers if
+// they are the first. It returns false if the caller is gone.
 func (g *Gateway) writeEvents(q *request, a *jwconn.Answer, events []byte) bool {
 	if !q.answerStarted {
 		q.answerStarted = true
@@ -144,7 +142,7 @@
 	return true
 }
 
-// lastID returns the identifier of the last event that has one.
+// lastID returns the identifier of the last event that has one, or "".
 func lastID(events []byte) string {
 	i := bytes.LastIndex(events, []byte("\nid:"))
 	switch {
@@ -158,7 +156,7 @@
 	return parseID(events[i:])
 }
 
-// firstID returns the identifier of the first event that has one.
+// firstID returns the identifier of the first event that has one, or "".
 func firstID(events []byte) string {
 	if bytes.HasPrefix(events, []byte("id:")) {
 		return parseID(events)
@@ -178,7 +176,7 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// nextID returns the identifier after one, "" if there is no telling.
+// nextID returns the identifier that follows a numeric one, "" for any other.
 func nextID(id string) string {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -10,11 +10,11 @@
 	"jujubewheel/io/jwconn"
 )
 
-// maxIdleForSingleSend is how long a connection may have been unused for a request that
+// maxIdleForSingleSend is how long a connection may have been idle to be used for a request that
 // must not be sent twice.
 const maxIdleForSingleSend = time.Second
 
-// sendTarget sends the request to one target.
+// sendTarget sends the request to one target and passes the answer to the caller.
 func (g *Gateway) sendTarget(ctx context.Context, q *request, c jwinstance.Choice) Verdict {
 	x := c.Target
 	q.tried[x.ID], q.sentTo = true, x.ID
@@ -66,14 +66,14 @@
 	return verdict
 }
 
-// progress is how the events of an answer came.
+// progress records when the events of an answer arrived.
 type progress struct {
-	first time.Duration // from the send on, 0 before it came
-	pause time.Duration // the longest
+	first time.Duration // time from the send to the first event; 0 before that
+	pause time.Duration // longest pause between two events
 	last  time.Time
 }
 
-// record notes events and returns the pause before them, 0 for the first.
+// record records the arrival of events and returns the pause before them, 0 for the first ones.
 func (p *progress) record(start, now time.Time) time.Duration {
 	defer func() { p.last = now }()
 	if p.first == 0 {
@@ -85,8 +85,8 @@
 	return pause
 }
 
-// silence returns how long nothing had come when a send ended that was not
-// finished.
+// silence returns how long no event had arrived when an unfinished send ended; 0 for a finished
+// one.
 func (p *progress) silence(v Verdict, now time.Time) time.Duration {
 	if v == finished || p.last.IsZero() {
 		return 0
@@ -95,23 +95,25 @@
 }
 
 const (
-	// minSendTimeout is the shortest wait for a target before another is tried.
+	// minSendTimeout is the minimum wait for a target's answer before another target is tried.
 	minSendTimeout = 250 * time.Millisecond
-	// goalTimeoutShare is the part of the goal that a target may use up before
-	// another is tried: the rest has to do for that one.
+	// goalTimeoutShare is the share of the entry's latency goal that a target may use up before
+	// another one is tried. The time left until the deadline must suffice for that one.
 	goalTimeoutShare = 1.0
-	// expectedWaitFactor is how many times the expected wait a target may take.
+	// expectedWaitFactor is the multiple of the expected wait that a target may take before another
+	// one is tried.
 	expectedWaitFactor = 4
-	// maxEventPause is the longest pause between events before a stream is taken
-	// for dead and resumed elsewhere; callers leave after two seconds.
+	// maxEventPause is the longest pause between two events before a stream is assumed dead and
+	// resumed at another target. Callers give up after two seconds.
 	maxEventPause = 1500 * time.Millisecond
 )
 
-// errSendTimeout ends a send that took too long where another may help.
+// errSendTimeout is the cancellation cause of a send that took too long where another target may
+// answer in time.
 var errSendTimeout = errors.New("the target took too long")
 
-// withSendTimeout returns the context of one send, which ends early where the request
-// may be sent to another target: one that has fallen silent must not use up
+// withSendTimeout returns the context and the timer of one send. The context ends early if the
+// request may be sent to another target, so that a target that stopped responding does not use up
 // the caller's time.
 func (g *Gateway) withSendTimeout(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, sendTimer) {
 	if !q.entry.Repeatable() || q.body.rest != nil || q.attempts+1 >= q.entry.Attempts() {
@@ -120,7 +122,7 @@
 	ctx, cancel := context.WithCancelCause(ctx)
 	d := max(minSendTimeout, time.Duration(goalTimeoutShare*float64(q.entry.Goal)), expectedWaitFactor*c.Expected)
 	expire := func() {
-		// Without a repeat in hand waiting on is the better chance.
+		// Without budget for a retry, continuing to wait is the better option.
 		if g.retryBudget.Take(time.Now(), q.service) {
 			q.budgetTaken.Store(true)
 			cancel(errSendTimeout)
@@ -129,20 +131,20 @@
 	return ctx, sendTimer{time.AfterFunc(d, expire), cancel}
 }
 
-// sendTimer is the timer of a send; the zero value does nothing.
+// sendTimer is the timeout of one send. The zero value does nothing.
 type sendTimer struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// Reset starts the timer anew.
+// Reset restarts the timer.
 func (s sendTimer) Reset(d time.Duration) {
 	if s.timer != nil {
 		s.timer.Reset(d)
 	}
 }
 
-// Stop ends the timer and frees the context.
+// Stop stops the timer and releases the context.
 func (s sendTimer) Stop() {
 	if s.timer != nil {
 		s.timer.Stop()
@@ -150,12 +152,12 @@
 	}
 }
 
-// checkAnswer looks at the head of an answer; ok reports whether it goes to the
-// caller, and otherwise the verdict on the send is returned.
+// checkAnswer checks the status and headers of an answer and updates what is known of the target.
+// ok reports whether the answer may be passed to the caller; if not, v is the verdict on the send.
 func (g *Gateway) checkAnswer(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
 	reply := g.Dialect.Answer(a.Header)
 	g.noteCold(x, reply)
-	// Otherwise the answer isn't known to be the target's.
+	// An answer without a signature may come from something other than the target.
 	if a.Status != http.StatusMisdirectedRequest && (reply.Signed || reply.NotRun) {
 		g.noteLimit(x, reply)
 		g.noteLeaving(x, reply)
@@ -184,7 +186,7 @@
 	}
 	g.targets.Failed(x)
 	if q.answerStarted || !g.mayRetry(q, failed) {
-		return finished, true // the caller gets the target's own failure
+		return finished, true // the caller gets the target's error answer
 	}
 	drain(a)
 	q.lastReason = "the target failed"
@@ -210,7 +212,7 @@
 	return call
 }
 
-// lastEvent is the event after which the next target goes on.
+// lastEvent returns the identifier of the event after which the next target resumes the stream.
 func (q *request) lastEvent() string {
 	if q.lastEventID != "" {
 		return q.lastEventID
@@ -218,7 +220,8 @@
 	return q.LastEvent
 }
 
-// classifySendError judges a send without an answer.
+// classifySendError returns the verdict on a send that failed before an answer arrived, and updates
+// what is known of the target.
 func (g *Gateway) classifySendError(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
 	q.lastReason = err.Error()
 	var ce *jwconn.CallError
@@ -238,21 +241,22 @@
 	return failed
 }
 
-// noteCold keeps how long a target reports in a reply that it stays cold.
+// noteCold records how long the target stays cold by its reply.
 func (g *Gateway) noteCold(x *jwinstance.Target, reply Reply) {
 	if reply.Cold > 0 {
 		g.targets.Cold(time.Now(), x, reply.Cold)
 	}
 }
 
-// noteLimit keeps the limit that a target names in a reply, or that it names none any more.
+// noteLimit records the limit that a target announces in its reply, or that it no longer announces
+// one.
 func (g *Gateway) noteLimit(x *jwinstance.Target, reply Reply) {
 	if g.targets.Limited(time.Now(), x, reply.Limit) {
 		g.Log.Info("target limit", "target", x.ID, "named", reply.Limit.Named, "rate", reply.Limit.Rate)
 	}
 }
 
-// noteRetryAfter keeps for how long a target that turned a request away wants nothing.
+// noteRetryAfter records for how long a target that rejected a request accepts none from this node.
 func (g *Gateway) noteRetryAfter(x *jwinstance.Target, status int, reply Reply) {
 	if status == http.StatusServiceUnavailable && reply.RetryAfter > 0 {
 		g.targets.Closed(time.Now(), x, reply.RetryAfter)
@@ -260,7 +264,7 @@
 	}
 }
 
-// noteLeaving keeps that a target says in a reply that it leaves.
+// noteLeaving records that a target announces in its reply that it is leaving.
 func (g *Gateway) noteLeaving(x *jwinstance.Target, reply Reply) {
 	if reply.Leaving && g.targets.Leave(x) {
 		g.Log.Info("target leaves", "target", x.ID, "from", "its answer")
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -9,58 +9,60 @@
 	"jujubewheel/core/jwstore"
 )
 
-// In a region of many nodes each exchanges state with the relay of its data centre only, and the
-// relays to each other. A relay passes on what all reported, and the changes of the
-// store, which it alone of its data centre reads. When it dies, is cut off or lags, the
-// nodes read the store themselves and the next one becomes the relay.
+// In a region of many nodes each node exchanges state only with the relay of its data centre, and
+// the relays exchange state with each other. A relay passes on what all nodes reported, and the
+// changes of the store, which it alone reads in its data centre. When the relay fails, is cut off
+// or lags behind, the nodes read the store themselves and the next node becomes the relay.
 
 const (
-	// relayPeriod is the time between two exchanges through a relay, mostRelayPeriod that
-	// in the largest regions; from relayNodes on it grows, as a relay serves more.
+	// relayPeriod is the time between two exchanges through a relay, and maxRelayPeriod that in the
+	// largest regions. From relayPeriodNodes nodes on the period grows with the region, because a
+	// relay serves more nodes.
 	relayPeriod      = 250 * time.Millisecond
 	maxRelayPeriod   = 500 * time.Millisecond
 	relayPeriodNodes = 40
-	// placementReportPeriods is how long a placement is reported through relays, in periods: until the
+	// placementReportPeriods is how many periods a placement is reported through relays: until the
 	// next exchange has ended.
 	placementReportPeriods = 1.5
-	// relayWatchTimeout and relayPause are how long a relay waits for a change of the store and
-	// between two readings: those who learn of it there rely on it.
+	// relayWatchTimeout is how long a relay's watch of the store waits for a change, and
+	// relayWatchPause is the pause between two watches. They are shorter than those of other nodes
+	// because the nodes of the data centre learn of changes only through the relay.
 	relayWatchTimeout = time.Second
 	relayWatchPause   = 300 * time.Millisecond
-	// maxRelayReadAge is how old a relay's last reading may be for others to rely on it, and
-	// relaySeenFor how old its report. Both together, with a reading of one's own, stay below
-	// the time that a change has to be in force.
+	// maxRelayReadAge is the maximum age of a relay's last store read, and maxRelayReportAge that
+	// of its last report, for other nodes to rely on it. Their sum, plus a store read by the node
+	// itself, stays below the time within which a change must be in force.
 	maxRelayReadAge   = 2 * time.Second
 	maxRelayReportAge = 1300 * time.Millisecond
-	// stopReportAge is how long a relay reports that a node stops.
+	// stopReportAge is how long a relay reports that a node is stopping.
 	stopReportAge = 5 * time.Second
 )
 
-// relayReport is what nodes report where they exchange state through relays.
+// relayReport is the part of a state that is exchanged through relays only.
 type relayReport struct {
-	FromRelay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for others too
-	WantsChanges bool               `json:"asks,omitempty"`     // for the changes of the store
-	After        jwstore.Revision   `json:"after,omitempty"`    // the revision which these are to follow
-	Liveness     *jwmember.Liveness `json:"liveness,omitempty"` // from a relay to those who report through it
-	Stopping     []jwmember.Member  `json:"stopping,omitempty"` // nodes that stop by plan
-	Remote       []regionReport     `json:"remote,omitempty"`   // of other regions
+	FromRelay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for other nodes too
+	WantsChanges bool               `json:"asks,omitempty"`     // the sender asks for changes of the store
+	After        jwstore.Revision   `json:"after,omitempty"`    // the revision after which changes are wanted
+	Liveness     *jwmember.Liveness `json:"liveness,omitempty"` // sent by a relay to the nodes that report through it
+	Stopping     []jwmember.Member  `json:"stopping,omitempty"` // nodes with a planned stop
+	Remote       []regionReport     `json:"remote,omitempty"`   // reports about other regions
 	Changes      *changes           `json:"changes,omitempty"`
 }
 
-// regionReport is what a relay knows of another region.
+// regionReport is what a relay knows about another region.
 type regionReport struct {
 	Region    string           `json:"region"`
-	Age       int64            `json:"age"`  // milliseconds
-	RoundTrip int64            `json:"trip"` // milliseconds there and back
+	Age       int64            `json:"age"`  // milliseconds since the region's report
+	RoundTrip int64            `json:"trip"` // milliseconds
 	Waits     map[string]int64 `json:"waits"`
 	Gaps      map[string]int64 `json:"gaps"`
 }
 
-// changes are changes of the store as a relay read them.
+// changes are changes of the store as read by a relay.
 type changes struct {
-	Lost   bool             `json:"lost,omitempty"` // it doesn't have them
-	To     jwstore.Revision `json:"to"`             // the revision that they lead up to
-	Age    int64            `json:"age"`            // milliseconds since it read the store
+	Lost   bool             `json:"lost,omitempty"` // the relay no longer has the changes, or was paused
+	To     jwstore.Revision `json:"to"`             // revision after the last change
+	Age    int64            `json:"age"`            // milliseconds since the relay read the store
 	Events []change         `json:"events,omitempty"`
 }
 
@@ -77,8 +79,8 @@
 	return min(relayPeriod*time.Duration(max(nodes, relayPeriodNodes))/relayPeriodNodes, maxRelayPeriod)
 }
 
-// exchangeViaRelay exchanges state with the relay of the own data centre or, as the relay, to the
-// others of the region.
+// exchangeViaRelay exchanges state with the relay of this data centre or, if this node is the
+// relay, with the other relays of the region.
 func (g *Gateway) exchangeViaRelay(ctx context.Context, now time.Time) {
 	relay, ok := g.members.Relay(now, g.Settings.DataCentre)
 	if !ok {
@@ -91,16 +93,16 @@
 	}
 	for _, m := range g.members.Relays(now, g.Settings.Region) {
 		if m.Name < me.Name && g.members.RecentlySeen(now, m.Name) {
-			continue // of two one begins
+			continue // of two relays that see each other, the one whose name sorts first starts the exchange
 		}
 		g.exchangeWithRelay(ctx, now, m, relayReport{FromRelay: true})
 	}
 	g.exchangeWithUnseen(ctx, now)
 }
 
-// exchangeWithUnseen exchanges state, once a second, with nodes that this relay has not seen lately.
-// Two that don't see each other, as after a pause of one, may each take itself for the relay,
-// and would call nobody in their data centre.
+// exchangeWithUnseen exchanges state, at most once per exchangePeriod, with nodes that this relay
+// has not seen recently. Two nodes that don't see each other, for example after one was paused, may
+// each consider itself the relay and would otherwise call no other node of their data centre.
 func (g *Gateway) exchangeWithUnseen(ctx context.Context, now time.Time) {
 	if now.Sub(g.unseenCalledAt) < exchangePeriod {
 		return
@@ -119,7 +121,7 @@
 	g.sendState(ctx, m, g.relayState(now, m.Name, t))
 }
 
-// relayState is the state as it is reported through relays.
+// relayState returns the state to be exchanged through relays.
 func (g *Gateway) relayState(now time.Time, to string, t relayReport) state {
 	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
 	s := state{
@@ -143,7 +145,7 @@
 	return s
 }
 
-// replyState returns the state for a node that sent its own.
+// replyState returns the state to answer a node with that sent its own.
 func (g *Gateway) replyState(now time.Time, s state) state {
 	switch {
 	case s.RelayReport == nil || s.Member.Region != g.Settings.Region:
@@ -152,8 +154,8 @@
 		return g.relayState(now, s.Member.Name, relayReport{FromRelay: true})
 	}
 	if !g.members.IsRelay(now) {
-		// The sender is wrong about who relays. This node sees few others, and may only say
-		// who runs, not who doesn't.
+		// The sender mistakes this node for the relay. This node sees few others, so it may only
+		// report which nodes run, and not which don't.
 		own := g.relayState(now, s.Member.Name, relayReport{})
 		own.LocalSeen = g.members.LocalSeen(now)
 		return own
@@ -164,7 +166,7 @@
 	})
 }
 
-// changesFor returns the changes of the store that a node asks for.
+// changesFor returns the changes of the store that a node asks for, nil if it asks for none.
 func (g *Gateway) changesFor(now time.Time, t *relayReport) *changes {
 	if !t.WantsChanges {
 		return nil
@@ -172,7 +174,7 @@
 	return g.changesAfter(now, t.After)
 }
 
-// changesAfter returns the changes after a revision, as far as they are kept.
+// changesAfter returns the changes after a revision, if they are still kept.
 func (g *Gateway) changesAfter(now time.Time, after jwstore.Revision) *changes {
 	age := now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())
 	events, to, ok := g.recentChanges.After(after)
@@ -186,7 +188,7 @@
 	return c
 }
 
-// mergeRelayReport merges what came through a relay.
+// mergeRelayReport merges what a node of this region reported through a relay.
 func (g *Gateway) mergeRelayReport(now time.Time, s state) {
 	t := s.RelayReport
 	if t == nil || s.Member.Region != g.Settings.Region {
@@ -217,15 +219,16 @@
 	return nil
 }
 
-// currentRevision returns the revision up to which the store was read, by itself or through a relay.
+// currentRevision returns the revision up to which the store was read, by this node or by a relay
+// for it.
 func (w *storeWatcher) currentRevision() jwstore.Revision {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.revision
 }
 
-// applyRelayed takes changes that a relay read. What it doesn't have, or is late with, the node
-// reads itself.
+// applyRelayed applies changes that a relay read. If the relay lacks them or its read is too old,
+// this node reads the store itself.
 func (w *storeWatcher) applyRelayed(now time.Time, c *changes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -243,7 +246,7 @@
 	w.g.storeReadAt.Store(int64(now.Sub(w.g.startTime) - age))
 }
 
-// events returns the changes as a reading of the store brings them.
+// events converts the changes to events of the store.
 func (c *changes) events() []jwstore.Event {
 	events := make([]jwstore.Event, 0, len(c.Events))
 	for _, e := range c.Events {
@@ -252,8 +255,8 @@
 	return events
 }
 
-// relayValidFor returns for how long a relay is still relied on to read the store for this
-// node, 0 if none is.
+// relayValidFor returns for how long this node may still rely on a relay to read the store for it;
+// 0 if it must read itself.
 func (w *storeWatcher) relayValidFor(now time.Time) time.Duration {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -263,7 +266,7 @@
 	return max(maxRelayReportAge-now.Sub(w.relayedAt), 0)
 }
 
-// waitForRelay waits until a relay may not be relied on any more.
+// waitForRelay waits until the relay may no longer be relied on, at most for d.
 func (w *storeWatcher) waitForRelay(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
