--- a/io/jwgateway/era.go
+++ b/io/jwgateway/era.go
@@ -9,12 +9,12 @@
 	"jujubewheel/core/jwstore"
 )
 
-// restoredEvacuationHold is how long an evacuation lasts that a store which came back from an older
-// copy doesn't hold: operators write theirs again meanwhile.
+// restoredEvacuationHold is how long an evacuation stays in force that is missing from a store
+// restored from an older copy. Operators write their evacuations again in the meantime.
 const restoredEvacuationHold = 10 * time.Second
 
-// checkStoreRestored notes whether a reading of everything shows that the store has come back from an
-// older copy; f.mu is held.
+// checkStoreRestored detects by a read of all keys that the store was restored from an older copy,
+// and keeps the evacuations that are missing from it for a while. w.mu must be held.
 func (w *storeWatcher) checkStoreRestored(now time.Time, r *fullRead) {
 	oldEra, newEra := jwstore.Era(w.lastRevision), jwstore.Era(r.revision)
 	if w.lastRevision == 0 || newEra <= oldEra {
@@ -32,7 +32,8 @@
 		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(w.heldEvacuations))
 }
 
-// endHeldEvacuations ends the evacuations that were held for long enough and not written again.
+// endHeldEvacuations ends the evacuations that were kept for restoredEvacuationHold and not written
+// again.
 func (w *storeWatcher) endHeldEvacuations(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -44,8 +45,8 @@
 	}
 }
 
-// delayFullRead waits for a moment before everything is read anew, in a large fleet: all its
-// nodes learn at once that they have to.
+// delayFullRead waits for a random time before all keys are read again, if the fleet is large: all
+// its nodes learn at the same time that they have to.
 func (g *Gateway) delayFullRead(ctx context.Context) {
 	if g.members.Count(time.Now(), "") > scaleNodes {
 		jwclock.Sleep(ctx, rand.N(g.retryWait(watchRetry)))
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -17,48 +17,48 @@
 )
 
 const (
-	// nodePrefix is where nodes register themselves.
+	// nodePrefix is the prefix of the keys under which nodes register themselves.
 	nodePrefix = "jujubewheel/nodes/"
-	// fleetSizeKey is where the size of the fleet stands.
+	// fleetSizeKey is the key of the size of the fleet.
 	fleetSizeKey = "jujubewheel/fleet"
-	// minWatchPause is the wait between two readings of changes. Targets register
-	// about once a second each; without it every one would cost a call.
+	// minWatchPause is the minimum pause between two watches of the store. Each target registers
+	// about once a second, and without the pause each registration would cost a call of the store.
 	minWatchPause = 700 * time.Millisecond
-	// maxWatchPause and followNodes bound what a large fleet asks of the store, which
-	// prices each call: from followNodes on the pause grows with the fleet, so that all
-	// together make as many calls. Changes have three seconds to be in force.
+	// maxWatchPause and scaleNodes limit how often a large fleet calls the store, which charges for
+	// each call. From scaleNodes nodes on the pause grows with the fleet, so that the total number
+	// of calls stays constant, up to maxWatchPause: a change must be in force within three seconds.
 	maxWatchPause = 1400 * time.Millisecond
 	scaleNodes    = 40
-	// watchTimeout is how long a reading waits for a change. A connection that
-	// fell silent is noticed after it.
+	// watchTimeout is how long a watch waits for a change. A connection that no longer delivers
+	// anything is detected after this time.
 	watchTimeout = 4 * time.Second
-	// watchRetry is the wait after a reading that failed.
+	// watchRetry is the wait after a store read that failed.
 	watchRetry = 300 * time.Millisecond
-	// maxStoreRetry bounds what it grows to in a large fleet.
+	// maxStoreRetry is the maximum of watchRetry in a large fleet.
 	maxStoreRetry = time.Second
 )
 
-// storeWatcher keeps the tables as the store has them.
+// storeWatcher reads the store and its changes and applies them to the node's tables.
 type storeWatcher struct {
 	g         *Gateway
-	lostSince time.Time // when the store stopped answering, zero while it answers
+	lostSince time.Time // when the store stopped answering; zero while it answers
 
 	mu               sync.Mutex       // held while changes are applied
-	revision         jwstore.Revision // the changes after it are to be read
-	lastRevision     jwstore.Revision // the last one, also while everything is to be read anew
-	relayedAt        time.Time        // when a relay passed changes on last, zero if it can't be relied on
-	upstreamFailedAt time.Time        // when a relay that reads the store could not pass its changes on
+	revision         jwstore.Revision // revision up to which the store was read; 0 if all keys must be read
+	lastRevision     jwstore.Revision // last revision read, kept also while all keys must be read again
+	relayedAt        time.Time        // when a relay last passed changes on; zero if no relay can be relied on
+	upstreamFailedAt time.Time        // when a relay that reads the store last failed to pass its changes on
 
-	heldEvacuations map[string]time.Time // data centres whose evacuation is held, and until when
-	relayUnusable   chan struct{}        // the relay can't be relied on any more
+	heldEvacuations map[string]time.Time // by data centre: until when an evacuation missing from a restored store stays in force
+	relayUnusable   chan struct{}        // signals that the relay can no longer be relied on
 }
 
-// newStoreWatcher returns a follower of a node.
+// newStoreWatcher returns the storeWatcher of a node.
 func newStoreWatcher(g *Gateway) *storeWatcher {
 	return &storeWatcher{g: g, heldEvacuations: make(map[string]time.Time), relayUnusable: make(chan struct{}, 1)}
 }
 
-// watchStore reads all keys once and then their changes, until ctx ends.
+// watchStore reads all keys of the store once and then their changes, until ctx ends.
 func (g *Gateway) watchStore(ctx context.Context) {
 	w := g.storeWatcher
 	lastEpoch := g.epoch.Load()
@@ -66,7 +66,7 @@
 		w.endHeldEvacuations(time.Now())
 		epoch := g.epoch.Load()
 		if epoch != lastEpoch {
-			w.resetRevision() // the node was paused, and its history may be gone
+			w.resetRevision() // the node was paused, and the store may have dropped the history since
 			lastEpoch = epoch
 		}
 		if d := w.relayValidFor(time.Now()); d > 0 && !g.readsForOthers(time.Now()) && epoch.Err() == nil {
@@ -104,12 +104,12 @@
 	}
 }
 
-// readsForOthers reports whether the node reads the store for others.
+// readsForOthers reports whether this node reads the store for the other nodes of its data centre.
 func (g *Gateway) readsForOthers(now time.Time) bool {
 	return g.members.IsRelay(now) && g.members.Large(now, g.members.Me().Region)
 }
 
-// watchPause returns the wait between two readings of changes.
+// watchPause returns the pause between two watches of the store.
 func (g *Gateway) watchPause(now time.Time) time.Duration {
 	if g.readsForOthers(now) {
 		return relayWatchPause
@@ -117,22 +117,22 @@
 	return watchPauseFor(g.members.Count(now, ""))
 }
 
-// watchPauseFor returns the wait between two readings of changes in a fleet.
+// watchPauseFor returns the pause between two watches of the store in a fleet of that size.
 func watchPauseFor(nodes int) time.Duration { return scaleWait(minWatchPause, nodes, maxWatchPause) }
 
-// scaleWait returns a wait between two calls of the store, which from followNodes on grows
-// with the fleet up to a bound.
+// scaleWait returns a wait between two calls of the store. From scaleNodes nodes on the wait grows
+// with the fleet, up to maxWait.
 func scaleWait(wait time.Duration, nodes int, maxWait time.Duration) time.Duration {
 	return min(wait*time.Duration(max(nodes, scaleNodes))/scaleNodes, maxWait)
 }
 
-// retryWait returns the wait after a call of the store that failed. The store turns
-// whole parts of a fleet away at times, and each call counts, refused ones too.
+// retryWait returns the wait after a failed call of the store. The store at times rejects whole
+// parts of a fleet, and rejected calls are charged too.
 func (g *Gateway) retryWait(wait time.Duration) time.Duration {
 	return scaleWait(wait, g.members.Count(time.Now(), ""), maxStoreRetry)
 }
 
-// resetRevision makes the next reading one of everything.
+// resetRevision makes the next read one of all keys.
 func (w *storeWatcher) resetRevision() {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,7 +140,8 @@
 	w.g.recentChanges.Forget()
 }
 
-// readOnce reads once, and returns as of when the store was read.
+// readOnce reads the store once, or takes its changes from another relay, and returns the time as
+// of which the store was read.
 func (w *storeWatcher) readOnce(ctx context.Context) (readAt time.Time, err error) {
 	after := w.currentRevision()
 	if after == 0 {
@@ -172,13 +173,13 @@
 	return now, nil
 }
 
-// applyChanges brings changes into the tables that follow what was read before, up to a
-// revision, and returns those that changed something; f.mu is held.
+// applyChanges applies changes up to a revision, which follow those applied before, and returns the
+// ones that changed something. w.mu must be held.
 func (w *storeWatcher) applyChanges(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
 	changed := events[:0:0]
 	for i, e := range events {
-		// Each configuration is whole, so that only the last one counts; in quick
-		// succession, decoding all of them would hold up requests.
+		// Each configuration is complete, so only the last one counts. Decoding every one of a
+		// quick succession would delay requests.
 		if e.Revision <= w.revision || w.g.Records.IsConfig(e.Key) && hasLaterChange(events[i+1:], e.Key) {
 			continue
 		}
@@ -192,8 +193,9 @@
 	return changed
 }
 
-// noteStoreCall notes how a call of the store ended, before what it brought is taken:
-// that lasts, and a target would be asked meanwhile as if the store were away.
+// noteStoreCall records how a call of the store ended. It is called before the result is applied,
+// because applying takes a while, during which targets would be probed as if the store were
+// unavailable.
 func (w *storeWatcher) noteStoreCall(ctx context.Context, err error) time.Time {
 	now := time.Now()
 	if ctx.Err() == nil {
@@ -206,8 +208,8 @@
 	return slices.ContainsFunc(later, func(e jwstore.Event) bool { return e.Key == key && !e.Deleted })
 }
 
-// applyChange brings one change into the tables and reports whether it changes anything: targets
-// register about once a second, and most of it says what they said before.
+// applyChange applies one change to the tables and reports whether it changed anything. Targets
+// register about once a second, and most registrations repeat the one before.
 func (w *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
 	g := w.g
 	if g.Records.IsConfig(e.Key) {
@@ -243,7 +245,7 @@
 	}
 	in, err := g.Records.Target(id, e.Value)
 	if err != nil {
-		// Another writer may have left it; it names no target to use.
+		// Another writer may have written it; it describes no usable target.
 		g.Log.Info("target not readable", "target", id, "error", err.Error())
 		g.targets.Remove(now, id, e.Revision)
 		return true
@@ -254,7 +256,7 @@
 		return false
 	}
 	if !g.storeRead.Load() || !g.targets.Knows(id) {
-		return true // thousands of lines at the start of each node, of targets that it never uses
+		return true // otherwise each node would log thousands of lines at its start, about targets that it never uses
 	}
 	g.logTarget(in, change)
 	return true
@@ -288,7 +290,7 @@
 	}
 }
 
-// dropOldConnections drops the connections to the process before: where its host lost
+// dropOldConnections drops the connections to the previous process of a node. If its host lost
 // power, nothing has closed them, and the next request on one would be lost.
 func (g *Gateway) dropOldConnections(m jwmember.Member) {
 	if g.Nodes.Kept(m.Nodes) > 0 {
@@ -297,7 +299,7 @@
 	g.Nodes.Drop(m.Nodes)
 }
 
-// endEvacuationsExcept ends all evacuations but those named.
+// endEvacuationsExcept ends the evacuations of all data centres but the given ones.
 func (g *Gateway) endEvacuationsExcept(now time.Time, dataCentres map[string]bool) {
 	for _, dc := range g.targets.Evacuated() {
 		if !dataCentres[dc] {
@@ -311,7 +313,7 @@
 	g.targets.Evacuate(now, dataCentre, active)
 }
 
-// applyConfig brings a configuration into force if it is newer.
+// applyConfig puts a configuration into force if it is newer than the current one.
 func (g *Gateway) applyConfig(raw []byte, source string) {
 	c, err := g.Records.Config(raw)
 	if err != nil {
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -11,14 +11,14 @@
 )
 
 const (
-	// maxRelayPull is how long a node that starts in a large region asks its relay for
-	// the targets before it reads them all itself.
+	// maxRelayPull is how long a node that starts in a large region tries to get the targets from
+	// its relay before it reads them all from the store.
 	maxRelayPull = 1500 * time.Millisecond
-	// relayPullPause is the wait between two of these questions.
+	// relayPullPause is the pause between two of these attempts.
 	relayPullPause = 100 * time.Millisecond
 )
 
-// fullRead is what a reading of everything has brought so far.
+// fullRead is what a read of all keys has returned so far.
 type fullRead struct {
 	revision         jwstore.Revision // of the first page
 	targets          map[string]bool
@@ -29,8 +29,8 @@
 	targetsFromRelay bool // the targets came from the relay
 }
 
-// readAll reads everything, page by page; what is not there any more is gone. In a
-// large region the relay knows the targets, which are most of it.
+// readAll reads all keys page by page and removes what is no longer in the store. In a large region
+// the targets, which are most of the data, come from the relay.
 func (w *storeWatcher) readAll(ctx context.Context) error {
 	r := &fullRead{targets: map[string]bool{}, nodes: map[string]bool{}, evacuated: map[string]bool{}}
 	last := ""
@@ -48,7 +48,7 @@
 			break
 		}
 		last = p.Items[len(p.Items)-1].Key
-		// The registrations of targets come after all others.
+		// The registrations of targets sort after all other keys.
 		if _, ok := w.g.Records.TargetID(last); ok && w.pullTargetsFromRelay(ctx, r) {
 			break
 		}
@@ -57,8 +57,8 @@
 	return nil
 }
 
-// applyPage brings a page into the tables, but for the configuration: requests that wait
-// for the first one find targets then.
+// applyPage applies all keys of a page but the configuration, so that requests that wait for the
+// first configuration find targets when it is in force.
 func (w *storeWatcher) applyPage(now time.Time, p jwstore.Page, r *fullRead) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -68,7 +68,7 @@
 			continue
 		}
 		if i.Key == fleetSizeKey {
-			r.fleet = &i // after the nodes, which it is compared with
+			r.fleet = &i // applied after the nodes, which it is compared with
 			continue
 		}
 		w.applyItem(now, &i)
@@ -90,7 +90,7 @@
 	}
 }
 
-// finishRead drops what is gone and brings the configuration into force.
+// finishRead removes what is no longer in the store and puts the configuration into force.
 func (w *storeWatcher) finishRead(now time.Time, r *fullRead) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -118,9 +118,9 @@
 	w.g.pauseDetector.Begin()
 }
 
-// pullTargetsFromRelay takes the targets from the relay of the data centre, if there is one that
-// this node reports through; all nodes that start at once would fill the store's link and
-// the smallest of their own with them.
+// pullTargetsFromRelay gets the targets from the relay of the data centre, if this node reports
+// through one. Otherwise all nodes that start at once would saturate the store's link, and the
+// smallest nodes their own.
 func (w *storeWatcher) pullTargetsFromRelay(ctx context.Context, r *fullRead) bool {
 	g := w.g
 	start := time.Now()
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -11,15 +11,15 @@
 )
 
 const (
-	// leaseTTL is how long a node stays registered after its last sign of life.
+	// leaseTTL is how long a node stays registered after its last renewal.
 	leaseTTL = 5 * time.Second
-	// renewalsPerLease is how many renewals fall into a lease.
+	// renewalsPerLease is the number of renewals within the term of a lease.
 	renewalsPerLease = 3
 	// registerRetry is the wait after a failed call of the store.
 	registerRetry = 400 * time.Millisecond
 )
 
-// reregister makes the node write its registration anew.
+// reregister makes the node write its registration again.
 func (g *Gateway) reregister() {
 	select {
 	case g.registrationChanged <- struct{}{}:
@@ -89,19 +89,19 @@
 	return g.Feed.Set(ctx, nodePrefix+me.Name, value, lease)
 }
 
-// fleetSize is what the store keeps of the size of the fleet, under fleetKey.
+// fleetSize is the value stored under fleetSizeKey.
 type fleetSize struct {
 	Nodes int `json:"nodes"`
 }
 
-// writeFleetSize writes the size of the fleet, if that changed and the node is the one to
-// do so. Only quotas need it.
+// writeFleetSize writes the size of the fleet to the store if it has changed and this node is the
+// one that maintains it. Only quotas need it.
 func (g *Gateway) writeFleetSize(ctx context.Context) {
 	now := time.Now()
 	if !g.hasQuotas() || !g.members.KeepsFleet(now) {
 		return
 	}
-	nodes := g.members.Count(now, "") // which forgets a node after a minute
+	nodes := g.members.Count(now, "") // Count forgets a node after a minute
 	if nodes == g.members.FleetSize() && !g.fleetSizeMissing.Load() {
 		return
 	}
@@ -116,7 +116,7 @@
 	g.fleetSizeMissing.Store(false)
 }
 
-// applyFleetSize takes the size of the fleet from the store.
+// applyFleetSize applies the size of the fleet as stored.
 func (g *Gateway) applyFleetSize(now time.Time, value []byte) {
 	var size fleetSize
 	if err := json.Unmarshal(value, &size); err != nil || size.Nodes <= 0 {
@@ -126,7 +126,7 @@
 	g.members.SetFleet(now, size.Nodes, !g.storeRead.Load())
 }
 
-// waitForChange waits and reports whether the registration is to be written anew.
+// waitForChange waits for d and returns early with true if the registration must be written again.
 func (g *Gateway) waitForChange(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -21,22 +21,21 @@
 	"jujubewheel/core/jwstore"
 )
 
-// viewRetryPause is the wait between two rounds of questions.
+// viewRetryPause is the pause between two rounds of requests for views.
 const viewRetryPause = 400 * time.Millisecond
 
-// view is what a node needs to serve while it can't reach the store: what
-// another one has that it lacks.
+// view is what a node needs to serve while it can't reach the store: the part of another node's
+// state that it lacks.
 type view struct {
-	Config    []byte                `json:"config,omitempty"` // as the store holds it
-	Revision  jwstore.Revision      `json:"revision"`         // of the store, 0 if the rest is left out
+	Config    []byte                `json:"config,omitempty"` // as stored
+	Revision  jwstore.Revision      `json:"revision"`         // store revision of the fields below; 0 if they are omitted
 	Targets   []jwinstance.Instance `json:"targets,omitempty"`
 	Evacuated []string              `json:"evacuated,omitempty"`
 	Members   []jwmember.Member     `json:"members,omitempty"`
-	Fleet     int                   `json:"fleet,omitempty"` // nodes of all regions as the store keeps it
+	Fleet     int                   `json:"fleet,omitempty"` // number of nodes in all regions as stored
 }
 
-// serveView answers with what is newer than the version and the revision that the
-// asking node has.
+// serveView answers with what is newer than the version and the revision in the query.
 func (g *Gateway) serveView(w http.ResponseWriter, r *http.Request) {
 	if g.entries.Current() == nil {
 		w.WriteHeader(http.StatusNotFound)
@@ -51,7 +50,8 @@
 	}
 }
 
-// viewSince returns what is newer than a version and a revision.
+// viewSince returns what this node has that is newer than a version of the configuration and a
+// revision of the store.
 func (g *Gateway) viewSince(now time.Time, version, revision uint64) view {
 	var v view
 	if c := g.entries.Current(); c != nil && c.Version > version {
@@ -65,12 +65,12 @@
 	return v
 }
 
-// maxEncodedViewAge is how long an encoded view serves those that know nothing. All nodes of a
-// data centre that start at once ask the same, and with thousands of targets encoding it
-// for each took the relay longer than they wait.
+// maxEncodedViewAge is how long an encoded view is reused for nodes that know nothing yet. All
+// nodes of a data centre that start at once request the same view. With thousands of targets,
+// encoding it for each of them took the relay longer than the nodes wait.
 const maxEncodedViewAge = 300 * time.Millisecond
 
-// encodedViewCache keeps the last view that was encoded for a node that knows nothing.
+// encodedViewCache keeps the last view that was encoded for a node that knows nothing yet.
 type encodedViewCache struct {
 	mu        sync.Mutex
 	encodedAt time.Time
@@ -106,7 +106,7 @@
 	return out.Bytes(), errors.Wrap(err, "encode view")
 }
 
-// queryUint reads a number of the query, 0 if there is none.
+// queryUint returns a number from the query, 0 if it is missing or malformed.
 func queryUint(r *http.Request, name string) uint64 {
 	n, err := strconv.ParseUint(r.URL.Query().Get(name), 10, 64)
 	if err != nil {
@@ -115,8 +115,9 @@
 	return n
 }
 
-// bootstrapFromPeers asks other nodes for their views until the store was read: the
-// store may be away when a node starts, and callers wait.
+// bootstrapFromPeers fetches the views of the seed nodes until the store was read or a
+// configuration is in force. The store may be unavailable when a node starts, while callers already
+// wait.
 func (g *Gateway) bootstrapFromPeers(ctx context.Context) {
 	for !g.storeRead.Load() && g.entries.Current() == nil && ctx.Err() == nil {
 		for _, a := range g.Settings.Gateway.Seeds {
@@ -128,14 +129,14 @@
 	}
 }
 
-// peerIsAhead reports whether a peer has read more of the store while it is out of
-// this node's reach.
+// peerIsAhead reports whether a peer has read the store up to a later revision while this node
+// can't reach it.
 func (g *Gateway) peerIsAhead(now time.Time, revision jwstore.Revision) bool {
 	return revision > max(g.store.revision.Load(), g.pulledRevision.Load()) && g.store.stale(now)
 }
 
-// pullView takes what another node has read that this one has not: the store may
-// be out of this node's reach. One question is asked at a time.
+// pullView fetches and applies what another node has read and this one has not, because the store
+// may be out of this node's reach. Only one view is fetched at a time.
 func (g *Gateway) pullView(a netip.AddrPort) {
 	if !g.pullingView.CompareAndSwap(false, true) {
 		return
@@ -143,7 +144,7 @@
 	defer g.pullingView.Store(false)
 	revision := max(g.store.revision.Load(), g.pulledRevision.Load())
 	if !g.store.stale(time.Now()) {
-		revision = math.MaxUint64 // the store has it
+		revision = math.MaxUint64 // this node reads the store itself, so only the configuration is wanted
 	}
 	v, err := g.fetchView(context.Background(), a, g.entries.Version(), revision)
 	if err != nil {
@@ -158,8 +159,8 @@
 	}
 }
 
-// fetchView asks a node for what its view has beyond a version of the configuration and
-// a revision of the store.
+// fetchView asks a node for what it has beyond a version of the configuration and a revision of the
+// store.
 func (g *Gateway) fetchView(ctx context.Context, a netip.AddrPort, version, revision uint64) (v view, err error) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -178,8 +179,8 @@
 	return v, errors.Wrap(json.NewDecoder(zr).Decode(&v), "view")
 }
 
-// applyView takes targets, evacuations and nodes. What the store has for this node
-// itself meanwhile is newer and stays, by its revisions.
+// applyView applies the targets, evacuations and nodes of a view. What this node has read from the
+// store in the meantime has later revisions and is kept.
 func (g *Gateway) applyView(now time.Time, v view, from netip.AddrPort) {
 	targets, evacuated := map[string]bool{}, map[string]bool{}
 	for _, target := range v.Targets {
