--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -10,11 +10,11 @@
 )
 
 const (
-	// maxBufferedBody is how much of a request's body is held, so that it can be
-	// sent again; a larger one is passed on as it comes, and sent once. With it a
-	// thousand requests in flight hold 64 MB at most.
+	// maxBufferedBody is how much of a request's body is buffered so that it can be sent again. A
+	// longer body is streamed to the target and sent once only. With this limit a thousand requests
+	// in flight buffer 64 MB at most.
 	maxBufferedBody = 64 << 10
-	// defaultMaxBody bounds a body until a configuration says otherwise.
+	// defaultMaxBody is the maximum size of a body as long as no configuration sets another one.
 	defaultMaxBody = 1 << 20
 )
 
@@ -23,25 +23,25 @@
 	errBodyClosed   = errors.New("the request is over")
 )
 
-// body is what a caller sends: all of it held, or its begin with the rest to
-// be read. The zero value is empty.
+// body is the body of a request: either all of it is buffered, or its beginning, and the rest is
+// still to be read. The zero value is empty.
 type body struct {
 	buffered []byte
-	length   int64     // -1 if not known
-	rest     *bodyRest // nil if all is held
+	length   int64     // -1 if unknown
+	rest     *bodyRest // nil if the whole body is buffered
 }
 
-// bodyRest is what follows the held part of a body.
+// bodyRest reads the part of a body that follows the buffered one.
 type bodyRest struct {
 	w           http.ResponseWriter
 	mu          sync.Mutex // held during each read
 	r           io.Reader
-	remaining   int64 // bytes that it may still have
-	readStarted bool  // some of it was
-	err         error // why it ended, io.EOF at its end
+	remaining   int64 // number of bytes that may still follow within the limit
+	readStarted bool  // part of it was read
+	err         error // why reading ended; io.EOF at the end of the body
 }
 
-// readBody reads the held part of a body of at most so many bytes.
+// readBody reads a body of at most maxSize bytes, as much as is buffered of it.
 func readBody(w http.ResponseWriter, r *http.Request, maxSize int64) (b body, err error) {
 	if r.ContentLength > maxSize {
 		return b, errBodyTooLarge
@@ -62,7 +62,7 @@
 		b.length = int64(len(b.buffered))
 		return b, nil
 	}
-	// The library would read the rest itself before the answer's head.
+	// By default net/http reads the rest of the body itself before it writes the answer's headers.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
 		return b, errors.Wrap(err, "body beside its answer")
 	}
@@ -70,7 +70,7 @@
 	return b, nil
 }
 
-// consumed reports whether the body can't be sent again.
+// consumed reports whether the body can't be sent again because part of its rest was read.
 func (b *body) consumed() bool {
 	if b.rest == nil {
 		return false
@@ -80,22 +80,21 @@
 	return b.rest.readStarted
 }
 
-// reader returns what follows the held part; nil if nothing does.
+// reader returns a reader of what follows the buffered part; nil if nothing does.
 func (b *body) reader() io.Reader {
 	if b.rest == nil {
-		return nil // and not an io.Reader that holds a nil
+		return nil // a nil io.Reader, not one that holds a nil *bodyRest
 	}
 	return b.rest
 }
 
-// close ends the reading; nothing may read the caller's body after its
-// handler.
+// close ends the reading of the body: it must not be read after the handler has returned.
 func (b *body) close() {
 	if b.rest == nil {
 		return
 	}
 	if !b.rest.mu.TryLock() {
-		// A read waits for the caller; without the deadline it would go on.
+		// A read is waiting for the caller; the deadline makes it return.
 		_ = http.NewResponseController(b.rest.w).SetReadDeadline(time.Now())
 		b.rest.mu.Lock()
 	}
@@ -105,7 +104,7 @@
 	}
 }
 
-// tooLarge reports whether a body of unknown length turned out too long.
+// tooLarge reports whether a body of unknown length turned out to exceed the limit.
 func (b *body) tooLarge() bool {
 	if b.rest == nil {
 		return false
--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -10,32 +10,33 @@
 )
 
 const (
-	// maxQuotaWait bounds how long a request waits for units that other nodes hold: a
-	// way to another region and back, and one more look there.
+	// maxQuotaWait is the maximum time that a request waits for quota units that other nodes hold:
+	// one round trip to another region, and one more attempt there.
 	maxQuotaWait = 400 * time.Millisecond
-	// quotaWaitShare is the part of its time that a request may wait so.
+	// quotaWaitShare is the maximum share of a request's time that it waits for quota units.
 	quotaWaitShare = 0.15
-	// keyRetryAfter is the Retry-After for a key that a node without a fresh view of the
-	// configuration doesn't know.
+	// keyRetryAfter is the Retry-After for a key that is unknown to a node whose configuration may
+	// be outdated.
 	keyRetryAfter = 300 * time.Millisecond
-	// configTrustPeriod is how long a node that is cut off from the store takes its configuration
-	// for the newest after one that reaches the store reported nothing newer.
+	// configTrustPeriod is how long a node that can't reach the store considers its configuration
+	// current after a peer that reaches the store has reported nothing newer.
 	configTrustPeriod = 3 * syncedPeerAge
 )
 
-// Why callers are refused.
+// Reasons for rejecting callers.
 const (
 	unknownKey    = "unknown key"
 	unverifiedKey = "the key is not known at this node, which can't read the configuration now"
 	overQuota     = "the workspace is over its quota"
 )
 
-// identify finds the workspace of the caller and what follows from it; it answers the
-// caller and returns false if the request may not go on.
+// identify sets the request's workspace, homes and priority by the caller's workspace. If the
+// caller's key is unknown, it answers the request and returns false.
 func (g *Gateway) identify(q *request, w *jwworkspace.Workspace, known bool) bool {
 	q.homes, q.priority = q.entry.Homes, q.entry.Priority
 	if !known {
-		// A node that lags behind must not turn away a key that was added meanwhile.
+		// A node with an outdated configuration must not reject a key that was added in the
+		// meantime.
 		if g.store.stale(q.arrived) && q.arrived.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > configTrustPeriod {
 			g.refuseRequest(q, http.StatusServiceUnavailable, keyRetryAfter, unverifiedKey, nil)
 			return false
@@ -54,8 +55,8 @@
 	return true
 }
 
-// charge takes the request's units off its workspace's quota; it answers the caller
-// and returns false if that is used up.
+// charge takes the request's units from its workspace's quota. If the quota is used up, it answers
+// the request and returns false.
 func (g *Gateway) charge(ctx context.Context, q *request, quota jwworkspace.Quota) bool {
 	if !quota.Limited() {
 		return true
@@ -85,7 +86,7 @@
 	return g.quotas.Leave(time.Now(), d.Waiter)
 }
 
-// refund gives the units of a request back that no target has run or will.
+// refund returns the units of a request that no target has run or will run.
 func (g *Gateway) refund(q *request) {
 	if q.units > 0 {
 		g.quotas.Return(time.Now(), q.workspace, q.units)
@@ -93,7 +94,7 @@
 	}
 }
 
-// refuseRequest answers a request that is not served at all, before its body is read.
+// refuseRequest answers and logs a request that is rejected before its body is read.
 func (g *Gateway) refuseRequest(q *request, status int, retryAfter time.Duration, reason string, quota *jwquota.Decision) {
 	g.metrics.countRequest(string(q.entry.Kind), outcomeRefused, placeNone, time.Since(q.arrived))
 	d := q.newDecision(stepAnswer)
--- a/io/jwgateway/dialect.go
+++ b/io/jwgateway/dialect.go
@@ -10,62 +10,62 @@
 	"jujubewheel/core/jwinstance"
 )
 
-// Call is what a caller says of its request in the headers.
+// Call is what a caller's headers say about its request.
 type Call struct {
-	ID        string
-	Deadline  time.Duration // 0 if not said
-	LastEvent string        // the event after which a stream goes on
-	Key       string        // of the caller's workspace, "" if there is none
+	ID        string        // identifier of the request
+	Deadline  time.Duration // time left until the caller gives up; 0 if not given
+	LastEvent string        // identifier of the event after which to resume a stream
+	Key       string        // key of the caller's workspace; "" if none was given
 	Prompt    jwinstance.Prompt
 }
 
-// Send is what a target receives with a request.
+// Send is what the gateway adds to the headers of a request to a target.
 type Send struct {
-	Target    string // the incarnation that may run it
-	Left      time.Duration
-	Engine    bool
-	Priority  int
-	LastEvent string
-	Workspace string         // of the caller, "" if that has none
-	Fetch     netip.AddrPort // a target that holds parts of the prompt, if valid
+	Target    string         // the incarnation of the target that may run the request
+	Left      time.Duration  // time left until the request's deadline
+	Engine    bool           // the target is a model engine
+	Priority  int            // 0 is the most urgent
+	LastEvent string         // identifier of the event after which to resume a stream
+	Workspace string         // workspace of the caller; "" if it has none
+	Fetch     netip.AddrPort // target to fetch cached parts of the prompt from, if valid
 }
 
-// Reply is what an answer says in its headers.
+// Reply is what the headers of an answer say.
 type Reply struct {
-	ID         string        // of the request that it answers
-	NotRun     bool          // the target has not run the request and will not
-	Signed     bool          // a target made it
-	Target     string        // that answered, if it says so
-	Cold       time.Duration // how long the target stays cold
-	Limit      jwinstance.Limit
-	RetryAfter time.Duration // for how long the target wants nothing of this node, where it turned a request away
-	Leaving    bool          // the target leaves, whatever its registration says
+	ID         string           // identifier of the request that is answered
+	NotRun     bool             // the target has not run the request and will not
+	Signed     bool             // the answer carries a target's signature
+	Target     string           // identifier of the target that answered, if given
+	Cold       time.Duration    // for how long the target stays cold
+	Limit      jwinstance.Limit // limit that the target announces
+	RetryAfter time.Duration    // for how long the target accepts no requests from this node, if it rejected one
+	Leaving    bool             // the target is leaving, whatever its registration says
 }
 
-// Dialect translates the headers of callers and targets.
+// Dialect translates the headers of callers and targets between the platform's names and this
+// package's types.
 type Dialect interface {
 	Call(h http.Header) Call
-	// Strip removes what only the gateway may set for a target.
+	// Strip removes the headers that only the gateway may set for a target.
 	Strip(h http.Header)
-	// StripKey removes the key of a caller.
+	// StripKey removes the caller's key.
 	StripKey(h http.Header)
-	// Send adds what the target receives.
+	// Send adds the headers for the target.
 	Send(h http.Header, s Send)
-	// Left replaces the time left.
+	// Left sets the time left until the request's deadline.
 	Left(h http.Header, left time.Duration)
 	Answer(h http.Header) Reply
 	// ID returns the identifier of the request that an answer belongs to.
 	ID(h http.Header) string
-	// Refuse adds to a refusal which request it answers.
+	// Refuse adds the identifier of the request to the headers of an error answer.
 	Refuse(h http.Header, id string)
-	// Question returns the host that a caller asks the directory about, and
-	// the caller's region.
+	// Question returns the host that a caller queries the directory for, and the caller's region.
 	Question(q url.Values) (host, region string)
-	// Directory returns the answer of the directory, to be encoded as JSON.
+	// Directory returns the answer of the directory, which is encoded as JSON.
 	Directory(nodes []netip.AddrPort, ttl time.Duration) any
 }
 
-// Records decodes what operators and targets write to the store.
+// Records decodes the store's keys and values that operators and targets write.
 type Records interface {
 	IsConfig(key string) bool
 	Config(value []byte) (*jwentry.Config, error)
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -10,11 +10,11 @@
 	"jujubewheel/core/jwresolver"
 )
 
-// maxFirstRead is how long a node waits for its first reading of the store before it
-// answers by what it has.
+// maxFirstRead is how long a node waits for its first read of the store before the directory
+// answers with what the node knows.
 const maxFirstRead = 3 * time.Second
 
-// serveReady reports to the platform whether the node serves.
+// serveReady reports to the platform whether the node serves callers.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !g.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -23,7 +23,7 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveDirectory names the nodes that a caller should use.
+// serveDirectory returns the addresses of the nodes that a caller should use.
 func (g *Gateway) serveDirectory(w http.ResponseWriter, r *http.Request) {
 	host, region := g.Dialect.Question(r.URL.Query())
 	v := g.resolverView(time.Now(), host, region)
@@ -40,7 +40,8 @@
 	}
 }
 
-// resolverView is the local view of a region whose caller asks about a host.
+// resolverView returns this node's view of the nodes for a caller in a region that asks about a
+// host.
 func (g *Gateway) resolverView(now time.Time, host, region string) jwresolver.View {
 	v := jwresolver.View{Own: g.members.Live(now, region)}
 	if len(v.Own) > 0 {
--- a/io/jwgateway/era.go
+++ b/io/jwgateway/era.go
@@ -32,8 +32,8 @@
 		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(w.heldEvacuations))
 }
 
-// endHeldEvacuations ends the evacuations that were kept for restoredEvacuationHold and not written
-// again.
+// endHeldEvacuations ends the evacuations that were kept in force for restoredEvacuationHold and
+// not written again.
 func (w *storeWatcher) endHeldEvacuations(now time.Time) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/io/jwgateway/meters.go
+++ b/io/jwgateway/meters.go
@@ -10,15 +10,15 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// The places that a request was served in, as labels.
+// Values of the label place: where a request was served.
 const (
 	placeHere = "here"
 	placeAway = "away"
-	placeNone = "none" // the gateway's own answer
+	placeNone = "none" // answered by the gateway itself
 )
 
-// metrics are the counters and histograms of a node. Names of entries come and
-// go with configurations, so series are by kind and not by entry.
+// metrics holds the counters, gauges and histograms of a node. Entries come and go with
+// configurations, so series are labelled by kind and not by entry, to limit their number.
 type metrics struct {
 	meter *jwmeter.Meter
 
@@ -75,7 +75,7 @@
 	return ms
 }
 
-// countSend counts a send to a target or a node.
+// countSend counts a send to a target or a node by its verdict.
 func (m *metrics) countSend(step, kind string, v Verdict) {
 	key := [3]string{step, kind, string(v)}
 	m.mu.Lock()
@@ -91,7 +91,8 @@
 // countDirectoryAnswer counts an answer of the directory.
 func (m *metrics) countDirectoryAnswer(k jwresolver.Kind) { m.directoryAnswers[k].Inc(1) }
 
-// countRequest counts how a request ended for its caller, and where it was served.
+// countRequest counts a request that ended, by outcome, and records how long it took, also by where
+// it was served.
 func (m *metrics) countRequest(kind, outcome, place string, took time.Duration) {
 	tags := jwmeter.Tags{"kind": kind, "outcome": outcome}
 	m.mu.Lock()
@@ -110,7 +111,7 @@
 	h.RecordDuration(took)
 }
 
-// setRetriesLeft sets how many repeats are left by service.
+// setRetriesLeft sets the number of retries left by service.
 func (m *metrics) setRetriesLeft(left map[string]float64) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
@@ -124,14 +125,14 @@
 	}
 }
 
-// maxWorkspaces bounds the workspaces that have series of their own; those that ask first
-// on a node have them, the others share one.
+// maxWorkspaces limits the number of workspaces with series of their own. The first ones that call
+// a node get them; all others share the series of otherWorkspaces.
 const (
 	maxWorkspaces   = 50
 	otherWorkspaces = "other"
 )
 
-// countUnits counts the units that a workspace asked for, by what became of them.
+// countUnits counts the quota units that a workspace asked for, by outcome.
 func (m *metrics) countUnits(workspace, outcome string, units float64) {
 	m.mu.Lock()
 	key := [2]string{workspace, outcome}
@@ -149,7 +150,7 @@
 	c.Inc(int64(units))
 }
 
-// recordFirstEvent records the wait for a first event.
+// recordFirstEvent records the wait for the first event of an answer.
 func (m *metrics) recordFirstEvent(place string, d time.Duration) {
 	m.firstEventTimes[place].RecordDuration(d)
 }
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -14,29 +14,31 @@
 )
 
 const (
-	// storeStaleAfter is how long a node without an answer of the store takes it to
-	// be away: its lease is renewed more often.
+	// storeStaleAfter is how long a node without an answer from the store waits until it assumes
+	// that the store is unavailable. It is longer than the interval between two renewals of the
+	// node's lease.
 	storeStaleAfter = leaseTTL/renewalsPerLease + 800*time.Millisecond
-	// syncedPeerAge is how long a peer's report counts that it reaches the store.
+	// syncedPeerAge is how long a peer's report counts that the peer reaches the store.
 	syncedPeerAge = 500 * time.Millisecond
-	// probePeriod is the time between two questions to a target. At seven
-	// requests a second, one that goes cold has taken three by the time that all
-	// nodes of the region know, half of its capacity.
+	// probePeriod is the time between two probes of a target. At seven requests per second, a
+	// target that goes cold has received three by the time that all nodes of the region know, which
+	// is half of its capacity.
 	probePeriod  = 250 * time.Millisecond
 	probeTimeout = 300 * time.Millisecond
-	// staleCheckPeriod is the time between two looks whether that has begun.
+	// staleCheckPeriod is the time between two checks whether probes have become necessary.
 	staleCheckPeriod = 2 * probePeriod
 )
 
-// storeState holds how the node stands with the store.
+// storeState holds how far the node has read the store and whether it still reaches it.
 type storeState struct {
-	revision       atomic.Uint64 // up to which changes were read
-	lastAnswer     atomic.Int64  // last answer, Unix nanoseconds
-	lastCallFailed atomic.Bool   // the last call had none
-	syncedPeerSeen atomic.Int64  // when a peer said last that it reaches the store
+	revision       atomic.Uint64 // revision up to which changes were read
+	lastAnswer     atomic.Int64  // time of the last answer, Unix nanoseconds
+	lastCallFailed atomic.Bool   // the last call got no answer
+	syncedPeerSeen atomic.Int64  // when a peer last reported that it reaches the store, Unix nanoseconds
 }
 
-// recordCall notes how a call ended.
+// recordCall records how a call of the store ended. An error that the store itself reports counts
+// as an answer.
 func (s *storeState) recordCall(now time.Time, err error) {
 	answer := err == nil || errors.Is(err, jwstore.ErrNoLease) || errors.Is(err, jwstore.ErrCompacted)
 	s.lastCallFailed.Store(!answer)
@@ -45,14 +47,14 @@
 	}
 }
 
-// stale reports whether the store may know what the node does not.
+// stale reports whether the store may hold changes that the node does not know.
 func (s *storeState) stale(now time.Time) bool {
 	return s.lastCallFailed.Load() || now.Sub(time.Unix(0, s.lastAnswer.Load())) > storeStaleAfter
 }
 
-// probeTargets asks targets how long they stay cold while no node of the region
-// reaches the store, until ctx ends. A target may go cold at any moment; informed by
-// nobody, all nodes would go on sending what a warm one takes.
+// probeTargets asks targets how long they stay cold while no node of the region reaches the store,
+// until ctx ends. A target may go cold at any time, and without probes all nodes would continue to
+// send it what a warm one can take.
 func (g *Gateway) probeTargets(ctx context.Context) {
 	for ctx.Err() == nil {
 		now, wait := time.Now(), staleCheckPeriod
@@ -70,8 +72,8 @@
 	}
 }
 
-// healthPath returns where targets of a service report their health, "" if its
-// targets are never cold.
+// healthPath returns the path at which targets of a service report their health, "" if its targets
+// are never cold.
 func (g *Gateway) healthPath(service string) string {
 	c := g.entries.Current()
 	if c == nil || c.Services[service] == nil || c.Services[service].Warmup == 0 {
@@ -86,7 +88,7 @@
 	g.metrics.probes.Inc(1)
 	a, err := g.Targets.Do(ctx, &jwconn.Call{Peer: x.Address, Method: http.MethodGet, Target: path, Host: x.Address.String()})
 	if err != nil {
-		return // a request that fails there is judged by its own outcome
+		return // no conclusion is drawn: a request that fails at this target is handled by its own outcome
 	}
 	defer a.Close()
 	drain(a)
--- a/io/jwgateway/region.go
+++ b/io/jwgateway/region.go
@@ -7,36 +7,35 @@
 )
 
 const (
-	// maxWaitReportAge is how long a report of a region's wait counts.
+	// maxWaitReportAge is how long a report of a region's waits counts.
 	maxWaitReportAge = 3 * time.Second
-	// defaultRoundTrip is the time to another region and back until it was measured.
+	// defaultRoundTrip is the assumed round trip to another region until one was measured.
 	defaultRoundTrip = 200 * time.Millisecond
 )
 
-// regionTable holds how long requests wait in other regions and how far those
-// are.
+// regionTable holds how long requests wait in other regions and the round trips to these.
 type regionTable struct {
 	mu         sync.Mutex
 	waits      map[string]map[string]regionWait // by region and service
 	roundTrips map[string]time.Duration
-	sent       map[string][]sentPrompt // by region, what the waits don't include yet
+	sent       map[string][]sentPrompt // by region: requests that the reported waits don't include yet
 }
 
-// sentPrompt is a request passed on to another region.
+// sentPrompt is the prompt of a request forwarded to another region.
 type sentPrompt struct {
 	service string
-	tokens  int // of its prompt that are read there
+	tokens  int // prompt tokens that the region must read
 	at      time.Time
 }
 
 type regionWait struct {
-	wait     time.Duration // until a first event without a prompt
+	wait     time.Duration // until the first event of a request without a prompt
 	eventGap time.Duration // between two events
 	at       time.Time
 }
 
-// merge takes the waits that a node of a region reports; the nodes of a region
-// see nearly the same, so the last one counts.
+// merge merges the waits that a node of a region reports. All nodes of a region see nearly the same
+// state, so the last report counts.
 func (t *regionTable) merge(now time.Time, s state) {
 	if len(s.Waits) == 0 {
 		return
@@ -46,13 +45,13 @@
 	t.recordWaits(s.Member.Region, now, s.Waits, s.Gaps)
 }
 
-// recordWaits keeps what a region reported at a time.
+// recordWaits records the waits that a region reported at the given time. t.mu must be held.
 func (t *regionTable) recordWaits(region string, at time.Time, waits, gaps map[string]int64) {
 	if t.waits == nil {
 		t.waits = make(map[string]map[string]regionWait)
 		t.sent = make(map[string][]sentPrompt)
 	}
-	// What was on its way when the node reported is not in its report.
+	// Requests that were still on their way when the node reported are not included in its report.
 	reportedFrom := at.Add(-t.roundTripLocked(region))
 	t.sent[region] = slices.DeleteFunc(t.sent[region], func(w sentPrompt) bool { return w.at.Before(reportedFrom) })
 	services := t.waits[region]
@@ -67,7 +66,7 @@
 	}
 }
 
-// waitFor returns the wait for a service in a region; false if it isn't known.
+// waitFor returns the wait for a service in a region; false if it is not known.
 func (t *regionTable) waitFor(now time.Time, region, service string) (regionWait, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -78,7 +77,8 @@
 	return w, true
 }
 
-// recordRoundTrip notes how long an exchange with a region took.
+// recordRoundTrip records the duration of an exchange with a region. A shorter one counts at once,
+// a longer one by a tenth.
 func (t *regionTable) recordRoundTrip(region string, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +93,7 @@
 	t.roundTrips[region] = old + (d-old)/10
 }
 
-// roundTrip returns the time to a region and back.
+// roundTrip returns the round trip to a region.
 func (t *regionTable) roundTrip(region string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -107,7 +107,7 @@
 	return defaultRoundTrip
 }
 
-// recordSend notes a request passed on to a region.
+// recordSend records a request forwarded to a region.
 func (t *regionTable) recordSend(now time.Time, region, service string, tokens int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,9 +116,9 @@
 	}
 }
 
-// unreportedTokens returns the prompt tokens passed on to a region that its wait does
-// not include yet. Without them all requests of a second go to the region that
-// was free at its beginning, and wait there.
+// unreportedTokens returns the prompt tokens forwarded to a region that its reported wait does not
+// include yet. Without them all requests of a second would go to the region that was free at its
+// start, and wait there.
 func (t *regionTable) unreportedTokens(region, service string) int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -131,8 +131,7 @@
 	return tokens
 }
 
-// report returns what is known of the other regions, for nodes that report through this
-// one.
+// report returns what is known of the other regions, for nodes that report through this one.
 func (t *regionTable) report(now time.Time) []regionReport {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -152,7 +151,7 @@
 	return list
 }
 
-// mergeRelayed takes what a relay knows of the other regions.
+// mergeRelayed merges what a relay reports of the other regions.
 func (t *regionTable) mergeRelayed(now time.Time, list []regionReport) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -11,20 +11,20 @@
 	"jujubewheel/io/jwrest"
 )
 
-// graceShare is the part of the grace period after which what still runs is
-// cut off; the rest is for ending.
+// graceShare is the share of the grace period after which requests in flight are aborted. The rest
+// is left for shutting down.
 const graceShare = 0.93
 
-// grace is how long a node that stops serves what it has.
+// grace returns for how long a stopping node serves the requests that it has accepted.
 func (g *Gateway) grace() time.Duration {
 	return time.Duration(float64(g.bounds.Load().Grace) * graceShare)
 }
 
-// linger is how long a node that stops takes requests.
+// linger returns for how long a stopping node accepts new requests.
 func (g *Gateway) linger() time.Duration { return min(jwresolver.Linger, g.grace()) }
 
-// stop carries out the planned stop: the node is named to nobody any more,
-// serves what still comes, and waits for what it runs.
+// stop carries out the planned stop: the node is no longer named to callers, serves requests that
+// still arrive for a while, and waits for the requests in flight.
 func (g *Gateway) stop(servers []*jwrest.Server) {
 	start := time.Now()
 	g.stopStart.Store(int64(start.Sub(g.startTime)))
@@ -48,8 +48,8 @@
 	g.Log.Info("stop complete", "inFlight", g.inFlight.Load(), "after", time.Since(start).String())
 }
 
-// stopPeers returns the nodes that learn at once that this one stops: all, or the relays,
-// which pass it on to the rest.
+// stopPeers returns the nodes that are informed at once that this one stops: all nodes or, in a
+// large region, the relays, which inform the others.
 func (g *Gateway) stopPeers(now time.Time) []jwmember.Member {
 	if !g.members.Large(now, g.Settings.Region) {
 		return g.members.Peers(now)
@@ -61,8 +61,8 @@
 	return list
 }
 
-// announceStop reports to every node at once that this one stops. An exchange that waits
-// for an answer already has sent the old state, so nobody is left out for it.
+// announceStop reports to the stopPeers at once that this node stops. It includes peers with an
+// exchange in flight, because that has sent the state before the stop.
 func (g *Gateway) announceStop(now time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
 	var wg sync.WaitGroup
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	// crashCheckTimeout bounds the question whether a target that broke off has
-	// crashed; a crashed one refuses connections at once.
+	// crashCheckTimeout limits the check whether a target that broke off a call has crashed. A
+	// crashed target on a running host refuses connections at once.
 	crashCheckTimeout = 50 * time.Millisecond
 	// quarantineRetryAfter is the Retry-After of a request that crashes its targets.
 	quarantineRetryAfter = 30 * time.Second
 )
 
-// quarantined is why a request was refused that has crashed targets.
+// quarantined is the reason for rejecting a request that has crashed targets.
 const quarantined = "it was in flight on two targets as they crashed"
 
-// fingerprintOf returns what stands for a request that comes again: what it asks for,
-// who asks, and the begin of its body. Requests without a body differ by their
-// callers.
+// fingerprintOf returns the fingerprint by which a request is recognized when it is sent again: a
+// hash of its method, host, path, caller and the beginning of its body. Requests without a body
+// differ by their callers.
 func (g *Gateway) fingerprintOf(q *request, caller string) jwsuspect.Fingerprint {
 	return jwsuspect.FingerprintOf(q.method+" "+q.host+" "+q.target+" "+caller, q.body.buffered)
 }
@@ -44,8 +44,9 @@
 	return state != jwsuspect.Quarantined
 }
 
-// excludeSuspectTargets adds to the targets that a suspect must not run on. Were two of
-// them on one target when it crashes, the innocent one would be barred too.
+// excludeSuspectTargets excludes from the choice the targets that a suspected request must not be
+// sent to. If two suspects were in flight at one target when it crashes, the innocent one would be
+// quarantined too.
 func (g *Gateway) excludeSuspectTargets(now time.Time, q *request, n *jwinstance.Need) {
 	if state, _ := g.suspects.Check(q.fingerprint, now); state != jwsuspect.Suspected {
 		return
@@ -53,9 +54,9 @@
 	n.Apart = g.suspects.Apart(q.fingerprint, g.targets.Addresses(q.service), now)
 }
 
-// checkCrash finds out whether a target that broke off a call has crashed, and
-// holds that against all that was in flight there. It is asked before the
-// request is sent again: the next target might crash too.
+// checkCrash checks whether a target that broke off a call has crashed, and if so counts the crash
+// against all requests in flight there. It must run before the request is sent again, because the
+// next target might crash too.
 func (g *Gateway) checkCrash(ctx context.Context, x *jwinstance.Target) {
 	crashed, _, _ := g.crashChecks.Do(x.Address.String(), func() (any, error) {
 		c, err := net.DialTimeout("tcp", x.Address.String(), crashCheckTimeout)
@@ -74,7 +75,8 @@
 	}
 }
 
-// suspectNotices returns what was learned of suspects within an age, to be reported.
+// suspectNotices returns the notices about suspects, up to a maximum age, that are to be reported
+// to a region.
 func (g *Gateway) suspectNotices(now time.Time, region string, age time.Duration) []jwsuspect.Notice {
 	var recent []jwsuspect.Notice
 	for _, n := range g.suspects.Notices(region, now) {
--- a/io/jwgateway/upstream.go
+++ b/io/jwgateway/upstream.go
@@ -13,24 +13,24 @@
 )
 
 const (
-	// changesPath is that of the question for changes of the store.
+	// changesPath is the path of requests for changes of the store.
 	changesPath = "/changes"
-	// upstreamWait is how long the question waits for a change. With the pause between
-	// two questions and the way there and back it stays well below relayAge.
+	// upstreamWait is how long such a request waits for a change. Together with the pause between
+	// two requests and the round trip it stays well below maxRelayReadAge.
 	upstreamWait = 400 * time.Millisecond
-	// maxUpstreamReadAge is how old the other relay's reading may be, so that what is passed on
-	// can still be relied on.
+	// maxUpstreamReadAge is the maximum age of the other relay's store read, so that nodes can
+	// still rely on the changes when they are passed on.
 	maxUpstreamReadAge = maxRelayReadAge / 2
 	// upstreamRetryPause is how long a relay reads the store itself after it could not rely on
-	// another one.
+	// another relay.
 	upstreamRetryPause = 3 * time.Second
-	// directReaders is how many relays read the store for all others.
+	// directReaders is the number of relays that read the store for all others.
 	directReaders = 2
 )
 
-// upstreamRelay returns the relay from which this one, itself a relay, takes the changes of
-// the store: one of those that are nearest to it. The others would each read what all
-// targets register, over the links between regions.
+// upstreamRelay returns the relay from which this one, itself a relay, takes the changes of the
+// store: one of those nearest to the store. Otherwise each relay would read the registrations of
+// all targets over the links between regions.
 func (w *storeWatcher) upstreamRelay(now time.Time) (jwmember.Member, bool) {
 	if !w.upstreamFailedAt.IsZero() && now.Sub(w.upstreamFailedAt) < upstreamRetryPause {
 		return jwmember.Member{}, false
@@ -44,8 +44,8 @@
 	return jwmember.Root(list, w.g.Settings.Node)
 }
 
-// askUpstream asks another relay for the changes after a revision; ok is false if there
-// is none or it can't be relied on.
+// askUpstream asks another relay for the changes after a revision. ok is false if there is no such
+// relay or it can't be relied on.
 func (w *storeWatcher) askUpstream(ctx context.Context, after jwstore.Revision) (c *changes, ok bool) {
 	m, ok := w.upstreamRelay(time.Now())
 	if !ok {
@@ -67,8 +67,8 @@
 	return nil, false
 }
 
-// applyUpstream takes changes that another relay read, keeps them for those that report through
-// this one, and returns of when they are.
+// applyUpstream applies changes that another relay read, keeps them for the nodes that report
+// through this one, and returns the time as of which the store was read.
 func (w *storeWatcher) applyUpstream(now time.Time, c *changes, after jwstore.Revision) time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -76,7 +76,8 @@
 	return now.Add(-time.Duration(c.Age) * time.Millisecond)
 }
 
-// serveChanges answers another relay with the changes of the store as soon as there are any.
+// serveChanges answers another relay with the changes of the store as soon as there are any, or
+// after upstreamWait.
 func (g *Gateway) serveChanges(w http.ResponseWriter, r *http.Request) {
 	after := queryUint(r, "after")
 	if g.readsForOthers(time.Now()) {
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -8,20 +8,20 @@
 )
 
 const (
-	// pauseLimit is the longest pause after which a node goes on by what it
-	// knew: the store is read about as often.
+	// pauseLimit is the longest pause of the process after which a node relies on the state from
+	// before. It is about the interval at which the store is read.
 	pauseLimit = time.Second
-	// maxWakeWait is how long a node that woke waits for the store; without it, it
-	// serves by what it knew and what other nodes reported since, or a region cut off
-	// would not serve after a pause.
+	// maxWakeWait is how long a node waits for the store after a pause. Then it serves with the
+	// state from before the pause and what other nodes have reported since; otherwise a region cut
+	// off from the store could not serve after a pause.
 	maxWakeWait = 2 * time.Second
-	// wakeRetryAfter is the Retry-After of a node that woke and has not read the
-	// store yet: a way there and back.
+	// wakeRetryAfter is the Retry-After of a node that has not read the store yet after a pause:
+	// about one round trip to the store.
 	wakeRetryAfter = 100 * time.Millisecond
 )
 
-// epoch is the time between two pauses. Its context ends with the next one, so
-// that nothing goes on waiting for an answer to a call made before.
+// epoch is the time between two pauses of the process. Its context ends with the next pause, so
+// that nothing waits any longer for an answer to a call made before it.
 type epoch struct {
 	context.Context
 	end context.CancelFunc
@@ -35,7 +35,7 @@
 	}
 }
 
-// watchPauses notices pauses until ctx ends.
+// watchPauses detects pauses of the process and handles them, until ctx ends.
 func (g *Gateway) watchPauses(ctx context.Context) {
 	for ctx.Err() == nil {
 		if g.pauseDetector.Run(ctx) == jwclock.ErrPaused {
@@ -44,8 +44,8 @@
 	}
 }
 
-// resumeAfterPause drops what a node knew of before a pause and waits until the store was
-// read anew.
+// resumeAfterPause drops the state from before a pause that may be outdated and waits, up to
+// maxWakeWait, until the store was read again.
 func (g *Gateway) resumeAfterPause(ctx context.Context) {
 	start := time.Now()
 	g.Log.Info("woke from a pause", "version", g.entries.Version())
