--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -20,7 +20,7 @@
 
 var (
 	errBodyTooLarge = errors.New("body too large")
-	errBodyClosed   = errors.New("the request is over")
+	errBodyClosed   = errors.New("read body: the request has ended")
 )
 
 // body is the body of a request: either all of it is buffered, or its beginning, and the rest is
@@ -64,7 +64,7 @@
 	}
 	// By default net/http reads the rest of the body itself before it writes the answer's headers.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
-		return b, errors.Wrap(err, "body beside its answer")
+		return b, errors.Wrap(err, "enable reading the body while answering")
 	}
 	b.rest = &bodyRest{w: w, r: r.Body, remaining: maxSize - int64(len(b.buffered))}
 	return b, nil
--- a/io/jwgateway/dialect.go
+++ b/io/jwgateway/dialect.go
@@ -45,6 +45,7 @@
 // Dialect translates the headers of callers and targets between the platform's names and this
 // package's types.
 type Dialect interface {
+	// Call returns what the headers of a caller's request say.
 	Call(h http.Header) Call
 	// Strip removes the headers that only the gateway may set for a target.
 	Strip(h http.Header)
@@ -54,6 +55,7 @@
 	Send(h http.Header, s Send)
 	// Left sets the time left until the request's deadline.
 	Left(h http.Header, left time.Duration)
+	// Answer returns what the headers of an answer say.
 	Answer(h http.Header) Reply
 	// ID returns the identifier of the request that an answer belongs to.
 	ID(h http.Header) string
@@ -67,9 +69,14 @@
 
 // Records decodes the store's keys and values that operators and targets write.
 type Records interface {
+	// IsConfig reports whether the configuration is stored under a key.
 	IsConfig(key string) bool
+	// Config decodes a configuration.
 	Config(value []byte) (*jwentry.Config, error)
+	// Evacuation returns the data centre whose evacuation a key stands for; ok is false for any other key.
 	Evacuation(key string) (dataCentre string, ok bool)
+	// TargetID returns the identifier of the target that registers under a key; false for any other key.
 	TargetID(key string) (string, bool)
+	// Target decodes the registration of a target.
 	Target(id string, value []byte) (jwinstance.Instance, error)
 }
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -36,7 +36,7 @@
 	}
 	w.Header()["Content-Type"] = []string{"application/json"}
 	if err := json.NewEncoder(w).Encode(g.Dialect.Directory(addresses(a.Nodes), a.TTL)); err != nil {
-		g.Log.V(1).Info("directory not answered", "error", err.Error())
+		g.Log.V(1).Info("failed to send the directory", "error", err.Error())
 	}
 }
 
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -159,7 +159,7 @@
 	body, err := json.Marshal(s)
 	if err != nil {
 		g.exchangesInFlight.Delete(m.Name)
-		g.Log.Error(err, "state not encoded")
+		g.Log.Error(err, "failed to encode the state")
 		return
 	}
 	go func() {
@@ -238,6 +238,6 @@
 	g.mergeState(s, jwmember.Member{})
 	w.Header()["Content-Type"] = []string{"application/json"}
 	if err := json.NewEncoder(w).Encode(g.replyState(time.Now(), s)); err != nil {
-		g.Log.V(1).Info("state not sent", "peer", s.Member.Name, "error", err.Error())
+		g.Log.V(1).Info("failed to send the state", "peer", s.Member.Name, "error", err.Error())
 	}
 }
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -26,7 +26,8 @@
 	minWatchPause = 700 * time.Millisecond
 	// maxWatchPause and scaleNodes limit how often a large fleet calls the store, which charges for
 	// each call. From scaleNodes nodes on the pause grows with the fleet, so that the total number
-	// of calls stays constant, up to maxWatchPause: a change must be in force within three seconds.
+	// of calls stays constant. It is capped at maxWatchPause because a change must be in force
+	// within three seconds.
 	maxWatchPause = 1400 * time.Millisecond
 	scaleNodes    = 40
 	// watchTimeout is how long a watch waits for a change. A connection that no longer delivers
@@ -277,7 +278,7 @@
 	}
 	var m jwmember.Member
 	if err := json.Unmarshal(e.Value, &m); err != nil || m.Name != name {
-		g.Log.Info("node registration not readable", "peer", name)
+		g.Log.Info("failed to decode a node's registration", "peer", name)
 		return
 	}
 	if name == g.Settings.Node {
@@ -317,7 +318,7 @@
 func (g *Gateway) applyConfig(raw []byte, source string) {
 	c, err := g.Records.Config(raw)
 	if err != nil {
-		g.Log.Error(err, "configuration not readable", "from", source)
+		g.Log.Error(err, "failed to decode the configuration", "from", source)
 		return
 	}
 	oldVersion := g.entries.Version()
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -192,8 +192,8 @@
 	return &jwrest.Server{Name: name, Address: a, Handler: h, Log: g.Log, DrainLimit: 50 * time.Millisecond}
 }
 
-// warmup returns how long a target of a service stays cold after its start and how many requests
-// per second all nodes together may send to it during that time.
+// warmup returns how long a target of a service is cold and how many requests per second all nodes
+// together may send to it during that time.
 func (g *Gateway) warmup(service string) (time.Duration, float64) {
 	c := g.entries.Current()
 	if c == nil {
@@ -266,7 +266,7 @@
 		case s := <-g.Reload:
 			o := s.Gateway
 			if o.Listen != g.Settings.Gateway.Listen || o.Store != g.Settings.Gateway.Store {
-				g.Log.Info("settings changed that need a restart")
+				g.Log.Info("changed settings of listen or store take effect after a restart only")
 			}
 			g.bounds.Store(&o.Bounds)
 			g.Log.Info("settings in force", "bounds", o.Bounds)
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -75,7 +75,7 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := g.Feed.End(ctx, lease); err != nil {
-			g.Log.Info("lease not ended", "error", err.Error())
+			g.Log.Info("failed to end the lease", "error", err.Error())
 		}
 	}
 }
@@ -110,7 +110,7 @@
 		err = g.Feed.Set(ctx, fleetSizeKey, value, 0)
 	}
 	if err != nil {
-		g.Log.Info("size of the fleet not written", "nodes", nodes, "error", err.Error())
+		g.Log.Info("failed to write the size of the fleet", "nodes", nodes, "error", err.Error())
 		return
 	}
 	g.fleetSizeMissing.Store(false)
@@ -120,7 +120,7 @@
 func (g *Gateway) applyFleetSize(now time.Time, value []byte) {
 	var size fleetSize
 	if err := json.Unmarshal(value, &size); err != nil || size.Nodes <= 0 {
-		g.Log.Info("size of the fleet not readable")
+		g.Log.Info("failed to decode the size of the fleet")
 		return
 	}
 	g.members.SetFleet(now, size.Nodes, !g.storeRead.Load())
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -69,7 +69,7 @@
 	for _, m := range g.stopPeers(now) {
 		body, err := json.Marshal(g.state(now, m.Region))
 		if err != nil {
-			g.Log.Error(err, "state not encoded")
+			g.Log.Error(err, "failed to encode the state")
 			continue
 		}
 		wg.Go(func() { g.exchangeState(ctx, m, body) })
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -30,8 +30,8 @@
 	relayWatchTimeout = time.Second
 	relayWatchPause   = 300 * time.Millisecond
 	// maxRelayReadAge is the maximum age of a relay's last store read, and maxRelayReportAge that
-	// of its last report, for other nodes to rely on it. Their sum, plus a store read by the node
-	// itself, stays below the time within which a change must be in force.
+	// of its last report, for other nodes to rely on it. Their sum plus the time that a node's own
+	// read of the store takes stays below the time within which a change must be in force.
 	maxRelayReadAge   = 2 * time.Second
 	maxRelayReportAge = 1300 * time.Millisecond
 	// stopReportAge is how long a relay reports that a node is stopping.
--- a/io/jwgateway/upstream.go
+++ b/io/jwgateway/upstream.go
@@ -63,7 +63,7 @@
 		return c, true
 	}
 	w.upstreamFailedAt = time.Now()
-	w.g.Log.Info("relay reads the store itself", "peer", m.Name, "lost", c.Lost, "ageMs", c.Age)
+	w.g.Log.Info("reading the store instead of another relay's changes", "peer", m.Name, "lost", c.Lost, "ageMs", c.Age)
 	return nil, false
 }
 
@@ -88,6 +88,6 @@
 		c = g.changesAfter(time.Now(), after)
 	}
 	if err := json.NewEncoder(w).Encode(c); err != nil {
-		g.Log.V(1).Info("changes not sent", "error", err.Error())
+		g.Log.V(1).Info("failed to send changes of the store", "error", err.Error())
 	}
 }
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -46,7 +46,7 @@
 		_, err = w.Write(body)
 	}
 	if err != nil {
-		g.Log.V(1).Info("view not sent", "error", err.Error())
+		g.Log.V(1).Info("failed to send the view", "error", err.Error())
 	}
 }
 
@@ -148,7 +148,7 @@
 	}
 	v, err := g.fetchView(context.Background(), a, g.entries.Version(), revision)
 	if err != nil {
-		g.Log.V(1).Info("view not pulled", "peer", a.String(), "error", err.Error())
+		g.Log.V(1).Info("failed to fetch a view", "peer", a.String(), "error", err.Error())
 		return
 	}
 	if now := time.Now(); g.peerIsAhead(now, v.Revision) {
@@ -174,9 +174,9 @@
 	}
 	zr, err := gzip.NewReader(bytes.NewReader(raw))
 	if err != nil {
-		return v, errors.Wrap(err, "view")
+		return v, errors.Wrap(err, "decompress view")
 	}
-	return v, errors.Wrap(json.NewDecoder(zr).Decode(&v), "view")
+	return v, errors.Wrap(json.NewDecoder(zr).Decode(&v), "decode view")
 }
 
 // applyView applies the targets, evacuations and nodes of a view. What this node has read from the
@@ -200,5 +200,5 @@
 		g.members.SetFleet(now, v.Fleet, !g.storeRead.Load())
 	}
 	g.pulledRevision.Store(v.Revision)
-	g.Log.Info("view taken from another node", "peer", from.String(), "revision", v.Revision, "targets", len(v.Targets))
+	g.Log.Info("applied a view of another node", "peer", from.String(), "revision", v.Revision, "targets", len(v.Targets))
 }
