--- a/io/jwgateway/body_test.go
+++ b/io/jwgateway/body_test.go
@@ -15,8 +15,8 @@
 	"jujubewheel/core/jwstore"
 )
 
-// startReadingTarget starts a target that reads bodies by itself and tells each begin
-// and end of one.
+// startReadingTarget starts a target that reads request bodies itself and reports on its channels
+// the beginning and the end of each.
 func startReadingTarget(t *testing.T, feed *jwstore.MemoryFeed, id, dataCentre string, status int) (started chan string, ended chan error) {
 	t.Helper()
 	started, ended = make(chan string, 8), make(chan error, 8)
@@ -39,8 +39,7 @@
 	return started, ended
 }
 
-// post begins a request whose body of so many bytes, -1 for chunks, is
-// written by the test.
+// post begins a request whose body the test writes itself; a length of -1 means chunked encoding.
 func post(t *testing.T, n node, id string, length int) (net.Conn, *bufio.Reader) {
 	t.Helper()
 	c, err := net.Dial("tcp", n.callers.String())
@@ -62,18 +61,18 @@
 }
 
 const (
-	largePart = 80 << 10 // more than a node holds of a body
+	largePart = 80 << 10 // more than a node buffers of a body
 	maxBody   = 1 << 20
 )
 
-// A caller sends a large body slowly. Held whole, some of them would take a
-// node's memory, and the target would begin late.
+// A large body is streamed to the target while the caller still sends it. If nodes buffered whole
+// bodies, a few large ones would exhaust a node's memory, and targets would start late.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
 	part := strings.Repeat("a", largePart)
 	cases := map[string]struct {
 		length int
-		homes  string // of the entry
+		homes  string // home regions of the entry, as JSON
 		write  [2]string
 		begun  string
 		body   string
@@ -100,7 +99,7 @@
 			cn, r := post(t, n, "one", c.length)
 			_, err := io.WriteString(cn, c.write[0])
 			assert.NilError(t, err)
-			assert.Equal(t, <-started, c.begun) // with half of the body still to come
+			assert.Equal(t, <-started, c.begun) // the target started with half of the body still to come
 			_, err = io.WriteString(cn, c.write[1])
 			assert.NilError(t, err)
 			assert.NilError(t, <-ended)
@@ -115,8 +114,8 @@
 	}
 }
 
-// The caller breaks off within a large body. A target that took what came for
-// all of it would run a request that nobody sent.
+// The caller disconnects within a large body. The target must see an incomplete body: otherwise it
+// would run a request that nobody sent.
 func TestLargeBodyBrokenOff(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -138,8 +137,8 @@
 	}
 }
 
-// A body in chunks is longer than callers may send, which shows only once a
-// part of it was passed on.
+// A chunked body exceeds the limit of the configuration, which the node detects only after it has
+// sent a part to the target. The caller must get status 413.
 func TestLargeBodyTooLarge(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -161,8 +160,8 @@
 	assert.Assert(t, <-ended != nil)
 }
 
-// A target fails after a large body was passed on. There is nothing left to
-// send to another one.
+// A target fails after a large body was streamed to it. The request must not be sent to another
+// target, because the body is not buffered.
 func TestLargeBodyIsSentOnce(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -23,8 +23,8 @@
 
 func key(k string) http.Header { return http.Header{"Authorization": {"Token " + k}} }
 
-// A caller is who its key says: no name that it gives itself counts, and no target
-// sees the key.
+// A caller is identified by its key alone: a workspace name in its headers is ignored, and the key
+// is not passed to the target.
 func TestKeys(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -37,7 +37,7 @@
 		path      string
 		header    http.Header
 		status    int
-		workspace string // that the target gets
+		workspace string // workspace passed to the target
 		priority  string
 	}{
 		"first key":               {"/a/x", key("k1"), 200, "w1", "3"},
@@ -77,7 +77,8 @@
 	}
 }
 
-// Where callers need no keys, what they send in that header is theirs.
+// Without workspaces in the configuration, the Authorization header belongs to the callers and is
+// passed to the target.
 func TestWithoutKeys(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -92,7 +93,7 @@
 	assert.Equal(t, all[len(all)-1].header.Get("Jujubewheel-Tenant"), "")
 }
 
-// status returns what a caller with a key is answered, 0 for nothing.
+// statusOf returns the status of the answer to a caller with a key, 0 if there is none.
 func statusOf(t *testing.T, n node, k string) int {
 	t.Helper()
 	r, err := send(t, n, http.MethodGet, "/a/x", "one", key(k), "")
@@ -102,7 +103,7 @@
 	return r.status
 }
 
-// waitForStatus waits until callers with a key get a status.
+// waitForStatus waits until a caller with a key gets a status.
 func waitForStatus(t *testing.T, n node, k string, status int) {
 	t.Helper()
 	for range 1000 {
@@ -114,8 +115,8 @@
 	t.Fatalf("key %s: still %d, want %d", k, statusOf(t, n, k), status)
 }
 
-// A key that is taken away stops working, and one that comes back works, also on a node
-// that has lost the store but reaches another one.
+// A removed key is rejected and a restored one is accepted, also at a node that can't reach the
+// store but reaches another node.
 func TestKeyRemoved(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -141,8 +142,8 @@
 	}
 }
 
-// A node that doesn't learn of the store's changes doesn't call a key wrong that may have
-// been added meanwhile.
+// A node that is cut off from the store must not answer an unknown key with 401, because the key
+// may have been added in the meantime.
 func TestUnknownKeyWhileCutOff(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -161,7 +162,8 @@
 	waitForStatus(t, n, "k3", http.StatusUnauthorized)
 }
 
-// The homes of a workspace bind beside those of the entry, and its name travels along.
+// The homes of a workspace restrict a request in addition to those of the entry, and the
+// workspace's name is forwarded to the other region.
 func TestWorkspaceHomes(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -186,7 +188,7 @@
 	assert.Equal(t, len(here.requests()), before)
 }
 
-// A workspace that sends more than its quota is rejected at once; another one isn't.
+// A workspace that exceeds its quota is rejected at once; other workspaces are not affected.
 func TestOverQuota(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -220,8 +222,8 @@
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-// A request larger than what its node may hold of the quota gets the units of the other
-// node, whose own callers don't need them.
+// A request that needs more units than its node's part of the quota gets units from the other node,
+// which doesn't need them.
 func TestQuotaUnitsFromAnotherNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/era_test.go
+++ b/io/jwgateway/era_test.go
@@ -12,8 +12,8 @@
 	"jujubewheel/io/jwgateway"
 )
 
-// The store comes back from an older copy and gives out revisions again: a node that goes
-// by their numbers drops what is new, and stays unregistered.
+// The store is restored from an older copy and assigns the same revisions again. A node that
+// compares revision numbers alone would drop newer changes and stay unregistered.
 func TestStoreRestoredFromOlderCopy(t *testing.T) {
 	for name, relays := range map[string]bool{"each node reads": false, "through a relay": true} {
 		t.Run(name, func(t *testing.T) {
@@ -40,7 +40,7 @@
 				waitForDirectory(t, n, "north", nodes...)
 			}
 			feed.Return(old)
-			for _, n := range nodes { // the copy's configuration is no newer
+			for _, n := range nodes { // the copy's configuration is older and must not be applied
 				r, err := send(t, n, http.MethodGet, "/b/x", "one", nil, "")
 				assert.NilError(t, err)
 				assert.Equal(t, r.status, http.StatusOK)
@@ -60,15 +60,15 @@
 	}
 }
 
-// The copy is older than an evacuation and than the notice of a target that leaves; both are
-// written again a moment later, and until then callers must not be sent there.
+// The store is restored from a copy older than an evacuation and than a target's announcement that
+// it is leaving. Both are written again soon, and until then requests must not be sent there.
 func TestRestoredStoreKeepsEvacuations(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	evacuated := startTarget(t, &feed, "t1", "s", "north-b", respondText("t1"))
 	draining := startTarget(t, &feed, "t2", "s", "north-a", respondText("t2"))
 	startTarget(t, &feed, "t3", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
-		time.Sleep(30 * time.Millisecond) // the others would be preferred
+		time.Sleep(30 * time.Millisecond) // makes the node prefer the other targets
 		respondText("t3")(w, r)
 	})
 	configure(&feed, 1, route("/a/", "idempotent", ""))
@@ -90,7 +90,7 @@
 	}
 	assert.Equal(t, len(evacuated.requests())+len(draining.requests()), before)
 
-	// What is written again, and ended then, counts.
+	// An evacuation that is written again and then ended is over.
 	feed.Write("op/evacuate/north-b", nil)
 	feed.Remove("op/evacuate/north-b")
 	register(&feed, "t3", "s", "127.0.0.1:1", "north-a", "draining")
--- a/io/jwgateway/follow_test.go
+++ b/io/jwgateway/follow_test.go
@@ -14,7 +14,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// countingRecords decodes configurations that hold nothing but their version.
+// countingRecords decodes configurations that consist of their version only, and counts them.
 type countingRecords struct{ decoded int }
 
 func (*countingRecords) IsConfig(key string) bool         { return key == "op/config" }
@@ -32,8 +32,8 @@
 	return jwinstance.Instance{}, nil
 }
 
-// Operators change the configuration many times within a second, each time
-// with hundreds of entries. A node that decodes all of them holds up requests.
+// Operators change the configuration many times within a second, each time with hundreds of
+// entries. A node that decodes every one of them would delay requests.
 func TestOnlyLastConfigurationIsDecoded(t *testing.T) {
 	var feed jwstore.MemoryFeed
 	r := &countingRecords{}
@@ -51,8 +51,8 @@
 	assert.Equal(t, r.decoded, 2)
 }
 
-// A fleet of eighty nodes asks the store as often as one of forty: the calls of a
-// day are priced, and were the dearest thing of it.
+// A fleet of eighty nodes calls the store as often as one of forty, because the store charges for
+// each call and these calls were the highest cost of a day.
 func TestWatchPauseGrowsWithFleet(t *testing.T) {
 	cases := map[string]struct {
 		nodes int
@@ -70,8 +70,8 @@
 	}
 }
 
-// The store turns a third of a large fleet away for ten seconds. Each call counts, and
-// the more nodes there are the more seldom each asks, up to a second.
+// The store rejects a third of a large fleet for ten seconds. Each call is charged, so the wait
+// between retries grows with the fleet, up to one second.
 func TestRetryWaitGrowsWithFleet(t *testing.T) {
 	cases := map[string]struct {
 		nodes int
--- a/io/jwgateway/leaving_test.go
+++ b/io/jwgateway/leaving_test.go
@@ -13,12 +13,13 @@
 	"jujubewheel/core/jwstore"
 )
 
-// A target says in an answer that it leaves while the store is away, so that no
-// registration says so, and goes on to get requests, of the node that had the answer too.
+// A target announces in an answer that it is leaving while the store is unavailable, so that no
+// registration says so. Without the announcement all nodes would continue to send it requests,
+// including the one that got the answer.
 func TestTargetAnnouncesLeaving(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	// Of two equal targets the first by name is chosen.
+	// Of two equal targets the node chooses the first by name.
 	leaving := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
 		if strings.HasSuffix(r.URL.Path, "/last") {
 			w.Header().Set("Server-Leaving", "1")
@@ -46,7 +47,7 @@
 	assert.Equal(t, len(leaving.requests()), before)
 	sendUntil(t, n2, "/a/x", func(r reply) bool { return r.body == "t2" })
 
-	// The store comes back and has the registration of before, written anew.
+	// The store is available again and holds the old registration, written again.
 	register(&feed, "t1", "s", leaving.addr, "north-a", "ready")
 	feed.Down(nil)
 	configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
--- a/io/jwgateway/limit_test.go
+++ b/io/jwgateway/limit_test.go
@@ -12,7 +12,8 @@
 	"jujubewheel/core/jwstore"
 )
 
-// A target names in its answers how much it takes, and goes on to get all requests.
+// A target announces a limit in its answers. The node must not send it more, and must use it
+// without restriction once the limit is lifted.
 func TestTargetLimit(t *testing.T) {
 	t.Parallel()
 	const limit, most = 1.0, 60
--- a/io/jwgateway/meters_test.go
+++ b/io/jwgateway/meters_test.go
@@ -9,7 +9,7 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// Thirty-eight thousand workspaces must not make as many series.
+// A fleet may have 38,000 workspaces, which must not create as many metric series.
 func TestWorkspaceSeriesAreBounded(t *testing.T) {
 	m := newMetrics(&jwmeter.Meter{})
 	for i := range 1000 {
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -17,10 +17,9 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// The load: in a region at its peak each node passes on a third of its prompts.
-// Another region tells its wait once a second. Going by that alone, all prompts
-// of a second went to the region that was free at its beginning, and every third
-// of them was late.
+// In a region at its peak each node forwards a third of its prompts, and other regions report their
+// waits once a second only. When nodes chose by these reports alone, all prompts of a second went
+// to the region that was free at its start, and every third of them was late.
 func TestPromptsSentSinceLastRegionReport(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
@@ -44,7 +43,8 @@
 	assert.Equal(t, table.unreportedTokens("q", "s"), 0)
 }
 
-// The same load as the nodes choose: two regions are as near and as free.
+// The same load with the nodes' choice of a region: two regions that are equally near and free must
+// get equal shares.
 func TestPromptsSpreadOverRegions(t *testing.T) {
 	now := time.Unix(1000, 0)
 	g := &Gateway{Settings: &jwsettings.Settings{Region: "r"}, Nodes: &jwconn.Pool{}}
@@ -66,8 +66,8 @@
 	assert.DeepEqual(t, sent, map[string]int{"q": 10, "p": 10})
 }
 
-// The load: a few bound requests a second to each node of the home region. Each
-// went to another node, over a new connection, and took twice as long.
+// Each node of the home region gets a few bound requests per second. When each of them was
+// forwarded to another node over a new connection, it took twice as long.
 func TestForwardPrefersOpenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/jwgateway/retryafter_test.go
+++ b/io/jwgateway/retryafter_test.go
@@ -11,8 +11,8 @@
 	"jujubewheel/core/jwstore"
 )
 
-// A target turns a request away and says for how long it wants nothing, and goes on to be
-// asked by the same node.
+// A target rejects a request with a Retry-After header. The node must not send it another request
+// before that time has passed.
 func TestTargetRetryAfter(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/return_test.go
+++ b/io/jwgateway/return_test.go
@@ -17,7 +17,7 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// jsonRecords decodes targets that are written as they are.
+// jsonRecords decodes targets from plain JSON.
 type jsonRecords struct{ countingRecords }
 
 func (*jsonRecords) TargetID(key string) (string, bool) { return strings.CutPrefix(key, "targets/") }
@@ -26,7 +26,8 @@
 	return in, json.Unmarshal(value, &in)
 }
 
-// What a return of the store from an older copy costs a node that reads everything itself.
+// BenchmarkStoreRestore measures the full read that a node makes after the store was restored from
+// an older copy.
 func BenchmarkStoreRestore(b *testing.B) {
 	for _, size := range []struct{ nodes, targets int }{{300, 3000}, {970, 3200}} {
 		b.Run(fmt.Sprintf("%d nodes", size.nodes), func(b *testing.B) {
@@ -53,7 +54,7 @@
 			w := newStoreWatcher(g)
 			_, err := w.readOnce(context.Background())
 			assert.NilError(b, err)
-			calls := (size.nodes+size.targets)/feed.PageSize + 2 // and the watch that is refused
+			calls := (size.nodes+size.targets)/feed.PageSize + 2 // one partial page and the watch that fails
 			b.ReportAllocs()
 			for b.Loop() {
 				feed.Return(feed.Copy())
--- a/io/jwgateway/suspect_test.go
+++ b/io/jwgateway/suspect_test.go
@@ -14,8 +14,8 @@
 	"jujubewheel/core/jwstore"
 )
 
-// A request crashes each target that begins to run it, and its caller sends it
-// again and again to all nodes. Without a bound it would take the service down.
+// A request crashes each target that starts to run it, and its caller sends it repeatedly to all
+// nodes. Without quarantine it would take down the whole service.
 func TestRequestThatCrashesTargets(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -49,7 +49,7 @@
 		assert.NilError(t, err)
 		assert.Assert(t, r.status == http.StatusBadGateway || r.status == http.StatusServiceUnavailable, r.status)
 		if i == 0 {
-			// The other node hears of it with the next exchange.
+			// The other node learns of the crash with the next exchange.
 			sendUntil(t, nodes[1], "/a/x", served)
 			for refused := false; !refused; {
 				r, err := send(t, nodes[1], http.MethodPost, "/a/x", "again", nil, "the poison")
@@ -58,7 +58,7 @@
 			}
 		}
 	}
-	// The exchange may have been on its way as the second node sent it once.
+	// The exchange may have been in flight when the second node sent the request once.
 	assert.Assert(t, crashes.Load() <= 4, "%d targets crashed", crashes.Load())
 	for i := range 20 {
 		r, err := send(t, nodes[i%2], http.MethodPost, "/a/x", fmt.Sprint("good", i), nil, fmt.Sprint("innocent", i))
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -33,7 +33,7 @@
 // node is a running gateway.
 type node struct {
 	callers, directory, nodes netip.AddrPort
-	stop                      func() // as SIGTERM, and waits for the end
+	stop                      func() // stops the gateway as on SIGTERM and waits until it has ended
 }
 
 func start(t *testing.T, feed jwstore.Feed, name, region string, seeds ...netip.AddrPort) node {
@@ -41,7 +41,7 @@
 	return startWith(t, feed, name, region, nil, seeds...)
 }
 
-// startWith starts a gateway whose fields change sets, if it is not nil.
+// startWith starts a gateway after change, if it is not nil, has set fields of it.
 func startWith(t *testing.T, feed jwstore.Feed, name, region string, change func(*jwgateway.Gateway), seeds ...netip.AddrPort) node {
 	t.Helper()
 	free := netip.MustParseAddrPort("127.0.0.1:0")
@@ -86,14 +86,14 @@
 	return n
 }
 
-// receivedRequest is what a target got.
+// receivedRequest is a request as a target received it.
 type receivedRequest struct {
 	header http.Header
 	path   string
 	body   string
 }
 
-// target is a stand-in of a target that answers by a function.
+// target is a fake target that answers with a function.
 type target struct {
 	id       string
 	addr     string
@@ -107,8 +107,8 @@
 	return append([]receivedRequest(nil), x.received...)
 }
 
-// startTarget starts a target and registers it. Its answers carry the
-// request's identifier and a signature unless serve sets them otherwise.
+// startTarget starts a target and registers it. Its answers carry the request's identifier and a
+// signature unless serve sets them otherwise.
 func startTarget(t *testing.T, feed *jwstore.MemoryFeed, id, service, dataCentre string, serve http.HandlerFunc) *target {
 	t.Helper()
 	x := &target{id: id}
@@ -154,7 +154,7 @@
 	status int
 	header http.Header
 	body   string
-	err    error // of the body
+	err    error // error while reading the body
 }
 
 func send(t *testing.T, n node, method, path, id string, header http.Header, body string) (reply, error) {
@@ -178,7 +178,8 @@
 	return reply{res.StatusCode, res.Header, string(text), err}, nil
 }
 
-// sendUntil tries a request until ok says that the nodes have caught up.
+// sendUntil repeats a request until ok accepts the answer, which shows that the node has read
+// recent changes.
 func sendUntil(t *testing.T, n node, path string, ok func(reply) bool) reply {
 	t.Helper()
 	for i := range 1000 {
@@ -198,8 +199,8 @@
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, s) }
 }
 
-// The store is away when the first node starts. Reply 404, callers would take
-// their entry for gone.
+// The store is unavailable when the first node starts. With a 404 callers would conclude that their
+// entry was removed.
 func TestWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -254,8 +255,8 @@
 	}
 }
 
-// What a caller is told when its target fails, by what may be repeated. The
-// first target fails in some way, the second one serves.
+// The answer of a caller whose target fails, by whether the request may be sent again. The first
+// target fails in some way, the second one serves.
 func TestTargetFailures(t *testing.T) {
 	t.Parallel()
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
@@ -277,9 +278,9 @@
 	}
 	cases := map[string]struct {
 		kind  string
-		first http.HandlerFunc // nil for a target that takes no connection
+		first http.HandlerFunc // nil for a target that accepts no connections
 		want  int
-		runs  int // requests that reached the second target
+		runs  int // number of requests that reached the second target
 	}{
 		"not connected, may run once":      {"non_idempotent", nil, 200, 1},
 		"not connected, may be repeated":   {"idempotent", nil, 200, 1},
@@ -291,7 +292,7 @@
 		"its own failure, may be repeated": {"idempotent", fail, 200, 1},
 		"no signature, may run once":       {"non_idempotent", unsealed, 502, 0},
 		"no signature, may be repeated":    {"idempotent", unsealed, 200, 1},
-		// Its own answer may still come behind the other one, until the time is over.
+		// The right answer might still follow on the connection until the deadline.
 		"another's answer, may run once":    {"non_idempotent", foreign, 504, 0},
 		"another's answer, may be repeated": {"idempotent", foreign, 200, 1},
 		"broken off, may run once":          {"non_idempotent", short, 502, 0},
@@ -302,7 +303,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var feed jwstore.MemoryFeed
-			// Of two equal targets the first by name is chosen.
+			// Of two equal targets the node chooses the first by name.
 			if c.first != nil {
 				startTarget(t, &feed, "t1", "s", "north-a", c.first)
 			} else {
@@ -323,7 +324,8 @@
 	}
 }
 
-// events writes a stream from one event on and breaks off before another.
+// events writes a stream of events from one number up to, but not including, another, and breaks
+// off within the next event unless whole is set.
 func events(from, until int, whole bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -347,13 +349,13 @@
 		first  http.HandlerFunc
 		second http.HandlerFunc
 		body   string
-		cut    bool   // the caller sees that the stream is not whole
-		after  string // Last-Event-Id that the second target got
+		cut    bool   // whether the caller sees that the stream is incomplete
+		after  string // Last-Event-Id header that the second target received
 	}{
 		"whole":                {"", events(1, 4, true), nil, threeEvents, false, ""},
 		"broken, may run once": {"", events(1, 3, false), events(3, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, ""},
 		"broken, goes on":      {`,"Resumable":true`, events(1, 3, false), events(3, 4, true), threeEvents, false, "2"},
-		// Joined there, a caller would read one event twice.
+		// Resumed there, the stream would contain one event twice.
 		"resumed at another event": {`,"Resumable":true`, events(1, 3, false), events(2, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, "2"},
 		"broken twice":             {`,"Resumable":true`, events(1, 3, false), events(3, 4, false), threeEvents, true, "2"},
 	}
@@ -382,8 +384,8 @@
 	}
 }
 
-// Targets take connections from their own region only, so what is served in
-// another one goes by a node there.
+// Targets accept connections from their own region only, so a request to another region is
+// forwarded to a node there.
 func TestOtherRegion(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -433,7 +435,7 @@
 	return doc.Addrs
 }
 
-// eventually waits until something holds.
+// eventually waits until ok returns true.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -445,7 +447,8 @@
 	t.Fatal("it does not come about")
 }
 
-// waitForDirectory waits until a node names just these to callers of a region.
+// waitForDirectory waits until a node's directory names exactly the given nodes to callers of a
+// region.
 func waitForDirectory(t *testing.T, at node, region string, all ...node) {
 	t.Helper()
 	want := map[string]bool{}
@@ -467,20 +470,20 @@
 	configure(&feed, 1, route("/a/", "idempotent", ""), route("/bound/", "idempotent", `,"HomeRegions":["south"]`))
 	north := start(t, &feed, "n1", "north")
 	south := start(t, &feed, "n2", "south")
-	// Each has to know the other: a node that stops within its first second,
-	// before it read who else there is, is named until the store has its end.
+	// Each node must know the other: a node that stops within its first second, before it has read
+	// which other nodes exist, is named until its registration is removed.
 	waitForDirectory(t, north, "south", south)
 	waitForDirectory(t, south, "north", north)
 	assert.DeepEqual(t, directory(t, north, "north"), []string{north.callers.String()})
-	// No node of the east lives. Sent north, its callers' bound data would be
-	// in a region where it must not be.
+	// No node runs in the east. Sent to the north, the callers' bound data would be in a region
+	// where it must not be.
 	assert.DeepEqual(t, directory(t, north, "east"), []string{south.callers.String()})
 	south.stop()
-	assert.DeepEqual(t, directory(t, north, "south"), []string{north.callers.String()}) // nobody is left there
+	assert.DeepEqual(t, directory(t, north, "south"), []string{north.callers.String()}) // no node is left in the south
 	assert.Assert(t, !feed.Has("jujubewheel/nodes/n2"))
 }
 
-// The store is away while a node starts; another one still knows all.
+// The store is unavailable while a node starts. The node must start with the view of another one.
 func TestStartFromPeerWithoutStore(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -493,9 +496,9 @@
 	sendUntil(t, second, "/a/x", served)
 }
 
-// All nodes of a region come back at once, in another region than the store, and their
-// callers are there before the first configuration. Each may come back once; told to,
-// it would be late, and refused if it had come back before.
+// All nodes of a region restart at once, in another region than the store, and callers send
+// requests before the first configuration is there. Callers retry only once: a rejected request
+// would be late, and would fail if it were a retry already.
 func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -507,7 +510,7 @@
 	assert.Equal(t, r.status, http.StatusOK, "%s", r.body)
 }
 
-// slowRange is a store that is slow to be read.
+// slowRange is a store that answers reads of all keys slowly.
 type slowRange struct {
 	jwstore.Feed
 }
@@ -517,8 +520,8 @@
 	return l.Feed.Range(ctx, prefix, after)
 }
 
-// A stream that runs when the node is told to stop goes on to its end, and the
-// node says so to nobody new.
+// A stream in flight when the node is told to stop continues to its end, and the node no longer
+// names itself to callers.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -557,7 +560,8 @@
 	<-ended
 }
 
-// A caller leaves; its target must not work on for nobody.
+// A caller disconnects. Its request must be canceled at the target, which would otherwise work for
+// nobody.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -581,8 +585,8 @@
 	<-ended
 }
 
-// A target falls silent with a request that may be repeated. The caller must
-// not wait until its own time is over.
+// A target does not answer a request that may be sent again. Another target must be tried before
+// the caller's deadline.
 func TestSilentTargetIsReplaced(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -596,8 +600,8 @@
 	assert.Equal(t, r.body, "fine")
 }
 
-// The store forgets its history while a target leaves: its removal is never
-// told, only missing.
+// The store drops its history while a target leaves. The node gets no event of the removal and must
+// detect it by the missing registration.
 func TestCompactedHistory(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -616,9 +620,8 @@
 	}
 }
 
-// A host is suspended while an entry is taken out. Its steady clock stood
-// still, so that all it knew looks fresh when it wakes, and callers would be
-// served by an entry that is gone.
+// A host is suspended while an entry is removed. Its monotonic clock stood still, so that all state
+// looks recent when it resumes, and callers would be served by an entry that no longer exists.
 func TestPausedNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -629,7 +632,7 @@
 	n := startWith(t, &feed, "n1", "north", func(g *jwgateway.Gateway) {
 		g.Boot = func() time.Duration {
 			if paused.Load() {
-				boot.Add(int64(time.Hour)) // with each look at the clock a new pause
+				boot.Add(int64(time.Hour)) // each reading of the clock shows another pause
 			}
 			return time.Duration(boot.Load())
 		}
@@ -644,7 +647,7 @@
 		assert.Assert(t, r.header.Get("Retry-After") != "")
 	}
 	paused.Store(false)
-	sendUntil(t, n, "/a/x", served) // a region cut off from the store goes on
+	sendUntil(t, n, "/a/x", served) // a region cut off from the store continues to serve
 	paused.Store(true)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
@@ -654,8 +657,8 @@
 	assert.Equal(t, r.status, http.StatusNotFound)
 }
 
-// A data centre was evacuated as the store went down, so that no node knows,
-// and its targets have gone cold. Sent what a warm one bears, they would crash.
+// A data centre was evacuated while the store went down, so that no node knows of it, and its
+// targets have gone cold. Under the load of a warm target they would crash.
 func TestColdTargetWhileStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -668,7 +671,7 @@
 	configureService(&feed, 1, `{"Name":"s","HealthPath":"/healthz","WarmupS":60,"WarmupPerS":1}`, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
 	sendUntil(t, n, "/a/x", served)
-	for i := range 20 { // it is taken for warm while the store answers
+	for i := range 20 { // the target counts as warm while the store answers
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("warm", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
@@ -677,9 +680,9 @@
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 }
 
-// A node that starts takes long over what the store told. While it does, the store
-// isn't away, and no target is to be asked whether it is cold: one that says so
-// by mistake would be refused requests for as long.
+// A node that starts takes long to apply what it read from the store. In the meantime the store
+// must not count as unavailable and no target may be probed: a target that mistakenly reports
+// itself cold would get few requests for that time.
 func TestNoProbesWhileStoreAnswers(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -707,7 +710,7 @@
 	}
 }
 
-// slowGrant is a store that is slow to grant leases.
+// slowGrant is a store that grants leases slowly.
 type slowGrant struct {
 	jwstore.Feed
 }
@@ -717,8 +720,7 @@
 	return l.Feed.Grant(ctx, ttl)
 }
 
-// slowRecords takes longer over the registration of one target than a node
-// waits between two questions to targets.
+// slowRecords decodes the registration of one target more slowly than the time between two probes.
 type slowRecords struct {
 	jwgateway.Records
 	slowID string
@@ -733,8 +735,8 @@
 	return s.Records.Target(id, value)
 }
 
-// One node can't reach the store, another can. The first must learn of a target
-// that leaves, although the configuration has not changed.
+// One node can't reach the store, another one can. The first must learn of a target that is
+// leaving, although the configuration has not changed.
 func TestNodeWithoutStoreLearnsFromPeer(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -756,7 +758,7 @@
 	}
 }
 
-// disconnectableFeed is a store that a node can't reach while off is set.
+// disconnectableFeed is a store that a node can't reach while disconnected is set.
 type disconnectableFeed struct {
 	jwstore.Feed
 	disconnected atomic.Bool
@@ -775,7 +777,7 @@
 	}
 	events, revision, err := c.Feed.Watch(ctx, prefix, after, most)
 	if c.disconnected.Load() {
-		return nil, 0, jwstore.ErrUnavailable // cut while it waited
+		return nil, 0, jwstore.ErrUnavailable // disconnected during the watch
 	}
 	return events, revision, err
 }
@@ -787,10 +789,10 @@
 	return c.Feed.Renew(ctx, lease)
 }
 
-// Something between a node and a target has lost track of their connections:
-// bytes on them go nowhere, and neither end is told. New ones work. Callers whose
-// request may be repeated wait for the goal of their entry, one second here, and
-// not until their own time is over.
+// A middlebox between a node and a target has lost its connection state: data on existing
+// connections is lost and neither end gets an error, but new connections work. Callers whose
+// request may be sent again must wait for the goal of their entry, one second here, and not until
+// their deadline.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -807,18 +809,19 @@
 	assert.Equal(t, r.status, http.StatusOK)
 	assert.Equal(t, r.body, "fine")
 	t.Logf("answered after %v", time.Since(started))
-	for i := range 10 { // the other connections of before are not used
+	for i := range 10 { // the other old connections must not be used
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("after", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 }
 
-// lossyProxy passes connections on until it forgets those that are open.
+// lossyProxy forwards connections until dropOpen makes it silently drop the data of those that are
+// open.
 type lossyProxy struct {
 	target      string
 	mu          sync.Mutex
-	droppedUpTo atomic.Int64 // connections up to this number
+	droppedUpTo atomic.Int64 // connections up to this number are dropped
 	accepted    int64
 }
 
@@ -861,7 +864,7 @@
 			n, err := from.Read(buf)
 			dropped := number <= f.droppedUpTo.Load()
 			if dropped && err != nil {
-				return // the other side is not told
+				return // the other side gets no error
 			}
 			if n > 0 && !dropped {
 				_, _ = to.Write(buf[:n])
--- a/io/jwgateway/through_test.go
+++ b/io/jwgateway/through_test.go
@@ -17,8 +17,8 @@
 	"jujubewheel/io/jwgateway"
 )
 
-// silentFeed is a store whose watches tell nothing while hang is set: the connection
-// has fallen silent.
+// silentFeed is a store whose watches return nothing while silent is set, as if the connection no
+// longer delivered anything.
 type silentFeed struct {
 	jwstore.Feed
 	silent atomic.Bool
@@ -43,12 +43,14 @@
 	return h.Feed.Range(ctx, prefix, after)
 }
 
-// withRelayThreshold sets from how many nodes of a region on they exchange state through relays.
+// withRelayThreshold sets the number of nodes in a region from which on they exchange state through
+// relays.
 func withRelayThreshold(nodes int) func(*jwgateway.Gateway) {
 	return func(g *jwgateway.Gateway) { g.RelayThreshold = nodes }
 }
 
-// startRelayed starts nodes of one data centre that exchange state through a relay, the first by name.
+// startRelayed starts nodes of one data centre that exchange state through a relay, which is the
+// first one.
 func startRelayed(t *testing.T, feeds ...jwstore.Feed) []node {
 	t.Helper()
 	nodes := make([]node, 0, len(feeds))
@@ -62,8 +64,8 @@
 	return nodes
 }
 
-// In a region of many nodes one of a data centre reads the store for the others. They
-// must learn of a target that leaves, and of one that comes, though they read nothing.
+// In a region of many nodes only one node of a data centre reads the store. The others must learn
+// through it of a target that is leaving and of a new one.
 func TestRelayReadsTheStore(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -80,9 +82,9 @@
 	}
 }
 
-// The relay dies, and another node takes its place: the third one still hears of what
-// changes in the store.
-func TestRelayFails(t *testing.T) {
+// The relay stops and another node takes over. The third node must still learn of changes in the
+// store.
+func TestRelayStops(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
@@ -98,8 +100,8 @@
 	}
 }
 
-// The relay lives, but its connection to the store has fallen silent, or it is cut off.
-// The others must not go on by what it knows: they read the store themselves.
+// The relay runs, but its connection to the store delivers nothing or it is cut off. The other
+// nodes must not rely on its view and have to read the store themselves.
 func TestRelayWithStaleStoreView(t *testing.T) {
 	t.Parallel()
 	cases := map[string]func(first *silentFeed, cut *disconnectableFeed){
@@ -125,8 +127,8 @@
 	}
 }
 
-// A configuration is in force at all nodes of a data centre, and stays so, though most
-// learn of it through a relay.
+// A configuration comes into force at all nodes of a data centre and stays in force, though most
+// nodes learn of it through a relay.
 func TestConfigurationThroughRelay(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -144,7 +146,7 @@
 	}
 }
 
-// rangeCountingFeed counts how often everything is read.
+// rangeCountingFeed counts the reads of all keys.
 type rangeCountingFeed struct {
 	jwstore.Feed
 	ranges atomic.Int64
@@ -155,8 +157,9 @@
 	return c.Feed.Range(ctx, prefix, after)
 }
 
-// startRelayedPair starts two nodes of one data centre that exchange state through a relay, the first;
-// pause suspends the second one, and reports later whether that has read everything anew.
+// startRelayedPair starts two nodes of one data centre that exchange state through a relay, which
+// is the first one. pause simulates that the second one was suspended; the function that it returns
+// reports whether that node has read all keys again since.
 func startRelayedPair(t *testing.T) (first, second node, pause func() (reread func() bool)) {
 	t.Helper()
 	var feed jwstore.MemoryFeed
@@ -180,8 +183,9 @@
 	}
 }
 
-// A node that learns of the store through its relay was suspended, and by its steady clock
-// the relay's report is young. Going on by that, it would serve by what it knew before.
+// A node that learns of changes through its relay is suspended. By its monotonic clock, which stood
+// still, the relay's report still looks recent. Relying on it, the node would serve by outdated
+// state.
 func TestPausedNodeDoesNotRelyOnItsRelay(t *testing.T) {
 	t.Parallel()
 	_, second, pause := startRelayedPair(t)
@@ -189,8 +193,8 @@
 	sendUntil(t, second, "/a/x", func(r reply) bool { return served(r) && reread() })
 }
 
-// A node that reports through a relay was paused and has seen nobody since, so that it takes
-// itself for the relay. If neither calls the other, it stays alone for good.
+// A node that reports through a relay was paused and has seen no other node since, so that it
+// considers itself the relay. If neither node called the other, it would stay alone for good.
 func TestPausedNodeRejoinsItsRelay(t *testing.T) {
 	t.Parallel()
 	first, second, pause := startRelayedPair(t)
@@ -200,8 +204,8 @@
 	})
 }
 
-// A node that is no relay is taken for one. It has exchanged state with its relay only, and the
-// others that it hasn't seen would be taken for unresponsive.
+// Another node mistakes a node for the relay. That node has exchanged state with its relay only, so
+// if it reported liveness, all nodes that it has not seen would be considered unresponsive.
 func TestOnlyRelayReportsUnresponsiveNodes(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/upstream_test.go
+++ b/io/jwgateway/upstream_test.go
@@ -14,7 +14,7 @@
 	"jujubewheel/io/jwgateway"
 )
 
-// callCountingFeed counts the pages that a node reads and the changes that it asks for.
+// callCountingFeed counts the pages that a node reads and its watches.
 type callCountingFeed struct {
 	jwstore.Feed
 	pages, watches atomic.Int64
@@ -30,8 +30,8 @@
 	return p.Feed.Watch(ctx, prefix, after, most)
 }
 
-// Three thousand targets are registered, and three hundred nodes start at once: read by
-// each, the registrations filled the store's link and nobody served for half a minute.
+// Three thousand targets are registered and three hundred nodes start at once. When each node read
+// all registrations from the store, they saturated its link, and no node served for half a minute.
 func TestStartInLargeRegion(t *testing.T) {
 	t.Parallel()
 	feed := jwstore.MemoryFeed{PageSize: 20}
@@ -59,7 +59,8 @@
 	sendUntil(t, second, "/a/x", func(r reply) bool { return r.body == "second" })
 }
 
-// The relay that the registrations name is gone. The node that starts reads all itself.
+// The registered relay does not answer. The node that starts must read all targets from the store
+// itself.
 func TestStartWithUnreachableRelay(t *testing.T) {
 	t.Parallel()
 	feed := jwstore.MemoryFeed{PageSize: 20}
@@ -73,8 +74,9 @@
 	sendUntil(t, n, "/a/x", served)
 }
 
-// In a fleet of many nodes two relays read the store, and those of other regions learn of
-// its changes from them; when these fall silent, the others read it themselves.
+// In a large fleet two relays read the store, and the relays of other regions learn of changes from
+// them. When their store connections stop delivering, the other relays must read the store
+// themselves.
 func TestRelayOfAnotherRegion(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/view_test.go
+++ b/io/jwgateway/view_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// All nodes of a data centre start at once and ask their relay for everything it knows;
-// encoding that for each, it answered the last ones after they had given up.
+// All nodes of a data centre start at once and request everything that their relay knows. When the
+// relay encoded the view for each of them, it answered the last ones after they had given up.
 func TestViewIsEncodedOnceForNewNodes(t *testing.T) {
 	var cache encodedViewCache
 	encoded := 0
@@ -30,7 +30,8 @@
 	assert.Equal(t, encoded, 3, "one that knows something gets what it lacks")
 }
 
-// A relay that has read nothing yet must not answer so for longer than it lasts.
+// An empty view must not be cached: a relay that has read nothing yet would still send it after its
+// first read.
 func TestEmptyViewIsNotCached(t *testing.T) {
 	var cache encodedViewCache
 	revision := uint64(0)
