--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -184,7 +184,7 @@
 	assert.Equal(t, got.Get("Authorization"), "")
 	r, err = send(t, n, http.MethodPost, "/b/x", "three", key("k2"), "body")
 	assert.NilError(t, err)
-	assert.Equal(t, r.status, http.StatusServiceUnavailable, "no region is a home of both")
+	assert.Equal(t, r.status, http.StatusServiceUnavailable, "entry and workspace have no home region in common")
 	assert.Equal(t, len(here.requests()), before)
 }
 
@@ -251,5 +251,5 @@
 		assert.Equal(t, r.status, http.StatusTooManyRequests, r.body)
 		time.Sleep(20 * time.Millisecond)
 	}
-	t.Fatal("the other node gave nothing")
+	t.Fatal("the other node transferred no quota units")
 }
--- a/io/jwgateway/follow_test.go
+++ b/io/jwgateway/follow_test.go
@@ -58,10 +58,10 @@
 		nodes int
 		want  time.Duration
 	}{
-		"alone":   {1, minWatchPause},
-		"small":   {40, minWatchPause},
-		"eighty":  {80, 2 * minWatchPause},
-		"hundred": {300, maxWatchPause},
+		"alone":  {1, minWatchPause},
+		"small":  {40, minWatchPause},
+		"eighty": {80, 2 * minWatchPause},
+		"many":   {300, maxWatchPause},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -36,9 +36,9 @@
 	assert.Equal(t, table.unreportedTokens("q", "s"), 3000)
 	assert.Equal(t, table.unreportedTokens("p", "s"), 0)
 	table.merge(at(1000), report("p"))
-	assert.Equal(t, table.unreportedTokens("q", "s"), 3000, "another region spoke")
+	assert.Equal(t, table.unreportedTokens("q", "s"), 3000, "another region reported")
 	table.merge(at(1000), report("q"))
-	assert.Equal(t, table.unreportedTokens("q", "s"), 2000, "sent while the word was on its way")
+	assert.Equal(t, table.unreportedTokens("q", "s"), 2000, "sent while the report was on its way")
 	table.merge(at(2000), report("q"))
 	assert.Equal(t, table.unreportedTokens("q", "s"), 0)
 }
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -189,7 +189,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the node did not catch up")
+	t.Fatal("the expected answer did not come in time")
 	return reply{}
 }
 
@@ -374,7 +374,7 @@
 			r, err := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 			assert.NilError(t, err)
 			assert.Equal(t, r.status, http.StatusOK)
-			assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "seal-t1", "that of the first target")
+			assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "seal-t1", "must be the signature of the first target")
 			assert.Equal(t, r.body, c.body)
 			assert.Equal(t, r.err != nil, c.cut)
 			if c.after != "" {
@@ -409,18 +409,18 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, r.body, "south")
-	assert.Equal(t, r.header.Get("Jujube-Outcome"), "", "not for callers")
+	assert.Equal(t, r.header.Get("Jujube-Outcome"), "", "must not be passed to callers")
 	got := there.requests()[0]
 	assert.Equal(t, got.body, "the body")
 	assert.Equal(t, got.header.Get("Jujubewheel-Expect-Instance"), "t2")
 	for name := range got.header {
 		assert.Assert(t, !strings.HasPrefix(name, "Jujube-"), name)
 	}
-	assert.Equal(t, len(here.requests()), before, "never here")
+	assert.Equal(t, len(here.requests()), before, "the request must not be served outside its home region")
 
 	r, err := send(t, north, http.MethodPost, "/far/x", "two", nil, "")
 	assert.NilError(t, err)
-	assert.Equal(t, r.status, http.StatusServiceUnavailable, "no home has a node")
+	assert.Equal(t, r.status, http.StatusServiceUnavailable, "no node runs in a home region")
 }
 
 func directory(t *testing.T, n node, region string) []string {
@@ -444,7 +444,7 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it does not come about")
+	t.Fatal("the condition did not become true in time")
 }
 
 // waitForDirectory waits until a node's directory names exactly the given nodes to callers of a
@@ -706,7 +706,7 @@
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	for _, r := range x.requests() {
-		assert.Assert(t, r.path != "/healthz", "the target was asked although the store answers")
+		assert.Assert(t, r.path != "/healthz", "the target was probed although the store answers")
 	}
 }
 
--- a/io/jwgateway/view_test.go
+++ b/io/jwgateway/view_test.go
@@ -24,10 +24,10 @@
 	assert.Equal(t, encoded, 1)
 	_, err := cache.encode(now.Add(maxEncodedViewAge), 0, 0, since)
 	assert.NilError(t, err)
-	assert.Equal(t, encoded, 2, "a view grows old")
+	assert.Equal(t, encoded, 2, "an old view must be encoded again")
 	_, err = cache.encode(now.Add(maxEncodedViewAge), 3, 0, since)
 	assert.NilError(t, err)
-	assert.Equal(t, encoded, 3, "one that knows something gets what it lacks")
+	assert.Equal(t, encoded, 3, "a node that has some state gets a view of its own")
 }
 
 // An empty view must not be cached: a relay that has read nothing yet would still send it after its
