--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -35,7 +35,7 @@
 	watchTimeout = 4 * time.Second
 	// watchRetry is the wait after a store read that failed.
 	watchRetry = 300 * time.Millisecond
-	// maxStoreRetry is the maximum of watchRetry in a large fleet.
+	// maxStoreRetry is the maximum wait after a failed call of the store in a large fleet.
 	maxStoreRetry = time.Second
 )
 
@@ -128,7 +128,7 @@
 }
 
 // retryWait returns the wait after a failed call of the store. The store at times rejects whole
-// parts of a fleet, and rejected calls are charged too.
+// parts of a fleet, and every call counts, rejected ones too.
 func (g *Gateway) retryWait(wait time.Duration) time.Duration {
 	return scaleWait(wait, g.members.Count(time.Now(), ""), maxStoreRetry)
 }
--- a/io/jwgateway/follow_test.go
+++ b/io/jwgateway/follow_test.go
@@ -70,7 +70,7 @@
 	}
 }
 
-// The store rejects a third of a large fleet for ten seconds. Each call is charged, so the wait
+// The store rejects a third of a large fleet for ten seconds. Each call counts, so the wait
 // between retries grows with the fleet, up to one second.
 func TestRetryWaitGrowsWithFleet(t *testing.T) {
 	cases := map[string]struct {
