--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -61,9 +61,9 @@
 	g.Decisions.Write(&d)
 }
 
-// logBegun logs the first event of a stream. Streams last for seconds, and if the node is killed,
+// logStreamStart logs the first event of a stream. Streams last for seconds, and if the node is killed,
 // this is the only record of them.
-func (g *Gateway) logBegun(q *request) {
+func (g *Gateway) logStreamStart(q *request) {
 	d := q.newDecision(stepBegun)
 	d.Peer, d.Outcome, d.Minor = q.sentTo, outcomeBegun, true
 	g.Decisions.Write(&d)
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -53,7 +53,7 @@
 		return v
 	}
 	v.All = g.members.Live(now, "")
-	v.Ready = g.storeRead.Load() || now.Sub(g.startTime) >= maxFirstRead
+	v.Ready = g.fullReadDone.Load() || now.Sub(g.startTime) >= maxFirstRead
 	v.Stand = func(regions []string) []string { return g.demand.Stand(c, host, regions) }
 	return v
 }
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -256,7 +256,7 @@
 	if change == jwinstance.Same {
 		return false
 	}
-	if !g.storeRead.Load() || !g.targets.Knows(id) {
+	if !g.fullReadDone.Load() || !g.targets.Knows(id) {
 		return true // otherwise each node would log thousands of lines at its start, about targets that it never uses
 	}
 	g.logTarget(in, change)
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -43,7 +43,7 @@
 	var others []jwplacement.Option
 	if !q.forwarded {
 		for _, region := range g.otherRegions(q) {
-			if !q.fullRegions[region] && g.anyUntried(q, g.members.Live(now, region)) {
+			if !q.rejectedRegions[region] && g.anyUntried(q, g.members.Live(now, region)) {
 				others = append(others, g.regionOption(now, region, n))
 			}
 		}
@@ -93,8 +93,8 @@
 
 // chooseNode returns the node of another region to forward a request to. It prefers nodes with an
 // open connection.
-func (g *Gateway) chooseNode(nodes []jwmember.Member, point float64) jwmember.Member {
-	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, point)
+func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
+	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
 }
 
 // anyUntried reports whether the request has not been sent to at least one of the nodes.
@@ -146,8 +146,8 @@
 		}
 		defer a.Close()
 		status = a.Status
-		return g.relayForwardAnswer(q, m, a, func(int) {
-			if p.record(start, time.Now()) == 0 {
+		return g.passForwardedAnswer(q, m, a, func(int) {
+			if p.recordEvents(start, time.Now()) == 0 {
 				g.metrics.recordFirstEvent(placeAway, time.Since(q.arrived))
 			}
 		})
@@ -156,18 +156,18 @@
 	return verdict
 }
 
-// relayForwardAnswer passes the answer of another node to the caller if it is a target's, and
+// passForwardedAnswer passes the answer of another node to the caller if it is a target's, and
 // returns the verdict on the send.
-func (g *Gateway) relayForwardAnswer(q *request, m jwmember.Member, a *jwconn.Answer, onEvents func(int)) Verdict {
+func (g *Gateway) passForwardedAnswer(q *request, m jwmember.Member, a *jwconn.Answer, onEvents func(int)) Verdict {
 	outcome := a.Header.Get(headerOutcome)
 	delete(a.Header, headerOutcome)
 	switch outcome {
 	case outcomeNotRun:
 		q.lastReason = "refused by " + m.Name
-		if q.fullRegions == nil {
-			q.fullRegions = make(map[string]bool)
+		if q.rejectedRegions == nil {
+			q.rejectedRegions = make(map[string]bool)
 		}
-		q.fullRegions[m.Region] = true
+		q.rejectedRegions[m.Region] = true
 		drain(a)
 		return notRun
 	case outcomeServed:
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -74,11 +74,11 @@
 	demand              jwentry.Demand
 	suspects            jwsuspect.Table
 	crashChecks         singleflight.Group // checks in flight of whether a target has crashed
-	storeRead           atomic.Bool        // all keys of the store were read once
+	fullReadDone        atomic.Bool        // all keys of the store were read once
 	stopping            atomic.Bool
 	graceOver           atomic.Bool // the grace period is over and requests in flight are aborted
 	startTime           time.Time
-	stopStart           atomic.Int64  // when the planned stop began, nanoseconds since startTime
+	stopStartedAt       atomic.Int64  // when the planned stop began, nanoseconds since startTime
 	fleetSizeMissing    atomic.Bool   // the store was restored without the size of the fleet
 	registrationChanged chan struct{} // requests that the registration is written again
 	inFlight            atomic.Int64
@@ -248,7 +248,7 @@
 // rejectsNewRequests reports whether the node has been stopping for so long that a new request
 // might not finish in the grace period.
 func (g *Gateway) rejectsNewRequests() bool {
-	return g.stopping.Load() && time.Since(g.startTime) > time.Duration(g.stopStart.Load())+g.linger()
+	return g.stopping.Load() && time.Since(g.startTime) > time.Duration(g.stopStartedAt.Load())+g.linger()
 }
 
 // ready reports whether the node accepts callers' requests.
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -110,7 +110,7 @@
 	w.applyItem(now, r.config)
 	w.revision, w.lastRevision = r.revision, r.revision
 	w.g.store.revision.Store(r.revision)
-	if w.g.storeRead.CompareAndSwap(false, true) {
+	if w.g.fullReadDone.CompareAndSwap(false, true) {
 		for _, in := range w.g.targets.Known(now) {
 			w.g.logTarget(in, jwinstance.Appeared)
 		}
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -84,7 +84,7 @@
 	_, err = io.Copy(io.Discard, a.Body)
 	assert.NilError(t, err)
 	a.Close()
-	for _, point := range []float64{0, 0.1, 0.9} {
-		assert.Equal(t, g.chooseNode(nodes, point).Name, "b")
+	for _, fraction := range []float64{0, 0.1, 0.9} {
+		assert.Equal(t, g.chooseNode(nodes, fraction).Name, "b")
 	}
 }
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -123,7 +123,7 @@
 		g.Log.Info("failed to decode the size of the fleet")
 		return
 	}
-	g.members.SetFleet(now, size.Nodes, !g.storeRead.Load())
+	g.members.SetFleet(now, size.Nodes, !g.fullReadDone.Load())
 }
 
 // waitForChange waits for d and returns early with true if the registration must be written again.
--- a/io/jwgateway/relay.go
+++ b/io/jwgateway/relay.go
@@ -92,7 +92,7 @@
 			onEvents(bytes.Count(events, []byte("\n\n")))
 			if first {
 				first = false
-				g.logBegun(q)
+				g.logStreamStart(q)
 				if wantID != "" && firstID(events) != wantID {
 					q.lastReason = "the stream was resumed at another event"
 					return failed
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -58,18 +58,18 @@
 	deadline  time.Time
 	forwarded bool // received from another node; must not be forwarded again
 
-	w             http.ResponseWriter
-	answerStarted bool // the status and headers were sent to the caller
-	tried         map[string]bool
-	attempts      int         // number of sends that a target may have run
-	sends         int         // number of sends that reached a target
-	budgetTaken   atomic.Bool // the next send has already been taken from the retry budget
-	lastEventID   string
-	fingerprint   jwsuspect.Fingerprint
-	sentTo        string          // the target or node that the request was sent to last
-	retryAfter    time.Duration   // Retry-After of the last rejection
-	fullRegions   map[string]bool // regions whose nodes rejected the request
-	lastReason    string          // why the last send or choice of a target failed
+	w               http.ResponseWriter
+	answerStarted   bool // the status and headers were sent to the caller
+	tried           map[string]bool
+	attempts        int         // number of sends that a target may have run
+	sends           int         // number of sends that reached a target
+	budgetTaken     atomic.Bool // the next send has already been taken from the retry budget
+	lastEventID     string
+	fingerprint     jwsuspect.Fingerprint
+	sentTo          string          // the target or node that the request was sent to last
+	retryAfter      time.Duration   // Retry-After of the last rejection
+	rejectedRegions map[string]bool // regions whose nodes rejected the request
+	lastReason      string          // why the last send or choice of a target failed
 }
 
 // targetNeed describes the request for the choice of a target.
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -41,7 +41,7 @@
 		}
 		return g.passAnswer(q, a, func(events int) {
 			now := time.Now()
-			pause := p.record(start, now)
+			pause := p.recordEvents(start, now)
 			if pause == 0 {
 				g.targets.Started(x, c, q.Prompt, p.first)
 			} else {
@@ -73,8 +73,8 @@
 	last  time.Time
 }
 
-// record records the arrival of events and returns the pause before them, 0 for the first ones.
-func (p *progress) record(start, now time.Time) time.Duration {
+// recordEvents records the arrival of events and returns the pause before them, 0 for the first ones.
+func (p *progress) recordEvents(start, now time.Time) time.Duration {
 	defer func() { p.last = now }()
 	if p.first == 0 {
 		p.first = max(now.Sub(start), 1)
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -108,7 +108,7 @@
 // send sends the request once, to a target of this region or to a node of another one.
 func (g *Gateway) send(ctx context.Context, q *request) Verdict {
 	now := time.Now()
-	if !g.mayRun(now, q) {
+	if !g.maySend(now, q) {
 		return q.reject(quarantined, quarantineRetryAfter)
 	}
 	p := g.chooseRegion(now, q)
@@ -118,7 +118,7 @@
 		p = g.chooseRegion(now, q)
 	}
 	if p.Reason == jwplacement.Nowhere {
-		return g.rejectNowhere(now, q)
+		return g.rejectWithoutTarget(now, q)
 	}
 	d := g.Admission.Decide(jwadmission.Request{
 		Goal: q.entry.Goal, Left: q.deadline.Sub(now), Expected: p.Expected, Own: p.Own,
@@ -134,13 +134,13 @@
 	g.excludeSuspectTargets(now, q, &need)
 	c, ok := g.targets.Best(now, need)
 	if !ok {
-		return g.rejectNowhere(now, q)
+		return g.rejectWithoutTarget(now, q)
 	}
 	return g.sendTarget(ctx, q, c)
 }
 
-// rejectNowhere rejects a request for which no target was found.
-func (g *Gateway) rejectNowhere(now time.Time, q *request) Verdict {
+// rejectWithoutTarget rejects a request for which no target was found.
+func (g *Gateway) rejectWithoutTarget(now time.Time, q *request) Verdict {
 	if len(g.targets.Regions(q.service)) == 0 {
 		return q.reject(noTarget, jwadmission.MaxRetryAfter) // no target is registered, so an early retry would be useless
 	}
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -27,7 +27,7 @@
 // still arrive for a while, and waits for the requests in flight.
 func (g *Gateway) stop(servers []*jwrest.Server) {
 	start := time.Now()
-	g.stopStart.Store(int64(start.Sub(g.startTime)))
+	g.stopStartedAt.Store(int64(start.Sub(g.startTime)))
 	g.stopping.Store(true)
 	g.members.Serve(start, false)
 	g.reregister()
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -38,8 +38,8 @@
 	return remote
 }
 
-// mayRun reports whether a request may be sent to a target at all.
-func (g *Gateway) mayRun(now time.Time, q *request) bool {
+// maySend reports whether a request may be sent to a target at all.
+func (g *Gateway) maySend(now time.Time, q *request) bool {
 	state, _ := g.suspects.Check(q.fingerprint, now)
 	return state != jwsuspect.Quarantined
 }
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -114,27 +114,27 @@
 	}
 }
 
-func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, t relayReport) {
+func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, report relayReport) {
 	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
 	}
-	g.sendState(ctx, m, g.relayState(now, m.Name, t))
+	g.sendState(ctx, m, g.relayState(now, m.Name, report))
 }
 
 // relayState returns the state to be exchanged through relays.
-func (g *Gateway) relayState(now time.Time, to string, t relayReport) state {
+func (g *Gateway) relayState(now time.Time, to string, report relayReport) state {
 	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
 	s := state{
 		Member: g.members.Me(), Version: g.entries.Version(), InSync: !g.store.stale(now),
 		Revision: g.store.revision.Load(), Cold: g.targets.ReportCold(now),
-		Suspects: g.suspectNotices(now, g.Settings.Region, localReportAge), RelayReport: &t,
-		Limits: g.targets.ReportLimits(now, t.FromRelay), Leaving: g.targets.ReportLeaving(),
+		Suspects: g.suspectNotices(now, g.Settings.Region, localReportAge), RelayReport: &report,
+		Limits: g.targets.ReportLimits(now, report.FromRelay), Leaving: g.targets.ReportLeaving(),
 	}
 	switch {
-	case t.Liveness != nil:
+	case report.Liveness != nil:
 		s.Loads = jwinstance.Columns(g.targets.ReportTo(now, to))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, false))
-	case t.FromRelay:
+	case report.FromRelay:
 		s.Loads = jwinstance.Columns(g.targets.ReportToRelay(now))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, true))
 		s.LocalSeen = g.members.LocalSeen(now)
@@ -167,11 +167,11 @@
 }
 
 // changesFor returns the changes of the store that a node asks for, nil if it asks for none.
-func (g *Gateway) changesFor(now time.Time, t *relayReport) *changes {
-	if !t.WantsChanges {
+func (g *Gateway) changesFor(now time.Time, report *relayReport) *changes {
+	if !report.WantsChanges {
 		return nil
 	}
-	return g.changesAfter(now, t.After)
+	return g.changesAfter(now, report.After)
 }
 
 // changesAfter returns the changes after a revision, if they are still kept.
@@ -190,19 +190,19 @@
 
 // mergeRelayReport merges what a node of this region reported through a relay.
 func (g *Gateway) mergeRelayReport(now time.Time, s state) {
-	t := s.RelayReport
-	if t == nil || s.Member.Region != g.Settings.Region {
+	report := s.RelayReport
+	if report == nil || s.Member.Region != g.Settings.Region {
 		return
 	}
-	if t.Liveness != nil {
-		g.members.MergeLiveness(now, *t.Liveness)
+	if report.Liveness != nil {
+		g.members.MergeLiveness(now, *report.Liveness)
 	}
-	for _, m := range t.Stopping {
+	for _, m := range report.Stopping {
 		g.members.MergeStopping(now, m)
 	}
-	g.regions.mergeRelayed(now, t.Remote)
-	if t.Changes != nil {
-		g.storeWatcher.applyRelayed(now, t.Changes)
+	g.regions.mergeRelayed(now, report.Remote)
+	if report.Changes != nil {
+		g.storeWatcher.applyRelayed(now, report.Changes)
 	}
 }
 
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -119,7 +119,7 @@
 // configuration is in force. The store may be unavailable when a node starts, while callers already
 // wait.
 func (g *Gateway) bootstrapFromPeers(ctx context.Context) {
-	for !g.storeRead.Load() && g.entries.Current() == nil && ctx.Err() == nil {
+	for !g.fullReadDone.Load() && g.entries.Current() == nil && ctx.Err() == nil {
 		for _, a := range g.Settings.Gateway.Seeds {
 			if a != g.Settings.Gateway.Listen.Nodes {
 				g.pullView(a)
@@ -197,7 +197,7 @@
 		g.members.Put(now, m)
 	}
 	if v.Fleet > 0 {
-		g.members.SetFleet(now, v.Fleet, !g.storeRead.Load())
+		g.members.SetFleet(now, v.Fleet, !g.fullReadDone.Load())
 	}
 	g.pulledRevision.Store(v.Revision)
 	g.Log.Info("applied a view of another node", "peer", from.String(), "revision", v.Revision, "targets", len(v.Targets))
