--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -37,7 +37,7 @@
 	mu          sync.Mutex // held during each read
 	r           io.Reader
 	remaining   int64 // number of bytes that may still follow within the limit
-	readStarted bool  // part of it was read
+	readStarted bool  // whether any of it was read
 	err         error // why reading ended; io.EOF at the end of the body
 }
 
--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -75,6 +75,7 @@
 	return false
 }
 
+// awaitUnits waits for quota units from other nodes and returns the final decision.
 func (g *Gateway) awaitUnits(ctx context.Context, q *request, d jwquota.Decision) jwquota.Decision {
 	t := time.NewTimer(min(maxQuotaWait, time.Duration(quotaWaitShare*float64(q.deadline.Sub(q.arrived)))))
 	defer t.Stop()
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -58,6 +58,7 @@
 	return v
 }
 
+// addresses returns the addresses of nodes for callers.
 func addresses(nodes []jwmember.Member) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(nodes))
 	for _, m := range nodes {
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -168,6 +168,7 @@
 	}()
 }
 
+// exchangeState sends an encoded state to a peer and merges the state in its answer.
 func (g *Gateway) exchangeState(ctx context.Context, m jwmember.Member, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, exchangeTimeout)
 	defer cancel()
@@ -229,6 +230,7 @@
 	}
 }
 
+// serveState merges the state that a peer sent and answers with this node's.
 func (g *Gateway) serveState(w http.ResponseWriter, r *http.Request) {
 	var s state
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxStateSize)).Decode(&s); err != nil {
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -205,6 +205,7 @@
 	return now
 }
 
+// hasLaterChange reports whether later events write a key again.
 func hasLaterChange(later []jwstore.Event, key string) bool {
 	return slices.ContainsFunc(later, func(e jwstore.Event) bool { return e.Key == key && !e.Deleted })
 }
@@ -238,6 +239,7 @@
 	return false
 }
 
+// applyTarget applies a change of a target's registration.
 func (g *Gateway) applyTarget(now time.Time, id string, e jwstore.Event) (changed bool) {
 	if e.Deleted {
 		g.Log.Info("target registration gone", "target", id)
@@ -268,6 +270,7 @@
 		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.Left.Milliseconds())
 }
 
+// applyNode applies a change of a node's registration.
 func (g *Gateway) applyNode(now time.Time, name string, e jwstore.Event) {
 	if e.Deleted {
 		g.members.Remove(name)
@@ -309,6 +312,7 @@
 	}
 }
 
+// setEvacuated starts or ends the evacuation of a data centre.
 func (g *Gateway) setEvacuated(now time.Time, dataCentre string, active bool) {
 	g.Log.Info("evacuation", "dataCentre", dataCentre, "on", active)
 	g.targets.Evacuate(now, dataCentre, active)
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -92,7 +92,7 @@
 }
 
 // chooseNode returns the node of another region to forward a request to. It prefers nodes with an
-// open connection.
+// open connection. fraction, in [0, 1), spreads the requests over the nodes.
 func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
 	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
 }
@@ -102,6 +102,7 @@
 	return slices.ContainsFunc(nodes, func(m jwmember.Member) bool { return !q.tried[m.Name] })
 }
 
+// untried returns the nodes that the request has not been sent to.
 func (g *Gateway) untried(q *request, nodes []jwmember.Member) []jwmember.Member {
 	var list []jwmember.Member
 	for _, m := range nodes {
@@ -112,6 +113,7 @@
 	return list
 }
 
+// forward sends the request to a node of another region and passes its answer to the caller.
 func (g *Gateway) forward(ctx context.Context, q *request, m jwmember.Member) Verdict {
 	q.tried[m.Name], q.sentTo = true, m.Name
 	h := q.header.Clone()
@@ -180,6 +182,7 @@
 	return failed
 }
 
+// classifyForwardError returns the verdict on a forward that failed before an answer arrived.
 func (g *Gateway) classifyForwardError(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
 	q.lastReason = err.Error()
 	var rest *jwconn.RestError
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -127,6 +127,7 @@
 	return err
 }
 
+// prepare connects the parts of the node before it starts.
 func (g *Gateway) prepare() {
 	s, o := g.Settings, g.Settings.Gateway
 	g.startTime = time.Now()
@@ -174,6 +175,7 @@
 	nodesServer
 )
 
+// servers returns the servers of all listeners, in the order of the indexes above.
 func (g *Gateway) servers() []*jwrest.Server {
 	l := g.Settings.Gateway.Listen
 	list := []*jwrest.Server{
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -82,6 +82,7 @@
 	return c.Services[service].HealthPath
 }
 
+// probeTarget reads the health of one target and records what its answer says about it.
 func (g *Gateway) probeTarget(ctx context.Context, x *jwinstance.Target, path string) {
 	ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -26,7 +26,7 @@
 	evacuated        map[string]bool
 	config           *jwstore.Item
 	fleet            *jwstore.Item
-	targetsFromRelay bool // the targets came from the relay
+	targetsFromRelay bool
 }
 
 // readAll reads all keys page by page and removes what is no longer in the store. In a large region
@@ -84,6 +84,7 @@
 	}
 }
 
+// applyItem applies a stored key, unless it is nil.
 func (w *storeWatcher) applyItem(now time.Time, i *jwstore.Item) {
 	if i != nil {
 		w.applyChange(now, jwstore.Event{Key: i.Key, Value: i.Value, Revision: i.Version})
--- a/io/jwgateway/region.go
+++ b/io/jwgateway/region.go
@@ -29,8 +29,8 @@
 }
 
 type regionWait struct {
-	wait     time.Duration // until the first event of a request without a prompt
-	eventGap time.Duration // between two events
+	wait     time.Duration // time until the first event of a request without a prompt
+	eventGap time.Duration // time between two events
 	at       time.Time
 }
 
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -80,6 +80,7 @@
 	}
 }
 
+// writeRegistration writes the node's registration under its lease.
 func (g *Gateway) writeRegistration(ctx context.Context, lease jwstore.Lease) error {
 	me := g.members.Me()
 	value, err := json.Marshal(me)
--- a/io/jwgateway/relay.go
+++ b/io/jwgateway/relay.go
@@ -168,6 +168,7 @@
 	return parseID(events[i+1:])
 }
 
+// parseID returns the identifier in a line that starts with "id:".
 func parseID(line []byte) string {
 	line = bytes.TrimPrefix(line, []byte("id:"))
 	if end := bytes.IndexByte(line, '\n'); end >= 0 {
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -93,6 +93,7 @@
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
+// stripHopByHop removes the hopHeaders and those that the Connection header lists.
 func stripHopByHop(h http.Header) {
 	for _, field := range h["Connection"] {
 		for _, name := range strings.Split(field, ",") {
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -98,7 +98,7 @@
 	// minSendTimeout is the minimum wait for a target's answer before another target is tried.
 	minSendTimeout = 250 * time.Millisecond
 	// goalTimeoutShare is the share of the entry's latency goal that a target may use up before
-	// another one is tried. The time left until the deadline must suffice for that one.
+	// another one is tried. The remaining time must suffice for that one.
 	goalTimeoutShare = 1.0
 	// expectedWaitFactor is the multiple of the expected wait that a target may take before another
 	// one is tried.
@@ -194,6 +194,7 @@
 	return failed, false
 }
 
+// targetCall returns the call that sends the request to a target.
 func (g *Gateway) targetCall(q *request, c jwinstance.Choice) *jwconn.Call {
 	x := c.Target
 	h := q.header.Clone()
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -19,7 +19,7 @@
 	notRun   Verdict = "notRun"   // no target has run the request or will run it
 	rejected Verdict = "rejected" // as notRun, and the request was not sent to any target
 	failed   Verdict = "failed"   // a target ran the request and reported a failure, or may have run it
-	broken   Verdict = "broken"   // a stream broke off after events were passed to the caller
+	broken   Verdict = "broken"   // a stream broke off; its complete events went to the caller
 )
 
 const (
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -61,7 +61,7 @@
 // changes are changes of the store as read by a relay.
 type changes struct {
 	Lost   bool             `json:"lost,omitempty"` // the relay no longer has the changes, or was paused
-	To     jwstore.Revision `json:"to"`             // revision after the last change
+	To     jwstore.Revision `json:"to"`             // store revision up to which the changes are complete
 	Age    int64            `json:"age"`            // milliseconds since the relay read the store
 	Events []change         `json:"events,omitempty"`
 }
@@ -114,6 +114,8 @@
 	}
 }
 
+// exchangeWithRelay sends the state with a relayReport to a node, unless an exchange with it is in
+// flight.
 func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, report relayReport) {
 	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -77,6 +77,8 @@
 	body      []byte
 }
 
+// encode returns the encoded view that since returns for a version and a revision. If both are 0, the
+// result is reused for maxEncodedViewAge unless it is empty.
 func (e *encodedViewCache) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
 	if version > 0 || revision > 0 {
 		return encodeView(since(now, version, revision))
@@ -94,6 +96,7 @@
 	return body, err
 }
 
+// encodeView encodes a view as compressed JSON.
 func encodeView(v view) ([]byte, error) {
 	var out bytes.Buffer
 	zw, err := gzip.NewWriterLevel(&out, gzip.BestSpeed)
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -27,6 +27,7 @@
 	end context.CancelFunc
 }
 
+// newEpoch ends the current epoch and starts the next one.
 func (g *Gateway) newEpoch(ctx context.Context) {
 	e := &epoch{}
 	e.Context, e.end = context.WithCancel(ctx)
