--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -771,11 +771,11 @@
 	return c.Feed.Range(ctx, prefix, after)
 }
 
-func (c *disconnectableFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+func (c *disconnectableFeed) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]jwstore.Event, uint64, error) {
 	if c.disconnected.Load() {
 		return nil, 0, jwstore.ErrUnavailable
 	}
-	events, revision, err := c.Feed.Watch(ctx, prefix, after, most)
+	events, revision, err := c.Feed.Watch(ctx, prefix, after, maxWait)
 	if c.disconnected.Load() {
 		return nil, 0, jwstore.ErrUnavailable // disconnected during the watch
 	}
--- a/io/jwgateway/through_test.go
+++ b/io/jwgateway/through_test.go
@@ -24,7 +24,7 @@
 	silent atomic.Bool
 }
 
-func (h *silentFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+func (h *silentFeed) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]jwstore.Event, uint64, error) {
 	for h.silent.Load() {
 		select {
 		case <-ctx.Done():
@@ -32,7 +32,7 @@
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	events, revision, err := h.Feed.Watch(ctx, prefix, after, min(most, 100*time.Millisecond))
+	events, revision, err := h.Feed.Watch(ctx, prefix, after, min(maxWait, 100*time.Millisecond))
 	if h.silent.Load() {
 		return nil, after, nil
 	}
--- a/io/jwgateway/upstream_test.go
+++ b/io/jwgateway/upstream_test.go
@@ -25,9 +25,9 @@
 	return p.Feed.Range(ctx, prefix, after)
 }
 
-func (p *callCountingFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
+func (p *callCountingFeed) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]jwstore.Event, uint64, error) {
 	p.watches.Add(1)
-	return p.Feed.Watch(ctx, prefix, after, most)
+	return p.Feed.Watch(ctx, prefix, after, maxWait)
 }
 
 // Three thousand targets are registered and three hundred nodes start at once. When each node read
