--- a/io/jwgateway/limit_test.go
+++ b/io/jwgateway/limit_test.go
@@ -16,7 +16,7 @@
 // without restriction once the limit is lifted.
 func TestTargetLimit(t *testing.T) {
 	t.Parallel()
-	const limit, requests = 1.0, 60
+	const limit, sendCount = 1.0, 60
 	var feed jwstore.MemoryFeed
 	var limitLifted atomic.Bool
 	x := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, _ *http.Request) {
@@ -29,7 +29,7 @@
 	sendUntil(t, n, "/a/x", served)
 	started, before := time.Now(), len(x.requests())
 	var last reply
-	for i := range requests {
+	for i := range sendCount {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("r", i), nil, "")
 		assert.NilError(t, err)
 		last = r
@@ -41,7 +41,7 @@
 	assert.Assert(t, last.header.Get("Retry-After") != "")
 	limitLifted.Store(true)
 	sendUntil(t, n, "/a/x", served)
-	for i := range requests {
+	for i := range sendCount {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("s", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
