--- a/io/jwgateway/body.go
+++ b/io/jwgateway/body.go
@@ -10,102 +10,101 @@
 )
 
 const (
-	// heldRequest is how much of a request's body is held, so that it can be
-	// sent again; a larger one is passed on as it comes, and sent once. With it a
-	// thousand requests in flight hold 64 MB at most.
-	heldRequest = 64 << 10
-	// bodyLimit bounds a body until a configuration says otherwise.
-	bodyLimit = 1 << 20
+	// maxBufferedBody is how much of a request's body is buffered so that it can be sent again. A
+	// longer body is streamed to the target and sent once only. With this limit a thousand requests
+	// in flight buffer 64 MB at most.
+	maxBufferedBody = 64 << 10
+	// defaultMaxBody is the maximum size of a body as long as no configuration sets another one.
+	defaultMaxBody = 1 << 20
 )
 
 var (
 	errBodyTooLarge = errors.New("body too large")
-	errBodyOver     = errors.New("the request is over")
+	errBodyClosed   = errors.New("read body: the request has ended")
 )
 
-// body is what a caller sends: all of it held, or its begin with the rest to
-// be read. The zero value is empty.
+// body is the body of a request: either all of it is buffered, or its beginning, and the rest is
+// still to be read. The zero value is empty.
 type body struct {
-	held   []byte
-	length int64 // -1 if not known
-	rest   *rest // nil if all is held
+	buffered []byte
+	length   int64     // -1 if unknown
+	rest     *bodyRest // nil if the whole body is buffered
 }
 
-// rest is what follows the held part of a body.
-type rest struct {
-	w    http.ResponseWriter
-	mu   sync.Mutex // held during each read
-	r    io.Reader
-	left int64 // bytes that it may still have
-	read bool  // some of it was
-	err  error // why it ended, io.EOF at its end
+// bodyRest reads the part of a body that follows the buffered one.
+type bodyRest struct {
+	w           http.ResponseWriter
+	mu          sync.Mutex // held during each read
+	r           io.Reader
+	remaining   int64 // number of bytes that may still follow within the limit
+	readStarted bool  // whether any of it was read
+	err         error // why reading ended; io.EOF at the end of the body
 }
 
-// readBody reads the held part of a body of at most so many bytes.
-func readBody(w http.ResponseWriter, r *http.Request, most int64) (b body, err error) {
-	if r.ContentLength > most {
+// readBody reads a body of at most maxSize bytes, as much as is buffered of it.
+func readBody(w http.ResponseWriter, r *http.Request, maxSize int64) (b body, err error) {
+	if r.ContentLength > maxSize {
 		return b, errBodyTooLarge
 	}
 	b.length = r.ContentLength
-	if r.ContentLength >= 0 && r.ContentLength <= heldRequest {
-		b.held = make([]byte, r.ContentLength)
-		_, err = io.ReadFull(r.Body, b.held)
+	if r.ContentLength >= 0 && r.ContentLength <= maxBufferedBody {
+		b.buffered = make([]byte, r.ContentLength)
+		_, err = io.ReadFull(r.Body, b.buffered)
 		return b, err
 	}
-	b.held, err = io.ReadAll(io.LimitReader(r.Body, min(heldRequest, most+1)))
+	b.buffered, err = io.ReadAll(io.LimitReader(r.Body, min(maxBufferedBody, maxSize+1)))
 	switch {
 	case err != nil:
 		return b, err
-	case int64(len(b.held)) > most:
+	case int64(len(b.buffered)) > maxSize:
 		return b, errBodyTooLarge
-	case len(b.held) < heldRequest:
-		b.length = int64(len(b.held))
+	case len(b.buffered) < maxBufferedBody:
+		b.length = int64(len(b.buffered))
 		return b, nil
 	}
-	// The library would read the rest itself before the answer's head.
+	// By default net/http reads the rest of the body itself before it writes the answer's headers.
 	if err := http.NewResponseController(w).EnableFullDuplex(); err != nil {
-		return b, errors.Wrap(err, "body beside its answer")
+		return b, errors.Wrap(err, "enable reading the body while answering")
 	}
-	b.rest = &rest{w: w, r: r.Body, left: most - int64(len(b.held))}
+	b.rest = &bodyRest{w: w, r: r.Body, remaining: maxSize - int64(len(b.buffered))}
 	return b, nil
 }
 
-// once reports whether the body can't be sent again.
-func (b *body) once() bool {
+// consumed reports whether the body can't be sent again because part of its rest was read.
+func (b *body) consumed() bool {
 	if b.rest == nil {
 		return false
 	}
 	b.rest.mu.Lock()
 	defer b.rest.mu.Unlock()
-	return b.rest.read
+	return b.rest.readStarted
 }
 
-// reader returns what follows the held part; nil if nothing does.
+// reader returns a reader of what follows the buffered part; nil if nothing does.
 func (b *body) reader() io.Reader {
 	if b.rest == nil {
-		return nil // and not an io.Reader that holds a nil
+		return nil // a nil io.Reader, not one that holds a nil *bodyRest
 	}
 	return b.rest
 }
 
-// close ends the reading; nothing may read the caller's body after its
-// handler.
+// close ends the reading of the body: it must not be read after the handler has returned.
 func (b *body) close() {
 	if b.rest == nil {
 		return
 	}
 	if !b.rest.mu.TryLock() {
-		// A read waits for the caller; without the deadline it would go on.
+		// A read is waiting for the caller; the deadline makes it return.
 		_ = http.NewResponseController(b.rest.w).SetReadDeadline(time.Now())
 		b.rest.mu.Lock()
 	}
 	defer b.rest.mu.Unlock()
 	if b.rest.err == nil {
-		b.rest.err = errBodyOver
+		b.rest.err = errBodyClosed
 	}
 }
 
-// tooLarge reports whether a body of unknown length turned out too long.
+// tooLarge reports whether a body of unknown length turned out to exceed the limit.
 func (b *body) tooLarge() bool {
 	if b.rest == nil {
 		return false
@@ -116,16 +115,16 @@
 }
 
 // Read implements io.Reader.
-func (r *rest) Read(p []byte) (int, error) {
+func (r *bodyRest) Read(p []byte) (int, error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.read = true
+	r.readStarted = true
 	if r.err != nil {
 		return 0, r.err
 	}
 	n, err := r.r.Read(p)
-	r.left -= int64(n)
-	if r.left < 0 {
+	r.remaining -= int64(n)
+	if r.remaining < 0 {
 		err = errBodyTooLarge
 	}
 	r.err = err
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -10,11 +10,11 @@
 	"jujubewheel/core/jwresolver"
 )
 
-// firstRead is how long a node waits for its first reading of the store before it
-// answers by what it has.
-const firstRead = 3 * time.Second
+// maxFirstRead is how long a node waits for its first read of the store before the directory
+// answers with what the node knows.
+const maxFirstRead = 3 * time.Second
 
-// serveReady reports to the platform whether the node serves.
+// serveReady reports to the platform whether the node serves callers.
 func (g *Gateway) serveReady(w http.ResponseWriter, _ *http.Request) {
 	if !g.ready() {
 		w.WriteHeader(http.StatusServiceUnavailable)
@@ -23,24 +23,25 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// serveDirectory names the nodes that a caller should use.
+// serveDirectory returns the addresses of the nodes that a caller should use.
 func (g *Gateway) serveDirectory(w http.ResponseWriter, r *http.Request) {
 	host, region := g.Dialect.Question(r.URL.Query())
 	v := g.resolverView(time.Now(), host, region)
 	v.Caller = callerOf(r.RemoteAddr)
 	a := jwresolver.Resolve(v)
-	g.meters.named(a.Kind)
+	g.metrics.countDirectoryAnswer(a.Kind)
 	if a.Kind == jwresolver.Nobody {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
 	w.Header()["Content-Type"] = []string{"application/json"}
 	if err := json.NewEncoder(w).Encode(g.Dialect.Directory(addresses(a.Nodes), a.TTL)); err != nil {
-		g.Log.V(1).Info("directory not answered", "error", err.Error())
+		g.Log.V(1).Info("failed to send the directory", "error", err.Error())
 	}
 }
 
-// resolverView is the local view of a region whose caller asks about a host.
+// resolverView returns this node's view of the nodes for a caller in a region that asks about a
+// host.
 func (g *Gateway) resolverView(now time.Time, host, region string) jwresolver.View {
 	v := jwresolver.View{Own: g.members.Live(now, region)}
 	if len(v.Own) > 0 {
@@ -52,11 +53,12 @@
 		return v
 	}
 	v.All = g.members.Live(now, "")
-	v.Ready = g.synced.Load() || now.Sub(g.begun) >= firstRead
+	v.Ready = g.fullReadDone.Load() || now.Sub(g.startTime) >= maxFirstRead
 	v.Stand = func(regions []string) []string { return g.demand.Stand(c, host, regions) }
 	return v
 }
 
+// addresses returns the addresses of nodes for callers.
 func addresses(nodes []jwmember.Member) []netip.AddrPort {
 	list := make([]netip.AddrPort, 0, len(nodes))
 	for _, m := range nodes {
--- a/io/jwgateway/era.go
+++ b/io/jwgateway/era.go
@@ -9,45 +9,46 @@
 	"jujubewheel/core/jwstore"
 )
 
-// evacuationHold is how long an evacuation lasts that a store which came back from an older
-// copy doesn't hold: operators write theirs again meanwhile.
-const evacuationHold = 10 * time.Second
+// restoredEvacuationHold is how long an evacuation stays in force that is missing from a store
+// restored from an older copy. Operators write their evacuations again in the meantime.
+const restoredEvacuationHold = 10 * time.Second
 
-// noteEra notes whether a reading of everything shows that the store has come back from an
-// older copy; f.mu is held.
-func (f *follower) noteEra(now time.Time, r *reading) {
-	before, era := jwstore.Era(f.known), jwstore.Era(r.revision)
-	if f.known == 0 || era <= before {
+// checkStoreRestored detects by a read of all keys that the store was restored from an older copy,
+// and keeps the evacuations that are missing from it for a while. w.mu must be held.
+func (w *storeWatcher) checkStoreRestored(now time.Time, r *fullRead) {
+	oldEra, newEra := jwstore.Era(w.lastRevision), jwstore.Era(r.revision)
+	if w.lastRevision == 0 || newEra <= oldEra {
 		return
 	}
-	for _, dc := range f.g.targets.Evacuated() {
-		if !r.evacuate[dc] {
-			f.evacuated[dc] = now.Add(evacuationHold)
+	for _, dc := range w.g.targets.Evacuated() {
+		if !r.evacuated[dc] {
+			w.heldEvacuations[dc] = now.Add(restoredEvacuationHold)
 		}
 	}
-	f.g.fleetLost.Store(r.fleet == nil && f.g.members.FleetSize() > 0)
-	f.g.meters.returns.Inc(1)
-	f.g.Log.Info("store came back from an older copy", "eraBefore", before, "era", era,
-		"revisionBefore", jwstore.Number(f.known), "revision", jwstore.Number(r.revision),
-		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(f.evacuated))
+	w.g.fleetSizeMissing.Store(r.fleet == nil && w.g.members.FleetSize() > 0)
+	w.g.metrics.storeRestores.Inc(1)
+	w.g.Log.Info("store came back from an older copy", "eraBefore", oldEra, "era", newEra,
+		"revisionBefore", jwstore.Number(w.lastRevision), "revision", jwstore.Number(r.revision),
+		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(w.heldEvacuations))
 }
 
-// endHeld ends the evacuations that were held for long enough and not written again.
-func (f *follower) endHeld(now time.Time) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	for dc, until := range f.evacuated {
+// endHeldEvacuations ends the evacuations that were kept in force for restoredEvacuationHold and
+// not written again.
+func (w *storeWatcher) endHeldEvacuations(now time.Time) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	for dc, until := range w.heldEvacuations {
 		if now.After(until) {
-			delete(f.evacuated, dc)
-			f.g.evacuate(now, dc, false)
+			delete(w.heldEvacuations, dc)
+			w.g.setEvacuated(now, dc, false)
 		}
 	}
 }
 
-// spreadReading waits for a moment before everything is read anew, in a large fleet: all its
-// nodes learn at once that they have to.
-func (g *Gateway) spreadReading(ctx context.Context) {
-	if g.members.Count(time.Now(), "") > followNodes {
-		jwclock.Sleep(ctx, rand.N(g.retryWait(followRetry)))
+// delayFullRead waits for a random time before all keys are read again, if the fleet is large: all
+// its nodes learn at the same time that they have to.
+func (g *Gateway) delayFullRead(ctx context.Context) {
+	if g.members.Count(time.Now(), "") > scaleNodes {
+		jwclock.Sleep(ctx, rand.N(g.retryWait(watchRetry)))
 	}
 }
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/follow.go
@@ -17,63 +17,64 @@
 )
 
 const (
-	// nodePrefix is where nodes register themselves.
+	// nodePrefix is the prefix of the keys under which nodes register themselves.
 	nodePrefix = "jujubewheel/nodes/"
-	// fleetKey is where the size of the fleet stands.
-	fleetKey = "jujubewheel/fleet"
-	// followPause is the wait between two readings of changes. Targets register
-	// about once a second each; without it every one would cost a call.
-	followPause = 700 * time.Millisecond
-	// mostFollowPause and followNodes bound what a large fleet asks of the store, which
-	// prices each call: from followNodes on the pause grows with the fleet, so that all
-	// together make as many calls. Changes have three seconds to be in force.
-	mostFollowPause = 1400 * time.Millisecond
-	followNodes     = 40
-	// followWait is how long a reading waits for a change. A connection that
-	// fell silent is noticed after it.
-	followWait = 4 * time.Second
-	// followRetry is the wait after a reading that failed.
-	followRetry = 300 * time.Millisecond
-	// mostRetry bounds what it grows to in a large fleet.
-	mostRetry = time.Second
+	// fleetSizeKey is the key of the size of the fleet.
+	fleetSizeKey = "jujubewheel/fleet"
+	// minWatchPause is the minimum pause between two watches of the store. Each target registers
+	// about once a second, and without the pause each registration would cost a call of the store.
+	minWatchPause = 700 * time.Millisecond
+	// maxWatchPause and scaleNodes limit how often a large fleet calls the store, which charges for
+	// each call. From scaleNodes nodes on the pause grows with the fleet, so that the total number
+	// of calls stays constant. It is capped at maxWatchPause because a change must be in force
+	// within three seconds.
+	maxWatchPause = 1400 * time.Millisecond
+	scaleNodes    = 40
+	// watchTimeout is how long a watch waits for a change. A connection that no longer delivers
+	// anything is detected after this time.
+	watchTimeout = 4 * time.Second
+	// watchRetry is the wait after a store read that failed.
+	watchRetry = 300 * time.Millisecond
+	// maxStoreRetry is the maximum wait after a failed call of the store in a large fleet.
+	maxStoreRetry = time.Second
 )
 
-// follower keeps the tables as the store has them.
-type follower struct {
-	g    *Gateway
-	lost time.Time // when the store stopped answering, zero while it answers
+// storeWatcher reads the store and its changes and applies them to the node's tables.
+type storeWatcher struct {
+	g         *Gateway
+	lostSince time.Time // when the store stopped answering; zero while it answers
 
-	mu       sync.Mutex       // held while changes are applied
-	revision jwstore.Revision // the changes after it are to be read
-	known    jwstore.Revision // the last one, also while everything is to be read anew
-	relayAt  time.Time        // when a relay passed changes on last, zero if it can't be relied on
-	refused  time.Time        // when a relay that reads the store could not pass its changes on
+	mu               sync.Mutex       // held while changes are applied
+	revision         jwstore.Revision // revision up to which the store was read; 0 if all keys must be read
+	lastRevision     jwstore.Revision // last revision read, kept also while all keys must be read again
+	relayedAt        time.Time        // when a relay last passed changes on; zero if no relay can be relied on
+	upstreamFailedAt time.Time        // when a relay that reads the store last failed to pass its changes on
 
-	evacuated map[string]time.Time // data centres whose evacuation is held, and until when
-	alone     chan struct{}        // the relay can't be relied on any more
+	heldEvacuations map[string]time.Time // by data centre: until when an evacuation missing from a restored store stays in force
+	relayUnusable   chan struct{}        // signals that the relay can no longer be relied on
 }
 
-// newFollower returns a follower of a node.
-func newFollower(g *Gateway) *follower {
-	return &follower{g: g, evacuated: make(map[string]time.Time), alone: make(chan struct{}, 1)}
+// newStoreWatcher returns the storeWatcher of a node.
+func newStoreWatcher(g *Gateway) *storeWatcher {
+	return &storeWatcher{g: g, heldEvacuations: make(map[string]time.Time), relayUnusable: make(chan struct{}, 1)}
 }
 
-// follow reads all keys once and then their changes, until ctx ends.
-func (g *Gateway) follow(ctx context.Context) {
-	f := g.follower
-	known := g.epoch.Load()
+// watchStore reads all keys of the store once and then their changes, until ctx ends.
+func (g *Gateway) watchStore(ctx context.Context) {
+	w := g.storeWatcher
+	lastEpoch := g.epoch.Load()
 	for ctx.Err() == nil {
-		f.endHeld(time.Now())
+		w.endHeldEvacuations(time.Now())
 		epoch := g.epoch.Load()
-		if epoch != known {
-			f.restart() // the node was paused, and its history may be gone
-			known = epoch
+		if epoch != lastEpoch {
+			w.resetRevision() // the node was paused, and the store may have dropped the history since
+			lastEpoch = epoch
 		}
-		if d := f.relies(time.Now()); d > 0 && !g.reads(time.Now()) && epoch.Err() == nil {
-			f.rest(epoch, d)
+		if d := w.relayValidFor(time.Now()); d > 0 && !g.readsForOthers(time.Now()) && epoch.Err() == nil {
+			w.waitForRelay(epoch, d)
 			continue
 		}
-		seen, err := f.step(epoch)
+		readAt, err := w.readOnce(epoch)
 		if ctx.Err() != nil {
 			return
 		}
@@ -82,160 +83,164 @@
 		}
 		now := time.Now()
 		if err == nil {
-			g.viewed.Store(int64(seen.Sub(g.begun)))
-			if !f.lost.IsZero() {
-				g.Log.Info("store regained", "after", now.Sub(f.lost).String())
-				f.lost = time.Time{}
+			g.storeReadAt.Store(int64(readAt.Sub(g.startTime)))
+			if !w.lostSince.IsZero() {
+				g.Log.Info("store regained", "after", now.Sub(w.lostSince).String())
+				w.lostSince = time.Time{}
 			}
-			jwclock.Sleep(epoch, g.followPause(now))
+			jwclock.Sleep(epoch, g.watchPause(now))
 			continue
 		}
 		if errors.Is(err, jwstore.ErrCompacted) {
-			g.Log.Info("store history gone, reading anew", "revision", f.at())
-			f.restart()
-			g.spreadReading(epoch)
+			g.Log.Info("store history gone, reading anew", "revision", w.currentRevision())
+			w.resetRevision()
+			g.delayFullRead(epoch)
 			continue
 		}
-		if f.lost.IsZero() {
-			f.lost = now
+		if w.lostSince.IsZero() {
+			w.lostSince = now
 			g.Log.Info("store lost", "error", err.Error())
 		}
-		jwclock.Sleep(epoch, g.retryWait(followRetry)+rand.N(followRetry))
+		jwclock.Sleep(epoch, g.retryWait(watchRetry)+rand.N(watchRetry))
 	}
 }
 
-// reads reports whether the node reads the store for others.
-func (g *Gateway) reads(now time.Time) bool {
+// readsForOthers reports whether this node reads the store for the other nodes of its data centre.
+func (g *Gateway) readsForOthers(now time.Time) bool {
 	return g.members.IsRelay(now) && g.members.Large(now, g.members.Me().Region)
 }
 
-// followPause returns the wait between two readings of changes.
-func (g *Gateway) followPause(now time.Time) time.Duration {
-	if g.reads(now) {
-		return relayPause
+// watchPause returns the pause between two watches of the store.
+func (g *Gateway) watchPause(now time.Time) time.Duration {
+	if g.readsForOthers(now) {
+		return relayWatchPause
 	}
-	return pauseOf(g.members.Count(now, ""))
+	return watchPauseFor(g.members.Count(now, ""))
 }
 
-// pauseOf returns the wait between two readings of changes in a fleet.
-func pauseOf(nodes int) time.Duration { return spread(followPause, nodes, mostFollowPause) }
+// watchPauseFor returns the pause between two watches of the store in a fleet of that size.
+func watchPauseFor(nodes int) time.Duration { return scaleWait(minWatchPause, nodes, maxWatchPause) }
 
-// spread returns a wait between two calls of the store, which from followNodes on grows
-// with the fleet up to a bound.
-func spread(wait time.Duration, nodes int, most time.Duration) time.Duration {
-	return min(wait*time.Duration(max(nodes, followNodes))/followNodes, most)
+// scaleWait returns a wait between two calls of the store. From scaleNodes nodes on the wait grows
+// with the fleet, up to maxWait.
+func scaleWait(wait time.Duration, nodes int, maxWait time.Duration) time.Duration {
+	return min(wait*time.Duration(max(nodes, scaleNodes))/scaleNodes, maxWait)
 }
 
-// retryWait returns the wait after a call of the store that failed. The store turns
-// whole parts of a fleet away at times, and each call counts, refused ones too.
+// retryWait returns the wait after a failed call of the store. The store at times rejects whole
+// parts of a fleet, and every call counts, rejected ones too.
 func (g *Gateway) retryWait(wait time.Duration) time.Duration {
-	return spread(wait, g.members.Count(time.Now(), ""), mostRetry)
+	return scaleWait(wait, g.members.Count(time.Now(), ""), maxStoreRetry)
 }
 
-// restart makes the next reading one of everything.
-func (f *follower) restart() {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	f.revision, f.relayAt = 0, time.Time{}
-	f.g.recent.Forget()
+// resetRevision makes the next read one of all keys.
+func (w *storeWatcher) resetRevision() {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	w.revision, w.relayedAt = 0, time.Time{}
+	w.g.recentChanges.Forget()
 }
 
-// step reads once, and returns as of when the store was read.
-func (f *follower) step(ctx context.Context) (seen time.Time, err error) {
-	from := f.at()
-	if from == 0 {
-		return time.Now(), f.readAll(ctx)
+// readOnce reads the store once, or takes its changes from another relay, and returns the time as
+// of which the store was read.
+func (w *storeWatcher) readOnce(ctx context.Context) (readAt time.Time, err error) {
+	after := w.currentRevision()
+	if after == 0 {
+		return time.Now(), w.readAll(ctx)
 	}
-	reads := f.g.reads(time.Now())
-	wait := followWait
-	if reads {
-		wait = relayWait
+	readsForOthers := w.g.readsForOthers(time.Now())
+	wait := watchTimeout
+	if readsForOthers {
+		wait = relayWatchTimeout
 	}
-	if reads {
-		if c, ok := f.askUpstream(ctx, from); ok {
-			return f.passOn(time.Now(), c, from), nil
+	if readsForOthers {
+		if c, ok := w.askUpstream(ctx, after); ok {
+			return w.applyUpstream(time.Now(), c, after), nil
 		}
 	}
-	events, revision, err := f.g.Feed.Watch(ctx, "", from, wait)
-	now := f.answered(ctx, err)
+	events, revision, err := w.g.Feed.Watch(ctx, "", after, wait)
+	now := w.noteStoreCall(ctx, err)
 	if err != nil {
 		return now, err
 	}
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	changed := f.take(now, events, revision)
-	if reads {
-		f.g.recent.Add(changed, from, revision)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	changed := w.applyChanges(now, events, revision)
+	if readsForOthers {
+		w.g.recentChanges.Add(changed, after, revision)
 	} else {
-		f.g.recent.Forget()
+		w.g.recentChanges.Forget()
 	}
 	return now, nil
 }
 
-// take brings changes into the tables that follow what was read before, up to a
-// revision, and returns those that changed something; f.mu is held.
-func (f *follower) take(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
+// applyChanges applies changes up to a revision, which follow those applied before, and returns the
+// ones that changed something. w.mu must be held.
+func (w *storeWatcher) applyChanges(now time.Time, events []jwstore.Event, revision jwstore.Revision) []jwstore.Event {
 	changed := events[:0:0]
 	for i, e := range events {
-		// Each configuration is whole, so that only the last one counts; in quick
-		// succession, decoding all of them would hold up requests.
-		if e.Revision <= f.revision || f.g.Records.IsConfig(e.Key) && changedAgain(events[i+1:], e.Key) {
+		// Each configuration is complete, so only the last one counts. Decoding every one of a
+		// quick succession would delay requests.
+		if e.Revision <= w.revision || w.g.Records.IsConfig(e.Key) && hasLaterChange(events[i+1:], e.Key) {
 			continue
 		}
-		if f.apply(now, e) {
+		if w.applyChange(now, e) {
 			changed = append(changed, e)
 		}
 	}
-	f.revision = max(f.revision, revision)
-	f.known = f.revision
-	f.g.store.revision.Store(f.revision)
+	w.revision = max(w.revision, revision)
+	w.lastRevision = w.revision
+	w.g.store.revision.Store(w.revision)
 	return changed
 }
 
-// answered notes how a call of the store ended, before what it brought is taken:
-// that lasts, and a target would be asked meanwhile as if the store were away.
-func (f *follower) answered(ctx context.Context, err error) time.Time {
+// noteStoreCall records how a call of the store ended. It is called before the result is applied,
+// because applying takes a while, during which targets would be probed as if the store were
+// unavailable.
+func (w *storeWatcher) noteStoreCall(ctx context.Context, err error) time.Time {
 	now := time.Now()
 	if ctx.Err() == nil {
-		f.g.store.called(now, err)
+		w.g.store.recordCall(now, err)
 	}
 	return now
 }
 
-func changedAgain(later []jwstore.Event, key string) bool {
+// hasLaterChange reports whether later events write a key again.
+func hasLaterChange(later []jwstore.Event, key string) bool {
 	return slices.ContainsFunc(later, func(e jwstore.Event) bool { return e.Key == key && !e.Deleted })
 }
 
-// apply brings one change into the tables and reports whether it changes anything: targets
-// register about once a second, and most of it says what they said before.
-func (f *follower) apply(now time.Time, e jwstore.Event) bool {
-	g := f.g
+// applyChange applies one change to the tables and reports whether it changed anything. Targets
+// register about once a second, and most registrations repeat the one before.
+func (w *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
+	g := w.g
 	if g.Records.IsConfig(e.Key) {
 		if !e.Deleted {
-			g.takeConfig(e.Value, "store")
+			g.applyConfig(e.Value, "store")
 		}
 		return true
 	}
 	if dc, ok := g.Records.Evacuation(e.Key); ok {
-		delete(f.evacuated, dc)
-		g.evacuate(now, dc, !e.Deleted)
+		delete(w.heldEvacuations, dc)
+		g.setEvacuated(now, dc, !e.Deleted)
 		return true
 	}
 	if id, ok := g.Records.TargetID(e.Key); ok {
-		return g.takeTarget(now, id, e)
+		return g.applyTarget(now, id, e)
 	}
-	if e.Key == fleetKey && !e.Deleted {
-		g.takeFleet(now, e.Value)
+	if e.Key == fleetSizeKey && !e.Deleted {
+		g.applyFleetSize(now, e.Value)
 		return true
 	}
 	if name, ok := strings.CutPrefix(e.Key, nodePrefix); ok {
-		g.takeNode(now, name, e)
+		g.applyNode(now, name, e)
 		return true
 	}
 	return false
 }
 
-func (g *Gateway) takeTarget(now time.Time, id string, e jwstore.Event) (changed bool) {
+// applyTarget applies a change of a target's registration.
+func (g *Gateway) applyTarget(now time.Time, id string, e jwstore.Event) (changed bool) {
 	if e.Deleted {
 		g.Log.Info("target registration gone", "target", id)
 		g.targets.Remove(now, id, e.Revision)
@@ -243,7 +248,7 @@
 	}
 	in, err := g.Records.Target(id, e.Value)
 	if err != nil {
-		// Another writer may have left it; it names no target to use.
+		// Another writer may have written it; it describes no usable target.
 		g.Log.Info("target not readable", "target", id, "error", err.Error())
 		g.targets.Remove(now, id, e.Revision)
 		return true
@@ -253,8 +258,8 @@
 	if change == jwinstance.Same {
 		return false
 	}
-	if !g.synced.Load() || !g.targets.Knows(id) {
-		return true // thousands of lines at the start of each node, of targets that it never uses
+	if !g.fullReadDone.Load() || !g.targets.Knows(id) {
+		return true // otherwise each node would log thousands of lines at its start, about targets that it never uses
 	}
 	g.logTarget(in, change)
 	return true
@@ -265,7 +270,8 @@
 		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.Left.Milliseconds())
 }
 
-func (g *Gateway) takeNode(now time.Time, name string, e jwstore.Event) {
+// applyNode applies a change of a node's registration.
+func (g *Gateway) applyNode(now time.Time, name string, e jwstore.Event) {
 	if e.Deleted {
 		g.members.Remove(name)
 		if name == g.Settings.Node {
@@ -275,7 +281,7 @@
 	}
 	var m jwmember.Member
 	if err := json.Unmarshal(e.Value, &m); err != nil || m.Name != name {
-		g.Log.Info("node registration not readable", "peer", name)
+		g.Log.Info("failed to decode a node's registration", "peer", name)
 		return
 	}
 	if name == g.Settings.Node {
@@ -284,46 +290,47 @@
 		return
 	}
 	if g.members.Put(now, m) {
-		g.beganAnew(m)
+		g.dropOldConnections(m)
 	}
 }
 
-// beganAnew drops the connections to the process before: where its host lost
+// dropOldConnections drops the connections to the previous process of a node. If its host lost
 // power, nothing has closed them, and the next request on one would be lost.
-func (g *Gateway) beganAnew(m jwmember.Member) {
+func (g *Gateway) dropOldConnections(m jwmember.Member) {
 	if g.Nodes.Kept(m.Nodes) > 0 {
 		g.Log.Info("node began anew", "peer", m.Name)
 	}
 	g.Nodes.Drop(m.Nodes)
 }
 
-// keepEvacuated ends all evacuations but those named.
-func (g *Gateway) keepEvacuated(now time.Time, dataCentres map[string]bool) {
+// endEvacuationsExcept ends the evacuations of all data centres but the given ones.
+func (g *Gateway) endEvacuationsExcept(now time.Time, dataCentres map[string]bool) {
 	for _, dc := range g.targets.Evacuated() {
 		if !dataCentres[dc] {
-			g.evacuate(now, dc, false)
+			g.setEvacuated(now, dc, false)
 		}
 	}
 }
 
-func (g *Gateway) evacuate(now time.Time, dataCentre string, on bool) {
-	g.Log.Info("evacuation", "dataCentre", dataCentre, "on", on)
-	g.targets.Evacuate(now, dataCentre, on)
+// setEvacuated starts or ends the evacuation of a data centre.
+func (g *Gateway) setEvacuated(now time.Time, dataCentre string, active bool) {
+	g.Log.Info("evacuation", "dataCentre", dataCentre, "on", active)
+	g.targets.Evacuate(now, dataCentre, active)
 }
 
-// takeConfig brings a configuration into force if it is newer.
-func (g *Gateway) takeConfig(raw []byte, from string) {
+// applyConfig puts a configuration into force if it is newer than the current one.
+func (g *Gateway) applyConfig(raw []byte, source string) {
 	c, err := g.Records.Config(raw)
 	if err != nil {
-		g.Log.Error(err, "configuration not readable", "from", from)
+		g.Log.Error(err, "failed to decode the configuration", "from", source)
 		return
 	}
-	old := g.entries.Version()
+	oldVersion := g.entries.Version()
 	if !g.entries.Put(c) {
 		return
 	}
-	g.Log.Info("configuration in force", "version", c.Version, "before", old, "entries", len(c.Entries), "from", from)
-	if old == 0 {
+	g.Log.Info("configuration in force", "version", c.Version, "before", oldVersion, "entries", len(c.Entries), "from", source)
+	if oldVersion == 0 {
 		g.members.Serve(time.Now(), !g.stopping.Load())
 		g.reregister()
 	}
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -19,21 +19,21 @@
 	"jujubewheel/io/jwquotaexchange"
 )
 
-// The headers of a request on its way between two nodes.
+// Headers of a request that one node forwards to another.
 const (
-	headService  = "Jujube-Service"
-	headKind     = "Jujube-Kind" // kind, resumable, attempts, priority, goal, homes
-	headOutcome  = "Jujube-Outcome"
-	headCallerID = "Jujube-Caller" // set on forwards only
-	headMark     = "Jujube-Mark"   // fingerprint of the request
-	headOwner    = "Jujube-Workspace"
+	headerService     = "Jujube-Service"
+	headerKind        = "Jujube-Kind" // kind, resumable, attempts left, priority, goal in milliseconds, homes
+	headerOutcome     = "Jujube-Outcome"
+	headerSender      = "Jujube-Caller" // name of the node that forwards the request
+	headerFingerprint = "Jujube-Mark"   // fingerprint of the request, see jwsuspect
+	headerWorkspace   = "Jujube-Workspace"
 )
 
-// place chooses the region that serves a request.
-func (g *Gateway) place(now time.Time, q *request) jwplacement.Choice {
-	n := g.need(q)
+// chooseRegion chooses the region that serves a request.
+func (g *Gateway) chooseRegion(now time.Time, q *request) jwplacement.Choice {
+	n := g.targetNeed(q)
 	var here *jwplacement.Option
-	if q.forward || q.homes.Allows(g.Settings.Region) {
+	if q.forwarded || q.homes.Allows(g.Settings.Region) {
 		if c, ok := g.targets.Look(now, n); ok {
 			here = &jwplacement.Option{
 				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.Own, Later: c.Cost - c.Expected, Miss: c.Miss,
@@ -41,34 +41,34 @@
 		}
 	}
 	var others []jwplacement.Option
-	if !q.forward {
+	if !q.forwarded {
 		for _, region := range g.otherRegions(q) {
-			if !q.full[region] && g.anyUntried(q, g.members.Live(now, region)) {
-				others = append(others, g.option(now, region, n))
+			if !q.rejectedRegions[region] && g.anyUntried(q, g.members.Live(now, region)) {
+				others = append(others, g.regionOption(now, region, n))
 			}
 		}
 	}
 	return g.Placement.Choose(here, others)
 }
 
-// option estimates what Look of a node of another region would say, with the
-// way there and back.
-func (g *Gateway) option(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
-	w, known := g.regions.expect(now, region, n.Service)
-	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.trip(region) + w.wait}
+// regionOption estimates what Look would return at a node of another region, plus the round trip to
+// that region.
+func (g *Gateway) regionOption(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
+	w, known := g.regions.waitFor(now, region, n.Service)
+	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.roundTrip(region) + w.wait}
 	if n.Prompt.Tokens > 0 {
 		miss, targets := g.targets.MissIn(now, region, n)
 		o.Miss = miss
-		// The other nodes of this region see the same and send there too.
-		unseen := g.regions.unseen(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
+		// The other nodes of this region see the same state and send prompts there too.
+		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
 		o.Own = g.targets.Read(n.Service, 0, miss)
-		o.Expected += g.targets.Read(n.Service, unseen/max(targets, 1), miss)
+		o.Expected += g.targets.Read(n.Service, unreported/max(targets, 1), miss)
 	}
-	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.gap))
+	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.eventGap))
 	return o
 }
 
-// otherRegions returns the regions that may serve the request and have nodes.
+// otherRegions returns the other regions that may serve the request and have usable targets.
 func (g *Gateway) otherRegions(q *request) []string {
 	var list []string
 	for region, slots := range g.targets.Regions(q.service) {
@@ -80,27 +80,29 @@
 	return list
 }
 
-// sendNode sends the request to a node of another region.
+// sendNode forwards the request to a node of another region.
 func (g *Gateway) sendNode(ctx context.Context, q *request, region string, miss int) Verdict {
 	now := time.Now()
 	nodes := g.untried(q, g.members.Live(now, region))
 	if len(nodes) == 0 {
 		return q.reject(noTarget, jwadmission.MinRetryAfter)
 	}
-	g.regions.send(now, region, q.service, miss)
-	return g.forward(ctx, q, g.near(nodes, point(q.ID)))
+	g.regions.recordSend(now, region, q.service, miss)
+	return g.forward(ctx, q, g.chooseNode(nodes, hashFraction(q.ID)))
 }
 
-// near returns the node of another region that a request is passed on to.
-func (g *Gateway) near(nodes []jwmember.Member, point float64) jwmember.Member {
-	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, point)
+// chooseNode returns the node of another region to forward a request to. It prefers nodes with an
+// open connection. fraction, in [0, 1), spreads the requests over the nodes.
+func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
+	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
 }
 
-// anyUntried reports whether the request was not sent to one of the nodes yet.
+// anyUntried reports whether the request has not been sent to at least one of the nodes.
 func (g *Gateway) anyUntried(q *request, nodes []jwmember.Member) bool {
 	return slices.ContainsFunc(nodes, func(m jwmember.Member) bool { return !q.tried[m.Name] })
 }
 
+// untried returns the nodes that the request has not been sent to.
 func (g *Gateway) untried(q *request, nodes []jwmember.Member) []jwmember.Member {
 	var list []jwmember.Member
 	for _, m := range nodes {
@@ -111,20 +113,21 @@
 	return list
 }
 
+// forward sends the request to a node of another region and passes its answer to the caller.
 func (g *Gateway) forward(ctx context.Context, q *request, m jwmember.Member) Verdict {
 	q.tried[m.Name], q.sentTo = true, m.Name
 	h := q.header.Clone()
 	e := q.entry
-	h[headService] = []string{q.service}
-	h[headKind] = []string{strings.Join([]string{
+	h[headerService] = []string{q.service}
+	h[headerKind] = []string{strings.Join([]string{
 		string(e.Kind), strconv.FormatBool(e.Resumable), strconv.Itoa(max(e.Attempts()-q.attempts, 1)),
 		strconv.Itoa(q.priority), strconv.FormatInt(e.Goal.Milliseconds(), 10), strings.Join(q.homes, "|"),
 	}, ",")}
-	h[headCallerID] = []string{g.Settings.Node}
-	h[headMark] = []string{q.mark.String()}
-	delete(h, headOwner)
+	h[headerSender] = []string{g.Settings.Node}
+	h[headerFingerprint] = []string{q.fingerprint.String()}
+	delete(h, headerWorkspace)
 	if q.workspace != "" {
-		h[headOwner] = []string{q.workspace}
+		h[headerWorkspace] = []string{q.workspace}
 	}
 	g.Dialect.Left(h, time.Until(q.deadline))
 	if id := q.lastEvent(); id != "" {
@@ -132,22 +135,22 @@
 	}
 	call := &jwconn.Call{
 		Peer: m.Nodes, Method: q.method, Target: q.target, Host: q.host, Header: h,
-		Body: q.body.held, Rest: q.body.reader(), Length: q.body.length,
+		Body: q.body.buffered, Rest: q.body.reader(), Length: q.body.length,
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
 	status := 0
-	begun := time.Now()
+	start := time.Now()
 	var p progress
 	verdict := func() Verdict {
 		a, err := g.Nodes.Do(ctx, call)
 		if err != nil {
-			return g.forwardFailed(ctx, q, m, err)
+			return g.classifyForwardError(ctx, q, m, err)
 		}
 		defer a.Close()
 		status = a.Status
-		return g.judgeForward(q, m, a, func(int) {
-			if p.came(begun, time.Now()) == 0 {
-				g.meters.begun(placeAway, time.Since(q.arrived))
+		return g.passForwardedAnswer(q, m, a, func(int) {
+			if p.recordEvents(start, time.Now()) == 0 {
+				g.metrics.recordFirstEvent(placeAway, time.Since(q.arrived))
 			}
 		})
 	}()
@@ -155,31 +158,33 @@
 	return verdict
 }
 
-// judgeForward passes the answer of another node on, if it is a target's.
-func (g *Gateway) judgeForward(q *request, m jwmember.Member, a *jwconn.Answer, came func(int)) Verdict {
-	outcome := a.Header.Get(headOutcome)
-	delete(a.Header, headOutcome)
+// passForwardedAnswer passes the answer of another node to the caller if it is a target's, and
+// returns the verdict on the send.
+func (g *Gateway) passForwardedAnswer(q *request, m jwmember.Member, a *jwconn.Answer, onEvents func(int)) Verdict {
+	outcome := a.Header.Get(headerOutcome)
+	delete(a.Header, headerOutcome)
 	switch outcome {
 	case outcomeNotRun:
-		q.refused = "refused by " + m.Name
-		if q.full == nil {
-			q.full = make(map[string]bool)
+		q.lastReason = "refused by " + m.Name
+		if q.rejectedRegions == nil {
+			q.rejectedRegions = make(map[string]bool)
 		}
-		q.full[m.Region] = true
+		q.rejectedRegions[m.Region] = true
 		drain(a)
 		return notRun
 	case outcomeServed:
 		q.attempts++
-		return g.relay(q, a, came)
+		return g.passAnswer(q, a, onEvents)
 	}
-	q.refused = "unknown at " + m.Name
+	q.lastReason = "unknown at " + m.Name
 	q.attempts++
 	drain(a)
 	return failed
 }
 
-func (g *Gateway) forwardFailed(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
-	q.refused = err.Error()
+// classifyForwardError returns the verdict on a forward that failed before an answer arrived.
+func (g *Gateway) classifyForwardError(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
+	q.lastReason = err.Error()
 	var rest *jwconn.RestError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
 		g.members.Failed(time.Now(), m.Name)
@@ -193,49 +198,50 @@
 	return failed
 }
 
-// The outcomes that a node reports to another one.
+// Outcomes of a forwarded request that a node reports to the forwarding one in headerOutcome.
 const (
 	outcomeServed = "served" // the answer is a target's
-	outcomeNotRun = "notRun" // no target ran the request or will
+	outcomeNotRun = "notRun" // no target has run the request or will run it
 )
 
-// serveForward answers a request that another node passes on.
+// serveForward handles a request that another node forwarded.
 func (g *Gateway) serveForward(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	q := &request{
 		Call: g.Dialect.Call(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
-		header: r.Header, arrived: time.Now(), forward: true, service: r.Header.Get(headService),
+		header: r.Header, arrived: time.Now(), forwarded: true, service: r.Header.Get(headerService),
 	}
 	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.Answer(h).Signed }}
-	q.entry = readKind(r.Header.Get(headKind))
-	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headOwner)
-	if mark, err := jwsuspect.ParseFingerprint(r.Header.Get(headMark)); err == nil {
-		q.mark = mark
+	q.entry = parseKind(r.Header.Get(headerKind))
+	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headerWorkspace)
+	if fingerprint, err := jwsuspect.ParseFingerprint(r.Header.Get(headerFingerprint)); err == nil {
+		q.fingerprint = fingerprint
 	}
-	for _, name := range []string{headService, headKind, headCallerID, headMark, headOwner} {
+	for _, name := range []string{headerService, headerKind, headerSender, headerFingerprint, headerWorkspace} {
 		delete(q.header, name)
 	}
 	q.deadline = q.arrived.Add(max(q.Deadline, time.Millisecond))
-	if !g.pulse.Alive() {
+	if !g.pauseDetector.Alive() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
-	if g.leaving() {
+	if g.rejectsNewRequests() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
 		return
 	}
-	if !g.takeBody(q, r) {
+	if !g.bufferBody(q, r) {
 		return
 	}
 	defer q.body.close()
-	stripHop(q.header)
+	stripHopByHop(q.header)
 	g.serve(r.Context(), q)
 }
 
-// readKind reads what the first node says of the entry. The entry itself may
-// not be known here yet, or no longer.
-func readKind(s string) *jwentry.Entry {
+// parseKind parses the header with the properties of the entry. The entry itself may not be known
+// to this node yet, or no longer. A malformed header gives the strictest kind: one attempt and no
+// retry.
+func parseKind(s string) *jwentry.Entry {
 	f := strings.Split(s, ",")
 	e := &jwentry.Entry{Kind: jwentry.NonIdempotent, MaxAttempts: 1}
 	const fields = 6
@@ -244,16 +250,16 @@
 	}
 	e.Kind = jwentry.Kind(f[0])
 	e.Resumable = f[1] == "true"
-	e.MaxAttempts = count(f[2])
-	e.Priority = count(f[3])
-	e.Goal = time.Duration(count(f[4])) * time.Millisecond
+	e.MaxAttempts = parseCount(f[2])
+	e.Priority = parseCount(f[3])
+	e.Goal = time.Duration(parseCount(f[4])) * time.Millisecond
 	if f[5] != "" {
 		e.Homes = strings.Split(f[5], "|")
 	}
 	return e
 }
 
-func count(s string) int {
+func parseCount(s string) int {
 	n, err := strconv.Atoi(s)
 	if err != nil {
 		return 0
@@ -261,7 +267,7 @@
 	return n
 }
 
-// outcomeWriter adds to an answer what became of the request.
+// outcomeWriter adds the outcome of the request to the headers of its answer.
 type outcomeWriter struct {
 	http.ResponseWriter
 	signed func(http.Header) bool
@@ -272,14 +278,14 @@
 	h := o.Header()
 	switch {
 	case o.signed(h):
-		h[headOutcome] = []string{outcomeServed}
+		h[headerOutcome] = []string{outcomeServed}
 	case status == http.StatusServiceUnavailable:
-		h[headOutcome] = []string{outcomeNotRun}
+		h[headerOutcome] = []string{outcomeNotRun}
 	}
 	o.ResponseWriter.WriteHeader(status)
 }
 
-// Unwrap serves http.ResponseController.
+// Unwrap returns the underlying writer for http.ResponseController.
 func (o *outcomeWriter) Unwrap() http.ResponseWriter { return o.ResponseWriter }
 
 // Flush implements http.Flusher.
@@ -289,13 +295,13 @@
 	}
 }
 
-// serveNode answers other nodes.
+// serveNode handles the requests of other nodes.
 func (g *Gateway) serveNode(w http.ResponseWriter, r *http.Request) {
 	switch {
-	case r.Header.Get(headService) != "":
+	case r.Header.Get(headerService) != "":
 		g.serveForward(w, r)
 	case r.URL.Path == jwquotaexchange.Path:
-		g.sharing.ServeHTTP(w, r)
+		g.quotaExchange.ServeHTTP(w, r)
 	case r.URL.Path == statePath:
 		g.serveState(w, r)
 	case r.URL.Path == changesPath:
--- a/io/jwgateway/meters_test.go
+++ b/io/jwgateway/meters_test.go
@@ -9,12 +9,12 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// Thirty-eight thousand workspaces must not make as many series.
-func TestSeriesOfWorkspaces(t *testing.T) {
-	m := newMeters(&jwmeter.Meter{})
+// A fleet may have 38,000 workspaces, which must not create as many metric series.
+func TestWorkspaceSeriesAreBounded(t *testing.T) {
+	m := newMetrics(&jwmeter.Meter{})
 	for i := range 1000 {
-		m.charged(fmt.Sprint("w", i), "taken", 1)
-		m.charged(fmt.Sprint("w", i), "refused", 1)
+		m.countUnits(fmt.Sprint("w", i), "taken", 1)
+		m.countUnits(fmt.Sprint("w", i), "refused", 1)
 	}
-	assert.Assert(t, len(m.units) <= maxWorkspaces+2, "%d series", len(m.units))
+	assert.Assert(t, len(m.unitCounts) <= maxWorkspaces+2, "%d series", len(m.unitCounts))
 }
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -11,135 +11,136 @@
 )
 
 const (
-	// relayPatience is how long a node that starts in a large region asks its relay for
-	// the targets before it reads them all itself.
-	relayPatience = 1500 * time.Millisecond
-	// relayRetry is the wait between two of these questions.
-	relayRetry = 100 * time.Millisecond
+	// maxRelayPull is how long a node that starts in a large region tries to get the targets from
+	// its relay before it reads them all from the store.
+	maxRelayPull = 1500 * time.Millisecond
+	// relayPullPause is the pause between two of these attempts.
+	relayPullPause = 100 * time.Millisecond
 )
 
-// reading is what a reading of everything has brought so far.
-type reading struct {
-	revision jwstore.Revision // of the first page
-	targets  map[string]bool
-	nodes    map[string]bool
-	evacuate map[string]bool
-	config   *jwstore.Item
-	fleet    *jwstore.Item
-	pulled   bool // the targets came from the relay
+// fullRead is what a read of all keys has returned so far.
+type fullRead struct {
+	revision         jwstore.Revision // of the first page
+	targets          map[string]bool
+	nodes            map[string]bool
+	evacuated        map[string]bool
+	config           *jwstore.Item
+	fleet            *jwstore.Item
+	targetsFromRelay bool
 }
 
-// readAll reads everything, page by page; what is not there any more is gone. In a
-// large region the relay knows the targets, which are most of it.
-func (f *follower) readAll(ctx context.Context) error {
-	r := &reading{targets: map[string]bool{}, nodes: map[string]bool{}, evacuate: map[string]bool{}}
+// readAll reads all keys page by page and removes what is no longer in the store. In a large region
+// the targets, which are most of the data, come from the relay.
+func (w *storeWatcher) readAll(ctx context.Context) error {
+	r := &fullRead{targets: map[string]bool{}, nodes: map[string]bool{}, evacuated: map[string]bool{}}
 	last := ""
 	for {
-		p, err := f.g.Feed.Range(ctx, "", last)
-		now := f.answered(ctx, err)
+		p, err := w.g.Feed.Range(ctx, "", last)
+		now := w.noteStoreCall(ctx, err)
 		if err != nil {
 			return err
 		}
 		if r.revision == 0 {
 			r.revision = p.Revision
 		}
-		f.takePage(now, p, r)
+		w.applyPage(now, p, r)
 		if !p.More {
 			break
 		}
 		last = p.Items[len(p.Items)-1].Key
-		// The registrations of targets come after all others.
-		if _, ok := f.g.Records.TargetID(last); ok && f.pullTargets(ctx, r) {
+		// The registrations of targets sort after all other keys.
+		if _, ok := w.g.Records.TargetID(last); ok && w.pullTargetsFromRelay(ctx, r) {
 			break
 		}
 	}
-	f.finish(time.Now(), r)
+	w.finishRead(time.Now(), r)
 	return nil
 }
 
-// takePage brings a page into the tables, but for the configuration: requests that wait
-// for the first one find targets then.
-func (f *follower) takePage(now time.Time, p jwstore.Page, r *reading) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// applyPage applies all keys of a page but the configuration, so that requests that wait for the
+// first configuration find targets when it is in force.
+func (w *storeWatcher) applyPage(now time.Time, p jwstore.Page, r *fullRead) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	for _, i := range p.Items {
-		if f.g.Records.IsConfig(i.Key) {
+		if w.g.Records.IsConfig(i.Key) {
 			r.config = &i
 			continue
 		}
-		if i.Key == fleetKey {
-			r.fleet = &i // after the nodes, which it is compared with
+		if i.Key == fleetSizeKey {
+			r.fleet = &i // applied after the nodes, which it is compared with
 			continue
 		}
-		f.applyItem(now, &i)
-		if id, ok := f.g.Records.TargetID(i.Key); ok {
+		w.applyItem(now, &i)
+		if id, ok := w.g.Records.TargetID(i.Key); ok {
 			r.targets[id] = true
 		}
 		if name, ok := strings.CutPrefix(i.Key, nodePrefix); ok {
 			r.nodes[name] = true
 		}
-		if dc, ok := f.g.Records.Evacuation(i.Key); ok {
-			r.evacuate[dc] = true
+		if dc, ok := w.g.Records.Evacuation(i.Key); ok {
+			r.evacuated[dc] = true
 		}
 	}
 }
 
-func (f *follower) applyItem(now time.Time, i *jwstore.Item) {
+// applyItem applies a stored key, unless it is nil.
+func (w *storeWatcher) applyItem(now time.Time, i *jwstore.Item) {
 	if i != nil {
-		f.apply(now, jwstore.Event{Key: i.Key, Value: i.Value, Revision: i.Version})
+		w.applyChange(now, jwstore.Event{Key: i.Key, Value: i.Value, Revision: i.Version})
 	}
 }
 
-// finish drops what is gone and brings the configuration into force.
-func (f *follower) finish(now time.Time, r *reading) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if !r.pulled {
-		f.g.targets.Keep(now, r.targets, r.revision)
+// finishRead removes what is no longer in the store and puts the configuration into force.
+func (w *storeWatcher) finishRead(now time.Time, r *fullRead) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if !r.targetsFromRelay {
+		w.g.targets.Keep(now, r.targets, r.revision)
 	}
-	f.g.members.Keep(now, r.nodes)
-	if !r.nodes[f.g.members.Me().Name] {
-		f.g.reregister()
+	w.g.members.Keep(now, r.nodes)
+	if !r.nodes[w.g.members.Me().Name] {
+		w.g.reregister()
 	}
-	f.noteEra(now, r)
-	for dc := range f.evacuated {
-		r.evacuate[dc] = true
+	w.checkStoreRestored(now, r)
+	for dc := range w.heldEvacuations {
+		r.evacuated[dc] = true
 	}
-	f.g.keepEvacuated(now, r.evacuate)
-	f.applyItem(now, r.fleet)
-	f.applyItem(now, r.config)
-	f.revision, f.known = r.revision, r.revision
-	f.g.store.revision.Store(r.revision)
-	if f.g.synced.CompareAndSwap(false, true) {
-		for _, in := range f.g.targets.Known(now) {
-			f.g.logTarget(in, jwinstance.Appeared)
+	w.g.endEvacuationsExcept(now, r.evacuated)
+	w.applyItem(now, r.fleet)
+	w.applyItem(now, r.config)
+	w.revision, w.lastRevision = r.revision, r.revision
+	w.g.store.revision.Store(r.revision)
+	if w.g.fullReadDone.CompareAndSwap(false, true) {
+		for _, in := range w.g.targets.Known(now) {
+			w.g.logTarget(in, jwinstance.Appeared)
 		}
 	}
-	f.g.pulse.Begin()
+	w.g.pauseDetector.Begin()
 }
 
-// pullTargets takes the targets from the relay of the data centre, if there is one that
-// this node reports through; all nodes that start at once would fill the store's link and
-// the smallest of their own with them.
-func (f *follower) pullTargets(ctx context.Context, r *reading) bool {
-	g := f.g
-	begun := time.Now()
-	for now := begun; now.Sub(begun) < relayPatience && ctx.Err() == nil; now = time.Now() {
+// pullTargetsFromRelay gets the targets from the relay of the data centre, if this node reports
+// through one. Otherwise all nodes that start at once would saturate the store's link, and the
+// smallest nodes their own.
+func (w *storeWatcher) pullTargetsFromRelay(ctx context.Context, r *fullRead) bool {
+	g := w.g
+	start := time.Now()
+	for now := start; now.Sub(start) < maxRelayPull && ctx.Err() == nil; now = time.Now() {
 		if !g.members.Large(now, g.Settings.Region) || g.members.Leads(now) {
 			return false
 		}
 		if m, ok := g.members.Relay(now, g.Settings.DataCentre); ok {
-			b, err := g.askView(ctx, m.Nodes, g.entries.Version(), 0)
-			if err == nil && b.Revision >= r.revision {
-				g.take(time.Now(), b, m.Nodes)
-				if len(b.Config) > 0 {
-					g.takeConfig(b.Config, m.Name)
+			v, err := g.fetchView(ctx, m.Nodes, g.entries.Version(), 0)
+			if err == nil && v.Revision >= r.revision {
+				g.applyView(time.Now(), v, m.Nodes)
+				if len(v.Config) > 0 {
+					g.applyConfig(v.Config, m.Name)
 				}
-				r.pulled, r.revision = true, b.Revision
+				r.targetsFromRelay, r.revision = true, v.Revision
 				return true
 			}
 		}
-		jwclock.Sleep(ctx, relayRetry)
+		jwclock.Sleep(ctx, relayPullPause)
 	}
 	return false
 }
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -11,30 +11,30 @@
 )
 
 const (
-	// leaseTTL is how long a node stays registered after its last sign of life.
+	// leaseTTL is how long a node stays registered after its last renewal.
 	leaseTTL = 5 * time.Second
-	// renewals is how many renewals fall into a lease.
-	renewals = 3
+	// renewalsPerLease is the number of renewals within the term of a lease.
+	renewalsPerLease = 3
 	// registerRetry is the wait after a failed call of the store.
 	registerRetry = 400 * time.Millisecond
 )
 
-// reregister makes the node write its registration anew.
+// reregister makes the node write its registration again.
 func (g *Gateway) reregister() {
 	select {
-	case g.changed <- struct{}{}:
+	case g.registrationChanged <- struct{}{}:
 	default:
 	}
 }
 
-// register keeps the node registered under its lease until ctx ends.
-func (g *Gateway) register(ctx context.Context) {
+// keepRegistered keeps the node registered under its lease until ctx ends.
+func (g *Gateway) keepRegistered(ctx context.Context) {
 	var lease jwstore.Lease
 	ttl := leaseTTL
 	written := false
 	for ctx.Err() == nil {
 		if !g.members.Me().Serving {
-			g.pause(ctx, registerRetry)
+			g.waitForChange(ctx, registerRetry)
 			if g.stopping.Load() {
 				break
 			}
@@ -43,21 +43,21 @@
 		var err error
 		switch {
 		case lease == 0:
-			begun := time.Now()
+			start := time.Now()
 			lease, ttl, err = g.Feed.Grant(ctx, max(leaseTTL, g.Settings.Gateway.Store.LeaseMin))
 			written = false
 			if err == nil {
-				g.members.Reached(time.Since(begun))
+				g.members.Reached(time.Since(start))
 				continue
 			}
 			lease = 0
 		case !written:
-			err = g.writeSelf(ctx, lease)
+			err = g.writeRegistration(ctx, lease)
 			written = err == nil
 		default:
 			err = g.Feed.Renew(ctx, lease)
 		}
-		g.store.called(time.Now(), err)
+		g.store.recordCall(time.Now(), err)
 		switch {
 		case errors.Is(err, jwstore.ErrNoLease):
 			lease = 0
@@ -66,8 +66,8 @@
 			jwclock.Sleep(ctx, g.retryWait(registerRetry))
 			continue
 		}
-		g.keepFleet(ctx)
-		if g.pause(ctx, ttl/renewals) {
+		g.writeFleetSize(ctx)
+		if g.waitForChange(ctx, ttl/renewalsPerLease) {
 			written = false
 		}
 	}
@@ -75,12 +75,13 @@
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		if err := g.Feed.End(ctx, lease); err != nil {
-			g.Log.Info("lease not ended", "error", err.Error())
+			g.Log.Info("failed to end the lease", "error", err.Error())
 		}
 	}
 }
 
-func (g *Gateway) writeSelf(ctx context.Context, lease jwstore.Lease) error {
+// writeRegistration writes the node's registration under its lease.
+func (g *Gateway) writeRegistration(ctx context.Context, lease jwstore.Lease) error {
 	me := g.members.Me()
 	value, err := json.Marshal(me)
 	if err != nil {
@@ -89,51 +90,51 @@
 	return g.Feed.Set(ctx, nodePrefix+me.Name, value, lease)
 }
 
-// fleet is what the store keeps of the size of the fleet, under fleetKey.
-type fleet struct {
+// fleetSize is the value stored under fleetSizeKey.
+type fleetSize struct {
 	Nodes int `json:"nodes"`
 }
 
-// keepFleet writes the size of the fleet, if that changed and the node is the one to
-// do so. Only quotas need it.
-func (g *Gateway) keepFleet(ctx context.Context) {
+// writeFleetSize writes the size of the fleet to the store if it has changed and this node is the
+// one that maintains it. Only quotas need it.
+func (g *Gateway) writeFleetSize(ctx context.Context) {
 	now := time.Now()
-	if !g.limited() || !g.members.KeepsFleet(now) {
+	if !g.hasQuotas() || !g.members.KeepsFleet(now) {
 		return
 	}
-	nodes := g.members.Count(now, "") // which forgets a node after a minute
-	if nodes == g.members.FleetSize() && !g.fleetLost.Load() {
+	nodes := g.members.Count(now, "") // Count forgets a node after a minute
+	if nodes == g.members.FleetSize() && !g.fleetSizeMissing.Load() {
 		return
 	}
-	value, err := json.Marshal(fleet{nodes})
+	value, err := json.Marshal(fleetSize{nodes})
 	if err == nil {
-		err = g.Feed.Set(ctx, fleetKey, value, 0)
+		err = g.Feed.Set(ctx, fleetSizeKey, value, 0)
 	}
 	if err != nil {
-		g.Log.Info("size of the fleet not written", "nodes", nodes, "error", err.Error())
+		g.Log.Info("failed to write the size of the fleet", "nodes", nodes, "error", err.Error())
 		return
 	}
-	g.fleetLost.Store(false)
+	g.fleetSizeMissing.Store(false)
 }
 
-// takeFleet takes the size of the fleet from the store.
-func (g *Gateway) takeFleet(now time.Time, value []byte) {
-	var f fleet
-	if err := json.Unmarshal(value, &f); err != nil || f.Nodes <= 0 {
-		g.Log.Info("size of the fleet not readable")
+// applyFleetSize applies the size of the fleet as stored.
+func (g *Gateway) applyFleetSize(now time.Time, value []byte) {
+	var size fleetSize
+	if err := json.Unmarshal(value, &size); err != nil || size.Nodes <= 0 {
+		g.Log.Info("failed to decode the size of the fleet")
 		return
 	}
-	g.members.SetFleet(now, f.Nodes, !g.synced.Load())
+	g.members.SetFleet(now, size.Nodes, !g.fullReadDone.Load())
 }
 
-// pause waits and reports whether the registration is to be written anew.
-func (g *Gateway) pause(ctx context.Context, d time.Duration) bool {
+// waitForChange waits for d and returns early with true if the registration must be written again.
+func (g *Gateway) waitForChange(ctx context.Context, d time.Duration) bool {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-g.changed:
+	case <-g.registrationChanged:
 		return true
 	}
 	return false
--- a/io/jwgateway/relay.go
+++ b/io/jwgateway/relay.go
@@ -11,15 +11,14 @@
 )
 
 const (
-	// heldBody is the size up to which an answer that is no stream is held
-	// until it is whole, so that one that breaks off can be told apart.
-	heldBody = 256 << 10
-	// maxEvent bounds one event of a stream.
-	maxEvent = 1 << 20
-	// maxDrain bounds what is read of an answer that nobody wants, to keep
-	// its connection.
+	// maxBufferedAnswer is the size up to which an answer other than a stream is buffered
+	// completely, so that an incomplete one can be detected before anything is sent to the caller.
+	maxBufferedAnswer = 256 << 10
+	// maxEventSize limits the size of one event of a stream.
+	maxEventSize = 1 << 20
+	// maxDrain limits how much of an unwanted answer is read to keep its connection usable.
 	maxDrain = 64 << 10
-	// readSize is how much of a stream is read at once: some events.
+	// readSize is the size of one read from a stream; it holds several events.
 	readSize = 1 << 10
 )
 
@@ -28,43 +27,43 @@
 	_, _ = io.CopyN(io.Discard, a.Body, maxDrain)
 }
 
-// relay passes an answer on; came is called with the number of events that are
-// there, for an answer without events once.
-func (g *Gateway) relay(q *request, a *jwconn.Answer, came func(events int)) Verdict {
+// passAnswer passes an answer to the caller. onEvents is called with the number of events that have
+// arrived; for an answer that is not a stream it is called once.
+func (g *Gateway) passAnswer(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
 	if strings.HasPrefix(a.Header.Get("Content-Type"), "text/event-stream") && a.Status == http.StatusOK {
-		return g.relayStream(q, a, came)
+		return g.passStream(q, a, onEvents)
 	}
-	body, err := io.ReadAll(io.LimitReader(a.Body, heldBody))
-	came(1)
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswer))
+	onEvents(1)
 	if err != nil {
-		q.refused = err.Error()
+		q.lastReason = err.Error()
 		return failed
 	}
-	if q.started {
-		// A stream can't go on with an answer that is none.
-		q.refused = "the stream was not resumed"
+	if q.answerStarted {
+		// A stream can't be resumed with an answer that is not a stream.
+		q.lastReason = "the stream was not resumed"
 		return failed
 	}
-	q.started = true
-	g.head(q, a)
-	if a.Whole() || len(body) < heldBody {
+	q.answerStarted = true
+	g.copyHeaders(q, a)
+	if a.Whole() || len(body) < maxBufferedAnswer {
 		q.w.Header()["Content-Length"] = []string{strconv.Itoa(len(body))}
 	}
 	q.w.WriteHeader(a.Status)
 	_, _ = q.w.Write(body)
-	if len(body) == heldBody && !a.Whole() {
+	if len(body) == maxBufferedAnswer && !a.Whole() {
 		if _, err := io.Copy(q.w, a.Body); err != nil {
-			q.refused = err.Error()
+			q.lastReason = err.Error()
 			return failed
 		}
 	}
 	return finished
 }
 
-// head copies the headers of an answer.
-func (g *Gateway) head(q *request, a *jwconn.Answer) {
+// copyHeaders copies the end-to-end headers of an answer to the caller's.
+func (g *Gateway) copyHeaders(q *request, a *jwconn.Answer) {
 	length := a.Header.Get("Content-Length")
-	stripHop(a.Header)
+	stripHopByHop(a.Header)
 	h := q.w.Header()
 	for name, values := range a.Header {
 		h[name] = values
@@ -74,77 +73,76 @@
 	}
 }
 
-// relayStream passes whole events on as they come. What stands before the end
-// of an event when the stream breaks off is not passed on, so that another
-// target can go on after the last whole one.
-func (g *Gateway) relayStream(q *request, a *jwconn.Answer, came func(events int)) Verdict {
-	var held []byte
-	resumed := q.started
-	wanted := ""
+// passStream passes complete events on as they arrive. If the stream breaks off within an event,
+// the incomplete event is dropped, so that another target can resume after the last complete one.
+func (g *Gateway) passStream(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
+	var buffered []byte
+	resumed := q.answerStarted
+	wantID := ""
 	if resumed {
-		wanted = next(q.lastEvent())
+		wantID = nextID(q.lastEvent())
 	}
 	buf := make([]byte, readSize)
 	first := true
 	for {
 		n, err := a.Body.Read(buf)
-		held = append(held, buf[:n]...)
-		if end := bytes.LastIndex(held, []byte("\n\n")); end >= 0 {
-			events := held[:end+2]
-			came(bytes.Count(events, []byte("\n\n")))
+		buffered = append(buffered, buf[:n]...)
+		if end := bytes.LastIndex(buffered, []byte("\n\n")); end >= 0 {
+			events := buffered[:end+2]
+			onEvents(bytes.Count(events, []byte("\n\n")))
 			if first {
 				first = false
-				g.logBegun(q)
-				if wanted != "" && firstID(events) != wanted {
-					q.refused = "the stream was resumed at another event"
+				g.logStreamStart(q)
+				if wantID != "" && firstID(events) != wantID {
+					q.lastReason = "the stream was resumed at another event"
 					return failed
 				}
 			}
-			if !g.pass(q, a, events) {
+			if !g.writeEvents(q, a, events) {
 				return failed
 			}
-			held = append(held[:0], held[end+2:]...)
+			buffered = append(buffered[:0], buffered[end+2:]...)
 		}
 		switch {
 		case err == io.EOF:
-			if len(held) > 0 || !q.started {
-				if !g.pass(q, a, held) {
+			if len(buffered) > 0 || !q.answerStarted {
+				if !g.writeEvents(q, a, buffered) {
 					return failed
 				}
 			}
 			return finished
 		case err != nil:
-			q.refused = err.Error()
+			q.lastReason = err.Error()
 			return broken
-		case len(held) > maxEvent:
-			q.refused = "an event is too large"
+		case len(buffered) > maxEventSize:
+			q.lastReason = "an event is too large"
 			return failed
 		}
 	}
 }
 
-// pass writes events to the caller at once, after the head if they are the
-// first.
-func (g *Gateway) pass(q *request, a *jwconn.Answer, events []byte) bool {
-	if !q.started {
-		q.started = true
-		g.head(q, a)
+// writeEvents writes events to the caller and flushes them, preceded by the status and headers if
+// they are the first. It returns false if the caller is gone.
+func (g *Gateway) writeEvents(q *request, a *jwconn.Answer, events []byte) bool {
+	if !q.answerStarted {
+		q.answerStarted = true
+		g.copyHeaders(q, a)
 		q.w.WriteHeader(a.Status)
 	}
 	if _, err := q.w.Write(events); err != nil {
-		q.refused = "the caller is gone"
+		q.lastReason = "the caller is gone"
 		return false
 	}
 	if f, ok := q.w.(http.Flusher); ok {
 		f.Flush()
 	}
 	if id := lastID(events); id != "" {
-		q.lastID = id
+		q.lastEventID = id
 	}
 	return true
 }
 
-// lastID returns the identifier of the last event that has one.
+// lastID returns the identifier of the last event that has one, or "".
 func lastID(events []byte) string {
 	i := bytes.LastIndex(events, []byte("\nid:"))
 	switch {
@@ -155,22 +153,23 @@
 	default:
 		return ""
 	}
-	return idAt(events[i:])
+	return parseID(events[i:])
 }
 
-// firstID returns the identifier of the first event that has one.
+// firstID returns the identifier of the first event that has one, or "".
 func firstID(events []byte) string {
 	if bytes.HasPrefix(events, []byte("id:")) {
-		return idAt(events)
+		return parseID(events)
 	}
 	i := bytes.Index(events, []byte("\nid:"))
 	if i < 0 {
 		return ""
 	}
-	return idAt(events[i+1:])
+	return parseID(events[i+1:])
 }
 
-func idAt(line []byte) string {
+// parseID returns the identifier in a line that starts with "id:".
+func parseID(line []byte) string {
 	line = bytes.TrimPrefix(line, []byte("id:"))
 	if end := bytes.IndexByte(line, '\n'); end >= 0 {
 		line = line[:end]
@@ -178,8 +177,8 @@
 	return string(bytes.TrimSpace(line))
 }
 
-// next returns the identifier after one, "" if there is no telling.
-func next(id string) string {
+// nextID returns the identifier that follows a numeric one, "" for any other.
+func nextID(id string) string {
 	n, err := strconv.ParseInt(id, 10, 64)
 	if err != nil {
 		return ""
--- a/io/jwgateway/return_test.go
+++ b/io/jwgateway/return_test.go
@@ -17,8 +17,8 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// jsonRecords decodes targets that are written as they are.
-type jsonRecords struct{ countedRecords }
+// jsonRecords decodes targets from plain JSON.
+type jsonRecords struct{ countingRecords }
 
 func (*jsonRecords) TargetID(key string) (string, bool) { return strings.CutPrefix(key, "targets/") }
 
@@ -26,8 +26,9 @@
 	return in, json.Unmarshal(value, &in)
 }
 
-// What a return of the store from an older copy costs a node that reads everything itself.
-func BenchmarkReturn(b *testing.B) {
+// BenchmarkStoreRestore measures the full read that a node makes after the store was restored from
+// an older copy.
+func BenchmarkStoreRestore(b *testing.B) {
 	for _, size := range []struct{ nodes, targets int }{{300, 3000}, {970, 3200}} {
 		b.Run(fmt.Sprintf("%d nodes", size.nodes), func(b *testing.B) {
 			var feed jwstore.MemoryFeed
@@ -48,17 +49,17 @@
 				id := fmt.Sprintf("i-%010d", i)
 				write("targets/"+id, jwinstance.Instance{ID: id, Service: "s", Address: address, DataCentre: "r-a", Region: "r", Slots: 24})
 			}
-			g := &Gateway{Feed: &feed, Records: &jsonRecords{}, Log: logr.Discard(), Settings: &jwsettings.Settings{Node: "self"}, changed: make(chan struct{}, 1)}
-			g.meters = newMeters(nil)
-			f := newFollower(g)
-			_, err := f.step(context.Background())
+			g := &Gateway{Feed: &feed, Records: &jsonRecords{}, Log: logr.Discard(), Settings: &jwsettings.Settings{Node: "self"}, registrationChanged: make(chan struct{}, 1)}
+			g.metrics = newMetrics(nil)
+			w := newStoreWatcher(g)
+			_, err := w.readOnce(context.Background())
 			assert.NilError(b, err)
-			calls := (size.nodes+size.targets)/feed.PageSize + 2 // and the watch that is refused
+			calls := (size.nodes+size.targets)/feed.PageSize + 2 // one partial page and the watch that fails
 			b.ReportAllocs()
 			for b.Loop() {
 				feed.Return(feed.Copy())
-				f.restart()
-				_, err := f.step(context.Background())
+				w.resetRevision()
+				_, err := w.readOnce(context.Background())
 				assert.NilError(b, err)
 			}
 			b.ReportMetric(float64(bytes), "bytes-read/op")
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -10,52 +10,52 @@
 	"jujubewheel/io/jwconn"
 )
 
-// freshOnce is how long a connection may have been unused for a request that
+// maxIdleForSingleSend is how long a connection may have been idle to be used for a request that
 // must not be sent twice.
-const freshOnce = time.Second
+const maxIdleForSingleSend = time.Second
 
-// sendTarget sends the request to one target.
+// sendTarget sends the request to one target and passes the answer to the caller.
 func (g *Gateway) sendTarget(ctx context.Context, q *request, c jwinstance.Choice) Verdict {
 	x := c.Target
 	q.tried[x.ID], q.sentTo = true, x.ID
 	var p progress
 	if q.sends == 0 {
-		g.retries.Request(time.Now(), q.service)
+		g.retryBudget.Request(time.Now(), q.service)
 	}
 	bound := len(q.homes) > 0
-	g.suspects.Begin(q.mark, x.Address, bound)
-	begun := time.Now()
+	g.suspects.Begin(q.fingerprint, x.Address, bound)
+	start := time.Now()
 	status := 0
-	sendCtx, patience := g.patience(ctx, q, c)
-	defer patience.Stop()
+	sendCtx, timer := g.withSendTimeout(ctx, q, c)
+	defer timer.Stop()
 	verdict := func() Verdict {
 		a, err := g.Targets.Do(sendCtx, g.targetCall(q, c))
 		if err != nil {
-			return g.sendFailed(ctx, q, x, err)
+			return g.classifySendError(ctx, q, x, err)
 		}
 		defer a.Close()
 		q.sends++
 		status = a.Status
-		if v, ok := g.judge(q, x, a); !ok {
+		if v, ok := g.checkAnswer(q, x, a); !ok {
 			return v
 		}
-		return g.relay(q, a, func(events int) {
+		return g.passAnswer(q, a, func(events int) {
 			now := time.Now()
-			pause := p.came(begun, now)
+			pause := p.recordEvents(start, now)
 			if pause == 0 {
 				g.targets.Started(x, c, q.Prompt, p.first)
 			} else {
 				g.targets.Passed(now, x, events, pause)
-				g.meters.pauses.RecordDuration(pause)
+				g.metrics.eventPauses.RecordDuration(pause)
 			}
-			patience.Reset(mostPause)
+			timer.Reset(maxEventPause)
 		})
 	}()
 	g.targets.Done(time.Now(), x, c, p.first)
 	if (verdict == failed || verdict == broken) && status != http.StatusInternalServerError && sendCtx.Err() == nil {
-		g.brokeOff(ctx, x)
+		g.checkCrash(ctx, x)
 	}
-	g.suspects.End(q.mark, x.Address, verdict == finished, time.Now())
+	g.suspects.End(q.fingerprint, x.Address, verdict == finished, time.Now())
 	if verdict == finished && status < http.StatusInternalServerError {
 		g.targets.Served(x)
 	}
@@ -66,18 +66,18 @@
 	return verdict
 }
 
-// progress is how the events of an answer came.
+// progress records when the events of an answer arrived.
 type progress struct {
-	first time.Duration // from the send on, 0 before it came
-	pause time.Duration // the longest
+	first time.Duration // time from the send to the first event; 0 before that
+	pause time.Duration // longest pause between two events
 	last  time.Time
 }
 
-// came notes events and returns the pause before them, 0 for the first.
-func (p *progress) came(begun, now time.Time) time.Duration {
+// recordEvents records the arrival of events and returns the pause before them, 0 for the first ones.
+func (p *progress) recordEvents(start, now time.Time) time.Duration {
 	defer func() { p.last = now }()
 	if p.first == 0 {
-		p.first = max(now.Sub(begun), 1)
+		p.first = max(now.Sub(start), 1)
 		return 0
 	}
 	pause := max(now.Sub(p.last), 1)
@@ -85,9 +85,9 @@
 	return pause
 }
 
-// silent returns how long nothing had come when a send ended that was not
-// finished.
-func (p *progress) silent(v Verdict, now time.Time) time.Duration {
+// silence returns how long no event had arrived when an unfinished send ended; 0 for a finished
+// one.
+func (p *progress) silence(v Verdict, now time.Time) time.Duration {
 	if v == finished || p.last.IsZero() {
 		return 0
 	}
@@ -95,67 +95,69 @@
 }
 
 const (
-	// leastPatience is the shortest wait for a target before another is tried.
-	leastPatience = 250 * time.Millisecond
-	// goalPatience is the part of the goal that a target may use up before
-	// another is tried: the rest has to do for that one.
-	goalPatience = 1.0
-	// expectedPatience is how many times the expected wait a target may take.
-	expectedPatience = 4
-	// mostPause is the longest pause between events before a stream is taken
-	// for dead and resumed elsewhere; callers leave after two seconds.
-	mostPause = 1500 * time.Millisecond
+	// minSendTimeout is the minimum wait for a target's answer before another target is tried.
+	minSendTimeout = 250 * time.Millisecond
+	// goalTimeoutShare is the share of the entry's latency goal that a target may use up before
+	// another one is tried. The remaining time must suffice for that one.
+	goalTimeoutShare = 1.0
+	// expectedWaitFactor is the multiple of the expected wait that a target may take before another
+	// one is tried.
+	expectedWaitFactor = 4
+	// maxEventPause is the longest pause between two events before a stream is assumed dead and
+	// resumed at another target. Callers give up after two seconds.
+	maxEventPause = 1500 * time.Millisecond
 )
 
-// errImpatient ends a send that took too long where another may help.
-var errImpatient = errors.New("the target took too long")
+// errSendTimeout is the cancellation cause of a send that took too long where another target may
+// answer in time.
+var errSendTimeout = errors.New("the target took too long")
 
-// patience returns the context of one send, which ends early where the request
-// may be sent to another target: one that has fallen silent must not use up
+// withSendTimeout returns the context and the timer of one send. The context ends early if the
+// request may be sent to another target, so that a target that stopped responding does not use up
 // the caller's time.
-func (g *Gateway) patience(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, stopper) {
+func (g *Gateway) withSendTimeout(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, sendTimer) {
 	if !q.entry.Repeatable() || q.body.rest != nil || q.attempts+1 >= q.entry.Attempts() {
-		return ctx, stopper{}
+		return ctx, sendTimer{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
-	d := max(leastPatience, time.Duration(goalPatience*float64(q.entry.Goal)), expectedPatience*c.Expected)
-	give := func() {
-		// Without a repeat in hand waiting on is the better chance.
-		if g.retries.Take(time.Now(), q.service) {
-			q.paid.Store(true)
-			cancel(errImpatient)
+	d := max(minSendTimeout, time.Duration(goalTimeoutShare*float64(q.entry.Goal)), expectedWaitFactor*c.Expected)
+	expire := func() {
+		// Without budget for a retry, continuing to wait is the better option.
+		if g.retryBudget.Take(time.Now(), q.service) {
+			q.budgetTaken.Store(true)
+			cancel(errSendTimeout)
 		}
 	}
-	return ctx, stopper{time.AfterFunc(d, give), cancel}
+	return ctx, sendTimer{time.AfterFunc(d, expire), cancel}
 }
 
-// stopper is the timer of a send; the zero value does nothing.
-type stopper struct {
+// sendTimer is the timeout of one send. The zero value does nothing.
+type sendTimer struct {
 	timer  *time.Timer
 	cancel context.CancelCauseFunc
 }
 
-// Reset starts the timer anew.
-func (s stopper) Reset(d time.Duration) {
+// Reset restarts the timer.
+func (s sendTimer) Reset(d time.Duration) {
 	if s.timer != nil {
 		s.timer.Reset(d)
 	}
 }
 
-// Stop ends the timer and frees the context.
-func (s stopper) Stop() {
+// Stop stops the timer and releases the context.
+func (s sendTimer) Stop() {
 	if s.timer != nil {
 		s.timer.Stop()
 		s.cancel(nil)
 	}
 }
 
-// judge looks at the head of an answer; ok reports whether it goes to the
-// caller, and otherwise the verdict on the send is returned.
-func (g *Gateway) judge(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
+// checkAnswer checks the status and headers of an answer and updates what is known of the target.
+// ok reports whether the answer may be passed to the caller; if not, v is the verdict on the send.
+func (g *Gateway) checkAnswer(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
 	reply := g.Dialect.Answer(a.Header)
 	g.noteCold(x, reply)
-	// Otherwise the answer isn't known to be the target's.
+	// An answer without a signature may come from something other than the target.
 	if a.Status != http.StatusMisdirectedRequest && (reply.Signed || reply.NotRun) {
 		g.noteLimit(x, reply)
 		g.noteLeaving(x, reply)
@@ -164,7 +166,7 @@
 	now := time.Now()
 	switch {
 	case reply.NotRun || a.Status == http.StatusMisdirectedRequest:
-		q.refused = "refused by the target"
+		q.lastReason = "refused by the target"
 		if a.Status == http.StatusMisdirectedRequest {
 			g.targets.Replaced(now, x)
 		} else {
@@ -174,7 +176,7 @@
 		return notRun, false
 	case !reply.Signed || a.Header.Get("Content-Encoding") != "":
 		q.attempts++
-		q.refused = "the answer is not the target's"
+		q.lastReason = "the answer is not the target's"
 		g.targets.Failed(x)
 		return failed, false
 	}
@@ -183,15 +185,16 @@
 		return finished, true
 	}
 	g.targets.Failed(x)
-	if q.started || !g.mayRepeat(q, failed) {
-		return finished, true // the caller gets the target's own failure
+	if q.answerStarted || !g.mayRetry(q, failed) {
+		return finished, true // the caller gets the target's error answer
 	}
 	drain(a)
-	q.refused = "the target failed"
-	q.paid.Store(true)
+	q.lastReason = "the target failed"
+	q.budgetTaken.Store(true)
 	return failed, false
 }
 
+// targetCall returns the call that sends the request to a target.
 func (g *Gateway) targetCall(q *request, c jwinstance.Choice) *jwconn.Call {
 	x := c.Target
 	h := q.header.Clone()
@@ -201,26 +204,27 @@
 	})
 	call := &jwconn.Call{
 		Peer: x.Address, Method: q.method, Target: q.target, Host: q.host, Header: h,
-		Body: q.body.held, Rest: q.body.reader(), Length: q.body.length,
+		Body: q.body.buffered, Rest: q.body.reader(), Length: q.body.length,
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
 	if !q.entry.Repeatable() {
-		call.Fresh = freshOnce
+		call.Fresh = maxIdleForSingleSend
 	}
 	return call
 }
 
-// lastEvent is the event after which the next target goes on.
+// lastEvent returns the identifier of the event after which the next target resumes the stream.
 func (q *request) lastEvent() string {
-	if q.lastID != "" {
-		return q.lastID
+	if q.lastEventID != "" {
+		return q.lastEventID
 	}
 	return q.LastEvent
 }
 
-// sendFailed judges a send without an answer.
-func (g *Gateway) sendFailed(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
-	q.refused = err.Error()
+// classifySendError returns the verdict on a send that failed before an answer arrived, and updates
+// what is known of the target.
+func (g *Gateway) classifySendError(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
+	q.lastReason = err.Error()
 	var ce *jwconn.CallError
 	if errors.As(err, &ce) && ce.Stage == jwconn.Dial {
 		if ctx.Err() == nil {
@@ -238,21 +242,22 @@
 	return failed
 }
 
-// noteCold keeps how long a target reports in a reply that it stays cold.
+// noteCold records how long the target stays cold by its reply.
 func (g *Gateway) noteCold(x *jwinstance.Target, reply Reply) {
 	if reply.Cold > 0 {
 		g.targets.Cold(time.Now(), x, reply.Cold)
 	}
 }
 
-// noteLimit keeps the limit that a target names in a reply, or that it names none any more.
+// noteLimit records the limit that a target announces in its reply, or that it no longer announces
+// one.
 func (g *Gateway) noteLimit(x *jwinstance.Target, reply Reply) {
 	if g.targets.Limited(time.Now(), x, reply.Limit) {
 		g.Log.Info("target limit", "target", x.ID, "named", reply.Limit.Named, "rate", reply.Limit.Rate)
 	}
 }
 
-// noteRetryAfter keeps for how long a target that turned a request away wants nothing.
+// noteRetryAfter records for how long a target that rejected a request accepts none from this node.
 func (g *Gateway) noteRetryAfter(x *jwinstance.Target, status int, reply Reply) {
 	if status == http.StatusServiceUnavailable && reply.RetryAfter > 0 {
 		g.targets.Closed(time.Now(), x, reply.RetryAfter)
@@ -260,7 +265,7 @@
 	}
 }
 
-// noteLeaving keeps that a target says in a reply that it leaves.
+// noteLeaving records that a target announces in its reply that it is leaving.
 func (g *Gateway) noteLeaving(x *jwinstance.Target, reply Reply) {
 	if reply.Leaving && g.targets.Leave(x) {
 		g.Log.Info("target leaves", "target", x.ID, "from", "its answer")
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -10,117 +10,119 @@
 	"jujubewheel/core/jwrepeat"
 )
 
-// Verdict is how one send of a request ended.
+// Verdict is the result of one send of a request.
 type Verdict string
 
-// The verdicts on a send.
+// Verdicts on a send.
 const (
-	finished Verdict = "finished" // the caller has its final answer
-	notRun   Verdict = "notRun"   // no target ran it or will
-	rejected Verdict = "rejected" // the same, and no target was asked
-	failed   Verdict = "failed"   // a target ran it and reported a failure, or may have run it
-	broken   Verdict = "broken"   // a stream broke off; what came of it went to the caller
+	finished Verdict = "finished" // the caller got its final answer
+	notRun   Verdict = "notRun"   // no target has run the request or will run it
+	rejected Verdict = "rejected" // as notRun, and the request was not sent to any target
+	failed   Verdict = "failed"   // a target ran the request and reported a failure, or may have run it
+	broken   Verdict = "broken"   // a stream broke off; its complete events went to the caller
 )
 
 const (
-	// maxSends bounds how often one request is sent, whatever became of it.
+	// maxSends limits how often one request is sent, whatever the verdicts are.
 	maxSends = 4
 )
 
-// serve sends a request until it is answered, may not be sent again, or its
-// time is over.
+// serve sends a request until it is answered, must not be sent again, or its deadline has passed.
 func (g *Gateway) serve(parent context.Context, q *request) {
 	ctx, cancel := context.WithDeadline(parent, q.deadline)
 	defer cancel()
 	q.tried = make(map[string]bool, 2)
 	verdict := notRun
-	ran := false // some target may have run it
+	ran := false // a target may have run the request
 	for range maxSends {
 		verdict = g.send(ctx, q)
 		if verdict == finished {
 			return
 		}
 		ran = ran || verdict == failed || verdict == broken
-		if ctx.Err() != nil || !g.mayRepeat(q, verdict) {
+		if ctx.Err() != nil || !g.mayRetry(q, verdict) {
 			break
 		}
 	}
 	if !ran {
 		g.refund(q)
 	}
-	g.giveUp(ctx, parent, q, ran)
+	g.answerUnserved(ctx, parent, q, ran)
 }
 
-// giveUp answers the caller that its request was not served.
-func (g *Gateway) giveUp(ctx, parent context.Context, q *request, ran bool) {
+// answerUnserved answers a request that was not served, or aborts its connection if an answer has
+// started or nobody waits for one. ran reports whether a target may have run the request.
+func (g *Gateway) answerUnserved(ctx, parent context.Context, q *request, ran bool) {
 	switch {
-	case parent.Err() != nil && g.ending.Load():
+	case parent.Err() != nil && g.graceOver.Load():
 		g.logAnswer(q, "cut", "the node stopped and its grace period was over", 0)
 		panic(http.ErrAbortHandler)
 	case parent.Err() != nil:
-		g.logAnswer(q, "callerGone", q.refused, 0)
+		g.logAnswer(q, "callerGone", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
-	case q.started:
-		// An answer that ends early must not look whole.
-		g.logAnswer(q, "cut", q.refused, 0)
+	case q.answerStarted:
+		// An incomplete answer must not look complete to the caller.
+		g.logAnswer(q, "cut", q.lastReason, 0)
 		panic(http.ErrAbortHandler)
 	case q.body.tooLarge():
 		g.logAnswer(q, outcomeRefused, errBodyTooLarge.Error(), http.StatusRequestEntityTooLarge)
 		g.refuse(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
 	case !ran:
-		g.logAnswer(q, "notRun", q.refused, http.StatusServiceUnavailable)
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.refused)
+		g.logAnswer(q, "notRun", q.lastReason, http.StatusServiceUnavailable)
+		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
 	case ctx.Err() != nil:
-		g.logAnswer(q, "unknown", q.refused, http.StatusGatewayTimeout)
+		g.logAnswer(q, "unknown", q.lastReason, http.StatusGatewayTimeout)
 		g.refuse(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
 	default:
-		g.logAnswer(q, "unknown", q.refused, http.StatusBadGateway)
-		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.refused)
+		g.logAnswer(q, "unknown", q.lastReason, http.StatusBadGateway)
+		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
 	}
 }
 
-// mayRepeat reports whether a request may be sent once more after a verdict.
-func (g *Gateway) mayRepeat(q *request, v Verdict) bool {
+// mayRetry reports whether a request may be sent again after a verdict, and takes the retry from
+// the budget if it has not been taken yet.
+func (g *Gateway) mayRetry(q *request, v Verdict) bool {
 	reason := jwrepeat.Decide(jwrepeat.Request{
-		Final: v == rejected, Streamed: q.body.once(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
-		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.paid.Load(),
-	}, func() bool { return g.retries.Take(time.Now(), q.service) })
+		Final: v == rejected, Streamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
+		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.budgetTaken.Load(),
+	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
 	case jwrepeat.NoBudget:
-		g.meters.noBudget.Inc(1)
+		g.metrics.retriesRefused.Inc(1)
 	case jwrepeat.Paid:
-		q.paid.Store(false)
-		g.meters.repeats.Inc(1)
+		q.budgetTaken.Store(false)
+		g.metrics.retries.Inc(1)
 	case jwrepeat.Again:
-		g.meters.repeats.Inc(1)
+		g.metrics.retries.Inc(1)
 	}
 	return reason.May()
 }
 
-// noTarget is why a request was refused that found no target.
+// noTarget is the reason for rejecting a request that no target can take.
 const noTarget = "no target has room"
 
-// atLimit is why a request was refused whose targets said that they take no more.
+// atLimit is the reason for rejecting a request whose targets have announced a limit that is used
+// up.
 const atLimit = "the targets take no more for now"
 
-// send makes one try: here or at a node of another region.
+// send sends the request once, to a target of this region or to a node of another one.
 func (g *Gateway) send(ctx context.Context, q *request) Verdict {
 	now := time.Now()
-	if !g.mayRun(now, q) {
-		return q.reject(barred, barredRetryAfter)
+	if !g.maySend(now, q) {
+		return q.reject(quarantined, quarantineRetryAfter)
 	}
-	p := g.place(now, q)
+	p := g.chooseRegion(now, q)
 	if p.Reason == jwplacement.Nowhere && len(q.tried) > 0 && q.entry.Repeatable() {
-		// All that are left were tried: over a new connection one may answer.
+		// All remaining targets were tried; one of them may answer on a new connection.
 		clear(q.tried)
-		p = g.place(now, q)
+		p = g.chooseRegion(now, q)
 	}
 	if p.Reason == jwplacement.Nowhere {
-		return g.rejectNowhere(now, q)
+		return g.rejectWithoutTarget(now, q)
 	}
 	d := g.Admission.Decide(jwadmission.Request{
 		Goal: q.entry.Goal, Left: q.deadline.Sub(now), Expected: p.Expected, Own: p.Own,
-		Engine: q.Prompt.Tokens > 0, Begun: q.forward || q.started || q.sends > 0,
+		Engine: q.Prompt.Tokens > 0, Begun: q.forwarded || q.answerStarted || q.sends > 0,
 	})
 	if !d.Taken() {
 		return q.reject(string(d.Reason), d.RetryAfter)
@@ -128,19 +130,19 @@
 	if p.Region != g.Settings.Region {
 		return g.sendNode(ctx, q, p.Region, p.Miss)
 	}
-	need := g.need(q)
-	g.keepApart(now, q, &need)
+	need := g.targetNeed(q)
+	g.excludeSuspectTargets(now, q, &need)
 	c, ok := g.targets.Best(now, need)
 	if !ok {
-		return g.rejectNowhere(now, q)
+		return g.rejectWithoutTarget(now, q)
 	}
 	return g.sendTarget(ctx, q, c)
 }
 
-// rejectNowhere rejects a request for which there is no target.
-func (g *Gateway) rejectNowhere(now time.Time, q *request) Verdict {
+// rejectWithoutTarget rejects a request for which no target was found.
+func (g *Gateway) rejectWithoutTarget(now time.Time, q *request) Verdict {
 	if len(g.targets.Regions(q.service)) == 0 {
-		return q.reject(noTarget, jwadmission.MaxRetryAfter) // not one is left; coming back at once is in vain
+		return q.reject(noTarget, jwadmission.MaxRetryAfter) // no target is registered, so an early retry would be useless
 	}
 	if d, ok := g.targets.RoomWait(now, q.service); ok {
 		return q.reject(atLimit, min(max(d, jwadmission.MinRetryAfter), jwadmission.MaxRetryAfter))
@@ -148,8 +150,8 @@
 	return q.reject(noTarget, jwadmission.MinRetryAfter)
 }
 
-// reject notes why no target is asked to run the request, and its Retry-After.
-func (q *request) reject(why string, again time.Duration) Verdict {
-	q.refused, q.retryAfter = why, again
+// reject records the reason for the rejection and the wait for its Retry-After header.
+func (q *request) reject(reason string, wait time.Duration) Verdict {
+	q.lastReason, q.retryAfter = reason, wait
 	return rejected
 }
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -11,45 +11,45 @@
 	"jujubewheel/io/jwrest"
 )
 
-// stopShare is the part of the grace period after which what still runs is
-// cut off; the rest is for ending.
-const stopShare = 0.93
+// graceShare is the share of the grace period after which requests in flight are aborted. The rest
+// is left for shutting down.
+const graceShare = 0.93
 
-// grace is how long a node that stops serves what it has.
+// grace returns for how long a stopping node serves the requests that it has accepted.
 func (g *Gateway) grace() time.Duration {
-	return time.Duration(float64(g.bounds.Load().Grace) * stopShare)
+	return time.Duration(float64(g.bounds.Load().Grace) * graceShare)
 }
 
-// linger is how long a node that stops takes requests.
+// linger returns for how long a stopping node accepts new requests.
 func (g *Gateway) linger() time.Duration { return min(jwresolver.Linger, g.grace()) }
 
-// stop carries out the planned stop: the node is named to nobody any more,
-// serves what still comes, and waits for what it runs.
+// stop carries out the planned stop: the node is no longer named to callers, serves requests that
+// still arrive for a while, and waits for the requests in flight.
 func (g *Gateway) stop(servers []*jwrest.Server) {
-	begun := time.Now()
-	g.stopFrom.Store(int64(begun.Sub(g.begun)))
+	start := time.Now()
+	g.stopStartedAt.Store(int64(start.Sub(g.startTime)))
 	g.stopping.Store(true)
-	g.members.Serve(begun, false)
+	g.members.Serve(start, false)
 	g.reregister()
 	g.Log.Info("stopping", "inFlight", g.inFlight.Load())
-	g.announceStop(begun)
+	g.announceStop(start)
 	for _, s := range servers {
 		s.Drain()
 	}
 	grace := g.grace()
 	const step = 20 * time.Millisecond
-	for time.Since(begun) < grace {
-		if time.Since(begun) > g.linger() && g.inFlight.Load() == 0 {
+	for time.Since(start) < grace {
+		if time.Since(start) > g.linger() && g.inFlight.Load() == 0 {
 			break
 		}
 		time.Sleep(step)
 	}
-	g.ending.Store(true)
-	g.Log.Info("stop complete", "inFlight", g.inFlight.Load(), "after", time.Since(begun).String())
+	g.graceOver.Store(true)
+	g.Log.Info("stop complete", "inFlight", g.inFlight.Load(), "after", time.Since(start).String())
 }
 
-// stopPeers returns the nodes that learn at once that this one stops: all, or the relays,
-// which pass it on to the rest.
+// stopPeers returns the nodes that are informed at once that this one stops: all nodes or, in a
+// large region, the relays, which inform the others.
 func (g *Gateway) stopPeers(now time.Time) []jwmember.Member {
 	if !g.members.Large(now, g.Settings.Region) {
 		return g.members.Peers(now)
@@ -61,21 +61,21 @@
 	return list
 }
 
-// announceStop reports to every node at once that this one stops. An exchange that waits
-// for an answer already has sent the old state, so nobody is left out for it.
+// announceStop reports to the stopPeers at once that this node stops. It includes peers with an
+// exchange in flight, because that has sent the state before the stop.
 func (g *Gateway) announceStop(now time.Time) {
 	ctx, cancel := context.WithTimeout(context.Background(), exchangeTimeout)
-	var all sync.WaitGroup
+	var wg sync.WaitGroup
 	for _, m := range g.stopPeers(now) {
 		body, err := json.Marshal(g.state(now, m.Region))
 		if err != nil {
-			g.Log.Error(err, "state not encoded")
+			g.Log.Error(err, "failed to encode the state")
 			continue
 		}
-		all.Go(func() { g.exchangeState(ctx, m, body) })
+		wg.Go(func() { g.exchangeState(ctx, m, body) })
 	}
 	go func() {
-		all.Wait()
+		wg.Wait()
 		cancel()
 	}()
 }
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -33,7 +33,7 @@
 // node is a running gateway.
 type node struct {
 	callers, directory, nodes netip.AddrPort
-	stop                      func() // as SIGTERM, and waits for the end
+	stop                      func() // stops the gateway as on SIGTERM and waits until it has ended
 }
 
 func start(t *testing.T, feed jwstore.Feed, name, region string, seeds ...netip.AddrPort) node {
@@ -41,7 +41,7 @@
 	return startWith(t, feed, name, region, nil, seeds...)
 }
 
-// startWith starts a gateway whose fields change sets, if it is not nil.
+// startWith starts a gateway after change, if it is not nil, has set fields of it.
 func startWith(t *testing.T, feed jwstore.Feed, name, region string, change func(*jwgateway.Gateway), seeds ...netip.AddrPort) node {
 	t.Helper()
 	free := netip.MustParseAddrPort("127.0.0.1:0")
@@ -86,29 +86,29 @@
 	return n
 }
 
-// seen is what a target got.
-type seen struct {
+// receivedRequest is a request as a target received it.
+type receivedRequest struct {
 	header http.Header
 	path   string
 	body   string
 }
 
-// target is a stand-in of a target that answers by a function.
+// target is a fake target that answers with a function.
 type target struct {
-	id   string
-	addr string
-	mu   sync.Mutex
-	got  []seen
+	id       string
+	addr     string
+	mu       sync.Mutex
+	received []receivedRequest
 }
 
-func (x *target) requests() []seen {
+func (x *target) requests() []receivedRequest {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	return append([]seen(nil), x.got...)
+	return append([]receivedRequest(nil), x.received...)
 }
 
-// startTarget starts a target and registers it. Its answers carry the
-// request's identifier and a signature unless serve sets them otherwise.
+// startTarget starts a target and registers it. Its answers carry the request's identifier and a
+// signature unless serve sets them otherwise.
 func startTarget(t *testing.T, feed *jwstore.MemoryFeed, id, service, dataCentre string, serve http.HandlerFunc) *target {
 	t.Helper()
 	x := &target{id: id}
@@ -118,7 +118,7 @@
 			return
 		}
 		x.mu.Lock()
-		x.got = append(x.got, seen{r.Header.Clone(), r.RequestURI, string(body)})
+		x.received = append(x.received, receivedRequest{r.Header.Clone(), r.RequestURI, string(body)})
 		x.mu.Unlock()
 		w.Header().Set("Jujubewheel-Request-Id", r.Header.Get("Jujubewheel-Request-Id"))
 		w.Header().Set("Jujubewheel-Server-Seal", "seal-"+id)
@@ -154,7 +154,7 @@
 	status int
 	header http.Header
 	body   string
-	err    error // of the body
+	err    error // error while reading the body
 }
 
 func send(t *testing.T, n node, method, path, id string, header http.Header, body string) (reply, error) {
@@ -178,8 +178,9 @@
 	return reply{res.StatusCode, res.Header, string(text), err}, nil
 }
 
-// until tries a request until ok says that the nodes have caught up.
-func until(t *testing.T, n node, path string, ok func(reply) bool) reply {
+// sendUntil repeats a request until ok accepts the answer, which shows that the node has read
+// recent changes.
+func sendUntil(t *testing.T, n node, path string, ok func(reply) bool) reply {
 	t.Helper()
 	for i := range 1000 {
 		r, err := send(t, n, http.MethodGet, path, fmt.Sprintf("w%d", i), nil, "")
@@ -188,18 +189,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("the node did not catch up")
+	t.Fatal("the expected answer did not come in time")
 	return reply{}
 }
 
 func served(r reply) bool { return r.status == http.StatusOK }
 
-func text(s string) http.HandlerFunc {
+func respondText(s string) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) { _, _ = io.WriteString(w, s) }
 }
 
-// The store is away when the first node starts. Reply 404, callers would take
-// their entry for gone.
+// The store is unavailable when the first node starts. With a 404 callers would conclude that their
+// entry was removed.
 func TestWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -212,7 +213,7 @@
 	assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "")
 }
 
-func TestPassedOnUnchanged(t *testing.T) {
+func TestRequestAndAnswerAreUnchanged(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	x := startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, _ *http.Request) {
@@ -222,7 +223,7 @@
 	})
 	configure(&feed, 1, route("/a/", "non_idempotent", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", func(r reply) bool { return r.status == http.StatusCreated })
+	sendUntil(t, n, "/w/x", func(r reply) bool { return r.status == http.StatusCreated })
 	r, err := send(t, n, http.MethodPost, "/a/x%2Fy?q=1&q=2", "one", http.Header{
 		"X-Caller":                     {"kept"},
 		"Jujubewheel-Token-Count":      {"10,20"},
@@ -254,9 +255,9 @@
 	}
 }
 
-// What a caller is told when its target fails, by what may be repeated. The
-// first target fails in some way, the second one serves.
-func TestFailures(t *testing.T) {
+// The answer of a caller whose target fails, by whether the request may be sent again. The first
+// target fails in some way, the second one serves.
+func TestTargetFailures(t *testing.T) {
 	t.Parallel()
 	abort := func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }
 	refuse := func(w http.ResponseWriter, _ *http.Request) {
@@ -277,9 +278,9 @@
 	}
 	cases := map[string]struct {
 		kind  string
-		first http.HandlerFunc // nil for a target that takes no connection
+		first http.HandlerFunc // nil for a target that accepts no connections
 		want  int
-		runs  int // requests that reached the second target
+		runs  int // number of requests that reached the second target
 	}{
 		"not connected, may run once":      {"non_idempotent", nil, 200, 1},
 		"not connected, may be repeated":   {"idempotent", nil, 200, 1},
@@ -291,7 +292,7 @@
 		"its own failure, may be repeated": {"idempotent", fail, 200, 1},
 		"no signature, may run once":       {"non_idempotent", unsealed, 502, 0},
 		"no signature, may be repeated":    {"idempotent", unsealed, 200, 1},
-		// Its own answer may still come behind the other one, until the time is over.
+		// The right answer might still follow on the connection until the deadline.
 		"another's answer, may run once":    {"non_idempotent", foreign, 504, 0},
 		"another's answer, may be repeated": {"idempotent", foreign, 200, 1},
 		"broken off, may run once":          {"non_idempotent", short, 502, 0},
@@ -302,7 +303,7 @@
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			var feed jwstore.MemoryFeed
-			// Of two equal targets the first by name is chosen.
+			// Of two equal targets the node chooses the first by name.
 			if c.first != nil {
 				startTarget(t, &feed, "t1", "s", "north-a", c.first)
 			} else {
@@ -311,10 +312,10 @@
 				register(&feed, "t1", "s", l.Addr().String(), "north-a", "ready")
 				l.Close()
 			}
-			x := startTarget(t, &feed, "t2", "s", "north-a", text("fine"))
+			x := startTarget(t, &feed, "t2", "s", "north-a", respondText("fine"))
 			configure(&feed, 1, route("/a/", c.kind, ""))
 			n := start(t, &feed, "n1", "north")
-			until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+			sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 			r, err := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 			assert.NilError(t, err)
 			assert.Equal(t, r.status, c.want, "%s", r.body)
@@ -323,7 +324,8 @@
 	}
 }
 
-// events writes a stream from one event on and breaks off before another.
+// events writes a stream of events from one number up to, but not including, another, and breaks
+// off within the next event unless whole is set.
 func events(from, until int, whole bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
@@ -347,13 +349,13 @@
 		first  http.HandlerFunc
 		second http.HandlerFunc
 		body   string
-		cut    bool   // the caller sees that the stream is not whole
-		after  string // Last-Event-Id that the second target got
+		cut    bool   // whether the caller sees that the stream is incomplete
+		after  string // Last-Event-Id header that the second target received
 	}{
 		"whole":                {"", events(1, 4, true), nil, threeEvents, false, ""},
 		"broken, may run once": {"", events(1, 3, false), events(3, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, ""},
 		"broken, goes on":      {`,"Resumable":true`, events(1, 3, false), events(3, 4, true), threeEvents, false, "2"},
-		// Joined there, a caller would read one event twice.
+		// Resumed there, the stream would contain one event twice.
 		"resumed at another event": {`,"Resumable":true`, events(1, 3, false), events(2, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, "2"},
 		"broken twice":             {`,"Resumable":true`, events(1, 3, false), events(3, 4, false), threeEvents, true, "2"},
 	}
@@ -368,11 +370,11 @@
 			}
 			configure(&feed, 1, route("/a/", "stream", c.more))
 			n := start(t, &feed, "n1", "north")
-			until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+			sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 			r, err := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 			assert.NilError(t, err)
 			assert.Equal(t, r.status, http.StatusOK)
-			assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "seal-t1", "that of the first target")
+			assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "seal-t1", "must be the signature of the first target")
 			assert.Equal(t, r.body, c.body)
 			assert.Equal(t, r.err != nil, c.cut)
 			if c.after != "" {
@@ -382,18 +384,18 @@
 	}
 }
 
-// Targets take connections from their own region only, so what is served in
-// another one goes by a node there.
+// Targets accept connections from their own region only, so a request to another region is
+// forwarded to a node there.
 func TestOtherRegion(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	here := startTarget(t, &feed, "t1", "s", "north-a", text("north"))
-	there := startTarget(t, &feed, "t2", "s", "south-a", text("south"))
+	here := startTarget(t, &feed, "t1", "s", "north-a", respondText("north"))
+	there := startTarget(t, &feed, "t2", "s", "south-a", respondText("south"))
 	configure(&feed, 1, route("/w/", "idempotent", ""), route("/bound/", "non_idempotent", `,"HomeRegions":["south"]`),
 		route("/far/", "stream", `,"HomeRegions":["east"]`))
 	north := start(t, &feed, "n1", "north")
 	start(t, &feed, "n2", "south")
-	until(t, north, "/w/x", served)
+	sendUntil(t, north, "/w/x", served)
 	before := len(here.requests())
 	var r reply
 	for range 1000 { // until the nodes know of each other
@@ -407,18 +409,18 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	assert.Equal(t, r.body, "south")
-	assert.Equal(t, r.header.Get("Jujube-Outcome"), "", "not for callers")
+	assert.Equal(t, r.header.Get("Jujube-Outcome"), "", "must not be passed to callers")
 	got := there.requests()[0]
 	assert.Equal(t, got.body, "the body")
 	assert.Equal(t, got.header.Get("Jujubewheel-Expect-Instance"), "t2")
 	for name := range got.header {
 		assert.Assert(t, !strings.HasPrefix(name, "Jujube-"), name)
 	}
-	assert.Equal(t, len(here.requests()), before, "never here")
+	assert.Equal(t, len(here.requests()), before, "the request must not be served outside its home region")
 
 	r, err := send(t, north, http.MethodPost, "/far/x", "two", nil, "")
 	assert.NilError(t, err)
-	assert.Equal(t, r.status, http.StatusServiceUnavailable, "no home has a node")
+	assert.Equal(t, r.status, http.StatusServiceUnavailable, "no node runs in a home region")
 }
 
 func directory(t *testing.T, n node, region string) []string {
@@ -433,7 +435,7 @@
 	return doc.Addrs
 }
 
-// eventually waits until something holds.
+// eventually waits until ok returns true.
 func eventually(t *testing.T, ok func() bool) {
 	t.Helper()
 	for range 3000 {
@@ -442,11 +444,12 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	t.Fatal("it does not come about")
+	t.Fatal("the condition did not become true in time")
 }
 
-// names waits until a node names just these to callers of a region.
-func names(t *testing.T, at node, region string, all ...node) {
+// waitForDirectory waits until a node's directory names exactly the given nodes to callers of a
+// region.
+func waitForDirectory(t *testing.T, at node, region string, all ...node) {
 	t.Helper()
 	want := map[string]bool{}
 	for _, n := range all {
@@ -467,81 +470,81 @@
 	configure(&feed, 1, route("/a/", "idempotent", ""), route("/bound/", "idempotent", `,"HomeRegions":["south"]`))
 	north := start(t, &feed, "n1", "north")
 	south := start(t, &feed, "n2", "south")
-	// Each has to know the other: a node that stops within its first second,
-	// before it read who else there is, is named until the store has its end.
-	names(t, north, "south", south)
-	names(t, south, "north", north)
+	// Each node must know the other: a node that stops within its first second, before it has read
+	// which other nodes exist, is named until its registration is removed.
+	waitForDirectory(t, north, "south", south)
+	waitForDirectory(t, south, "north", north)
 	assert.DeepEqual(t, directory(t, north, "north"), []string{north.callers.String()})
-	// No node of the east lives. Sent north, its callers' bound data would be
-	// in a region where it must not be.
+	// No node runs in the east. Sent to the north, the callers' bound data would be in a region
+	// where it must not be.
 	assert.DeepEqual(t, directory(t, north, "east"), []string{south.callers.String()})
 	south.stop()
-	assert.DeepEqual(t, directory(t, north, "south"), []string{north.callers.String()}) // nobody is left there
+	assert.DeepEqual(t, directory(t, north, "south"), []string{north.callers.String()}) // no node is left in the south
 	assert.Assert(t, !feed.Has("jujubewheel/nodes/n2"))
 }
 
-// The store is away while a node starts; another one still knows all.
-func TestStartByAnotherNode(t *testing.T) {
+// The store is unavailable while a node starts. The node must start with the view of another one.
+func TestStartFromPeerWithoutStore(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 7, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
-	until(t, first, "/a/x", served)
+	sendUntil(t, first, "/a/x", served)
 	feed.Down(jwstore.ErrUnavailable)
 	second := start(t, &feed, "n2", "north", first.nodes)
-	until(t, second, "/a/x", served)
+	sendUntil(t, second, "/a/x", served)
 }
 
-// All nodes of a region come back at once, in another region than the store, and their
-// callers are there before the first configuration. Each may come back once; told to,
-// it would be late, and refused if it had come back before.
-func TestRequestThatIsThereBeforeTheConfiguration(t *testing.T) {
+// All nodes of a region restart at once, in another region than the store, and callers send
+// requests before the first configuration is there. Callers retry only once: a rejected request
+// would be late, and would fail if it were a retry already.
+func TestRequestWaitsForFirstConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	n := start(t, lateReading{&feed}, "n1", "north")
+	n := start(t, slowRange{&feed}, "n1", "north")
 	r, err := send(t, n, http.MethodGet, "/a/x", "first", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK, "%s", r.body)
 }
 
-// lateReading is a store that is slow to be read.
-type lateReading struct {
+// slowRange is a store that answers reads of all keys slowly.
+type slowRange struct {
 	jwstore.Feed
 }
 
-func (l lateReading) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+func (l slowRange) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
 	jwclock.Sleep(ctx, 100*time.Millisecond)
 	return l.Feed.Range(ctx, prefix, after)
 }
 
-// A stream that runs when the node is told to stop goes on to its end, and the
-// node says so to nobody new.
+// A stream in flight when the node is told to stop continues to its end, and the node no longer
+// names itself to callers.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, goOn := make(chan struct{}), make(chan struct{})
+	started, proceed := make(chan struct{}), make(chan struct{})
 	startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/a/x" {
 			return
 		}
 		events(1, 2, true)(w, r)
 		w.(http.Flusher).Flush()
-		close(begun)
-		<-goOn
+		close(started)
+		<-proceed
 		events(2, 4, true)(w, r)
 	})
 	configure(&feed, 1, route("/a/", "stream", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	got := make(chan reply)
 	go func() {
 		r, _ := send(t, n, http.MethodPost, "/a/x", "one", nil, "")
 		got <- r
 	}()
-	<-begun
+	<-started
 	ended := make(chan struct{})
 	go func() {
 		n.stop()
@@ -550,65 +553,66 @@
 	for len(directory(t, n, "north")) > 0 {
 		time.Sleep(time.Millisecond)
 	}
-	close(goOn)
+	close(proceed)
 	r := <-got
 	assert.NilError(t, r.err)
 	assert.Equal(t, r.body, threeEvents)
 	<-ended
 }
 
-// A caller leaves; its target must not work on for nobody.
+// A caller disconnects. Its request must be canceled at the target, which would otherwise work for
+// nobody.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	begun, ended := make(chan struct{}), make(chan struct{})
+	started, ended := make(chan struct{}), make(chan struct{})
 	startTarget(t, &feed, "t1", "s", "north-a", func(_ http.ResponseWriter, r *http.Request) {
 		if r.URL.Path != "/a/x" {
 			return
 		}
-		close(begun)
+		close(started)
 		<-r.Context().Done()
 		close(ended)
 	})
 	configure(&feed, 1, route("/a/", "non_idempotent", ""), route("/w/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/w/x", served)
+	sendUntil(t, n, "/w/x", served)
 	c, err := net.Dial("tcp", n.callers.String())
 	assert.NilError(t, err)
 	fmt.Fprintf(c, "POST /a/x HTTP/1.1\r\nHost: h.example\r\nJujubewheel-Request-Id: one\r\nContent-Length: 0\r\n\r\n")
-	<-begun
+	<-started
 	c.Close()
 	<-ended
 }
 
-// A target falls silent with a request that may be repeated. The caller must
-// not wait until its own time is over.
-func TestSilentTarget(t *testing.T) {
+// A target does not answer a request that may be sent again. Another target must be tried before
+// the caller's deadline.
+func TestSilentTargetIsReplaced(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	startTarget(t, &feed, "t1", "s", "north-a", func(_ http.ResponseWriter, r *http.Request) { <-r.Context().Done() })
-	startTarget(t, &feed, "t2", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
+	sendUntil(t, n, "/none", func(r reply) bool { return r.status == http.StatusNotFound })
 	r, err := send(t, n, http.MethodGet, "/a/x", "one", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.body, "fine")
 }
 
-// The store forgets its history while a target leaves: its removal is never
-// told, only missing.
-func TestHistoryGone(t *testing.T) {
+// The store drops its history while a target leaves. The node gets no event of the removal and must
+// detect it by the missing registration.
+func TestCompactedHistory(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	feed.Remove("servers/t1")
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	feed.Compact()
-	until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint(i), nil, "")
 		assert.NilError(t, err)
@@ -616,25 +620,24 @@
 	}
 }
 
-// A host is suspended while an entry is taken out. Its steady clock stood
-// still, so that all it knew looks fresh when it wakes, and callers would be
-// served by an entry that is gone.
+// A host is suspended while an entry is removed. Its monotonic clock stood still, so that all state
+// looks recent when it resumes, and callers would be served by an entry that no longer exists.
 func TestPausedNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
+	startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	var paused atomic.Bool
 	var boot atomic.Int64
 	n := startWith(t, &feed, "n1", "north", func(g *jwgateway.Gateway) {
 		g.Boot = func() time.Duration {
 			if paused.Load() {
-				boot.Add(int64(time.Hour)) // with each look at the clock a new pause
+				boot.Add(int64(time.Hour)) // each reading of the clock shows another pause
 			}
 			return time.Duration(boot.Load())
 		}
 	})
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	feed.Down(jwstore.ErrUnavailable)
 	paused.Store(true)
 	for i := range 20 {
@@ -644,19 +647,19 @@
 		assert.Assert(t, r.header.Get("Retry-After") != "")
 	}
 	paused.Store(false)
-	until(t, n, "/a/x", served) // a region cut off from the store goes on
+	sendUntil(t, n, "/a/x", served) // a region cut off from the store continues to serve
 	paused.Store(true)
-	until(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
 	feed.Down(nil)
 	paused.Store(false)
-	r := until(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
+	r := sendUntil(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
 	assert.Equal(t, r.status, http.StatusNotFound)
 }
 
-// A data centre was evacuated as the store went down, so that no node knows,
-// and its targets have gone cold. Sent what a warm one bears, they would crash.
-func TestColdWhileTheStoreIsAway(t *testing.T) {
+// A data centre was evacuated while the store went down, so that no node knows of it, and its
+// targets have gone cold. Under the load of a warm target they would crash.
+func TestColdTargetWhileStoreIsUnavailable(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	startTarget(t, &feed, "t1", "s", "north-a", func(w http.ResponseWriter, r *http.Request) {
@@ -667,20 +670,20 @@
 	})
 	configureService(&feed, 1, `{"Name":"s","HealthPath":"/healthz","WarmupS":60,"WarmupPerS":1}`, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
-	for i := range 20 { // it is taken for warm while the store answers
+	sendUntil(t, n, "/a/x", served)
+	for i := range 20 { // the target counts as warm while the store answers
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("warm", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	feed.Down(jwstore.ErrUnavailable)
-	until(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 }
 
-// A node that starts takes long over what the store told. While it does, the store
-// isn't away, and no target is to be asked whether it is cold: one that says so
-// by mistake would be refused requests for as long.
-func TestStoreThatAnsweredIsNotAway(t *testing.T) {
+// A node that starts takes long to apply what it read from the store. In the meantime the store
+// must not count as unavailable and no target may be probed: a target that mistakenly reports
+// itself cold would get few requests for that time.
+func TestNoProbesWhileStoreAnswers(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
 	configureService(&feed, 1, `{"Name":"s","HealthPath":"/healthz","WarmupS":60,"WarmupPerS":1}`, route("/a/", "idempotent", ""))
@@ -692,63 +695,62 @@
 	})
 	register(&feed, "t2", "s", "127.0.0.1:1", "north-a", "draining")
 	taken := make(chan struct{})
-	n := startWith(t, lateLeases{&feed}, "n1", "north", func(g *jwgateway.Gateway) {
+	n := startWith(t, slowGrant{&feed}, "n1", "north", func(g *jwgateway.Gateway) {
 		g.Records = slowRecords{g.Records, "t2", sync.OnceFunc(func() { close(taken) })}
 	})
 	<-taken
-	until(t, n, "/a/x", served)
+	sendUntil(t, n, "/a/x", served)
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("warm", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 	for _, r := range x.requests() {
-		assert.Assert(t, r.path != "/healthz", "the target was asked although the store answers")
+		assert.Assert(t, r.path != "/healthz", "the target was probed although the store answers")
 	}
 }
 
-// lateLeases is a store that is slow to grant leases.
-type lateLeases struct {
+// slowGrant is a store that grants leases slowly.
+type slowGrant struct {
 	jwstore.Feed
 }
 
-func (l lateLeases) Grant(ctx context.Context, ttl time.Duration) (jwstore.Lease, time.Duration, error) {
+func (l slowGrant) Grant(ctx context.Context, ttl time.Duration) (jwstore.Lease, time.Duration, error) {
 	jwclock.Sleep(ctx, time.Second)
 	return l.Feed.Grant(ctx, ttl)
 }
 
-// slowRecords takes longer over the registration of one target than a node
-// waits between two questions to targets.
+// slowRecords decodes the registration of one target more slowly than the time between two probes.
 type slowRecords struct {
 	jwgateway.Records
-	slow  string
-	taken func()
+	slowID string
+	taken  func()
 }
 
 func (s slowRecords) Target(id string, value []byte) (jwinstance.Instance, error) {
-	if id == s.slow {
+	if id == s.slowID {
 		time.Sleep(600 * time.Millisecond)
 		s.taken()
 	}
 	return s.Records.Target(id, value)
 }
 
-// One node can't reach the store, another can. The first must learn of a target
-// that leaves, although the configuration has not changed.
-func TestNodeOutOfReachOfTheStore(t *testing.T) {
+// One node can't reach the store, another one can. The first must learn of a target that is
+// leaving, although the configuration has not changed.
+func TestNodeWithoutStoreLearnsFromPeer(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("first"))
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
-	cut := &cutFeed{Feed: &feed}
+	cut := &disconnectableFeed{Feed: &feed}
 	n := start(t, cut, "n2", "north")
-	until(t, n, "/a/x", served)
-	names(t, n, "north", first, n)
-	cut.off.Store(true)
-	startTarget(t, &feed, "t2", "s", "north-a", text("second"))
+	sendUntil(t, n, "/a/x", served)
+	waitForDirectory(t, n, "north", first, n)
+	cut.disconnected.Store(true)
+	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	register(&feed, "t1", "s", x.addr, "north-a", "draining")
-	until(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
+	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("after", i), nil, "")
 		assert.NilError(t, err)
@@ -756,73 +758,74 @@
 	}
 }
 
-// cutFeed is a store that a node can't reach while off is set.
-type cutFeed struct {
+// disconnectableFeed is a store that a node can't reach while disconnected is set.
+type disconnectableFeed struct {
 	jwstore.Feed
-	off atomic.Bool
+	disconnected atomic.Bool
 }
 
-func (c *cutFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
-	if c.off.Load() {
+func (c *disconnectableFeed) Range(ctx context.Context, prefix, after string) (jwstore.Page, error) {
+	if c.disconnected.Load() {
 		return jwstore.Page{}, jwstore.ErrUnavailable
 	}
 	return c.Feed.Range(ctx, prefix, after)
 }
 
-func (c *cutFeed) Watch(ctx context.Context, prefix string, after uint64, most time.Duration) ([]jwstore.Event, uint64, error) {
-	if c.off.Load() {
+func (c *disconnectableFeed) Watch(ctx context.Context, prefix string, after uint64, maxWait time.Duration) ([]jwstore.Event, uint64, error) {
+	if c.disconnected.Load() {
 		return nil, 0, jwstore.ErrUnavailable
 	}
-	events, revision, err := c.Feed.Watch(ctx, prefix, after, most)
-	if c.off.Load() {
-		return nil, 0, jwstore.ErrUnavailable // cut while it waited
+	events, revision, err := c.Feed.Watch(ctx, prefix, after, maxWait)
+	if c.disconnected.Load() {
+		return nil, 0, jwstore.ErrUnavailable // disconnected during the watch
 	}
 	return events, revision, err
 }
 
-func (c *cutFeed) Renew(ctx context.Context, lease jwstore.Lease) error {
-	if c.off.Load() {
+func (c *disconnectableFeed) Renew(ctx context.Context, lease jwstore.Lease) error {
+	if c.disconnected.Load() {
 		return jwstore.ErrUnavailable
 	}
 	return c.Feed.Renew(ctx, lease)
 }
 
-// Something between a node and a target has lost track of their connections:
-// bytes on them go nowhere, and neither end is told. New ones work. Callers whose
-// request may be repeated wait for the goal of their entry, one second here, and
-// not until their own time is over.
+// A middlebox between a node and a target has lost its connection state: data on existing
+// connections is lost and neither end gets an error, but new connections work. Callers whose
+// request may be sent again must wait for the goal of their entry, one second here, and not until
+// their deadline.
 func TestSilentConnections(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	x := startTarget(t, &feed, "t1", "s", "north-a", text("fine"))
-	link := &forgetful{to: x.addr}
+	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("fine"))
+	link := &lossyProxy{target: x.addr}
 	register(&feed, "t1", "s", link.listen(t), "north-a", "ready")
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	n := start(t, &feed, "n1", "north")
-	until(t, n, "/a/x", served)
-	link.forget()
-	begun := time.Now()
+	sendUntil(t, n, "/a/x", served)
+	link.dropOpen()
+	started := time.Now()
 	r, err := send(t, n, http.MethodGet, "/a/x", "silent", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK)
 	assert.Equal(t, r.body, "fine")
-	t.Logf("answered after %v", time.Since(begun))
-	for i := range 10 { // the other connections of before are not used
+	t.Logf("answered after %v", time.Since(started))
+	for i := range 10 { // the other old connections must not be used
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("after", i), nil, "")
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
 }
 
-// forgetful passes connections on until it forgets those that are open.
-type forgetful struct {
-	to   string
-	mu   sync.Mutex
-	lost atomic.Int64 // connections up to this number
-	made int64
+// lossyProxy forwards connections until dropOpen makes it silently drop the data of those that are
+// open.
+type lossyProxy struct {
+	target      string
+	mu          sync.Mutex
+	droppedUpTo atomic.Int64 // connections up to this number are dropped
+	accepted    int64
 }
 
-func (f *forgetful) listen(t *testing.T) string {
+func (f *lossyProxy) listen(t *testing.T) string {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -834,8 +837,8 @@
 				return
 			}
 			f.mu.Lock()
-			f.made++
-			number := f.made
+			f.accepted++
+			number := f.accepted
 			f.mu.Unlock()
 			go f.pass(c, number)
 		}
@@ -843,14 +846,14 @@
 	return l.Addr().String()
 }
 
-func (f *forgetful) forget() {
+func (f *lossyProxy) dropOpen() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.lost.Store(f.made)
+	f.droppedUpTo.Store(f.accepted)
 }
 
-func (f *forgetful) pass(c net.Conn, number int64) {
-	out, err := net.Dial("tcp", f.to)
+func (f *lossyProxy) pass(c net.Conn, number int64) {
+	out, err := net.Dial("tcp", f.target)
 	if err != nil {
 		_ = c.Close()
 		return
@@ -859,11 +862,11 @@
 		buf := make([]byte, 4<<10)
 		for {
 			n, err := from.Read(buf)
-			lost := number <= f.lost.Load()
-			if lost && err != nil {
-				return // the other side is not told
+			dropped := number <= f.droppedUpTo.Load()
+			if dropped && err != nil {
+				return // the other side gets no error
 			}
-			if n > 0 && !lost {
+			if n > 0 && !dropped {
 				_, _ = to.Write(buf[:n])
 			}
 			if err != nil {
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/through.go
@@ -9,58 +9,60 @@
 	"jujubewheel/core/jwstore"
 )
 
-// In a region of many nodes each exchanges state with the relay of its data centre only, and the
-// relays to each other. A relay passes on what all reported, and the changes of the
-// store, which it alone of its data centre reads. When it dies, is cut off or lags, the
-// nodes read the store themselves and the next one becomes the relay.
+// In a region of many nodes each node exchanges state only with the relay of its data centre, and
+// the relays exchange state with each other. A relay passes on what all nodes reported, and the
+// changes of the store, which it alone reads in its data centre. When the relay fails, is cut off
+// or lags behind, the nodes read the store themselves and the next node becomes the relay.
 
 const (
-	// relayPeriod is the time between two exchanges through a relay, mostRelayPeriod that
-	// in the largest regions; from relayNodes on it grows, as a relay serves more.
-	relayPeriod     = 250 * time.Millisecond
-	mostRelayPeriod = 500 * time.Millisecond
-	relayNodes      = 40
-	// relayNewsPeriods is how long a placement is reported through relays, in periods: until the
+	// relayPeriod is the time between two exchanges through a relay, and maxRelayPeriod that in the
+	// largest regions. From relayPeriodNodes nodes on the period grows with the region, because a
+	// relay serves more nodes.
+	relayPeriod      = 250 * time.Millisecond
+	maxRelayPeriod   = 500 * time.Millisecond
+	relayPeriodNodes = 40
+	// placementReportPeriods is how many periods a placement is reported through relays: until the
 	// next exchange has ended.
-	relayNewsPeriods = 1.5
-	// relayWait and relayPause are how long a relay waits for a change of the store and
-	// between two readings: those who learn of it there rely on it.
-	relayWait  = time.Second
-	relayPause = 300 * time.Millisecond
-	// relayAge is how old a relay's last reading may be for others to rely on it, and
-	// relaySeenFor how old its report. Both together, with a reading of one's own, stay below
-	// the time that a change has to be in force.
-	relayAge     = 2 * time.Second
-	relaySeenFor = 1300 * time.Millisecond
-	// stopNewsAge is how long a relay reports that a node stops.
-	stopNewsAge = 5 * time.Second
+	placementReportPeriods = 1.5
+	// relayWatchTimeout is how long a relay's watch of the store waits for a change, and
+	// relayWatchPause is the pause between two watches. They are shorter than those of other nodes
+	// because the nodes of the data centre learn of changes only through the relay.
+	relayWatchTimeout = time.Second
+	relayWatchPause   = 300 * time.Millisecond
+	// maxRelayReadAge is the maximum age of a relay's last store read, and maxRelayReportAge that
+	// of its last report, for other nodes to rely on it. Their sum plus the time that a node's own
+	// read of the store takes stays below the time within which a change must be in force.
+	maxRelayReadAge   = 2 * time.Second
+	maxRelayReportAge = 1300 * time.Millisecond
+	// stopReportAge is how long a relay reports that a node is stopping.
+	stopReportAge = 5 * time.Second
 )
 
-// through is what nodes report where they exchange state through relays.
-type through struct {
-	Relay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for others too
-	Asks     bool               `json:"asks,omitempty"`     // for the changes of the store
-	After    jwstore.Revision   `json:"after,omitempty"`    // the revision which these are to follow
-	Liveness *jwmember.Liveness `json:"liveness,omitempty"` // from a relay to those who report through it
-	Stopping []jwmember.Member  `json:"stopping,omitempty"` // nodes that stop by plan
-	Remote   []regionReport     `json:"remote,omitempty"`   // of other regions
-	Changes  *changes           `json:"changes,omitempty"`
+// relayReport is the part of a state that is exchanged through relays only.
+type relayReport struct {
+	FromRelay    bool               `json:"relay,omitempty"`    // the sender is a relay and reports for other nodes too
+	WantsChanges bool               `json:"asks,omitempty"`     // the sender asks for changes of the store
+	After        jwstore.Revision   `json:"after,omitempty"`    // the revision after which changes are wanted
+	Liveness     *jwmember.Liveness `json:"liveness,omitempty"` // sent by a relay to the nodes that report through it
+	Stopping     []jwmember.Member  `json:"stopping,omitempty"` // nodes with a planned stop
+	Remote       []regionReport     `json:"remote,omitempty"`   // reports about other regions
+	Changes      *changes           `json:"changes,omitempty"`
 }
 
-// regionReport is what a relay knows of another region.
+// regionReport is what a relay knows about another region.
 type regionReport struct {
-	Region string           `json:"region"`
-	Age    int64            `json:"age"`  // milliseconds
-	Trip   int64            `json:"trip"` // milliseconds there and back
-	Waits  map[string]int64 `json:"waits"`
-	Gaps   map[string]int64 `json:"gaps"`
+	Region    string           `json:"region"`
+	Age       int64            `json:"age"`  // milliseconds since the region's report
+	RoundTrip int64            `json:"trip"` // milliseconds
+	Waits     map[string]int64 `json:"waits"`
+	Gaps      map[string]int64 `json:"gaps"`
 }
 
-// changes are changes of the store as a relay read them.
+// changes are changes of the store as read by a relay.
 type changes struct {
-	Lost   bool             `json:"lost,omitempty"` // it doesn't have them
-	To     jwstore.Revision `json:"to"`             // the revision that they lead up to
-	Age    int64            `json:"age"`            // milliseconds since it read the store
+	Lost   bool             `json:"lost,omitempty"` // the relay no longer has the changes, or was paused
+	To     jwstore.Revision `json:"to"`             // store revision up to which the changes are complete
+	Age    int64            `json:"age"`            // milliseconds since the relay read the store
 	Events []change         `json:"events,omitempty"`
 }
 
@@ -71,68 +73,70 @@
 	Revision jwstore.Revision `json:"revision"`
 }
 
-// throughPeriod returns the time between two exchanges through a relay.
-func (g *Gateway) throughPeriod(now time.Time) time.Duration {
+// relayExchangePeriod returns the time between two exchanges through a relay.
+func (g *Gateway) relayExchangePeriod(now time.Time) time.Duration {
 	nodes := g.members.Count(now, g.Settings.Region)
-	return min(relayPeriod*time.Duration(max(nodes, relayNodes))/relayNodes, mostRelayPeriod)
+	return min(relayPeriod*time.Duration(max(nodes, relayPeriodNodes))/relayPeriodNodes, maxRelayPeriod)
 }
 
-// exchangeThrough exchanges state with the relay of the own data centre or, as the relay, to the
-// others of the region.
-func (g *Gateway) exchangeThrough(ctx context.Context, now time.Time) {
+// exchangeViaRelay exchanges state with the relay of this data centre or, if this node is the
+// relay, with the other relays of the region.
+func (g *Gateway) exchangeViaRelay(ctx context.Context, now time.Time) {
 	relay, ok := g.members.Relay(now, g.Settings.DataCentre)
 	if !ok {
 		return
 	}
 	me := g.members.Me()
 	if relay.Name != me.Name {
-		g.exchangeWithRelay(ctx, now, relay, through{Asks: true, After: g.follower.at()})
+		g.exchangeWithRelay(ctx, now, relay, relayReport{WantsChanges: true, After: g.storeWatcher.currentRevision()})
 		return
 	}
 	for _, m := range g.members.Relays(now, g.Settings.Region) {
 		if m.Name < me.Name && g.members.RecentlySeen(now, m.Name) {
-			continue // of two one begins
+			continue // of two relays that see each other, the one whose name sorts first starts the exchange
 		}
-		g.exchangeWithRelay(ctx, now, m, through{Relay: true})
+		g.exchangeWithRelay(ctx, now, m, relayReport{FromRelay: true})
 	}
-	g.callUnseen(ctx, now)
+	g.exchangeWithUnseen(ctx, now)
 }
 
-// callUnseen exchanges state, once a second, with nodes that this relay has not seen lately.
-// Two that don't see each other, as after a pause of one, may each take itself for the relay,
-// and would call nobody in their data centre.
-func (g *Gateway) callUnseen(ctx context.Context, now time.Time) {
-	if now.Sub(g.unseenAt) < exchangePeriod {
+// exchangeWithUnseen exchanges state, at most once per exchangePeriod, with nodes that this relay
+// has not seen recently. Two nodes that don't see each other, for example after one was paused, may
+// each consider itself the relay and would otherwise call no other node of their data centre.
+func (g *Gateway) exchangeWithUnseen(ctx context.Context, now time.Time) {
+	if now.Sub(g.unseenCalledAt) < exchangePeriod {
 		return
 	}
-	g.unseenAt = now
+	g.unseenCalledAt = now
 	g.unseenTurn++
 	for _, m := range g.members.Unseen(now, g.unseenTurn) {
 		g.sendStateTo(ctx, now, m)
 	}
 }
 
-func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, t through) {
-	if _, busy := g.exchanging.LoadOrStore(m.Name, true); busy {
+// exchangeWithRelay sends the state with a relayReport to a node, unless an exchange with it is in
+// flight.
+func (g *Gateway) exchangeWithRelay(ctx context.Context, now time.Time, m jwmember.Member, report relayReport) {
+	if _, busy := g.exchangesInFlight.LoadOrStore(m.Name, true); busy {
 		return
 	}
-	g.sendState(ctx, m, g.throughState(now, m.Name, t))
+	g.sendState(ctx, m, g.relayState(now, m.Name, report))
 }
 
-// throughState is the state as it is reported through relays.
-func (g *Gateway) throughState(now time.Time, to string, t through) state {
-	age := time.Duration(relayNewsPeriods * float64(g.throughPeriod(now)))
+// relayState returns the state to be exchanged through relays.
+func (g *Gateway) relayState(now time.Time, to string, report relayReport) state {
+	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
 	s := state{
 		Member: g.members.Me(), Version: g.entries.Version(), InSync: !g.store.stale(now),
 		Revision: g.store.revision.Load(), Cold: g.targets.ReportCold(now),
-		Suspects: g.notices(now, g.Settings.Region, localNewsAge), Through: &t,
-		Limits: g.targets.ReportLimits(now, t.Relay), Leaving: g.targets.ReportLeaving(),
+		Suspects: g.suspectNotices(now, g.Settings.Region, localReportAge), RelayReport: &report,
+		Limits: g.targets.ReportLimits(now, report.FromRelay), Leaving: g.targets.ReportLeaving(),
 	}
 	switch {
-	case t.Liveness != nil:
+	case report.Liveness != nil:
 		s.Loads = jwinstance.Columns(g.targets.ReportTo(now, to))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, false))
-	case t.Relay:
+	case report.FromRelay:
 		s.Loads = jwinstance.Columns(g.targets.ReportToRelay(now))
 		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, true))
 		s.LocalSeen = g.members.LocalSeen(now)
@@ -143,40 +147,40 @@
 	return s
 }
 
-// answer returns the state for a node that sent its own.
-func (g *Gateway) answer(now time.Time, s state) state {
+// replyState returns the state to answer a node with that sent its own.
+func (g *Gateway) replyState(now time.Time, s state) state {
 	switch {
-	case s.Through == nil || s.Member.Region != g.Settings.Region:
+	case s.RelayReport == nil || s.Member.Region != g.Settings.Region:
 		return g.state(now, s.Member.Region)
-	case s.Through.Relay:
-		return g.throughState(now, s.Member.Name, through{Relay: true})
+	case s.RelayReport.FromRelay:
+		return g.relayState(now, s.Member.Name, relayReport{FromRelay: true})
 	}
 	if !g.members.IsRelay(now) {
-		// The sender is wrong about who relays. This node sees few others, and may only say
-		// who runs, not who doesn't.
-		own := g.throughState(now, s.Member.Name, through{})
+		// The sender mistakes this node for the relay. This node sees few others, so it may only
+		// report which nodes run, and not which don't.
+		own := g.relayState(now, s.Member.Name, relayReport{})
 		own.LocalSeen = g.members.LocalSeen(now)
 		return own
 	}
 	h := g.members.Liveness(now)
-	return g.throughState(now, s.Member.Name, through{
-		Relay: true, Liveness: &h, Stopping: g.members.Stopping(now, stopNewsAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.Through),
+	return g.relayState(now, s.Member.Name, relayReport{
+		FromRelay: true, Liveness: &h, Stopping: g.members.Stopping(now, stopReportAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.RelayReport),
 	})
 }
 
-// changesFor returns the changes of the store that a node asks for.
-func (g *Gateway) changesFor(now time.Time, t *through) *changes {
-	if !t.Asks {
+// changesFor returns the changes of the store that a node asks for, nil if it asks for none.
+func (g *Gateway) changesFor(now time.Time, report *relayReport) *changes {
+	if !report.WantsChanges {
 		return nil
 	}
-	return g.changesAfter(now, t.After)
+	return g.changesAfter(now, report.After)
 }
 
-// changesAfter returns the changes after a revision, as far as they are kept.
+// changesAfter returns the changes after a revision, if they are still kept.
 func (g *Gateway) changesAfter(now time.Time, after jwstore.Revision) *changes {
-	age := now.Sub(g.begun) - time.Duration(g.viewed.Load())
-	events, to, ok := g.recent.After(after)
-	if !ok || !g.pulse.Alive() {
+	age := now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())
+	events, to, ok := g.recentChanges.After(after)
+	if !ok || !g.pauseDetector.Alive() {
 		return &changes{Lost: true}
 	}
 	c := &changes{To: to, Age: age.Milliseconds()}
@@ -186,21 +190,21 @@
 	return c
 }
 
-// mergeThrough merges what came through a relay.
-func (g *Gateway) mergeThrough(now time.Time, s state) {
-	t := s.Through
-	if t == nil || s.Member.Region != g.Settings.Region {
+// mergeRelayReport merges what a node of this region reported through a relay.
+func (g *Gateway) mergeRelayReport(now time.Time, s state) {
+	report := s.RelayReport
+	if report == nil || s.Member.Region != g.Settings.Region {
 		return
 	}
-	if t.Liveness != nil {
-		g.members.MergeLiveness(now, *t.Liveness)
+	if report.Liveness != nil {
+		g.members.MergeLiveness(now, *report.Liveness)
 	}
-	for _, m := range t.Stopping {
+	for _, m := range report.Stopping {
 		g.members.MergeStopping(now, m)
 	}
-	g.regions.mergeRelayed(now, t.Remote)
-	if t.Changes != nil {
-		g.follower.relayed(now, t.Changes)
+	g.regions.mergeRelayed(now, report.Remote)
+	if report.Changes != nil {
+		g.storeWatcher.applyRelayed(now, report.Changes)
 	}
 }
 
@@ -217,33 +221,34 @@
 	return nil
 }
 
-// at returns the revision up to which the store was read, by itself or through a relay.
-func (f *follower) at() jwstore.Revision {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	return f.revision
+// currentRevision returns the revision up to which the store was read, by this node or by a relay
+// for it.
+func (w *storeWatcher) currentRevision() jwstore.Revision {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.revision
 }
 
-// relayed takes changes that a relay read. What it doesn't have, or is late with, the node
-// reads itself.
-func (f *follower) relayed(now time.Time, c *changes) {
-	f.mu.Lock()
-	defer f.mu.Unlock()
+// applyRelayed applies changes that a relay read. If the relay lacks them or its read is too old,
+// this node reads the store itself.
+func (w *storeWatcher) applyRelayed(now time.Time, c *changes) {
+	w.mu.Lock()
+	defer w.mu.Unlock()
 	age := time.Duration(c.Age) * time.Millisecond
-	if c.Lost || f.revision == 0 || c.To < f.revision || age > relayAge {
-		f.relayAt = time.Time{}
+	if c.Lost || w.revision == 0 || c.To < w.revision || age > maxRelayReadAge {
+		w.relayedAt = time.Time{}
 		select {
-		case f.alone <- struct{}{}:
+		case w.relayUnusable <- struct{}{}:
 		default:
 		}
 		return
 	}
-	f.relayAt = now
-	f.take(now, c.events(), c.To)
-	f.g.viewed.Store(int64(now.Sub(f.g.begun) - age))
+	w.relayedAt = now
+	w.applyChanges(now, c.events(), c.To)
+	w.g.storeReadAt.Store(int64(now.Sub(w.g.startTime) - age))
 }
 
-// events returns the changes as a reading of the store brings them.
+// events converts the changes to events of the store.
 func (c *changes) events() []jwstore.Event {
 	events := make([]jwstore.Event, 0, len(c.Events))
 	for _, e := range c.Events {
@@ -252,24 +257,24 @@
 	return events
 }
 
-// relies returns for how long a relay is still relied on to read the store for this
-// node, 0 if none is.
-func (f *follower) relies(now time.Time) time.Duration {
-	f.mu.Lock()
-	defer f.mu.Unlock()
-	if f.revision == 0 || f.relayAt.IsZero() {
+// relayValidFor returns for how long this node may still rely on a relay to read the store for it;
+// 0 if it must read itself.
+func (w *storeWatcher) relayValidFor(now time.Time) time.Duration {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.revision == 0 || w.relayedAt.IsZero() {
 		return 0
 	}
-	return max(relaySeenFor-now.Sub(f.relayAt), 0)
+	return max(maxRelayReportAge-now.Sub(w.relayedAt), 0)
 }
 
-// rest waits until a relay may not be relied on any more.
-func (f *follower) rest(ctx context.Context, d time.Duration) {
+// waitForRelay waits until the relay may no longer be relied on, at most for d.
+func (w *storeWatcher) waitForRelay(ctx context.Context, d time.Duration) {
 	t := time.NewTimer(d)
 	defer t.Stop()
 	select {
 	case <-ctx.Done():
 	case <-t.C:
-	case <-f.alone:
+	case <-w.relayUnusable:
 	}
 }
