--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -32,61 +32,61 @@
 }
 
 // DefaultPollEvery is the pace at which Wait looks at the confirmations.
-const DefaultPollEvery = 250 * time.Millisecond
+const DefaultPollInterval = 250 * time.Millisecond
 
 // membersAgain is the pace at which Wait reads the members again.
-const membersAgain = 2 * time.Second
+const membersReadInterval = 2 * time.Second
 
 // Acceptance finds out which revisions are accepted. Once it has said so of a
 // revision, it never says otherwise, at no node.
 type Acceptance struct {
-	Store     jwstore.Store
-	PollEvery time.Duration // 0 for DefaultPollEvery
+	Store        jwstore.Store
+	PollInterval time.Duration // 0 for DefaultPollEvery
 
-	known atomic.Uint64
+	highestAccepted atomic.Uint64
 }
 
 // Check looks at the confirmations of a revision that is in the log.
 func (a *Acceptance) Check(ctx context.Context, n uint64) (Status, error) {
-	return a.check(ctx, &question{n: n})
+	return a.check(ctx, &query{revision: n})
 }
 
 // question is a revision that is asked about again and again.
-type question struct {
-	n       uint64
-	members map[string][]string // by region, read after the change was made
-	readAt  time.Time
-	version uint64 // of the accepted revision in the service
+type query struct {
+	revision        uint64
+	members         map[string][]string // by region, read after the change was made
+	membersReadAt   time.Time
+	acceptedVersion uint64 // of the accepted revision in the service
 }
 
-func (a *Acceptance) check(ctx context.Context, q *question) (Status, error) {
-	s := Status{Revision: q.n}
+func (a *Acceptance) check(ctx context.Context, q *query) (Status, error) {
+	s := Status{Revision: q.revision}
 	// The members of any moment after the change will do: whoever registers
 	// later reads a head that has it. They are read again for those that left.
-	if q.members == nil || time.Since(q.readAt) > membersAgain {
-		accepted, version, err := a.accepted(ctx, q.n)
-		if err != nil || accepted >= q.n {
+	if q.members == nil || time.Since(q.membersReadAt) > membersReadInterval {
+		accepted, version, err := a.readAccepted(ctx, q.revision)
+		if err != nil || accepted >= q.revision {
 			s.Accepted = err == nil
 			return s, err
 		}
-		members, err := a.members(ctx)
+		members, err := a.readMembers(ctx)
 		if err != nil {
 			return s, err
 		}
-		q.members, q.readAt, q.version = members, time.Now(), version
+		q.members, q.membersReadAt, q.acceptedVersion = members, time.Now(), version
 	}
-	confirmed, err := a.confirmations(ctx)
+	confirmed, err := a.readConfirmations(ctx)
 	if err != nil {
 		return s, err
 	}
-	s = judge(q.n, q.members, confirmed)
+	s = evaluateAcceptance(q.revision, q.members, confirmed)
 	if !s.Accepted {
 		return s, nil
 	}
 	// The word is given only after it is kept: a node that registers later,
 	// in a region without a confirmation, would make it untrue otherwise.
-	if err := a.keep(ctx, q.n, q.version); err != nil {
-		return Status{Revision: q.n}, err
+	if err := a.writeAccepted(ctx, q.revision, q.acceptedVersion); err != nil {
+		return Status{Revision: q.revision}, err
 	}
 	return s, nil
 }
@@ -96,21 +96,21 @@
 // service, if it failed for another reason than the end of the context.
 func (a *Acceptance) Wait(ctx context.Context, n uint64) (Status, error) {
 	last := Status{Revision: n}
-	failed := errors.Errorf("acceptance of %d: the context ended before the first look", n)
-	q := &question{n: n}
+	lastErr := errors.Errorf("acceptance of %d: the context ended before the first look", n)
+	q := &query{revision: n}
 	for {
 		s, err := a.check(ctx, q)
 		switch {
 		case err == nil:
-			last, failed = s, nil
+			last, lastErr = s, nil
 		case ctx.Err() == nil:
-			failed = err
+			lastErr = err
 		}
 		if last.Accepted {
 			return last, nil
 		}
-		if jwclock.Sleep(ctx, or(a.PollEvery, DefaultPollEvery)) != nil {
-			return last, failed
+		if jwclock.Sleep(ctx, orDefault(a.PollInterval, DefaultPollInterval)) != nil {
+			return last, lastErr
 		}
 	}
 }
@@ -129,14 +129,14 @@
 
 // judge decides whether a revision is in force in every region that has
 // members; without any member there is nobody to say so.
-func judge(n uint64, members map[string][]string, confirmed map[string]RegionConfirmed) Status {
+func evaluateAcceptance(n uint64, members map[string][]string, confirmed map[string]RegionConfirmation) Status {
 	s := Status{Revision: n}
 	for _, region := range slices.Sorted(maps.Keys(members)) {
 		c := confirmed[region]
 		switch {
 		case c.Revision >= n:
-		case c.Seen >= n && len(c.Laggards) > 0:
-			s.Missing = append(s.Missing, Missing{Region: region, Names: c.Laggards})
+		case c.Seen >= n && len(c.Lagging) > 0:
+			s.Missing = append(s.Missing, Missing{Region: region, Names: c.Lagging})
 		default:
 			s.Missing = append(s.Missing, Missing{Region: region, Names: members[region]})
 		}
@@ -145,27 +145,27 @@
 	return s
 }
 
-func (a *Acceptance) members(ctx context.Context) (map[string][]string, error) {
+func (a *Acceptance) readMembers(ctx context.Context) (map[string][]string, error) {
 	items, err := a.Store.List(ctx, MembersPrefix)
 	if err != nil {
 		return nil, errors.Wrap(err, "list members: store")
 	}
 	members := make(map[string][]string)
 	for _, item := range items {
-		region, name := regionOf(item.Key)
+		region, name := splitMemberKey(item.Key)
 		members[region] = append(members[region], name)
 	}
 	return members, nil
 }
 
-func (a *Acceptance) confirmations(ctx context.Context) (map[string]RegionConfirmed, error) {
+func (a *Acceptance) readConfirmations(ctx context.Context) (map[string]RegionConfirmation, error) {
 	items, err := a.Store.List(ctx, ConfirmedPrefix)
 	if err != nil {
 		return nil, errors.Wrap(err, "list confirmations: store")
 	}
-	confirmed := make(map[string]RegionConfirmed, len(items))
+	confirmed := make(map[string]RegionConfirmation, len(items))
 	for _, item := range items {
-		c, err := ParseRegionConfirmed(item.Value)
+		c, err := ParseRegionConfirmation(item.Value)
 		if err != nil {
 			return nil, errors.Wrapf(err, "read %s: store", item.Key)
 		}
@@ -174,15 +174,15 @@
 	return confirmed, nil
 }
 
-type acceptedJSON struct {
+type acceptedRecord struct {
 	Revision uint64 `json:"revision"`
 }
 
 // accepted returns the highest revision known to be accepted; it asks the
 // service only when n is above what this node knows.
-func (a *Acceptance) accepted(ctx context.Context, n uint64) (revision, version uint64, err error) {
-	if known := a.known.Load(); known >= n {
-		return known, 0, nil
+func (a *Acceptance) readAccepted(ctx context.Context, n uint64) (revision, version uint64, err error) {
+	if highest := a.highestAccepted.Load(); highest >= n {
+		return highest, 0, nil
 	}
 	item, ok, err := a.Store.Get(ctx, AcceptedKey)
 	if err != nil {
@@ -191,26 +191,26 @@
 	if !ok {
 		return 0, 0, nil
 	}
-	var j acceptedJSON
-	if err := decodeRecord(item.Value, &j); err != nil {
+	var record acceptedRecord
+	if err := decodeRecord(item.Value, &record); err != nil {
 		return 0, 0, errors.Wrap(err, "read accepted: store")
 	}
-	a.learn(j.Revision)
-	return j.Revision, item.Version, nil
+	a.raiseHighestAccepted(record.Revision)
+	return record.Revision, item.Version, nil
 }
 
-func (a *Acceptance) learn(n uint64) {
+func (a *Acceptance) raiseHighestAccepted(n uint64) {
 	for {
-		known := a.known.Load()
-		if known >= n || a.known.CompareAndSwap(known, n) {
+		current := a.highestAccepted.Load()
+		if current >= n || a.highestAccepted.CompareAndSwap(current, n) {
 			return
 		}
 	}
 }
 
 // keep writes the accepted revision and never lowers it.
-func (a *Acceptance) keep(ctx context.Context, n, version uint64) error {
-	data, err := json.Marshal(acceptedJSON{Revision: n})
+func (a *Acceptance) writeAccepted(ctx context.Context, n, version uint64) error {
+	data, err := json.Marshal(acceptedRecord{Revision: n})
 	if err != nil {
 		return err
 	}
@@ -220,13 +220,13 @@
 			return errors.Wrap(err, "write accepted: store")
 		}
 		if swapped {
-			a.learn(n)
+			a.raiseHighestAccepted(n)
 			return nil
 		}
-		revision, next, err := a.accepted(ctx, n)
+		revision, currentVersion, err := a.readAccepted(ctx, n)
 		if err != nil || revision >= n {
 			return err
 		}
-		version = next
+		version = currentVersion
 	}
 }
--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -11,8 +11,8 @@
 )
 
 // north returns the two nodes of a region, the gatherer first.
-func (s *system) north() (gatherer, other *node) {
-	s.round()
+func (s *system) northNodes() (gatherer, other *node) {
+	s.runRound()
 	gatherer, other = s.nodes["n0"], s.nodes["n1"]
 	if GathererOf(gatherer.Peers(), "north") == "n1" {
 		gatherer, other = other, gatherer
@@ -20,38 +20,38 @@
 	return gatherer, other
 }
 
-func (s *system) edit(t *testing.T, n *node) uint64 {
+func (s *system) putEdit(t *testing.T, n *node) uint64 {
 	t.Helper()
 	s.edits++
-	d := &Editor{Store: link{s.store, n}, Table: n.table, Retry: 1}
-	res, err := d.Put(t.Context(), edit(fmt.Sprintf("e%d", s.edits), "status", n.table.Current().Revisions["status"]))
+	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, Retry: 1}
+	res, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", s.edits), "status", n.table.Current().Revisions["status"]))
 	assert.NilError(t, err)
 	return res.Revision
 }
 
-func (s *system) accepted(t *testing.T, n *node, revision uint64) Status {
+func (s *system) status(t *testing.T, n *node, revision uint64) Status {
 	t.Helper()
-	status, err := n.accept.Check(t.Context(), revision)
+	status, err := n.acceptance.Check(t.Context(), revision)
 	assert.NilError(t, err)
 	return status
 }
 
-func (s *system) gather(t *testing.T, n *node) {
+func (s *system) gatherStep(t *testing.T, n *node) {
 	t.Helper()
 	s.now = s.now.Add(DefaultGatherPeriod)
 	assert.NilError(t, n.gatherer.Step(t.Context(), s.now))
 }
 
-func TestAcceptedWhenAllHaveIt(t *testing.T) {
+func TestAcceptedOnceAppliedEverywhere(t *testing.T) {
 	s := newSystem(nil, t)
-	g, other := s.north()
-	n := s.edit(t, g)
+	g, other := s.northNodes()
+	n := s.putEdit(t, g)
 	other.frozen = true
-	s.round()
-	assert.DeepEqual(t, s.accepted(t, g, n), Status{Revision: n, Missing: []Missing{{Region: "north", Names: []string{other.peer.Name}}}})
+	s.runRound()
+	assert.DeepEqual(t, s.status(t, g, n), Status{Revision: n, Missing: []Missing{{Region: "north", Names: []string{other.peer.Name}}}})
 	other.frozen = false
-	s.round()
-	assert.Assert(t, s.accepted(t, g, n).Accepted)
+	s.runRound()
+	assert.Assert(t, s.status(t, g, n).Accepted)
 }
 
 func TestNodeJoinsWhileMembersAreRead(t *testing.T) {
@@ -59,33 +59,33 @@
 	// read the members. A change is made then. Were the gatherer to speak for
 	// that change, it would be accepted and not hold at the new node.
 	s := newSystem(nil, t)
-	g, other := s.north()
-	n := s.edit(t, other)
-	assert.NilError(t, g.members.Follower.CatchUp(t.Context()))
-	s.store.listed = func() {
-		s.store.listed = nil
+	g, other := s.northNodes()
+	n := s.putEdit(t, other)
+	assert.NilError(t, g.membership.Follower.CatchUp(t.Context()))
+	s.store.afterList = func() {
+		s.store.afterList = nil
 		s.start("n2")
-		n = s.edit(t, other)
-		assert.NilError(t, g.members.Follower.CatchUp(t.Context()))
-		g.learn([]jwpeer.Peer{other.self()})
+		n = s.putEdit(t, other)
+		assert.NilError(t, g.membership.Follower.CatchUp(t.Context()))
+		g.mergePeers([]jwpeer.Peer{other.self()})
 	}
-	s.gather(t, g)
+	s.gatherStep(t, g)
 	assert.Equal(t, g.table.Revision(), n)
 	assert.Equal(t, s.nodes["n2"].table.Revision(), n-1)
-	s.gather(t, g)
+	s.gatherStep(t, g)
 	for _, name := range []string{"s0", "s1"} {
-		assert.NilError(t, s.nodes[name].members.Follower.CatchUp(t.Context()))
+		assert.NilError(t, s.nodes[name].membership.Follower.CatchUp(t.Context()))
 	}
-	s.nodes["s0"].learn([]jwpeer.Peer{s.nodes["s1"].self()})
-	s.nodes["s1"].learn([]jwpeer.Peer{s.nodes["s0"].self()})
-	s.gather(t, s.nodes["s0"])
-	s.gather(t, s.nodes["s1"])
-	assert.Assert(t, !s.accepted(t, g, n).Accepted)
-	s.gather(t, g)
-	s.gather(t, g)
-	assert.DeepEqual(t, s.accepted(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
-	s.round()
-	assert.Assert(t, s.accepted(t, g, n).Accepted)
+	s.nodes["s0"].mergePeers([]jwpeer.Peer{s.nodes["s1"].self()})
+	s.nodes["s1"].mergePeers([]jwpeer.Peer{s.nodes["s0"].self()})
+	s.gatherStep(t, s.nodes["s0"])
+	s.gatherStep(t, s.nodes["s1"])
+	assert.Assert(t, !s.status(t, g, n).Accepted)
+	s.gatherStep(t, g)
+	s.gatherStep(t, g)
+	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
+	s.runRound()
+	assert.Assert(t, s.status(t, g, n).Accepted)
 }
 
 func TestChangeWhileNodeJoins(t *testing.T) {
@@ -93,17 +93,17 @@
 	// start. The node must then serve with the change or be waited for.
 	for call := 1; call < 12; call++ {
 		s := newSystem(nil, t)
-		g, other := s.north()
+		g, other := s.northNodes()
 		n, calls := uint64(0), 0
-		s.store.before = func() {
+		s.store.beforeCall = func() {
 			if calls++; calls != call {
 				return
 			}
-			s.store.before = nil
-			n = s.edit(t, other)
-			s.round()
-			s.round()
-			if s.accepted(t, g, n).Accepted {
+			s.store.beforeCall = nil
+			n = s.putEdit(t, other)
+			s.runRound()
+			s.runRound()
+			if s.status(t, g, n).Accepted {
 				s.oracle.accepted = n
 			}
 		}
@@ -117,18 +117,18 @@
 	}
 }
 
-func TestRestartedNodeIsAnother(t *testing.T) {
+func TestConfirmationOfPreviousProcessIgnored(t *testing.T) {
 	// A node had confirmed more than it has after its restart: it came up
 	// behind a cut of the service, from a peer that was behind.
 	s := newSystem(nil, t)
-	g, other := s.north()
-	n := s.edit(t, g)
+	g, other := s.northNodes()
+	n := s.putEdit(t, g)
 	stale := other.self()
 	stale.Revision, stale.Incarnation = n, "#000"
 	stale.Sequence += 10
 	g.peers[other.peer.Name] = stale
-	s.gather(t, g)
-	status := s.accepted(t, g, n)
+	s.gatherStep(t, g)
+	status := s.status(t, g, n)
 	assert.Equal(t, status.Missing[0].Names[0], other.peer.Name)
 }
 
@@ -137,58 +137,58 @@
 	// was in force at all members still is, and an operator who is told
 	// otherwise would look for a fault that is none.
 	s := newSystem(nil, t)
-	g, other := s.north()
-	n := s.edit(t, g)
-	s.round()
-	s.round()
+	g, other := s.northNodes()
+	n := s.putEdit(t, g)
+	s.runRound()
+	s.runRound()
 	s.start(other.peer.Name)
-	s.now = s.now.Add(DefaultMembersEvery)
+	s.now = s.now.Add(DefaultMembersInterval)
 	for range 5 {
-		s.gather(t, g)
+		s.gatherStep(t, g)
 	}
 	item, _, err := s.store.Get(t.Context(), ConfirmedPrefix+"north")
 	assert.NilError(t, err)
-	c, err := ParseRegionConfirmed(item.Value)
+	c, err := ParseRegionConfirmation(item.Value)
 	assert.NilError(t, err)
-	assert.DeepEqual(t, c, RegionConfirmed{Region: "north", Revision: n, Seen: n, Laggards: []string{other.peer.Name}})
+	assert.DeepEqual(t, c, RegionConfirmation{Region: "north", Revision: n, Seen: n, Lagging: []string{other.peer.Name}})
 }
 
-func TestRestartDuringCountOut(t *testing.T) {
+func TestRestartWhileRecordIsDeleted(t *testing.T) {
 	// A node has left by itself and its record is about to be deleted when it
 	// starts anew under the same name. Without its record the node would
 	// serve and no change would wait for it.
 	s := newSystem(nil, t)
-	g, other := s.north()
-	left := other.self()
-	left.State = jwpeer.Gone
-	g.learn([]jwpeer.Peer{left})
+	g, other := s.northNodes()
+	leaving := other.self()
+	leaving.State = jwpeer.Gone
+	g.mergePeers([]jwpeer.Peer{leaving})
 	g.gatherer.members = nil
-	s.store.listed = func() {
-		s.store.listed = nil
+	s.store.afterList = func() {
+		s.store.afterList = nil
 		s.start(other.peer.Name)
 	}
-	s.gather(t, g)
-	assert.Equal(t, len(s.store.keys(membersOf("north"))), 2)
+	s.gatherStep(t, g)
+	assert.Equal(t, len(s.store.keys(memberPrefix("north"))), 2)
 }
 
-func TestNoResidueOfRestarts(t *testing.T) {
+func TestRestartsLeaveNoRecords(t *testing.T) {
 	s := newSystem(nil, t)
-	s.edit(t, s.nodes["n0"])
-	s.round()
+	s.putEdit(t, s.nodes["n0"])
+	s.runRound()
 	before := s.store.keys("")
 	for range 50 {
 		s.start("n1")
-		s.round()
+		s.runRound()
 	}
-	left := s.nodes["s1"]
-	assert.NilError(t, left.members.Leave(t.Context()))
+	leaving := s.nodes["s1"]
+	assert.NilError(t, leaving.membership.Leave(t.Context()))
 	delete(s.nodes, "s1")
-	s.round()
+	s.runRound()
 	assert.Equal(t, len(s.store.keys(MembersPrefix)), 3)
 	assert.Equal(t, len(s.store.keys("")), len(before)-1)
 	for _, n := range s.nodes {
-		n.adoptions.Tidy()
-		assert.Assert(t, !n.adoptions.Open())
+		n.adoptions.RemoveEnded()
+		assert.Assert(t, !n.adoptions.HasAdopted())
 	}
 }
 
@@ -198,40 +198,40 @@
 	// not be accepted before the new node has it, also if only its sponsor
 	// knows of it.
 	s := newSystem(nil, t)
-	g, other := s.north()
+	g, other := s.northNodes()
 	s.store.setDown(true)
 	s.start("n2")
 	n2 := s.nodes["n2"]
 	assert.Equal(t, n2.peer.State, jwpeer.Serving)
-	assert.Assert(t, !n2.members.Registered())
+	assert.Assert(t, !n2.membership.Registered())
 	sponsor := s.nodes["n0"]
-	assert.Assert(t, sponsor.adoptions.Open())
+	assert.Assert(t, sponsor.adoptions.HasAdopted())
 
 	s.store.setDown(false)
-	n := s.edit(t, other)
+	n := s.putEdit(t, other)
 	n2.frozen = true
-	s.round()
-	s.round()
-	assert.DeepEqual(t, s.accepted(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n0"}}})
+	s.runRound()
+	s.runRound()
+	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n0"}}})
 
 	// The sponsor does not leave either while it is depended on.
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
-	assert.ErrorContains(t, sponsor.members.Leave(ctx), "depend on this one")
+	assert.ErrorContains(t, sponsor.membership.Leave(ctx), "depend on this one")
 
 	// When the new node told others of itself, they wait for it too.
-	other.learn([]jwpeer.Peer{n2.self()})
-	g.learn([]jwpeer.Peer{n2.self()})
-	sponsor.adoptions.Release(n2.members.Member)
-	s.round()
-	assert.DeepEqual(t, s.accepted(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
+	other.mergePeers([]jwpeer.Peer{n2.self()})
+	g.mergePeers([]jwpeer.Peer{n2.self()})
+	sponsor.adoptions.Release(n2.membership.Member)
+	s.runRound()
+	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
 
 	n2.frozen = false
-	assert.NilError(t, n2.members.keep(t.Context()))
-	assert.Assert(t, n2.members.Registered())
+	assert.NilError(t, n2.membership.maintain(t.Context()))
+	assert.Assert(t, n2.membership.Registered())
 	assert.Equal(t, n2.table.Revision(), n)
-	s.round()
-	assert.Assert(t, s.accepted(t, g, n).Accepted)
+	s.runRound()
+	assert.Assert(t, s.status(t, g, n).Accepted)
 }
 
 func TestSponsorIsReleasedAfterTheHeadIsRead(t *testing.T) {
@@ -239,20 +239,20 @@
 	// for it until it has read the head: the gatherer may have read the
 	// members before.
 	s := newSystem(nil, t)
-	g, other := s.north()
+	g, other := s.northNodes()
 	s.store.setDown(true)
 	s.start("n2")
 	s.store.setDown(false)
 	n2, sponsor := s.nodes["n2"], s.nodes["n0"]
-	n := s.edit(t, other)
-	s.store.before = func() {
+	n := s.putEdit(t, other)
+	s.store.beforeCall = func() {
 		if n2.table.Revision() < n {
 			assert.Equal(t, sponsor.adoptions.Confirmed(), uint64(0))
 		}
 	}
-	assert.NilError(t, sponsor.members.Follower.CatchUp(t.Context()))
-	assert.NilError(t, g.members.Follower.CatchUp(t.Context()))
-	assert.NilError(t, n2.members.keep(t.Context()))
+	assert.NilError(t, sponsor.membership.Follower.CatchUp(t.Context()))
+	assert.NilError(t, g.membership.Follower.CatchUp(t.Context()))
+	assert.NilError(t, n2.membership.maintain(t.Context()))
 	assert.Equal(t, sponsor.adoptions.Confirmed(), n)
 }
 
@@ -276,8 +276,8 @@
 			_, _, err := a.Adopt(Member{Name: "n1", Region: "north", Incarnation: "b"}, 0)
 			assert.NilError(t, err)
 			(*p)[0].State, (*p)[0].Incarnation = tt.state, tt.incarnation
-			a.Tidy()
-			assert.Equal(t, a.Open(), tt.open)
+			a.RemoveEnded()
+			assert.Equal(t, a.HasAdopted(), tt.open)
 		})
 	}
 }
--- a/core/jwcatalogue/adoption.go
+++ b/core/jwcatalogue/adoption.go
@@ -26,9 +26,9 @@
 }
 
 type adoption struct {
-	member   Member
-	revision uint64 // in force there before it serves
-	earlier  string // incarnation that the peers told of before
+	member              Member
+	revision            uint64 // in force there before it serves
+	previousIncarnation string // incarnation that the peers told of before
 }
 
 // ErrNotServing says that a node cannot answer for another.
@@ -42,7 +42,7 @@
 	if a.Serving != nil && !a.Serving() {
 		return nil, nil, ErrNotServing
 	}
-	earlier := incarnationOf(a.peers(), m.Name)
+	previousIncarnation := incarnationOf(a.peers(), m.Name)
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	ad, ok := a.adopted[m.Name]
@@ -51,7 +51,7 @@
 	} else {
 		// What this node has confirmed by now is promised for the other too:
 		// it does not serve before it has all that is returned here.
-		ad = adoption{member: m, revision: a.Table.Revision(), earlier: earlier}
+		ad = adoption{member: m, revision: a.Table.Revision(), previousIncarnation: previousIncarnation}
 	}
 	if a.adopted == nil {
 		a.adopted = make(map[string]adoption)
@@ -83,19 +83,19 @@
 }
 
 // Open reports whether this node answers for another.
-func (a *Adoptions) Open() bool {
+func (a *Adoptions) HasAdopted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.adopted) > 0
 }
 
 // Tidy ends the answering for processes that have ended.
-func (a *Adoptions) Tidy() {
+func (a *Adoptions) RemoveEnded() {
 	peers := a.peers()
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	for name, ad := range a.adopted {
-		if a.over(ad, peers) {
+		if a.ended(ad, peers) {
 			delete(a.adopted, name)
 		}
 	}
@@ -103,7 +103,7 @@
 
 // over reports whether an adopted process has ended. Its silence does not tell:
 // it may serve behind a cut.
-func (a *Adoptions) over(ad adoption, peers []jwpeer.Peer) bool {
+func (a *Adoptions) ended(ad adoption, peers []jwpeer.Peer) bool {
 	if a.Departures != nil && a.Departures.Gone(ad.member) {
 		return true
 	}
@@ -112,8 +112,8 @@
 			return p.State == jwpeer.Gone
 		}
 	}
-	now := incarnationOf(peers, ad.member.Name)
-	return now != "" && now != ad.earlier
+	currentIncarnation := incarnationOf(peers, ad.member.Name)
+	return currentIncarnation != "" && currentIncarnation != ad.previousIncarnation
 }
 
 func (a *Adoptions) peers() []jwpeer.Peer {
--- a/core/jwcatalogue/bench_test.go
+++ b/core/jwcatalogue/bench_test.go
@@ -8,11 +8,11 @@
 )
 
 // catalogueOf returns a table with entries as large as operators write them.
-func catalogueOf(b *testing.B, entries int) *Table {
+func newTableWith(b *testing.B, entries int) *Table {
 	b.Helper()
 	t := new(Table)
 	for i := range entries {
-		e := entry(fmt.Sprintf("entry-%d", i))
+		e := newEntry(fmt.Sprintf("entry-%d", i))
 		if err := t.Apply(Change{N: uint64(i + 1), EditID: "e", Author: "a", Entry: e.Name, After: &e}); err != nil {
 			b.Fatal(err)
 		}
@@ -23,8 +23,8 @@
 func BenchmarkTableApply(b *testing.B) {
 	for _, entries := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("%d entries", entries), func(b *testing.B) {
-			t := catalogueOf(b, entries)
-			c := change(0, "e")
+			t := newTableWith(b, entries)
+			c := newChange(0, "e")
 			b.ReportAllocs()
 			for b.Loop() {
 				c.N = t.Revision() + 1
@@ -39,7 +39,7 @@
 func BenchmarkParseCheckpoint(b *testing.B) {
 	for _, entries := range []int{10, 100, 1000} {
 		b.Run(fmt.Sprintf("%d entries", entries), func(b *testing.B) {
-			data, err := catalogueOf(b, entries).Current().checkpoint().Encode()
+			data, err := newTableWith(b, entries).Current().checkpoint().Encode()
 			if err != nil {
 				b.Fatal(err)
 			}
--- a/core/jwcatalogue/change.go
+++ b/core/jwcatalogue/change.go
@@ -14,7 +14,7 @@
 const (
 	ChangesPrefix = "catalogue/changes/"
 	CheckpointKey = "catalogue/checkpoint"
-	LogKey        = "catalogue/log"
+	LogStateKey   = "catalogue/log"
 )
 
 // The bounds of what is written, well below the service's megabyte a value.
--- a/core/jwcatalogue/departure.go
+++ b/core/jwcatalogue/departure.go
@@ -20,16 +20,16 @@
 	Hosts Hosts
 	Lag   time.Duration // 0 for DefaultHostLag
 
-	mu     sync.Mutex
-	taken  time.Time
-	listed map[string]bool // node names
-	region map[string]bool // regions with a listed node
-	absent map[Member]absence
+	mu            sync.Mutex
+	listTime      time.Time
+	listedNodes   map[string]bool // node names
+	listedRegions map[string]bool // regions with a listed node
+	absences      map[Member]absence
 }
 
 // absence tells of the lists without a node, by the times of the lists.
 type absence struct {
-	since, asked time.Time
+	missingSince, lastAsked time.Time
 }
 
 // Gone reports whether the list has dropped a node for longer than its lag. The
@@ -42,44 +42,44 @@
 func (d *Departures) Gone(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
-	d.read()
-	if d.listed[m.Name] {
+	d.refresh()
+	if d.listedNodes[m.Name] {
 		return false
 	}
-	a, ok := d.absent[m]
+	a, ok := d.absences[m]
 	if !ok {
-		a.since = d.taken
+		a.missingSince = d.listTime
 	}
-	a.asked = d.taken
-	d.absent[m] = a
-	return d.taken.Sub(a.since) > d.lag()
+	a.lastAsked = d.listTime
+	d.absences[m] = a
+	return d.listTime.Sub(a.missingSince) > d.lag()
 }
 
 // read takes in a list that is newer than the last one. Only its own times
 // count, so that a list that is no longer read drops nobody.
-func (d *Departures) read() {
-	hosts, taken := d.Hosts.Hosts()
-	if d.absent == nil {
-		d.absent = make(map[Member]absence)
+func (d *Departures) refresh() {
+	hosts, listTime := d.Hosts.Hosts()
+	if d.absences == nil {
+		d.absences = make(map[Member]absence)
 	}
-	if !taken.After(d.taken) {
+	if !listTime.After(d.listTime) {
 		return
 	}
-	d.taken = taken
-	d.listed = make(map[string]bool)
-	d.region = make(map[string]bool)
+	d.listTime = listTime
+	d.listedNodes = make(map[string]bool)
+	d.listedRegions = make(map[string]bool)
 	for _, h := range hosts {
 		if h.Role == jwhost.Entry {
-			d.listed[h.Name] = true
-			d.region[h.Region] = true
+			d.listedNodes[h.Name] = true
+			d.listedRegions[h.Region] = true
 		}
 	}
-	for m, a := range d.absent {
+	for m, a := range d.absences {
 		// With every list that lacks a whole region its clocks begin anew.
-		if d.listed[m.Name] || !d.region[m.Region] || taken.Sub(a.asked) > 2*d.lag() {
-			delete(d.absent, m)
+		if d.listedNodes[m.Name] || !d.listedRegions[m.Region] || listTime.Sub(a.lastAsked) > 2*d.lag() {
+			delete(d.absences, m)
 		}
 	}
 }
 
-func (d *Departures) lag() time.Duration { return or(d.Lag, DefaultHostLag) }
+func (d *Departures) lag() time.Duration { return orDefault(d.Lag, DefaultHostLag) }
--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -11,17 +11,17 @@
 )
 
 // hostLists gives one list after the other.
-type hostLists struct {
-	names []string
-	taken time.Time
+type fakeHostList struct {
+	names    []string
+	listTime time.Time
 }
 
-func (h *hostLists) Hosts() ([]jwhost.Host, time.Time) {
+func (h *fakeHostList) Hosts() ([]jwhost.Host, time.Time) {
 	var hosts []jwhost.Host
 	for _, name := range h.names {
 		hosts = append(hosts, jwhost.Host{Name: name, Role: jwhost.Entry, Region: regionOfName(name)})
 	}
-	return hosts, h.taken
+	return hosts, h.listTime
 }
 
 func TestDepartures(t *testing.T) {
@@ -46,12 +46,12 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			h := &hostLists{taken: time.Unix(1000, 0)}
+			h := &fakeHostList{listTime: time.Unix(1000, 0)}
 			d := &Departures{Hosts: h, Lag: time.Minute}
 			var got bool
 			for i, list := range tt.lists {
 				if list != "" {
-					h.names, h.taken = strings.Fields(list), h.taken.Add(40*time.Second)
+					h.names, h.listTime = strings.Fields(list), h.listTime.Add(40*time.Second)
 				}
 				got = d.Gone(Member{Name: "n1", Region: "north", Incarnation: tt.ask[i : i+1]})
 			}
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -58,7 +58,7 @@
 }
 
 // writeAttempts bounds how often a lost reply is looked into.
-const writeAttempts = 5
+const maxWriteAttempts = 5
 
 // Put appends an edit to the log. It returns an InvalidError or ConflictError
 // for an edit that is certainly not in the log, jwstore.ErrUnavailable when it
@@ -68,28 +68,28 @@
 	if err := e.Validate(); err != nil {
 		return EditResult{}, err
 	}
-	for fresh := !d.trusted(); ; fresh = true {
-		if fresh {
-			if err := d.log().catchUp(ctx, d.Table); err != nil {
-				return EditResult{}, noEffect(err)
+	for caughtUp := !d.recentlyCaughtUp(); ; caughtUp = true {
+		if caughtUp {
+			if err := d.changeLog().catchUp(ctx, d.Table); err != nil {
+				return EditResult{}, asUnavailable(err)
 			}
 		}
-		c, known, err := d.next(ctx, e)
-		if err != nil && !fresh {
+		c, exists, err := d.nextChange(ctx, e)
+		if err != nil && !caughtUp {
 			continue // perhaps only because this node is behind
 		}
 		if err != nil {
 			return EditResult{}, err
 		}
-		if known {
+		if exists {
 			return EditResult{Revision: c.N}, nil
 		}
-		won, err := d.create(ctx, c)
+		created, err := d.create(ctx, c)
 		if err != nil {
 			return EditResult{}, err
 		}
-		if won {
-			return d.won(ctx, c)
+		if created {
+			return d.finish(ctx, c)
 		}
 	}
 }
@@ -97,7 +97,7 @@
 // Validate returns an InvalidError that names every fault of the edit, or nil.
 func (e Edit) Validate() error {
 	var f faults
-	f.name("entry", e.Entry)
+	f.checkName("entry", e.Entry)
 	if e.EditID == "" || len(e.EditID) > MaxEditIDLength {
 		f.add("edit id is empty or longer than %d bytes", MaxEditIDLength)
 	}
@@ -122,7 +122,7 @@
 	return &InvalidError{Entry: e.Entry, Faults: f}
 }
 
-func (d *Editor) log() changeLog {
+func (d *Editor) changeLog() changeLog {
 	keep := d.Keep
 	if keep == 0 {
 		keep = KeepInStore
@@ -138,37 +138,37 @@
 }
 
 // trustFor is how long a table counts as near the head after the log was read.
-const trustFor = 2 * time.Minute
+const maxCatchUpAge = 2 * time.Minute
 
 // trusted reports whether the first try may be made from what this node has,
 // which saves two calls over a slow link. It is right whenever the number is
 // free; a node that is far behind would only create a trimmed one anew.
-func (d *Editor) trusted() bool {
+func (d *Editor) recentlyCaughtUp() bool {
 	at := d.Table.caughtUp.Load()
-	return at != nil && time.Since(*at) < trustFor
+	return at != nil && time.Since(*at) < maxCatchUpAge
 }
 
 // next returns the change to write for an edit, or the one that the edit
 // became when it was sent before.
-func (d *Editor) next(ctx context.Context, e Edit) (c Change, known bool, err error) {
-	if c, ok := d.Table.edit(e.EditID); ok {
-		return c, true, same(c, e)
+func (d *Editor) nextChange(ctx context.Context, e Edit) (c Change, exists bool, err error) {
+	if c, ok := d.Table.changeByEditID(e.EditID); ok {
+		return c, true, checkSameEdit(c, e)
 	}
-	now := d.Table.Current()
-	c, err = d.change(ctx, now, e)
+	current := d.Table.Current()
+	c, err = d.buildChange(ctx, current, e)
 	if err != nil {
 		return c, false, err
 	}
-	if c.N <= now.Revision {
-		return c, true, same(c, e)
+	if c.N <= current.Revision {
+		return c, true, checkSameEdit(c, e)
 	}
-	return c, false, fits(now, c)
+	return c, false, checkSize(current, c)
 }
 
 // same reports whether a change is of this edit. An edit id used for another
 // edit is a fault of the sender, not a success.
-func same(c Change, e Edit) error {
-	if c.Entry == e.Entry && sameEntry(c.After, e.After) {
+func checkSameEdit(c Change, e Edit) error {
+	if c.Entry == e.Entry && equalEntries(c.After, e.After) {
 		return nil
 	}
 	return &InvalidError{Entry: e.Entry, Faults: []string{
@@ -178,23 +178,23 @@
 
 // change makes the next change of an edit, or returns the one that the edit
 // became when it was sent before.
-func (d *Editor) change(ctx context.Context, now *Snapshot, e Edit) (Change, error) {
-	before, revision, ok := now.Entry(e.Entry)
+func (d *Editor) buildChange(ctx context.Context, current *Snapshot, e Edit) (Change, error) {
+	before, revision, ok := current.Entry(e.Entry)
 	if revision != e.IfRevision {
-		winner, err := d.winner(ctx, e.Entry, revision)
+		lastChange, err := d.lastChangeOf(ctx, e.Entry, revision)
 		if err != nil {
 			return Change{}, err
 		}
-		if winner != nil && winner.EditID == e.EditID {
-			return *winner, nil
+		if lastChange != nil && lastChange.EditID == e.EditID {
+			return *lastChange, nil
 		}
-		return Change{}, &ConflictError{Entry: e.Entry, Revision: revision, Winner: winner}
+		return Change{}, &ConflictError{Entry: e.Entry, Revision: revision, Winner: lastChange}
 	}
 	if !ok && e.After == nil {
 		return Change{}, &InvalidError{Entry: e.Entry, Faults: []string{"there is no such entry to remove"}}
 	}
 	c := Change{
-		N: now.Revision + 1, EditID: e.EditID, Author: e.Author, Time: d.now().UTC().Round(0),
+		N: current.Revision + 1, EditID: e.EditID, Author: e.Author, Time: d.now().UTC().Round(0),
 		Reason: e.Reason, Entry: e.Entry, After: e.After.clone(),
 	}
 	if ok {
@@ -203,8 +203,8 @@
 	return c, nil
 }
 
-func (d *Editor) winner(ctx context.Context, entry string, revision uint64) (*Change, error) {
-	if c, ok := d.Table.lastOf(entry); ok {
+func (d *Editor) lastChangeOf(ctx context.Context, entry string, revision uint64) (*Change, error) {
+	if c, ok := d.Table.lastChangeOf(entry); ok {
 		return &c, nil
 	}
 	if revision == 0 {
@@ -212,7 +212,7 @@
 	}
 	item, ok, err := d.Store.Get(ctx, ChangeKey(revision))
 	if err != nil {
-		return nil, noEffect(errors.Wrap(err, "read winner: store"))
+		return nil, asUnavailable(errors.Wrap(err, "read winner: store"))
 	}
 	if !ok {
 		return nil, nil
@@ -226,7 +226,7 @@
 
 // fits refuses what would not go into one value of the service. A log that
 // outgrew its checkpoint could not be trimmed, nor read by a new node.
-func fits(now *Snapshot, c Change) error {
+func checkSize(current *Snapshot, c Change) error {
 	data, err := c.Encode()
 	if err != nil {
 		return err
@@ -236,7 +236,7 @@
 			fmt.Sprintf("the change has %d bytes, more than %d", len(data), MaxChangeSize),
 		}}
 	}
-	if size := now.with(c).size; size > MaxCatalogueSize && size > now.size {
+	if size := current.withChange(c).size; size > MaxCatalogueSize && size > current.size {
 		return &InvalidError{Entry: c.Entry, Faults: []string{
 			fmt.Sprintf("the catalogue would have %d bytes, more than %d", size, MaxCatalogueSize),
 		}}
@@ -247,31 +247,31 @@
 // create writes the change as the next one and reports whether it is the one
 // that the log has under its number. When the reply of the write is lost, the
 // log itself tells whose change it is.
-func (d *Editor) create(ctx context.Context, c Change) (won bool, err error) {
+func (d *Editor) create(ctx context.Context, c Change) (created bool, err error) {
 	data, err := c.Encode()
 	if err != nil {
 		return false, err
 	}
-	doubt := false // an earlier write may still take effect
-	for range writeAttempts {
+	mayBeWritten := false // an earlier write may still take effect
+	for range maxWriteAttempts {
 		_, swapped, err := d.Store.Swap(ctx, ChangeKey(c.N), data, 0)
 		if err == nil && swapped {
 			return true, nil
 		}
-		if err == nil && !doubt {
+		if err == nil && !mayBeWritten {
 			return false, nil
 		}
 		if err == nil {
-			won, err = d.isOurs(ctx, c)
+			created, err = d.isInLog(ctx, c)
 			if err == nil {
-				return won, nil
+				return created, nil
 			}
 		}
-		if errors.Is(err, jwstore.ErrUnavailable) && !doubt {
+		if errors.Is(err, jwstore.ErrUnavailable) && !mayBeWritten {
 			return false, errors.Wrapf(err, "write change %d: store", c.N)
 		}
-		doubt = true
-		if err := jwclock.Sleep(ctx, d.retry()); err != nil {
+		mayBeWritten = true
+		if err := jwclock.Sleep(ctx, d.retryDelay()); err != nil {
 			break
 		}
 	}
@@ -280,7 +280,7 @@
 
 // isOurs reads a change back. Only its edit id tells whose it is: the content
 // of two operators' edits may well be the same.
-func (d *Editor) isOurs(ctx context.Context, c Change) (bool, error) {
+func (d *Editor) isInLog(ctx context.Context, c Change) (bool, error) {
 	item, ok, err := d.Store.Get(ctx, ChangeKey(c.N))
 	if err != nil {
 		return false, err
@@ -288,38 +288,38 @@
 	if !ok {
 		return false, jwstore.ErrUnknown
 	}
-	have, err := readChange(item, c.N)
-	return have.EditID == c.EditID, err
+	stored, err := readChange(item, c.N)
+	return stored.EditID == c.EditID, err
 }
 
 // won finishes an edit whose change is in the service. An editor that was
 // paused for so long that its number was trimmed away has created it anew,
 // where nobody will read it; the mark of the log tells.
-func (d *Editor) won(ctx context.Context, c Change) (EditResult, error) {
-	mark, _, err := d.log().mark(ctx)
-	for range writeAttempts {
-		if err == nil || jwclock.Sleep(ctx, d.retry()) != nil {
+func (d *Editor) finish(ctx context.Context, c Change) (EditResult, error) {
+	state, _, err := d.changeLog().readState(ctx)
+	for range maxWriteAttempts {
+		if err == nil || jwclock.Sleep(ctx, d.retryDelay()) != nil {
 			break
 		}
-		mark, _, err = d.log().mark(ctx)
+		state, _, err = d.changeLog().readState(ctx)
 	}
 	if err != nil {
 		return EditResult{}, errors.Wrapf(jwstore.ErrUnknown, "check change %d: store: %v", c.N, err)
 	}
-	if mark.Trimmed >= c.N {
-		return EditResult{}, errors.Wrapf(jwstore.ErrUnknown, "check change %d: store: trimmed to %d", c.N, mark.Trimmed)
+	if state.Trimmed >= c.N {
+		return EditResult{}, errors.Wrapf(jwstore.ErrUnknown, "check change %d: store: trimmed to %d", c.N, state.Trimmed)
 	}
 	if err := d.Table.Apply(c); err != nil {
 		return EditResult{}, err
 	}
-	if c.N >= mark.Checkpoint+CheckpointEvery {
+	if c.N >= state.Checkpoint+CheckpointEvery {
 		// The edit is done; a checkpoint that fails is made by a later one.
-		_ = d.log().tend(ctx, d.Table.Current())
+		_ = d.changeLog().compact(ctx, d.Table.Current())
 	}
 	return EditResult{Revision: c.N}, nil
 }
 
-func (d *Editor) retry() time.Duration {
+func (d *Editor) retryDelay() time.Duration {
 	if d.Retry > 0 {
 		return d.Retry
 	}
@@ -327,7 +327,7 @@
 }
 
 // noEffect marks an error of a step before the write.
-func noEffect(err error) error {
+func asUnavailable(err error) error {
 	if errors.Is(err, jwstore.ErrUnavailable) {
 		return err
 	}
@@ -341,7 +341,7 @@
 func (e *unavailableError) Unwrap() error        { return e.cause }
 func (e *unavailableError) Is(target error) bool { return target == jwstore.ErrUnavailable }
 
-func sameEntry(a, b *Entry) bool {
+func equalEntries(a, b *Entry) bool {
 	if a == nil || b == nil {
 		return a == b
 	}
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -12,12 +12,12 @@
 	"jujubewheel/core/jwstore"
 )
 
-func editor(s *fakeStore) *Editor {
+func newEditor(s *fakeStore) *Editor {
 	return &Editor{Store: s, Table: new(Table), Retry: time.Microsecond}
 }
 
-func edit(id, name string, ifRevision uint64) Edit {
-	e := entry(name)
+func newEdit(id, name string, ifRevision uint64) Edit {
+	e := newEntry(name)
 	e.Owner = id
 	return Edit{EditID: id, Author: "amal", Entry: name, After: &e, IfRevision: ifRevision}
 }
@@ -26,18 +26,18 @@
 	// Two operators look at the same entry and both change it. Without the
 	// check of what they saw, the second edit would undo the first unseen.
 	s := new(fakeStore)
-	a, b := editor(s), editor(s)
-	first, err := a.Put(t.Context(), edit("e1", "status", 0))
+	a, b := newEditor(s), newEditor(s)
+	first, err := a.Put(t.Context(), newEdit("e1", "status", 0))
 	assert.NilError(t, err)
-	_, err = a.Put(t.Context(), edit("e2", "status", first.Revision))
+	_, err = a.Put(t.Context(), newEdit("e2", "status", first.Revision))
 	assert.NilError(t, err)
-	_, err = b.Put(t.Context(), edit("e3", "status", first.Revision))
+	_, err = b.Put(t.Context(), newEdit("e3", "status", first.Revision))
 	var conflict *ConflictError
 	assert.Assert(t, errors.As(err, &conflict))
 	assert.Equal(t, conflict.Winner.EditID, "e2")
 	assert.Equal(t, conflict.Revision, uint64(2))
 
-	other, err := b.Put(t.Context(), edit("e4", "menu", 0))
+	other, err := b.Put(t.Context(), newEdit("e4", "menu", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, other.Revision, uint64(3))
 }
@@ -54,11 +54,11 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			s := &fakeStore{loseReplies: tt.lose, dropWrites: tt.drop}
-			d := editor(s)
-			got, err := d.Put(t.Context(), edit("e1", "status", 0))
+			d := newEditor(s)
+			got, err := d.Put(t.Context(), newEdit("e1", "status", 0))
 			assert.NilError(t, err)
 			assert.Equal(t, got.Revision, uint64(1))
-			again, err := editor(s).Put(t.Context(), edit("e1", "status", 0))
+			again, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 			assert.NilError(t, err)
 			assert.Equal(t, again, got)
 			assert.DeepEqual(t, s.keys(ChangesPrefix), []string{ChangeKey(1)})
@@ -66,23 +66,23 @@
 	}
 }
 
-func TestPutUnknown(t *testing.T) {
+func TestPutUnknownOutcome(t *testing.T) {
 	// Every reply is lost, and so are the reads that would tell. The operator
 	// hears that the outcome is unknown, never that it failed.
 	s := &fakeStore{dropWrites: 100}
-	_, err := editor(s).Put(t.Context(), edit("e1", "status", 0))
+	_, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 	assert.ErrorIs(t, err, jwstore.ErrUnknown)
 	s = &fakeStore{down: true}
-	_, err = editor(s).Put(t.Context(), edit("e1", "status", 0))
+	_, err = newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 	assert.ErrorIs(t, err, jwstore.ErrUnavailable)
 }
 
-func TestPutRefuses(t *testing.T) {
+func TestPutRejects(t *testing.T) {
 	s := new(fakeStore)
-	d := editor(s)
-	_, err := d.Put(t.Context(), edit("e1", "status", 0))
+	d := newEditor(s)
+	_, err := d.Put(t.Context(), newEdit("e1", "status", 0))
 	assert.NilError(t, err)
-	big := edit("e2", "menu", 0)
+	big := newEdit("e2", "menu", 0)
 	for i := range MaxRegions {
 		big.After.Regions = append(big.After.Regions, fmt.Sprintf("region-%060d", i))
 	}
@@ -90,12 +90,12 @@
 		edit Edit
 		want string
 	}{
-		"edit id of another":  {edit("e1", "menu", 0), "belongs to change 1"},
-		"no edit id":          {edit("", "menu", 0), "edit id is empty"},
+		"edit id of another":  {newEdit("e1", "menu", 0), "belongs to change 1"},
+		"no edit id":          {newEdit("", "menu", 0), "edit id is empty"},
 		"other name":          {Edit{EditID: "e3", Author: "a", Entry: "x", After: big.After}, "not that of the entry"},
 		"invalid":             {big, "longer than"},
 		"removal of none":     {Edit{EditID: "e4", Author: "a", Entry: "x"}, "no such entry"},
-		"new one that exists": {edit("e5", "status", 0), "changed by amal"},
+		"new one that exists": {newEdit("e5", "status", 0), "changed by amal"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -108,36 +108,36 @@
 
 func TestPutSizeLimit(t *testing.T) {
 	s := new(fakeStore)
-	d := editor(s)
-	var refused error
+	d := newEditor(s)
+	var rejected error
 	for i := range 400 {
-		e := edit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0)
+		e := newEdit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0)
 		for r := range 30 {
 			e.After.Regions = append(e.After.Regions, fmt.Sprintf("region-%050d", r))
 		}
-		if _, refused = d.Put(t.Context(), e); refused != nil {
+		if _, rejected = d.Put(t.Context(), e); rejected != nil {
 			break
 		}
 	}
-	assert.ErrorContains(t, refused, "the catalogue would have")
+	assert.ErrorContains(t, rejected, "the catalogue would have")
 }
 
 func TestCheckpointAndTrim(t *testing.T) {
 	s := new(fakeStore)
-	d := editor(s)
+	d := newEditor(s)
 	d.Keep = 100
 	for i := range 700 {
-		_, err := d.Put(t.Context(), edit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
+		_, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
 		assert.NilError(t, err)
 	}
 	assert.Assert(t, len(s.keys(ChangesPrefix)) < 100+3*CheckpointEvery)
 
-	late := editor(s)
-	res, err := late.Put(t.Context(), edit("late", "entry-late", 0))
+	newcomer := newEditor(s)
+	res, err := newcomer.Put(t.Context(), newEdit("late", "entry-late", 0))
 	assert.NilError(t, err)
 	assert.Equal(t, res.Revision, uint64(701))
-	assert.Equal(t, len(late.Table.Current().Entries), 701)
-	assert.DeepEqual(t, late.Table.Current().Revisions, func() map[string]uint64 {
+	assert.Equal(t, len(newcomer.Table.Current().Entries), 701)
+	assert.DeepEqual(t, newcomer.Table.Current().Revisions, func() map[string]uint64 {
 		all := map[string]uint64{"entry-late": 701}
 		for i := range 700 {
 			all[fmt.Sprintf("entry-%d", i)] = uint64(i + 1)
@@ -152,29 +152,29 @@
 	// lets it create the key anew. Believed, its edit would be reported as
 	// done; a node that was frozen as long would even apply it.
 	s := new(fakeStore)
-	paused, other, frozen := editor(s), editor(s), editor(s)
+	paused, other, frozen := newEditor(s), newEditor(s), newEditor(s)
 	other.Keep = 10
 	put := func(d *Editor, i int) {
-		_, err := d.Put(t.Context(), edit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
+		_, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
 		assert.NilError(t, err)
 	}
 	for i := range 40 {
 		put(other, i)
 	}
 	put(frozen, 40)
-	hold, held := make(chan struct{}), make(chan struct{})
-	s.hold, s.held = hold, held
+	release, writeHeld := make(chan struct{}), make(chan struct{})
+	s.holdWrite, s.writeHeld = release, writeHeld
 	result := make(chan error)
 	go func() {
-		_, err := paused.Put(context.Background(), edit("paused", "status", 0))
+		_, err := paused.Put(context.Background(), newEdit("paused", "status", 0))
 		result <- err
 	}()
-	<-held
+	<-writeHeld
 	for i := range 89 {
 		put(other, 41+i)
 	}
 	assert.Equal(t, other.Table.Revision(), uint64(130))
-	close(hold)
+	close(release)
 	assert.ErrorIs(t, <-result, jwstore.ErrUnknown)
 	assert.Equal(t, s.keys(ChangesPrefix)[0], ChangeKey(42))
 
@@ -185,16 +185,16 @@
 	assert.Equal(t, f.Table.Revision(), uint64(130))
 }
 
-func TestTrimIsAnnounced(t *testing.T) {
+func TestTrimRecordedBeforeDelete(t *testing.T) {
 	// A change that is gone from the service while no mark says so could be
 	// created anew by an editor that was paused, unseen by its check.
 	s := new(fakeStore)
-	d := editor(s)
+	d := newEditor(s)
 	d.Keep = 10
-	gone := 0
-	s.before = func() {
-		item := s.items[LogKey]
-		var m logMark
+	deleted := 0
+	s.beforeCall = func() {
+		item := s.items[LogStateKey]
+		var m logState
 		if item.Value != nil {
 			assert.NilError(t, decodeStrict(item.Value, &m))
 		}
@@ -202,38 +202,38 @@
 			_, ok := s.items[ChangeKey(n)]
 			assert.Assert(t, ok, "change %d is gone, the mark says %d", n, m.Trimmed)
 		}
-		for n := uint64(1); n <= m.Swept; n++ {
+		for n := uint64(1); n <= m.Deleted; n++ {
 			_, ok := s.items[ChangeKey(n)]
-			assert.Assert(t, !ok, "change %d is left, the mark says %d", n, m.Swept)
-			gone++
+			assert.Assert(t, !ok, "change %d is left, the mark says %d", n, m.Deleted)
+			deleted++
 		}
 	}
 	for i := range 300 {
-		_, err := d.Put(t.Context(), edit(fmt.Sprintf("e%d", i), "status", uint64(i)))
+		_, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", i), "status", uint64(i)))
 		assert.NilError(t, err)
 	}
-	assert.Assert(t, gone > 0)
+	assert.Assert(t, deleted > 0)
 }
 
-func TestCheckpointNeverBack(t *testing.T) {
+func TestCheckpointNotReplacedByOlder(t *testing.T) {
 	// Two nodes tend the log at once and the slower one is behind. An older
 	// checkpoint under a newer mark would keep new nodes from starting.
 	s := new(fakeStore)
-	d := editor(s)
+	d := newEditor(s)
 	l := changeLog{store: s, keep: 10}
 	var old *Snapshot
 	for i := range 200 {
-		_, err := d.Put(t.Context(), edit(fmt.Sprintf("e%d", i), "status", uint64(i)))
+		_, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", i), "status", uint64(i)))
 		assert.NilError(t, err)
 		if i == 100 {
 			old = d.Table.Current()
 		}
 	}
 	s.mu.Lock()
-	delete(s.items, LogKey)
+	delete(s.items, LogStateKey)
 	s.mu.Unlock()
-	assert.NilError(t, l.tend(t.Context(), old))
-	cp, _, err := l.checkpoint(t.Context())
+	assert.NilError(t, l.compact(t.Context(), old))
+	cp, _, err := l.readCheckpoint(t.Context())
 	assert.NilError(t, err)
 	assert.Equal(t, cp.Revision, uint64(192))
 }
--- a/core/jwcatalogue/entry_test.go
+++ b/core/jwcatalogue/entry_test.go
@@ -8,7 +8,7 @@
 	"gotest.tools/v3/assert"
 )
 
-func entry(name string) Entry {
+func newEntry(name string) Entry {
 	return Entry{
 		Name: name, Owner: "kitchen", Class: Lookup, Service: "order-desk", Path: "/status",
 		Idempotent: true, Deadline: 8 * time.Second, MaxBodySize: 1 << 20,
@@ -16,7 +16,7 @@
 }
 
 func TestEntryJSON(t *testing.T) {
-	e := entry("status")
+	e := newEntry("status")
 	e.Regions = []string{"north", "south"}
 	e.Limits = Limits{Rate: 2.5, Burst: 3, Concurrent: 4}
 	data, err := json.Marshal(e)
@@ -26,7 +26,7 @@
 	assert.DeepEqual(t, got, e)
 }
 
-func TestParseEntryRefuses(t *testing.T) {
+func TestParseEntryRejects(t *testing.T) {
 	tests := map[string]struct{ in, want string }{
 		"unknown key":        {`{"name":"a","retries":3}`, "unknown field"},
 		"unknown nested key": {`{"limits":{"rps":3}}`, "unknown field"},
@@ -66,7 +66,7 @@
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
-			e := entry("status")
+			e := newEntry("status")
 			tt.edit(&e)
 			err := e.Validate()
 			if tt.want == nil {
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -17,10 +17,10 @@
 // The paces of a follower. At 970 nodes the slow reads make 65 reads a second
 // on the service, the waits of two nodes a data centre 54 calls that stand.
 const (
-	DefaultWaitMost   = time.Minute            // one waiting read of the service
-	DefaultPeerEvery  = 500 * time.Millisecond // between comparisons with peers
-	DefaultStoreEvery = 30 * time.Second       // between slow reads of the service
-	DefaultRetry      = time.Second            // after a failure of the service
+	DefaultMaxWait       = time.Minute            // one waiting read of the service
+	DefaultPeerInterval  = 500 * time.Millisecond // between comparisons with peers
+	DefaultStoreInterval = 30 * time.Second       // between slow reads of the service
+	DefaultRetryDelay    = time.Second            // after a failure of the service
 )
 
 // Source gives changes that some peer has.
@@ -39,13 +39,13 @@
 	Watcher func() bool // whether this node waits on the service, nil for never
 	Source  Source      // nil for none
 	Rand    func() float64
-	Failed  func(err error) // told of each failure, for the log; nil for nobody
+	OnError func(err error) // told of each failure, for the log; nil for nobody
 
-	WaitMost, PeerEvery, StoreEvery, Retry time.Duration // 0 for the defaults
+	MaxWait, PeerInterval, StoreInterval, RetryDelay time.Duration // 0 for the defaults
 
-	once   sync.Once
-	wake   chan struct{}
-	counts followerCounts
+	wakeOnce sync.Once
+	wake     chan struct{}
+	counts   followerCounts
 }
 
 type followerCounts struct {
@@ -80,7 +80,7 @@
 // revision. It never waits.
 func (f *Follower) Wake() {
 	select {
-	case f.waker() <- struct{}{}:
+	case f.wakeChannel() <- struct{}{}:
 	default:
 	}
 }
@@ -90,7 +90,7 @@
 func (f *Follower) CatchUp(ctx context.Context) error {
 	before := f.Table.Revision()
 	err := changeLog{store: f.Store}.catchUp(ctx, f.Table)
-	f.count(&f.counts.storeErrors, err)
+	f.countError(&f.counts.storeErrors, err)
 	if f.Table.Revision() > before {
 		f.counts.fromStore.Add(1)
 	}
@@ -99,71 +99,71 @@
 
 func (f *Follower) followStore(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := f.await(ctx)
+		err := f.waitForRead(ctx)
 		if err == nil && ctx.Err() == nil {
 			err = f.CatchUp(ctx)
 		}
 		if err != nil {
-			_ = jwclock.Sleep(ctx, f.jitter(or(f.Retry, DefaultRetry)))
+			_ = jwclock.Sleep(ctx, f.jitter(orDefault(f.RetryDelay, DefaultRetryDelay)))
 		}
 	}
 	return ctx.Err()
 }
 
 // await returns when it is time to read the log.
-func (f *Follower) await(ctx context.Context) error {
-	if !f.watching() {
-		return f.awaitTurn(ctx)
+func (f *Follower) waitForRead(ctx context.Context) error {
+	if !f.isWatcher() {
+		return f.waitForPoll(ctx)
 	}
-	next := ChangeKey(f.Table.Revision() + 1)
-	_, _, err := f.Store.Wait(ctx, next, 0, or(f.WaitMost, DefaultWaitMost))
-	f.count(&f.counts.storeErrors, err)
+	nextKey := ChangeKey(f.Table.Revision() + 1)
+	_, _, err := f.Store.Wait(ctx, nextKey, 0, orDefault(f.MaxWait, DefaultMaxWait))
+	f.countError(&f.counts.storeErrors, err)
 	return err
 }
 
 // awaitTurn waits for the next slow read, or until this node is to watch: the
 // watchers of a data centre may all stop at once.
-func (f *Follower) awaitTurn(ctx context.Context) error {
-	rest := f.jitter(or(f.StoreEvery, DefaultStoreEvery))
-	for rest > 0 && !f.watching() {
-		step := min(rest, or(f.Retry, DefaultRetry))
+func (f *Follower) waitForPoll(ctx context.Context) error {
+	remaining := f.jitter(orDefault(f.StoreInterval, DefaultStoreInterval))
+	for remaining > 0 && !f.isWatcher() {
+		step := min(remaining, orDefault(f.RetryDelay, DefaultRetryDelay))
 		if err := jwclock.Sleep(ctx, step); err != nil {
 			return err
 		}
-		rest -= step
+		remaining -= step
 	}
 	return nil
 }
 
 func (f *Follower) followPeers(ctx context.Context) error {
 	for {
-		timer := time.NewTimer(f.jitter(or(f.PeerEvery, DefaultPeerEvery)))
+		timer := time.NewTimer(f.jitter(orDefault(f.PeerInterval, DefaultPeerInterval)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
-		case <-f.waker():
+		case <-f.wakeChannel():
 			timer.Stop()
 		case <-timer.C:
 		}
 		before := f.Table.Revision()
-		f.count(&f.counts.peerErrors, f.ask(ctx))
+		f.countError(&f.counts.peerErrors, f.pollPeers(ctx))
 		if f.Table.Revision() > before {
 			f.counts.fromPeers.Add(1)
 		}
 	}
 }
 
-func (f *Follower) ask(ctx context.Context) error {
+func (f *Follower) pollPeers(ctx context.Context) error {
 	changes, cp, err := f.Source.Changes(ctx, f.Table.Revision())
 	if err != nil {
 		return err
 	}
-	return f.Table.take(changes, cp)
+	return f.Table.applyReceived(changes, cp)
 }
 
 // take brings into force what a peer gave, as far as it is newer.
-func (t *Table) take(changes []Change, cp *Checkpoint) error {
+func (t *Table) applyReceived(changes []Change, cp *Checkpoint) error {
 	if cp != nil {
 		if err := t.Restore(*cp); err != nil {
 			return err
@@ -177,22 +177,22 @@
 	return nil
 }
 
-func (f *Follower) count(counter *atomic.Uint64, err error) {
+func (f *Follower) countError(counter *atomic.Uint64, err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
 	counter.Add(1)
-	if f.Failed != nil {
-		f.Failed(err)
+	if f.OnError != nil {
+		f.OnError(err)
 	}
 }
 
-func (f *Follower) watching() bool {
+func (f *Follower) isWatcher() bool {
 	return f.Watcher != nil && f.Watcher()
 }
 
-func (f *Follower) waker() chan struct{} {
-	f.once.Do(func() { f.wake = make(chan struct{}, 1) })
+func (f *Follower) wakeChannel() chan struct{} {
+	f.wakeOnce.Do(func() { f.wake = make(chan struct{}, 1) })
 	return f.wake
 }
 
@@ -205,9 +205,9 @@
 	return time.Duration((0.5 + r()) * float64(d))
 }
 
-func or(d, otherwise time.Duration) time.Duration {
+func orDefault(d, defaultValue time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return defaultValue
 }
--- a/core/jwcatalogue/follower_test.go
+++ b/core/jwcatalogue/follower_test.go
@@ -36,17 +36,17 @@
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &fakeStore{Delay: 10 * time.Millisecond}
-		d := editor(s)
+		d := newEditor(s)
 		watcher := &Follower{Store: s, Table: new(Table), Watcher: func() bool { return true }}
 		// Its own slow reads come every 42 s, so that none falls into the moments
 		// after the service is back, which would be counted as from the store.
-		late := func() float64 { return 0.9 }
-		other := &Follower{Store: s, Table: new(Table), Source: peerTable{watcher.Table, 5 * time.Millisecond}, Rand: late}
+		maxJitter := func() float64 { return 0.9 }
+		other := &Follower{Store: s, Table: new(Table), Source: peerTable{watcher.Table, 5 * time.Millisecond}, Rand: maxJitter}
 		done := make(chan error, 2)
 		go func() { done <- watcher.Run(ctx) }()
 		go func() { done <- other.Run(ctx) }()
 		put := func(i int) {
-			_, err := d.Put(ctx, edit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
+			_, err := d.Put(ctx, newEdit(fmt.Sprintf("e%d", i), fmt.Sprintf("entry-%d", i), 0))
 			assert.NilError(t, err)
 		}
 		put(1)
@@ -55,7 +55,7 @@
 		assert.Equal(t, other.Table.Revision(), uint64(1))
 
 		s.setDown(true)
-		_, err := d.Put(ctx, edit("e2", "entry-2", 0))
+		_, err := d.Put(ctx, newEdit("e2", "entry-2", 0))
 		assert.ErrorIs(t, err, jwstore.ErrUnavailable)
 		time.Sleep(time.Minute)
 		s.setDown(false)
@@ -79,9 +79,9 @@
 		f := &Follower{Store: s, Table: new(Table)}
 		done := make(chan error)
 		go func() { done <- f.Run(ctx) }()
-		_, err := editor(s).Put(ctx, edit("e1", "status", 0))
+		_, err := newEditor(s).Put(ctx, newEdit("e1", "status", 0))
 		assert.NilError(t, err)
-		time.Sleep(2 * DefaultStoreEvery)
+		time.Sleep(2 * DefaultStoreInterval)
 		assert.Equal(t, f.Table.Revision(), uint64(1))
 		cancel()
 		<-done
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -11,7 +11,7 @@
 // must be refused or mean the same again after it is written anew.
 
 func FuzzParseEntry(f *testing.F) {
-	whole, err := json.Marshal(entry("status"))
+	whole, err := json.Marshal(newEntry("status"))
 	assert.NilError(f, err)
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
@@ -32,7 +32,7 @@
 }
 
 func FuzzParseChange(f *testing.F) {
-	whole, err := change(1, "a").Encode()
+	whole, err := newChange(1, "a").Encode()
 	assert.NilError(f, err)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
@@ -48,7 +48,7 @@
 		back, err := ParseChange(again)
 		assert.NilError(t, err)
 		assert.Equal(t, back.EditID, c.EditID)
-		assert.Assert(t, back.Time.Equal(c.Time) && sameEntry(back.Before, c.Before) && sameEntry(back.After, c.After))
+		assert.Assert(t, back.Time.Equal(c.Time) && equalEntries(back.Before, c.Before) && equalEntries(back.After, c.After))
 		table := new(Table)
 		if err := table.Apply(c); (err == nil) != (c.N == 1) {
 			t.Fatalf("change %d at revision 0: %v", c.N, err)
@@ -58,7 +58,7 @@
 
 func FuzzParseCheckpoint(f *testing.F) {
 	table := new(Table)
-	assert.NilError(f, table.Apply(change(1, "a")))
+	assert.NilError(f, table.Apply(newChange(1, "a")))
 	whole, err := table.Current().checkpoint().Encode()
 	assert.NilError(f, err)
 	f.Add(whole)
@@ -91,6 +91,6 @@
 	f.Add([]byte(`{"region":"north","revision":3,"seen":4,"laggards":["n0"]}`))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = ParseMember(data)
-		_, _ = ParseRegionConfirmed(data)
+		_, _ = ParseRegionConfirmation(data)
 	})
 }
--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -19,26 +19,26 @@
 // RegionConfirmed says what all members of a region have in force. That a
 // revision is in force is true for good: nodes do not go back, and whoever
 // registers later reads a head that has it.
-type RegionConfirmed struct {
+type RegionConfirmation struct {
 	Region   string   `json:"region"`
 	Revision uint64   `json:"revision"` // in force at every member
 	Seen     uint64   `json:"seen"`     // revision that the gatherer knew of when it read the members
-	Laggards []string `json:"laggards,omitempty"`
+	Lagging  []string `json:"laggards,omitempty"`
 }
 
 // ParseRegionConfirmed reads a confirmation.
-func ParseRegionConfirmed(data []byte) (RegionConfirmed, error) {
-	var c RegionConfirmed
+func ParseRegionConfirmation(data []byte) (RegionConfirmation, error) {
+	var c RegionConfirmation
 	err := decodeRecord(data, &c)
 	return c, errors.Wrap(err, "confirmation record")
 }
 
 // The paces of a gatherer.
 const (
-	DefaultGatherPeriod = 500 * time.Millisecond // between two writes of a region
-	DefaultMembersEvery = 30 * time.Second       // between reads of the members
-	laggardsEvery       = time.Second            // between reads of the members while some are missing
-	looksAPeriod        = 5                      // looks at the peers between two writes
+	DefaultGatherPeriod    = 500 * time.Millisecond // between two writes of a region
+	DefaultMembersInterval = 30 * time.Second       // between reads of the members
+	laggingInterval        = time.Second            // between reads of the members while some are missing
+	stepsPerPeriod         = 5                      // looks at the peers between two writes
 )
 
 // Gatherer writes the confirmations of a region. One node of the region does
@@ -54,23 +54,23 @@
 	Registered func() bool   // whether this node has its own record, nil for always
 	Period     time.Duration // between two writes, 0 for DefaultGatherPeriod
 
-	members   []memberItem
-	seen      uint64    // revision known before the members were read
-	readAt    time.Time // when the members were read
-	written   RegionConfirmed
-	writtenAt time.Time
-	version   uint64 // of the record in the service
-	loaded    bool   // whether written and version are those of the service
+	members       []storedMember
+	seen          uint64    // revision known before the members were read
+	readAt        time.Time // when the members were read
+	written       RegionConfirmation
+	writtenAt     time.Time
+	version       uint64 // of the record in the service
+	writtenLoaded bool   // whether written and version are those of the service
 }
 
-type memberItem struct {
+type storedMember struct {
 	Member
 	version uint64
 }
 
 // Run gathers until the context ends.
 func (g *Gatherer) Run(ctx context.Context) error {
-	ticker := time.NewTicker(g.period() / looksAPeriod)
+	ticker := time.NewTicker(g.period() / stepsPerPeriod)
 	defer ticker.Stop()
 	for {
 		select {
@@ -88,29 +88,29 @@
 func (g *Gatherer) Step(ctx context.Context, now time.Time) error {
 	peers := g.Peers.Peers()
 	if GathererOf(peers, g.Region) != g.Name || g.Registered != nil && !g.Registered() {
-		g.members, g.loaded = nil, false
+		g.members, g.writtenLoaded = nil, false
 		return nil
 	}
-	if g.due(now) {
+	if g.membersReadDue(now) {
 		if err := g.readMembers(ctx, now); err != nil {
 			return err
 		}
 	}
-	if err := g.countOut(ctx, peers); err != nil {
+	if err := g.deleteDeparted(ctx, peers); err != nil {
 		return err
 	}
 	if len(g.members) == 0 {
 		return nil
 	}
-	return g.write(ctx, g.judge(peers), now)
+	return g.write(ctx, g.aggregate(peers), now)
 }
 
-func (g *Gatherer) due(now time.Time) bool {
-	every := DefaultMembersEvery
-	if len(g.written.Laggards) > 0 {
-		every = laggardsEvery
+func (g *Gatherer) membersReadDue(now time.Time) bool {
+	interval := DefaultMembersInterval
+	if len(g.written.Lagging) > 0 {
+		interval = laggingInterval
 	}
-	return g.members == nil || g.Table.Revision() > g.seen || now.Sub(g.readAt) >= every
+	return g.members == nil || g.Table.Revision() > g.seen || now.Sub(g.readAt) >= interval
 }
 
 // readMembers takes the revision before it reads. A node that is not among
@@ -118,17 +118,17 @@
 // this revision.
 func (g *Gatherer) readMembers(ctx context.Context, now time.Time) error {
 	seen := g.Table.Revision()
-	items, err := g.Store.List(ctx, membersOf(g.Region))
+	items, err := g.Store.List(ctx, memberPrefix(g.Region))
 	if err != nil {
 		return errors.Wrap(err, "list members: store")
 	}
-	members := make([]memberItem, 0, len(items))
+	members := make([]storedMember, 0, len(items))
 	for _, item := range items {
 		m, err := ParseMember(item.Value)
 		if err != nil {
 			return errors.Wrapf(err, "read %s: store", item.Key)
 		}
-		members = append(members, memberItem{m, item.Version})
+		members = append(members, storedMember{m, item.Version})
 	}
 	g.members, g.seen, g.readAt = members, seen, now
 	return nil
@@ -137,10 +137,10 @@
 // countOut deletes the records of nodes that left by themselves or that the
 // host list has dropped for good. The version keeps it from deleting the
 // record of a process that has started since under the same name.
-func (g *Gatherer) countOut(ctx context.Context, peers []jwpeer.Peer) error {
+func (g *Gatherer) deleteDeparted(ctx context.Context, peers []jwpeer.Peer) error {
 	for i := 0; i < len(g.members); i++ {
 		m := g.members[i]
-		if !g.gone(m.Member, peers) {
+		if !g.departed(m.Member, peers) {
 			continue
 		}
 		if _, err := g.Store.Delete(ctx, MemberKey(m.Region, m.Name), m.version); err != nil {
@@ -152,7 +152,7 @@
 	return nil
 }
 
-func (g *Gatherer) gone(m Member, peers []jwpeer.Peer) bool {
+func (g *Gatherer) departed(m Member, peers []jwpeer.Peer) bool {
 	if m.Name == g.Name {
 		return false
 	}
@@ -166,44 +166,44 @@
 
 // judge finds what all members have in force. A peer that has no record but
 // serves counts too: it joined through another while the service was away.
-func (g *Gatherer) judge(peers []jwpeer.Peer) RegionConfirmed {
-	c := RegionConfirmed{Region: g.Region, Revision: g.seen, Seen: g.seen}
-	known := make(map[string]jwpeer.Peer, len(peers))
+func (g *Gatherer) aggregate(peers []jwpeer.Peer) RegionConfirmation {
+	c := RegionConfirmation{Region: g.Region, Revision: g.seen, Seen: g.seen}
+	peersByName := make(map[string]jwpeer.Peer, len(peers))
 	for _, p := range peers {
-		known[p.Name] = p
+		peersByName[p.Name] = p
 	}
 	for _, m := range g.members {
-		p, ok := known[m.Name]
-		delete(known, m.Name)
+		p, ok := peersByName[m.Name]
+		delete(peersByName, m.Name)
 		revision := p.Revision
 		if !ok || p.Incarnation != m.Incarnation {
 			// What another process of that name had says nothing of this one.
 			revision = 0
 		}
-		c.add(m.Name, revision)
+		c.addMember(m.Name, revision)
 	}
-	for name, p := range known {
+	for name, p := range peersByName {
 		serves := p.State == jwpeer.Serving || p.State == jwpeer.Leaving
 		m := Member{Name: name, Region: p.Region, Incarnation: p.Incarnation}
-		if p.Region == g.Region && serves && !g.gone(m, peers) {
-			c.add(name, p.Revision)
+		if p.Region == g.Region && serves && !g.departed(m, peers) {
+			c.addMember(name, p.Revision)
 		}
 	}
-	slices.Sort(c.Laggards)
+	slices.Sort(c.Lagging)
 	return c
 }
 
-func (c *RegionConfirmed) add(name string, revision uint64) {
+func (c *RegionConfirmation) addMember(name string, revision uint64) {
 	if revision < c.Seen {
-		c.Laggards = append(c.Laggards, name)
+		c.Lagging = append(c.Lagging, name)
 	}
 	c.Revision = min(c.Revision, revision)
 }
 
 // write keeps the record in step: at once when more is in force everywhere,
 // at a slow pace when only the names of those missing have changed.
-func (g *Gatherer) write(ctx context.Context, c RegionConfirmed, now time.Time) error {
-	if !g.loaded {
+func (g *Gatherer) write(ctx context.Context, c RegionConfirmation, now time.Time) error {
+	if !g.writtenLoaded {
 		if err := g.readWritten(ctx); err != nil {
 			return err
 		}
@@ -211,10 +211,10 @@
 	// Nothing that was confirmed becomes unconfirmed.
 	c.Revision = max(c.Revision, g.written.Revision)
 	c.Seen = max(c.Seen, g.written.Seen)
-	rises := c.Revision > g.written.Revision
-	differs := c.Seen != g.written.Seen || !slices.Equal(c.Laggards, g.written.Laggards)
-	since := now.Sub(g.writtenAt)
-	if since < g.period() || !rises && (!differs || since < laggardsEvery) {
+	rose := c.Revision > g.written.Revision
+	detailsDiffer := c.Seen != g.written.Seen || !slices.Equal(c.Lagging, g.written.Lagging)
+	sinceWrite := now.Sub(g.writtenAt)
+	if sinceWrite < g.period() || !rose && (!detailsDiffer || sinceWrite < laggingInterval) {
 		return nil
 	}
 	data, err := json.Marshal(c)
@@ -223,32 +223,32 @@
 	}
 	version, swapped, err := g.Store.Swap(ctx, ConfirmedPrefix+g.Region, data, g.version)
 	if err != nil || !swapped {
-		g.loaded = false
+		g.writtenLoaded = false
 		return errors.Wrap(err, "write confirmation: store")
 	}
 	g.written, g.version, g.writtenAt = c, version, now
 	return nil
 }
 
-func (g *Gatherer) period() time.Duration { return or(g.Period, DefaultGatherPeriod) }
+func (g *Gatherer) period() time.Duration { return orDefault(g.Period, DefaultGatherPeriod) }
 
 func (g *Gatherer) readWritten(ctx context.Context) error {
 	item, ok, err := g.Store.Get(ctx, ConfirmedPrefix+g.Region)
 	if err != nil {
 		return errors.Wrap(err, "read confirmation: store")
 	}
-	var c RegionConfirmed
+	var c RegionConfirmation
 	if ok {
-		if c, err = ParseRegionConfirmed(item.Value); err != nil {
+		if c, err = ParseRegionConfirmation(item.Value); err != nil {
 			return err
 		}
 	}
-	g.written, g.version, g.loaded = c, item.Version, true
+	g.written, g.version, g.writtenLoaded = c, item.Version, true
 	return nil
 }
 
 // regionOf returns the region and name of a member's key.
-func regionOf(key string) (region, name string) {
+func splitMemberKey(key string) (region, name string) {
 	region, name, _ = strings.Cut(strings.TrimPrefix(key, MembersPrefix), "/")
 	return region, name
 }
--- a/core/jwcatalogue/history_test.go
+++ b/core/jwcatalogue/history_test.go
@@ -54,43 +54,43 @@
 		s := new(fakeStore)
 		rnd := rand.New(rand.NewPCG(seed, 1))
 		var mu sync.Mutex
-		s.before = func() {
+		s.beforeCall = func() {
 			mu.Lock()
 			defer mu.Unlock()
-			lose, drop := rnd.IntN(6) == 0, rnd.IntN(8) == 0
+			loseReply, dropWrite := rnd.IntN(6) == 0, rnd.IntN(8) == 0
 			s.mu.Lock()
 			defer s.mu.Unlock()
-			if lose && s.loseReplies == 0 {
+			if loseReply && s.loseReplies == 0 {
 				s.loseReplies = 1
 			}
-			if drop && s.dropWrites == 0 {
+			if dropWrite && s.dropWrites == 0 {
 				s.dropWrites = rnd.IntN(7)
 			}
 		}
 		var events []porcupine.Operation
 		var wg sync.WaitGroup
 		begin := time.Now()
-		for who := range 4 {
+		for operator := range 4 {
 			wg.Go(func() {
-				d := editor(s)
+				d := newEditor(s)
 				seen := uint64(0)
 				for i := range historyEdits / 4 {
-					in := historyInput{id: fmt.Sprintf("e%d-%d", who, i), ifRevision: seen}
+					in := historyInput{id: fmt.Sprintf("e%d-%d", operator, i), ifRevision: seen}
 					call := time.Since(begin)
-					out := outcome(d, in)
+					out := putOutcome(d, in)
 					if !out.unknown {
 						seen = out.revision
 					}
 					end := int64(time.Since(begin))
 					mu.Lock()
-					events = append(events, porcupine.Operation{ClientId: who, Input: in, Call: int64(call), Output: out, Return: end})
+					events = append(events, porcupine.Operation{ClientId: operator, Input: in, Call: int64(call), Output: out, Return: end})
 					mu.Unlock()
 				}
 			})
 		}
 		wg.Wait()
-		s.before = nil
-		events = resolved(t, s, events)
+		s.beforeCall = nil
+		events = resolveUnknown(t, s, events)
 		result := porcupine.CheckOperationsTimeout(historyModel, events, 20*time.Second)
 		assert.Equal(t, result, porcupine.Ok, "seed %d", seed)
 	}
@@ -98,27 +98,27 @@
 
 // resolved looks up in the log what became of the edits of unknown outcome:
 // those that are in it took effect at some time after they were sent.
-func resolved(t *testing.T, s *fakeStore, events []porcupine.Operation) []porcupine.Operation {
+func resolveUnknown(t *testing.T, s *fakeStore, events []porcupine.Operation) []porcupine.Operation {
 	t.Helper()
 	table := new(Table)
 	assert.NilError(t, changeLog{store: s}.catchUp(t.Context(), table))
-	var known []porcupine.Operation
+	var resolved []porcupine.Operation
 	for _, e := range events {
 		if !e.Output.(historyOutput).unknown {
-			known = append(known, e)
+			resolved = append(resolved, e)
 			continue
 		}
-		if c, ok := table.edit(e.Input.(historyInput).id); ok {
+		if c, ok := table.changeByEditID(e.Input.(historyInput).id); ok {
 			e.Output = historyOutput{revision: c.N, id: c.EditID, done: true}
 			e.Return = int64(time.Hour)
-			known = append(known, e)
+			resolved = append(resolved, e)
 		}
 	}
-	return known
+	return resolved
 }
 
-func outcome(d *Editor, in historyInput) historyOutput {
-	res, err := d.Put(context.Background(), edit(in.id, "status", in.ifRevision))
+func putOutcome(d *Editor, in historyInput) historyOutput {
+	res, err := d.Put(context.Background(), newEdit(in.id, "status", in.ifRevision))
 	var conflict *ConflictError
 	switch {
 	case err == nil:
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -26,10 +26,10 @@
 
 // MemberKey returns the key of a member record.
 func MemberKey(region, name string) string {
-	return membersOf(region) + name
+	return memberPrefix(region) + name
 }
 
-func membersOf(region string) string { return MembersPrefix + region + "/" }
+func memberPrefix(region string) string { return MembersPrefix + region + "/" }
 
 // ParseMember reads a member record.
 func ParseMember(data []byte) (Member, error) {
@@ -66,8 +66,8 @@
 
 // The paces of a membership.
 const (
-	DefaultMemberCheck = 30 * time.Second // between looks at the own record
-	DefaultAdoptEvery  = 500 * time.Millisecond
+	DefaultMemberCheckInterval = 30 * time.Second // between looks at the own record
+	DefaultAdoptInterval       = 500 * time.Millisecond
 )
 
 // Membership makes this node one whose confirmation changes wait for, before
@@ -79,7 +79,7 @@
 	Sponsors  Sponsors   // nil for none
 	Adoptions *Adoptions // those this node answers for
 
-	CheckEvery, AdoptEvery time.Duration // 0 for the defaults
+	CheckInterval, AdoptInterval time.Duration // 0 for the defaults
 
 	registered atomic.Bool
 	sponsors   map[string]bool // peers that may answer for this node
@@ -100,20 +100,20 @@
 		return err
 	}
 	for {
-		if err := m.enter(ctx); err == nil {
+		if err := m.registerAndCatchUp(ctx); err == nil {
 			return nil
 		}
-		if err := m.adopted(ctx); err == nil {
+		if err := m.joinThroughSponsor(ctx); err == nil {
 			return nil
 		}
-		if err := jwclock.Sleep(ctx, m.Follower.jitter(m.adoptEvery())); err != nil {
+		if err := jwclock.Sleep(ctx, m.Follower.jitter(m.adoptInterval())); err != nil {
 			return errors.Wrap(err, "join")
 		}
 	}
 }
 
 // enter registers this node and then reads the head of the log.
-func (m *Membership) enter(ctx context.Context) error {
+func (m *Membership) registerAndCatchUp(ctx context.Context) error {
 	if err := m.register(ctx); err != nil {
 		return err
 	}
@@ -150,11 +150,11 @@
 
 // adopted has a peer answer for this node and takes its log. What this node
 // answers for itself is not more than what those that it adopted have.
-func (m *Membership) adopted(ctx context.Context) error {
+func (m *Membership) joinThroughSponsor(ctx context.Context) error {
 	if m.Sponsors == nil {
 		return errors.New("adopt: no peers")
 	}
-	sponsor, changes, cp, err := m.Sponsors.Adopt(ctx, m.Member, m.confirmed())
+	sponsor, changes, cp, err := m.Sponsors.Adopt(ctx, m.Member, m.confirmedRevision())
 	if err != nil {
 		return errors.Wrap(err, "adopt")
 	}
@@ -162,12 +162,12 @@
 		m.sponsors = make(map[string]bool)
 	}
 	m.sponsors[sponsor] = true
-	return errors.Wrapf(m.Follower.Table.take(changes, cp), "adopt: %s", sponsor)
+	return errors.Wrapf(m.Follower.Table.applyReceived(changes, cp), "adopt: %s", sponsor)
 }
 
-func (m *Membership) answers() bool { return m.Adoptions != nil && m.Adoptions.Open() }
+func (m *Membership) isSponsor() bool { return m.Adoptions != nil && m.Adoptions.HasAdopted() }
 
-func (m *Membership) confirmed() uint64 {
+func (m *Membership) confirmedRevision() uint64 {
 	if m.Adoptions != nil {
 		return m.Adoptions.Confirmed()
 	}
@@ -178,58 +178,58 @@
 // when another process has the name, which then must not serve any longer.
 func (m *Membership) Run(ctx context.Context) error {
 	for {
-		pause := or(m.CheckEvery, DefaultMemberCheck)
-		if !m.Registered() || len(m.sponsors) > 0 || m.answers() {
-			pause = m.adoptEvery()
+		pause := orDefault(m.CheckInterval, DefaultMemberCheckInterval)
+		if !m.Registered() || len(m.sponsors) > 0 || m.isSponsor() {
+			pause = m.adoptInterval()
 		}
 		if err := jwclock.Sleep(ctx, m.Follower.jitter(pause)); err != nil {
 			return err
 		}
-		if m.answers() {
-			m.Adoptions.Tidy()
+		if m.isSponsor() {
+			m.Adoptions.RemoveEnded()
 		}
-		if err := m.keep(ctx); errors.Is(err, ErrReplaced) {
+		if err := m.maintain(ctx); errors.Is(err, ErrReplaced) {
 			return err
 		}
 	}
 }
 
-func (m *Membership) keep(ctx context.Context) error {
+func (m *Membership) maintain(ctx context.Context) error {
 	if m.Registered() {
-		if err := m.verify(ctx); err != nil {
+		if err := m.verifyRecord(ctx); err != nil {
 			return err
 		}
-		return m.release(ctx)
+		return m.releaseSponsors(ctx)
 	}
-	if err := m.enter(ctx); err != nil {
-		return m.adopted(ctx)
+	if err := m.registerAndCatchUp(ctx); err != nil {
+		return m.joinThroughSponsor(ctx)
 	}
-	return m.release(ctx)
+	return m.releaseSponsors(ctx)
 }
 
 // verify enters again after this node was counted out by mistake: the host
 // list dropped it while it was serving.
-func (m *Membership) verify(ctx context.Context) error {
+func (m *Membership) verifyRecord(ctx context.Context) error {
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
 		return errors.Wrap(err, "read member: store")
 	}
 	if !ok {
-		return m.enter(ctx)
+		return m.registerAndCatchUp(ctx)
 	}
-	have, err := ParseMember(item.Value)
+	stored, err := ParseMember(item.Value)
 	if err != nil {
 		return err
 	}
-	if have.Incarnation != m.Incarnation {
-		return errors.Wrapf(ErrReplaced, "member %s: incarnation %s", m.Name, have.Incarnation)
+	if stored.Incarnation != m.Incarnation {
+		return errors.Wrapf(ErrReplaced, "member %s: incarnation %s", m.Name, stored.Incarnation)
 	}
 	return nil
 }
 
 // release tells the sponsors that they need not answer any more. It comes
 // after the head was read, or a change could be accepted in between.
-func (m *Membership) release(ctx context.Context) error {
+func (m *Membership) releaseSponsors(ctx context.Context) error {
 	for sponsor := range m.sponsors {
 		if err := m.Sponsors.Release(ctx, sponsor, m.Member); err != nil {
 			return errors.Wrapf(err, "release: %s", sponsor)
@@ -243,25 +243,27 @@
 // request is answered. While others depend on this node's answers, the record
 // stays until the context ends; what is then left is counted out with the host.
 func (m *Membership) Leave(ctx context.Context) error {
-	for m.answers() {
-		m.Adoptions.Tidy()
-		if err := jwclock.Sleep(ctx, m.adoptEvery()); err != nil {
+	for m.isSponsor() {
+		m.Adoptions.RemoveEnded()
+		if err := jwclock.Sleep(ctx, m.adoptInterval()); err != nil {
 			return errors.Wrap(err, "leave: nodes without a record depend on this one")
 		}
 	}
-	if err := m.release(ctx); err != nil {
+	if err := m.releaseSponsors(ctx); err != nil {
 		return err
 	}
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
 		return errors.Wrap(err, "leave: store")
 	}
-	have, err := ParseMember(item.Value)
-	if !ok || err != nil || have.Incarnation != m.Incarnation {
+	stored, err := ParseMember(item.Value)
+	if !ok || err != nil || stored.Incarnation != m.Incarnation {
 		return nil
 	}
 	_, err = m.Store.Delete(ctx, item.Key, item.Version)
 	return errors.Wrap(err, "leave: store")
 }
 
-func (m *Membership) adoptEvery() time.Duration { return or(m.AdoptEvery, DefaultAdoptEvery) }
+func (m *Membership) adoptInterval() time.Duration {
+	return orDefault(m.AdoptInterval, DefaultAdoptInterval)
+}
--- a/core/jwcatalogue/member_test.go
+++ b/core/jwcatalogue/member_test.go
@@ -11,29 +11,29 @@
 	"jujubewheel/core/jwstore"
 )
 
-func member(s jwstore.Store, name, incarnation string) *Membership {
+func newMembership(s jwstore.Store, name, incarnation string) *Membership {
 	return &Membership{
 		Member: Member{Name: name, Region: "north", Incarnation: incarnation}, Store: s,
 		Follower: &Follower{Store: s, Table: new(Table)},
 	}
 }
 
-func TestCountedOutByMistake(t *testing.T) {
+func TestRejoinAfterRecordDeleted(t *testing.T) {
 	// The host list dropped a node that serves, and its record was deleted.
 	// It must come back by itself, with the changes that were accepted
 	// meanwhile.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := new(fakeStore)
-		m := member(s, "n0", "a")
+		m := newMembership(s, "n0", "a")
 		assert.NilError(t, m.Join(ctx))
 		done := make(chan error)
 		go func() { done <- m.Run(ctx) }()
 		assert.NilError(t, (&Acceptance{Store: s}).Forget(ctx, "north", "n0"))
-		_, err := editor(s).Put(ctx, edit("e1", "status", 0))
+		_, err := newEditor(s).Put(ctx, newEdit("e1", "status", 0))
 		assert.NilError(t, err)
 		assert.Equal(t, len(s.keys(MembersPrefix)), 0)
-		time.Sleep(2 * DefaultMemberCheck)
+		time.Sleep(2 * DefaultMemberCheckInterval)
 		assert.Equal(t, len(s.keys(MembersPrefix)), 1)
 		assert.Equal(t, m.Follower.Table.Revision(), uint64(1))
 		cancel()
@@ -48,9 +48,9 @@
 	// it wakes up it must stop, and must not take the new one's record along.
 	synctest.Test(t, func(t *testing.T) {
 		s := new(fakeStore)
-		old, anew := member(s, "n0", "a"), member(s, "n0", "b")
+		old, replacement := newMembership(s, "n0", "a"), newMembership(s, "n0", "b")
 		assert.NilError(t, old.Join(t.Context()))
-		assert.NilError(t, anew.Join(t.Context()))
+		assert.NilError(t, replacement.Join(t.Context()))
 		assert.ErrorIs(t, old.Run(t.Context()), ErrReplaced)
 		assert.NilError(t, old.Leave(t.Context()))
 		assert.Equal(t, len(s.keys(MembersPrefix)), 1)
@@ -63,7 +63,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := new(fakeStore)
 		s.setDown(true)
-		m := member(s, "n0", "a")
+		m := newMembership(s, "n0", "a")
 		done := make(chan error)
 		go func() { done <- m.Join(t.Context()) }()
 		time.Sleep(time.Minute)
@@ -78,18 +78,18 @@
 	})
 }
 
-func TestAdoptRefused(t *testing.T) {
+func TestAdoptRejectedWhenNotServing(t *testing.T) {
 	a := &Adoptions{Table: new(Table), Serving: func() bool { return false }}
 	_, _, err := a.Adopt(Member{Name: "n1", Region: "north", Incarnation: "b"}, 0)
 	assert.ErrorIs(t, err, ErrNotServing)
-	assert.Assert(t, !a.Open())
+	assert.Assert(t, !a.HasAdopted())
 }
 
-func TestWaitNamesTheMissing(t *testing.T) {
+func TestWaitReportsMissingMembers(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := new(fakeStore)
-		assert.NilError(t, member(s, "n0", "a").Join(t.Context()))
-		res, err := editor(s).Put(t.Context(), edit("e1", "status", 0))
+		assert.NilError(t, newMembership(s, "n0", "a").Join(t.Context()))
+		res, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 		assert.NilError(t, err)
 		ctx, cancel := context.WithTimeout(t.Context(), 3*time.Second)
 		defer cancel()
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -20,36 +20,36 @@
 
 // The simulated links, there and back.
 const (
-	linkToStore  = 160 * time.Millisecond // from another region
-	linkToPeer   = 6 * time.Millisecond
-	paceIdle     = 2 * time.Minute
-	paceExchange = 500 * time.Millisecond // between two exchanges of peers
+	storeRoundTrip   = 160 * time.Millisecond // from another region
+	peerRoundTrip    = 6 * time.Millisecond
+	idlePeriod       = 2 * time.Minute
+	exchangeInterval = 500 * time.Millisecond // between two exchanges of peers
 )
 
 // farStore is the service as a node of another region sees it.
-type farStore struct {
+type delayedStore struct {
 	*fakeStore
 	delay time.Duration
 }
 
-func (s farStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
+func (s delayedStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
 	time.Sleep(s.delay)
 	return s.fakeStore.Get(ctx, key)
 }
 
-func (s farStore) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
+func (s delayedStore) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
 	time.Sleep(s.delay)
 	return s.fakeStore.List(ctx, prefix)
 }
 
-func (s farStore) Wait(ctx context.Context, key string, after uint64, most time.Duration) (jwstore.Item, bool, error) {
+func (s delayedStore) Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (jwstore.Item, bool, error) {
 	time.Sleep(s.delay / 2)
-	item, ok, err := s.fakeStore.Wait(ctx, key, after, most)
+	item, ok, err := s.fakeStore.Wait(ctx, key, after, maxWait)
 	time.Sleep(s.delay / 2)
 	return item, ok, err
 }
 
-func (s farStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (s delayedStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	time.Sleep(s.delay)
 	return s.fakeStore.Swap(ctx, key, value, version)
 }
@@ -61,7 +61,7 @@
 	nodes []*fleetNode
 
 	mu       sync.Mutex
-	told     []jwpeer.Peer
+	peers    []jwpeer.Peer
 	watchers map[string][]string // by data centre
 }
 
@@ -74,19 +74,19 @@
 func (f *fleet) Peers() []jwpeer.Peer {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.told
+	return f.peers
 }
 
-func (f *fleet) tell() {
-	var told []jwpeer.Peer
+func (f *fleet) publishPeers() {
+	var peers []jwpeer.Peer
 	for _, n := range f.nodes {
 		p := n.peer
 		p.Revision = n.table.Revision()
-		told = append(told, p)
+		peers = append(peers, p)
 	}
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.told, f.watchers = told, make(map[string][]string)
+	f.peers, f.watchers = peers, make(map[string][]string)
 }
 
 func (f *fleet) watchersOf(p jwpeer.Peer) []string {
@@ -94,7 +94,7 @@
 	defer f.mu.Unlock()
 	names, ok := f.watchers[p.DataCentre]
 	if !ok {
-		names = Watchers(f.told, p.Region, p.DataCentre)
+		names = Watchers(f.peers, p.Region, p.DataCentre)
 		f.watchers[p.DataCentre] = names
 	}
 	return names
@@ -104,20 +104,20 @@
 func (n *fleetNode) Changes(_ context.Context, after uint64) ([]Change, *Checkpoint, error) {
 	names := n.fleet.watchersOf(n.peer)
 	i := slices.IndexFunc(n.fleet.nodes, func(p *fleetNode) bool { return p.peer.Name == names[after%uint64(len(names))] })
-	time.Sleep(linkToPeer)
+	time.Sleep(peerRoundTrip)
 	changes, cp := n.fleet.nodes[i].table.Changes(after, 64)
 	return changes, cp, nil
 }
 
 func (n *fleetNode) delay() time.Duration {
 	if n.peer.Region == "r0" {
-		return linkToPeer
+		return peerRoundTrip
 	}
-	return linkToStore
+	return storeRoundTrip
 }
 
 func (n *fleetNode) run(ctx context.Context, wg *sync.WaitGroup) {
-	store := farStore{n.fleet.store, n.delay()}
+	store := delayedStore{n.fleet.store, n.delay()}
 	watcher := func() bool {
 		return slices.Contains(n.fleet.watchersOf(n.peer), n.peer.Name)
 	}
@@ -133,7 +133,7 @@
 	}
 }
 
-var paceLarge = flag.Bool("pace", false, "measure the pace of 100 and 970 nodes too")
+var measureLarge = flag.Bool("pace", false, "measure the pace of 100 and 970 nodes too")
 
 type fleetSize struct{ nodes, regions, dataCentres int }
 
@@ -141,20 +141,20 @@
 // what it costs the service, with simulated links and real controllers.
 func TestPace(t *testing.T) {
 	sizes := map[string]fleetSize{"3 nodes": {3, 3, 3}, "9 nodes": {9, 3, 6}}
-	if *paceLarge {
+	if *measureLarge {
 		sizes["100 nodes"] = fleetSize{100, 13, 27}
 		sizes["970 nodes"] = fleetSize{970, 13, 27}
 	}
 	for name, size := range sizes {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				measurePace(t, size.nodes, size.regions, size.dataCentres)
+				measureLatency(t, size.nodes, size.regions, size.dataCentres)
 			})
 		})
 	}
 }
 
-func measurePace(t *testing.T, nodes, regions, dataCentres int) {
+func measureLatency(t *testing.T, nodes, regions, dataCentres int) {
 	f := &fleet{store: new(fakeStore)}
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -165,27 +165,27 @@
 			Region: fmt.Sprintf("r%d", dc%regions), DataCentre: fmt.Sprintf("dc%d", dc),
 		}})
 	}
-	f.tell()
+	f.publishPeers()
 	wg.Go(func() {
-		for jwclock.Sleep(ctx, paceExchange) == nil {
-			f.tell()
+		for jwclock.Sleep(ctx, exchangeInterval) == nil {
+			f.publishPeers()
 		}
 	})
 	for _, n := range f.nodes {
 		wg.Go(func() { n.run(ctx, &wg) })
 	}
 	time.Sleep(time.Minute)
-	reads0, writes0 := f.store.calls()
-	time.Sleep(paceIdle)
+	startReads, startWrites := f.store.calls()
+	time.Sleep(idlePeriod)
 	idleReads, idleWrites := f.store.calls()
 	waits := f.store.waiting()
-	idle := paceIdle.Seconds()
-	t.Logf("idle: %.2f reads and %.2f writes a second, %d waits stand", float64(idleReads-reads0)/idle, float64(idleWrites-writes0)/idle, waits)
+	idle := idlePeriod.Seconds()
+	t.Logf("idle: %.2f reads and %.2f writes a second, %d waits stand", float64(idleReads-startReads)/idle, float64(idleWrites-startWrites)/idle, waits)
 
 	const edits = 20
-	editor := f.nodes[1]
-	store := farStore{f.store, editor.delay()}
-	d := &Editor{Store: store, Table: &editor.table}
+	editorNode := f.nodes[1]
+	store := delayedStore{f.store, editorNode.delay()}
+	editor := &Editor{Store: store, Table: &editorNode.table}
 	var written, inForce, accepted []time.Duration
 	var callsRead, callsWritten float64
 	rnd := rand.New(rand.NewPCG(1, 1))
@@ -193,7 +193,7 @@
 		time.Sleep(5*time.Second + time.Duration(rnd.IntN(2000))*time.Millisecond)
 		reads, writes := f.store.calls()
 		begin := time.Now()
-		res, err := d.Put(ctx, edit(fmt.Sprintf("e%d", i), "status", editor.table.Current().Revisions["status"]))
+		res, err := editor.Put(ctx, newEdit(fmt.Sprintf("e%d", i), "status", editorNode.table.Current().Revisions["status"]))
 		assert.NilError(t, err)
 		written = append(written, time.Since(begin))
 		done := make(chan time.Duration)
@@ -213,18 +213,18 @@
 		accepted = append(accepted, time.Since(begin))
 		inForce = append(inForce, <-done)
 		assert.Assert(t, inForce[i] <= accepted[i], "accepted before it was in force everywhere")
-		took := time.Since(begin).Seconds()
+		elapsed := time.Since(begin).Seconds()
 		readsAfter, writesAfter := f.store.calls()
-		callsRead += float64(readsAfter-reads) - took*float64(idleReads-reads0)/idle
+		callsRead += float64(readsAfter-reads) - elapsed*float64(idleReads-startReads)/idle
 		callsWritten += float64(writesAfter - writes)
 	}
 	t.Logf("an edit: %.0f reads and %.1f writes beside the idle ones", callsRead/edits, callsWritten/edits)
 	for _, part := range []struct {
-		name string
-		of   []time.Duration
+		name      string
+		durations []time.Duration
 	}{{"written", written}, {"in force everywhere", inForce}, {"accepted", accepted}} {
-		slices.Sort(part.of)
-		t.Logf("%s: median %v, longest %v", part.name, part.of[edits/2], part.of[edits-1])
+		slices.Sort(part.durations)
+		t.Logf("%s: median %v, longest %v", part.name, part.durations[edits/2], part.durations[edits-1])
 	}
 	cancel()
 	wg.Wait()
--- a/core/jwcatalogue/rank.go
+++ b/core/jwcatalogue/rank.go
@@ -31,16 +31,16 @@
 // GathererOf returns the name of the node that gathers the confirmations of a
 // region, or "" when none is live.
 func GathererOf(live []jwpeer.Peer, region string) string {
-	first, most := "", uint64(0)
+	gatherer, highest := "", uint64(0)
 	for _, p := range live {
 		if p.State != jwpeer.Serving || p.Region != region {
 			continue
 		}
-		if w := weight("gatherer", p.Name); first == "" || w > most || w == most && p.Name < first {
-			first, most = p.Name, w
+		if w := weight("gatherer", p.Name); gatherer == "" || w > highest || w == highest && p.Name < gatherer {
+			gatherer, highest = p.Name, w
 		}
 	}
-	return first
+	return gatherer
 }
 
-func weight(job, name string) uint64 { return xxhash.Sum64String(job + "/" + name) }
+func weight(role, name string) uint64 { return xxhash.Sum64String(role + "/" + name) }
--- a/core/jwcatalogue/store_test.go
+++ b/core/jwcatalogue/store_test.go
@@ -16,11 +16,11 @@
 
 	// before is called ahead of each call takes effect, for other things to
 	// happen in between.
-	before func()
+	beforeCall func()
 	// listed is called after a list was taken, before its caller has it.
-	listed func()
+	afterList func()
 	// created is told of every key that is created.
-	created func(key string, value []byte)
+	onCreate func(key string, value []byte)
 
 	mu            sync.Mutex
 	items         map[string]jwstore.Item
@@ -28,16 +28,16 @@
 	down          bool
 	loseReplies   int           // writes that take effect and report ErrUnknown
 	dropWrites    int           // writes that report ErrUnknown without effect
-	hold          chan struct{} // the next write waits for it before it takes effect
-	held          chan struct{} // closed when that write waits
+	holdWrite     chan struct{} // the next write waits for it before it takes effect
+	writeHeld     chan struct{} // closed when that write waits
 	changed       chan struct{}
 	reads, writes int
 	waits         int
 }
 
-func (s *fakeStore) call(ctx context.Context) error {
-	if s.before != nil {
-		s.before()
+func (s *fakeStore) beginCall(ctx context.Context) error {
+	if s.beforeCall != nil {
+		s.beforeCall()
 	}
 	if s.Delay > 0 {
 		select {
@@ -69,7 +69,7 @@
 }
 
 func (s *fakeStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return jwstore.Item{}, false, err
 	}
 	s.mu.Lock()
@@ -80,7 +80,7 @@
 }
 
 func (s *fakeStore) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return nil, err
 	}
 	s.mu.Lock()
@@ -93,19 +93,19 @@
 		}
 	}
 	slices.SortFunc(items, func(a, b jwstore.Item) int { return strings.Compare(a.Key, b.Key) })
-	if s.listed != nil {
+	if s.afterList != nil {
 		s.mu.Unlock()
-		s.listed()
+		s.afterList()
 		s.mu.Lock()
 	}
 	return items, nil
 }
 
-func (s *fakeStore) Wait(ctx context.Context, key string, after uint64, most time.Duration) (jwstore.Item, bool, error) {
-	if err := s.call(ctx); err != nil {
+func (s *fakeStore) Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (jwstore.Item, bool, error) {
+	if err := s.beginCall(ctx); err != nil {
 		return jwstore.Item{}, false, err
 	}
-	timer := time.NewTimer(most)
+	timer := time.NewTimer(maxWait)
 	defer timer.Stop()
 	s.mu.Lock()
 	s.reads++
@@ -128,32 +128,32 @@
 		changed := s.changed
 		s.mu.Unlock()
 		var err error
-		late := false
+		timedOut := false
 		select {
 		case <-changed:
 		case <-timer.C:
-			late = true
+			timedOut = true
 		case <-ctx.Done():
 			err = ctx.Err()
 		}
 		s.mu.Lock()
-		if err != nil || late {
+		if err != nil || timedOut {
 			return item, ok, err
 		}
 	}
 }
 
 func (s *fakeStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return 0, false, err
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if hold := s.hold; hold != nil {
-		s.hold = nil
-		close(s.held)
+	if release := s.holdWrite; release != nil {
+		s.holdWrite = nil
+		close(s.writeHeld)
 		s.mu.Unlock()
-		<-hold
+		<-release
 		s.mu.Lock()
 	}
 	s.writes++
@@ -167,8 +167,8 @@
 			s.items = make(map[string]jwstore.Item)
 		}
 		s.version++
-		if s.created != nil && version == 0 {
-			s.created(key, value)
+		if s.onCreate != nil && version == 0 {
+			s.onCreate(key, value)
 		}
 		s.items[key] = jwstore.Item{Key: key, Value: slices.Clone(value), Version: s.version}
 		s.notify()
@@ -184,7 +184,7 @@
 }
 
 func (s *fakeStore) Delete(ctx context.Context, key string, version uint64) (bool, error) {
-	if err := s.call(ctx); err != nil {
+	if err := s.beginCall(ctx); err != nil {
 		return false, err
 	}
 	s.mu.Lock()
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -19,20 +19,20 @@
 
 // system is a whole of nodes in two regions, driven step by step.
 type system struct {
-	t        *rapid.T // nil where nothing is drawn
-	tb       failer
-	store    *fakeStore
-	oracle   oracle
-	now      time.Time
-	list     []jwhost.Host
-	taken    time.Time
-	nodes    map[string]*node // running processes by name
-	cut      map[string]bool  // regions cut off from the service and each other
-	starts   int
-	edits    int
-	sawEntry [2]map[string]uint64 // what each operator last saw
-	depth    int
-	busy     map[string]bool // nodes within a call
+	t             *rapid.T // nil where nothing is drawn
+	failer        failer
+	store         *fakeStore
+	oracle        oracle
+	now           time.Time
+	hostList      []jwhost.Host
+	listTime      time.Time
+	nodes         map[string]*node // running processes by name
+	cutRegions    map[string]bool  // regions cut off from the service and each other
+	starts        int
+	edits         int
+	seenRevisions [2]map[string]uint64 // what each operator last saw
+	nestedCalls   int
+	busy          map[string]bool // nodes within a call
 }
 
 type failer interface {
@@ -41,27 +41,27 @@
 
 // node is one process.
 type node struct {
-	sys       *system
-	peer      jwpeer.Peer
-	table     *Table
-	members   *Membership
-	adoptions *Adoptions
-	gatherer  *Gatherer
-	accept    *Acceptance
-	peers     map[string]jwpeer.Peer
-	frozen    bool
+	system     *system
+	peer       jwpeer.Peer
+	table      *Table
+	membership *Membership
+	adoptions  *Adoptions
+	gatherer   *Gatherer
+	acceptance *Acceptance
+	peers      map[string]jwpeer.Peer
+	frozen     bool
 }
 
 // oracle is what must hold: one winner for each number, nodes that replay
 // exactly the log and never go back, and every serving node at or past what
 // was accepted.
 type oracle struct {
-	log      []Change // as first created
-	had      map[string]uint64
-	accepted uint64
+	log       []Change // as first created
+	revisions map[string]uint64
+	accepted  uint64
 }
 
-func (o *oracle) created(t failer, key string, value []byte) {
+func (o *oracle) recordChange(t failer, key string, value []byte) {
 	if !strings.HasPrefix(key, ChangesPrefix) {
 		return
 	}
@@ -79,55 +79,55 @@
 }
 
 func (o *oracle) check(t failer, n *node) {
-	id, now := n.peer.Name+n.peer.Incarnation, n.table.Current()
-	if now.Revision < o.had[id] {
-		t.Fatalf("%s went back from %d to %d", id, o.had[id], now.Revision)
+	id, current := n.peer.Name+n.peer.Incarnation, n.table.Current()
+	if current.Revision < o.revisions[id] {
+		t.Fatalf("%s went back from %d to %d", id, o.revisions[id], current.Revision)
 	}
-	o.had[id] = now.Revision
-	if n.peer.State == jwpeer.Serving && now.Revision < o.accepted {
-		t.Fatalf("%s serves revision %d, %d was accepted", id, now.Revision, o.accepted)
+	o.revisions[id] = current.Revision
+	if n.peer.State == jwpeer.Serving && current.Revision < o.accepted {
+		t.Fatalf("%s serves revision %d, %d was accepted", id, current.Revision, o.accepted)
 	}
 	want := make(map[string]string)
-	for _, c := range o.log[:now.Revision] {
+	for _, c := range o.log[:current.Revision] {
 		delete(want, c.Entry)
 		if c.After != nil {
 			want[c.Entry] = c.EditID
 		}
 	}
 	got := make(map[string]string)
-	for name, e := range now.Entries {
+	for name, e := range current.Entries {
 		got[name] = e.Owner
 	}
 	if !maps.Equal(got, want) {
-		t.Fatalf("%s at %d has %v, the log says %v", id, now.Revision, got, want)
+		t.Fatalf("%s at %d has %v, the log says %v", id, current.Revision, got, want)
 	}
 }
 
 func newSystem(t *rapid.T, tb failer) *system {
 	s := &system{
-		t: t, tb: tb, store: new(fakeStore), now: time.Unix(1000, 0), nodes: make(map[string]*node),
-		cut: make(map[string]bool), busy: make(map[string]bool), oracle: oracle{had: make(map[string]uint64)},
+		t: t, failer: tb, store: new(fakeStore), now: time.Unix(1000, 0), nodes: make(map[string]*node),
+		cutRegions: make(map[string]bool), busy: make(map[string]bool), oracle: oracle{revisions: make(map[string]uint64)},
 	}
-	s.sawEntry[0], s.sawEntry[1] = make(map[string]uint64), make(map[string]uint64)
-	s.store.created = func(key string, value []byte) { s.oracle.created(s.tb, key, value) }
+	s.seenRevisions[0], s.seenRevisions[1] = make(map[string]uint64), make(map[string]uint64)
+	s.store.onCreate = func(key string, value []byte) { s.oracle.recordChange(s.failer, key, value) }
 	for _, name := range []string{"n0", "n1", "s0", "s1"} {
 		s.start(name)
 	}
 	for range 3 {
-		s.refreshList()
+		s.refreshHostList()
 	}
 	return s
 }
 
-func (s *system) Hosts() ([]jwhost.Host, time.Time) { return s.list, s.taken }
+func (s *system) Hosts() ([]jwhost.Host, time.Time) { return s.hostList, s.listTime }
 
 // refreshList takes the list anew: hosts behind a cut are not seen.
-func (s *system) refreshList() {
+func (s *system) refreshHostList() {
 	s.now = s.now.Add(40 * time.Second)
-	s.taken, s.list = s.now, nil
+	s.listTime, s.hostList = s.now, nil
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		if n := s.nodes[name]; !s.cut[n.peer.Region] {
-			s.list = append(s.list, jwhost.Host{Name: name, Role: jwhost.Entry, Region: n.peer.Region})
+		if n := s.nodes[name]; !s.cutRegions[n.peer.Region] {
+			s.hostList = append(s.hostList, jwhost.Host{Name: name, Role: jwhost.Entry, Region: n.peer.Region})
 		}
 	}
 }
@@ -135,36 +135,36 @@
 func regionOfName(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
 // link is the way of a node to the service.
-type link struct {
+type nodeStore struct {
 	*fakeStore
-	n *node
+	node *node
 }
 
-func (l link) reach() bool { return !l.n.sys.cut[l.n.peer.Region] }
+func (l nodeStore) reachable() bool { return !l.node.system.cutRegions[l.node.peer.Region] }
 
-func (l link) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
-	if !l.reach() {
+func (l nodeStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
+	if !l.reachable() {
 		return jwstore.Item{}, false, jwstore.ErrUnavailable
 	}
 	return l.fakeStore.Get(ctx, key)
 }
 
-func (l link) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
-	if !l.reach() {
+func (l nodeStore) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
+	if !l.reachable() {
 		return nil, jwstore.ErrUnavailable
 	}
 	return l.fakeStore.List(ctx, prefix)
 }
 
-func (l link) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
-	if !l.reach() {
+func (l nodeStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+	if !l.reachable() {
 		return 0, false, jwstore.ErrUnavailable
 	}
 	return l.fakeStore.Swap(ctx, key, value, version)
 }
 
-func (l link) Delete(ctx context.Context, key string, version uint64) (bool, error) {
-	if !l.reach() {
+func (l nodeStore) Delete(ctx context.Context, key string, version uint64) (bool, error) {
+	if !l.reachable() {
 		return false, jwstore.ErrUnavailable
 	}
 	return l.fakeStore.Delete(ctx, key, version)
@@ -173,28 +173,28 @@
 // start brings up a process that is to join.
 func (s *system) start(name string) {
 	s.starts++
-	n := &node{sys: s, table: &Table{Keep: 4}, peers: make(map[string]jwpeer.Peer)}
+	n := &node{system: s, table: &Table{MaxChanges: 4}, peers: make(map[string]jwpeer.Peer)}
 	n.peer = jwpeer.Peer{Name: name, Region: regionOfName(name), Incarnation: fmt.Sprintf("#%03d", s.starts), State: jwpeer.Joining}
-	store := link{s.store, n}
+	store := nodeStore{s.store, n}
 	departures := &Departures{Hosts: s, Lag: time.Minute}
 	n.adoptions = &Adoptions{Table: n.table, Peers: n, Departures: departures, Serving: func() bool { return n.peer.State == jwpeer.Serving }}
 	member := Member{Name: name, Region: n.peer.Region, Incarnation: n.peer.Incarnation}
-	n.members = &Membership{
+	n.membership = &Membership{
 		Member: member, Store: store, Follower: &Follower{Store: store, Table: n.table},
 		Sponsors: n, Adoptions: n.adoptions,
 	}
 	n.gatherer = &Gatherer{
 		Name: name, Region: n.peer.Region, Store: store, Table: n.table, Peers: n,
-		Departures: departures, Registered: n.members.Registered,
+		Departures: departures, Registered: n.membership.Registered,
 	}
-	n.accept = &Acceptance{Store: store}
+	n.acceptance = &Acceptance{Store: store}
 	s.nodes[name] = n
 	s.join(n)
 }
 
 // join tries once to enter by the service and then by a peer, as Join does.
 func (s *system) join(n *node) {
-	if n.members.enter(context.Background()) != nil && n.members.adopted(context.Background()) != nil {
+	if n.membership.registerAndCatchUp(context.Background()) != nil && n.membership.joinThroughSponsor(context.Background()) != nil {
 		return
 	}
 	if s.nodes[n.peer.Name] == n {
@@ -217,7 +217,7 @@
 }
 
 // learn takes in what another told; incarnations of the test sort by age.
-func (n *node) learn(peers []jwpeer.Peer) {
+func (n *node) mergePeers(peers []jwpeer.Peer) {
 	for _, p := range peers {
 		have := n.peers[p.Name]
 		newer := p.Incarnation > have.Incarnation || p.Incarnation == have.Incarnation && p.Sequence > have.Sequence
@@ -227,14 +227,14 @@
 	}
 }
 
-func (s *system) linked(a, b *node) bool {
-	return a.peer.Region == b.peer.Region || !s.cut[a.peer.Region] && !s.cut[b.peer.Region]
+func (s *system) connected(a, b *node) bool {
+	return a.peer.Region == b.peer.Region || !s.cutRegions[a.peer.Region] && !s.cutRegions[b.peer.Region]
 }
 
 func (n *node) Adopt(_ context.Context, m Member, after uint64) (string, []Change, *Checkpoint, error) {
-	for _, name := range slices.Sorted(maps.Keys(n.sys.nodes)) {
-		p := n.sys.nodes[name]
-		if p != n && p.peer.Region == n.peer.Region && p.peer.State == jwpeer.Serving && !p.frozen && !n.sys.busy[name] {
+	for _, name := range slices.Sorted(maps.Keys(n.system.nodes)) {
+		p := n.system.nodes[name]
+		if p != n && p.peer.Region == n.peer.Region && p.peer.State == jwpeer.Serving && !p.frozen && !n.system.busy[name] {
 			changes, cp, err := p.adoptions.Adopt(m, after)
 			return p.peer.Name + p.peer.Incarnation, changes, cp, err
 		}
@@ -243,7 +243,7 @@
 }
 
 func (n *node) Release(_ context.Context, sponsor string, m Member) error {
-	if p := n.sys.nodes[sponsor[:2]]; p != nil && p.peer.Name+p.peer.Incarnation == sponsor {
+	if p := n.system.nodes[sponsor[:2]]; p != nil && p.peer.Name+p.peer.Incarnation == sponsor {
 		if p.frozen {
 			return errors.New("frozen")
 		}
@@ -254,40 +254,40 @@
 
 // pick draws evenly from 0 to n-1; rapid's own ranges prefer the low end, and
 // most of the sequences would then be of a system that is down.
-func pick(t *rapid.T, label string, n int) int {
+func drawIndex(t *rapid.T, label string, n int) int {
 	x := rapid.Uint64().Draw(t, label) * 0x9e3779b97f4a7c15
 	return int((x >> 32) % uint64(n))
 }
 
-func sample[T any](t *rapid.T, label string, from ...T) T {
-	return from[pick(t, label, len(from))]
+func drawOne[T any](t *rapid.T, label string, from ...T) T {
+	return from[drawIndex(t, label, len(from))]
 }
 
 // any draws a running node that is not within a call.
-func (s *system) any(label string, fits func(n *node) bool) *node {
+func (s *system) drawNode(label string, accept func(n *node) bool) *node {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		if !s.busy[name] && fits(s.nodes[name]) {
+		if !s.busy[name] && accept(s.nodes[name]) {
 			names = append(names, name)
 		}
 	}
 	if len(names) == 0 {
 		return nil
 	}
-	return s.nodes[sample(s.t, label, names...)]
+	return s.nodes[drawOne(s.t, label, names...)]
 }
 
-func awake(n *node) bool { return !n.frozen }
+func notFrozen(n *node) bool { return !n.frozen }
 
 func serving(n *node) bool { return !n.frozen && n.peer.State == jwpeer.Serving }
 
 // needed reports whether an unregistered node that cannot act now relies on this
 // one. What is open then is written in the design page: a node that froze
 // right after it joined behind a cut while its sponsor ended.
-func (s *system) needed(n *node) bool {
+func (s *system) isNeeded(n *node) bool {
 	for _, other := range s.nodes {
 		stuck := other.frozen || s.busy[other.peer.Name]
-		if other != n && stuck && !other.members.Registered() && other.peer.Region == n.peer.Region {
+		if other != n && stuck && !other.membership.Registered() && other.peer.Region == n.peer.Region {
 			return true
 		}
 	}
@@ -296,66 +296,66 @@
 
 // settle lets the nodes that rely on a peer renew that, as they do twice a
 // second: nothing else happens in the system between two such calls.
-func (s *system) settle() {
+func (s *system) maintainUnregistered() {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		if n := s.nodes[name]; n != nil && serving(n) && !s.busy[name] && !n.members.Registered() {
+		if n := s.nodes[name]; n != nil && serving(n) && !s.busy[name] && !n.membership.Registered() {
 			s.busy[name] = true
-			_ = n.members.keep(context.Background())
+			_ = n.membership.maintain(context.Background())
 			s.busy[name] = false
 		}
 	}
 }
 
-func (s *system) put() {
-	n := s.any("editor", serving)
+func (s *system) putRandomEdit() {
+	n := s.drawNode("editor", serving)
 	if n == nil {
 		return
 	}
-	who := pick(s.t, "operator", 2)
-	name := sample(s.t, "entry", "a", "b", "c")
+	operator := drawIndex(s.t, "operator", 2)
+	name := drawOne(s.t, "entry", "a", "b", "c")
 	s.edits++
-	e := edit(fmt.Sprintf("e%d", s.edits), name, s.sawEntry[who][name])
-	if pick(s.t, "remove", 6) == 0 {
+	e := newEdit(fmt.Sprintf("e%d", s.edits), name, s.seenRevisions[operator][name])
+	if drawIndex(s.t, "remove", 6) == 0 {
 		e.After = nil
 	}
-	s.store.loseReplies = sample(s.t, "lost", 0, 0, 1, 2)
-	s.store.dropWrites = sample(s.t, "dropped", 0, 0, 1, 9)
-	d := &Editor{Store: link{s.store, n}, Table: n.table, Retry: 1, Keep: 6}
+	s.store.loseReplies = drawOne(s.t, "lost", 0, 0, 1, 2)
+	s.store.dropWrites = drawOne(s.t, "dropped", 0, 0, 1, 9)
+	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, Retry: 1, Keep: 6}
 	res, err := d.Put(context.Background(), e)
 	s.store.loseReplies, s.store.dropWrites = 0, 0
 	var conflict *ConflictError
 	switch {
 	case err == nil:
 		if c := s.oracle.log[res.Revision-1]; c.EditID != e.EditID {
-			s.tb.Fatalf("edit %s is told change %d, which is of %s", e.EditID, res.Revision, c.EditID)
+			s.failer.Fatalf("edit %s is told change %d, which is of %s", e.EditID, res.Revision, c.EditID)
 		}
-		s.sawEntry[who][name] = 0
+		s.seenRevisions[operator][name] = 0
 		if e.After != nil {
-			s.sawEntry[who][name] = res.Revision
+			s.seenRevisions[operator][name] = res.Revision
 		}
 	case errors.As(err, &conflict):
-		s.sawEntry[who][name] = conflict.Revision
+		s.seenRevisions[operator][name] = conflict.Revision
 	}
 	if err == nil || errors.Is(err, jwstore.ErrUnknown) {
 		return
 	}
 	for _, c := range s.oracle.log {
 		if c.EditID == e.EditID {
-			s.tb.Fatalf("edit %s failed with %v and is change %d", e.EditID, err, c.N)
+			s.failer.Fatalf("edit %s failed with %v and is change %d", e.EditID, err, c.N)
 		}
 	}
 }
 
 func (s *system) checkAccepted() {
-	n := s.any("asker", serving)
+	n := s.drawNode("asker", serving)
 	if n == nil || len(s.oracle.log) == 0 {
 		return
 	}
-	revision := uint64(len(s.oracle.log) - pick(s.t, "back", min(3, len(s.oracle.log))))
+	revision := uint64(len(s.oracle.log) - drawIndex(s.t, "back", min(3, len(s.oracle.log))))
 	before := s.oracle.accepted
-	status, err := n.accept.Check(context.Background(), revision)
+	status, err := n.acceptance.Check(context.Background(), revision)
 	if err == nil && !status.Accepted && revision <= before {
-		s.tb.Fatalf("%d was accepted and is no more: %v", revision, status.Missing)
+		s.failer.Fatalf("%d was accepted and is no more: %v", revision, status.Missing)
 	}
 	if status.Accepted {
 		s.oracle.accepted = max(s.oracle.accepted, revision)
@@ -363,22 +363,22 @@
 }
 
 // round is what the healthy part of the system does within a second or two.
-func (s *system) round() {
+func (s *system) runRound() {
 	ctx := context.Background()
 	s.now = s.now.Add(DefaultGatherPeriod)
-	s.each(func(n *node) { s.within(n, func() { _ = n.members.Follower.CatchUp(ctx) }) })
-	s.each(func(a *node) {
-		s.each(func(b *node) {
-			if a != b && s.linked(a, b) {
-				a.learn(b.Peers())
+	s.eachIdle(func(n *node) { s.runBusy(n, func() { _ = n.membership.Follower.CatchUp(ctx) }) })
+	s.eachIdle(func(a *node) {
+		s.eachIdle(func(b *node) {
+			if a != b && s.connected(a, b) {
+				a.mergePeers(b.Peers())
 			}
 		})
 	})
-	s.each(func(n *node) { s.within(n, func() { _ = n.gatherer.Step(ctx, s.now) }) })
+	s.eachIdle(func(n *node) { s.runBusy(n, func() { _ = n.gatherer.Step(ctx, s.now) }) })
 }
 
 // within runs a node's own call, in which others may act.
-func (s *system) within(n *node, call func()) {
+func (s *system) runBusy(n *node, call func()) {
 	if n == nil {
 		return
 	}
@@ -387,8 +387,8 @@
 	s.busy[n.peer.Name] = false
 }
 
-func (s *system) stop(n *node) {
-	if n != nil && !s.needed(n) && len(s.nodes) > 1 {
+func (s *system) kill(n *node) {
+	if n != nil && !s.isNeeded(n) && len(s.nodes) > 1 {
 		delete(s.nodes, n.peer.Name)
 	}
 }
@@ -398,65 +398,68 @@
 func (s *system) actions() map[string]func() {
 	ctx := context.Background()
 	return map[string]func(){
-		"put":    s.put,
+		"put":    s.putRandomEdit,
 		"accept": s.checkAccepted,
-		"read":   func() { n := s.any("reader", awake); s.within(n, func() { _ = n.members.Follower.CatchUp(ctx) }) },
+		"read": func() {
+			n := s.drawNode("reader", notFrozen)
+			s.runBusy(n, func() { _ = n.membership.Follower.CatchUp(ctx) })
+		},
 		"copy": func() {
-			from, to := s.any("from", awake), s.any("to", awake)
-			if from != nil && to != nil && s.linked(from, to) {
-				_ = to.table.take(from.table.Changes(to.table.Revision(), 3))
+			from, to := s.drawNode("from", notFrozen), s.drawNode("to", notFrozen)
+			if from != nil && to != nil && s.connected(from, to) {
+				_ = to.table.applyReceived(from.table.Changes(to.table.Revision(), 3))
 			}
 		},
 		"copyStale": func() {
 			// What a peer gave a while ago arrives late.
-			from, to := s.any("from", awake), s.any("to", awake)
+			from, to := s.drawNode("from", notFrozen), s.drawNode("to", notFrozen)
 			if from != nil && to != nil && len(s.oracle.log) > 0 {
-				old := s.oracle.log[pick(s.t, "old", int(from.table.Revision())+1):from.table.Revision()]
-				_ = to.table.take(old[:min(len(old), 2)], nil)
+				old := s.oracle.log[drawIndex(s.t, "old", int(from.table.Revision())+1):from.table.Revision()]
+				_ = to.table.applyReceived(old[:min(len(old), 2)], nil)
 			}
 		},
 		"exchange": func() {
-			a, b := s.any("one", awake), s.any("other", awake)
-			if a != nil && b != nil && a != b && s.linked(a, b) {
-				a.learn(b.Peers())
-				b.learn(a.Peers())
+			a, b := s.drawNode("one", notFrozen), s.drawNode("other", notFrozen)
+			if a != nil && b != nil && a != b && s.connected(a, b) {
+				a.mergePeers(b.Peers())
+				b.mergePeers(a.Peers())
 			}
 		},
 		"gather": func() {
 			s.now = s.now.Add(DefaultGatherPeriod)
-			n := s.any("gatherer", awake)
-			s.within(n, func() { _ = n.gatherer.Step(ctx, s.now) })
+			n := s.drawNode("gatherer", notFrozen)
+			s.runBusy(n, func() { _ = n.gatherer.Step(ctx, s.now) })
 		},
-		"round": s.round,
+		"round": s.runRound,
 		"heal": func() {
-			clear(s.cut)
+			clear(s.cutRegions)
 			s.store.setDown(false)
 			for _, n := range s.nodes {
 				n.frozen = false
 			}
 		},
-		"keep":   func() { n := s.any("member", serving); s.within(n, func() { _ = n.members.keep(ctx) }) },
-		"tidy":   func() { s.each(func(n *node) { n.adoptions.Tidy() }) },
-		"list":   s.refreshList,
-		"freeze": func() { s.any("frozen", awake).freeze(true) },
-		"thaw":   func() { s.any("thawed", func(n *node) bool { return n.frozen }).freeze(false) },
-		"kill":   func() { s.stop(s.any("killed", func(*node) bool { return true })) },
+		"keep":   func() { n := s.drawNode("member", serving); s.runBusy(n, func() { _ = n.membership.maintain(ctx) }) },
+		"tidy":   func() { s.eachIdle(func(n *node) { n.adoptions.RemoveEnded() }) },
+		"list":   s.refreshHostList,
+		"freeze": func() { s.drawNode("frozen", notFrozen).setFrozen(true) },
+		"thaw":   func() { s.drawNode("thawed", func(n *node) bool { return n.frozen }).setFrozen(false) },
+		"kill":   func() { s.kill(s.drawNode("killed", func(*node) bool { return true })) },
 		"leave": func() {
-			n := s.any("leaving", serving)
-			if n == nil || s.needed(n) || n.adoptions.Open() || len(s.nodes) == 1 {
+			n := s.drawNode("leaving", serving)
+			if n == nil || s.isNeeded(n) || n.adoptions.HasAdopted() || len(s.nodes) == 1 {
 				return
 			}
 			n.peer.State = jwpeer.Gone
-			s.each(func(p *node) {
+			s.eachIdle(func(p *node) {
 				if p.peer.Region == n.peer.Region {
-					p.learn([]jwpeer.Peer{n.self()})
+					p.mergePeers([]jwpeer.Peer{n.self()})
 				}
 			})
-			s.within(n, func() { _ = n.members.Leave(ctx) })
+			s.runBusy(n, func() { _ = n.membership.Leave(ctx) })
 			delete(s.nodes, n.peer.Name)
 		},
 		"start": func() {
-			name := sample(s.t, "name", "n0", "n1", "n2", "s0", "s1")
+			name := drawOne(s.t, "name", "n0", "n1", "n2", "s0", "s1")
 			if s.nodes[name] == nil && !s.busy[name] {
 				s.busy[name] = true
 				s.start(name)
@@ -464,31 +467,31 @@
 			}
 		},
 		"retryJoin": func() {
-			n := s.any("joining", func(n *node) bool { return !n.frozen && n.peer.State == jwpeer.Joining })
-			s.within(n, func() { s.join(n) })
+			n := s.drawNode("joining", func(n *node) bool { return !n.frozen && n.peer.State == jwpeer.Joining })
+			s.runBusy(n, func() { s.join(n) })
 		},
 		"cut": func() {
-			region := sample(s.t, "region", "north", "south")
-			s.cut[region] = true
+			region := drawOne(s.t, "region", "north", "south")
+			s.cutRegions[region] = true
 		},
-		"mend": func() { clear(s.cut) },
+		"mend": func() { clear(s.cutRegions) },
 		"down": func() { s.store.setDown(true) },
 		"up":   func() { s.store.setDown(false) },
 	}
 }
 
 // often holds the names of the actions, each as often as its weight.
-var often = strings.Fields(strings.Repeat("put accept gather round ", 5) +
+var weightedActions = strings.Fields(strings.Repeat("put accept gather round ", 5) +
 	strings.Repeat("accept gather exchange heal read keep retryJoin start up mend ", 3) +
 	"copy copyStale tidy list list freeze thaw thaw kill kill leave cut down")
 
-func (n *node) freeze(frozen bool) {
+func (n *node) setFrozen(frozen bool) {
 	if n != nil {
 		n.frozen = frozen
 	}
 }
 
-func (s *system) each(do func(n *node)) {
+func (s *system) eachIdle(do func(n *node)) {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		if n := s.nodes[name]; n != nil && !n.frozen && !s.busy[name] {
 			do(n)
@@ -498,7 +501,7 @@
 
 func (s *system) check() {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		s.oracle.check(s.tb, s.nodes[name])
+		s.oracle.check(s.failer, s.nodes[name])
 	}
 }
 
@@ -511,20 +514,20 @@
 		s := newSystem(t, t)
 		actions := s.actions()
 		run := func() {
-			actions[sample(t, "action", often...)]()
+			actions[drawOne(t, "action", weightedActions...)]()
 			s.check()
 		}
-		s.store.before = func() {
-			if s.depth >= 2 || pick(t, "between", 8) != 0 {
+		s.store.beforeCall = func() {
+			if s.nestedCalls >= 2 || drawIndex(t, "between", 8) != 0 {
 				return
 			}
-			s.depth++
+			s.nestedCalls++
 			run()
-			s.depth--
+			s.nestedCalls--
 		}
-		for range sample(t, "steps", 50, 100, 200) {
+		for range drawOne(t, "steps", 50, 100, 200) {
 			run()
-			s.settle()
+			s.maintainUnregistered()
 			s.check()
 		}
 	})
--- a/core/jwcatalogue/table.go
+++ b/core/jwcatalogue/table.go
@@ -25,7 +25,7 @@
 }
 
 // with returns the snapshot that a change makes of this one.
-func (s *Snapshot) with(c Change) *Snapshot {
+func (s *Snapshot) withChange(c Change) *Snapshot {
 	next := &Snapshot{Revision: c.N, Entries: maps.Clone(s.Entries), Revisions: maps.Clone(s.Revisions), size: s.size}
 	if next.Entries == nil {
 		next.Entries = make(map[string]Entry)
@@ -59,13 +59,13 @@
 )
 
 // DefaultKeep is how many changes a table keeps to give to peers.
-const DefaultKeep = 256
+const DefaultMaxChanges = 256
 
 // Table is the catalogue that is in force at this node; its zero value is the
 // empty catalogue of revision 0. Changes go in by number only, so that the
 // revision never falls, wherever the changes come from.
 type Table struct {
-	Keep int // changes kept to give to peers, 0 for DefaultKeep
+	MaxChanges int // changes kept to give to peers, 0 for DefaultKeep
 
 	current  atomic.Pointer[Snapshot]
 	caughtUp atomic.Pointer[time.Time] // when the log was last read to its head
@@ -75,14 +75,14 @@
 	changed chan struct{}
 }
 
-var empty = &Snapshot{}
+var emptySnapshot = &Snapshot{}
 
 // Current returns the catalogue in force, without waiting for a lock.
 func (t *Table) Current() *Snapshot {
 	if s := t.current.Load(); s != nil {
 		return s
 	}
-	return empty
+	return emptySnapshot
 }
 
 // Revision returns the number of the last change in force.
@@ -107,39 +107,39 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.Current()
-	if c.N > now.Revision+1 {
-		return errors.Wrapf(ErrGap, "change %d at revision %d", c.N, now.Revision)
+	current := t.Current()
+	if c.N > current.Revision+1 {
+		return errors.Wrapf(ErrGap, "change %d at revision %d", c.N, current.Revision)
 	}
-	if c.N <= now.Revision {
-		return t.compare(c)
+	if c.N <= current.Revision {
+		return t.checkSameChange(c)
 	}
 	t.changes = append(t.changes, c)
-	if over := len(t.changes) - t.keep(); over > 0 {
-		t.changes = t.changes[over:] // append moves them to a new array in time
+	if excess := len(t.changes) - t.maxChanges(); excess > 0 {
+		t.changes = t.changes[excess:] // append moves them to a new array in time
 	}
-	t.put(now.with(c))
+	t.publish(current.withChange(c))
 	return nil
 }
 
 // compare finds out that the log was split: two nodes would then have
 // different catalogues under one revision, which nobody would notice.
-func (t *Table) compare(c Change) error {
+func (t *Table) checkSameChange(c Change) error {
 	base := t.base()
 	if c.N < base {
 		return nil
 	}
-	if have := t.changes[c.N-base]; have.EditID != c.EditID {
-		return errors.Wrapf(ErrFork, "change %d: edit %q is in force, edit %q came", c.N, have.EditID, c.EditID)
+	if applied := t.changes[c.N-base]; applied.EditID != c.EditID {
+		return errors.Wrapf(ErrFork, "change %d: edit %q is in force, edit %q came", c.N, applied.EditID, c.EditID)
 	}
 	return nil
 }
 
-func (t *Table) keep() int {
-	if t.Keep > 0 {
-		return t.Keep
+func (t *Table) maxChanges() int {
+	if t.MaxChanges > 0 {
+		return t.MaxChanges
 	}
-	return DefaultKeep
+	return DefaultMaxChanges
 }
 
 // Restore brings a whole catalogue into force if it is newer than the present
@@ -158,11 +158,11 @@
 	for _, e := range c.Entries {
 		next.size += e.size()
 	}
-	t.put(next)
+	t.publish(next)
 	return nil
 }
 
-func (t *Table) put(s *Snapshot) {
+func (t *Table) publish(s *Snapshot) {
 	t.current.Store(s)
 	if t.changed != nil {
 		close(t.changed)
@@ -172,22 +172,22 @@
 
 // Changes returns at most most changes after a revision, oldest first. When
 // the table no longer has them it returns the whole catalogue instead.
-func (t *Table) Changes(after uint64, most int) ([]Change, *Checkpoint) {
+func (t *Table) Changes(after uint64, limit int) ([]Change, *Checkpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	now := t.Current()
-	if after >= now.Revision {
+	current := t.Current()
+	if after >= current.Revision {
 		return nil, nil
 	}
 	base := t.base()
 	if after+1 < base {
-		return nil, now.checkpoint()
+		return nil, current.checkpoint()
 	}
-	rest := t.changes[after+1-base:]
-	if most > 0 && len(rest) > most {
-		rest = rest[:most]
+	newer := t.changes[after+1-base:]
+	if limit > 0 && len(newer) > limit {
+		newer = newer[:limit]
 	}
-	return append([]Change(nil), rest...), nil
+	return append([]Change(nil), newer...), nil
 }
 
 // Changed returns a channel that is closed at the next rise of the revision;
@@ -202,7 +202,7 @@
 }
 
 // edit returns the change with an edit id, if the table still has it.
-func (t *Table) edit(id string) (Change, bool) {
+func (t *Table) changeByEditID(id string) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := len(t.changes) - 1; i >= 0; i-- {
@@ -214,7 +214,7 @@
 }
 
 // lastOf returns the last change of an entry, if the table still has it.
-func (t *Table) lastOf(entry string) (Change, bool) {
+func (t *Table) lastChangeOf(entry string) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for i := len(t.changes) - 1; i >= 0; i-- {
--- a/core/jwcatalogue/table_test.go
+++ b/core/jwcatalogue/table_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-func change(n uint64, id string) Change {
-	e := entry("status")
+func newChange(n uint64, id string) Change {
+	e := newEntry("status")
 	e.Owner = id
 	return Change{N: n, EditID: id, Author: "amal", Entry: "status", After: &e}
 }
@@ -17,28 +17,28 @@
 	table := new(Table)
 	assert.Equal(t, table.Base(), uint64(1))
 	changed := table.Changed()
-	assert.NilError(t, table.Apply(change(1, "a")))
+	assert.NilError(t, table.Apply(newChange(1, "a")))
 	<-changed
-	assert.NilError(t, table.Apply(change(2, "b")))
-	assert.NilError(t, table.Apply(change(1, "a")))
+	assert.NilError(t, table.Apply(newChange(2, "b")))
+	assert.NilError(t, table.Apply(newChange(1, "a")))
 	assert.Equal(t, table.Revision(), uint64(2))
-	assert.Assert(t, errors.Is(table.Apply(change(4, "d")), ErrGap))
-	assert.Assert(t, errors.Is(table.Apply(change(2, "other")), ErrFork))
+	assert.Assert(t, errors.Is(table.Apply(newChange(4, "d")), ErrGap))
+	assert.Assert(t, errors.Is(table.Apply(newChange(2, "other")), ErrFork))
 	e, n, ok := table.Current().Entry("status")
 	assert.Assert(t, ok)
 	assert.Equal(t, n, uint64(2))
 	assert.Equal(t, e.Owner, "b")
 }
 
-func TestTableRestoreNeverBack(t *testing.T) {
+func TestTableRestoreIgnoresOlder(t *testing.T) {
 	// A peer that was frozen gives its old catalogue. Taken, a change that
 	// was accepted would be undone at this node.
-	old, table := new(Table), &Table{Keep: 2}
+	old, table := new(Table), &Table{MaxChanges: 2}
 	for n, id := range []string{"a", "b", "c", "d"} {
 		if n < 2 {
-			assert.NilError(t, old.Apply(change(uint64(n+1), id)))
+			assert.NilError(t, old.Apply(newChange(uint64(n+1), id)))
 		}
-		assert.NilError(t, table.Apply(change(uint64(n+1), id)))
+		assert.NilError(t, table.Apply(newChange(uint64(n+1), id)))
 	}
 	_, cp := old.Changes(0, 0)
 	assert.Assert(t, cp == nil)
--- a/core/jwcatalogue/validate.go
+++ b/core/jwcatalogue/validate.go
@@ -35,18 +35,18 @@
 // Validate returns an InvalidError that names every fault of the entry, or nil.
 func (e Entry) Validate() error {
 	var f faults
-	f.name("name", e.Name)
-	f.name("owner", e.Owner)
-	f.name("service", e.Service)
-	f.path(e.Path)
+	f.checkName("name", e.Name)
+	f.checkName("owner", e.Owner)
+	f.checkName("service", e.Service)
+	f.checkPath(e.Path)
 	switch e.Class {
 	case Confirmation, Lookup, Draft:
 	default:
 		f.add("class %q is not %s, %s or %s", e.Class, Confirmation, Lookup, Draft)
 	}
-	f.times(e)
-	f.amounts(e)
-	f.regions(e)
+	f.checkDurations(e)
+	f.checkNumbers(e)
+	f.checkRegions(e)
 	if len(f) == 0 {
 		return nil
 	}
@@ -59,7 +59,7 @@
 	*f = append(*f, fmt.Sprintf(format, args...))
 }
 
-func (f *faults) name(key, s string) {
+func (f *faults) checkName(key, s string) {
 	switch {
 	case s == "":
 		f.add("%s is empty", key)
@@ -84,7 +84,7 @@
 	return s != ""
 }
 
-func (f *faults) path(s string) {
+func (f *faults) checkPath(s string) {
 	switch {
 	case !strings.HasPrefix(s, "/"):
 		f.add("path %q does not begin with /", s)
@@ -95,7 +95,7 @@
 	}
 }
 
-func (f *faults) times(e Entry) {
+func (f *faults) checkDurations(e Entry) {
 	if e.Deadline <= 0 || e.Deadline > MaxDeadline {
 		f.add("deadline %s is not above 0 and up to %s", e.Deadline, MaxDeadline)
 	}
@@ -115,13 +115,13 @@
 	}
 }
 
-func (f *faults) amounts(e Entry) {
-	f.amount("limits.rate", e.Limits.Rate)
-	f.amount("limits.burst", float64(e.Limits.Burst))
-	f.amount("limits.concurrent", float64(e.Limits.Concurrent))
-	f.amount("weights.cost", e.Weights.Cost)
-	f.amount("weights.tail", e.Weights.Tail)
-	f.amount("weights.sentAway", e.Weights.SentAway)
+func (f *faults) checkNumbers(e Entry) {
+	f.checkNumber("limits.rate", e.Limits.Rate)
+	f.checkNumber("limits.burst", float64(e.Limits.Burst))
+	f.checkNumber("limits.concurrent", float64(e.Limits.Concurrent))
+	f.checkNumber("weights.cost", e.Weights.Cost)
+	f.checkNumber("weights.tail", e.Weights.Tail)
+	f.checkNumber("weights.sentAway", e.Weights.SentAway)
 	if e.Limits.Rate > 0 && e.Limits.Burst == 0 {
 		f.add("limits.burst is 0 beside a rate, which admits nothing")
 	}
@@ -130,13 +130,13 @@
 	}
 }
 
-func (f *faults) amount(key string, x float64) {
+func (f *faults) checkNumber(key string, x float64) {
 	if x < 0 || math.IsNaN(x) || math.IsInf(x, 0) {
 		f.add("%s %v is not a number from 0 up", key, x)
 	}
 }
 
-func (f *faults) regions(e Entry) {
+func (f *faults) checkRegions(e Entry) {
 	if e.Bound && len(e.Regions) > 0 {
 		f.add("a bound entry has regions outside its home: %s", strings.Join(e.Regions, ", "))
 	}
@@ -151,7 +151,7 @@
 			}
 			continue
 		}
-		f.name("region", region)
+		f.checkName("region", region)
 		if slices.Contains(e.Regions[:i], region) {
 			f.add("region %q is named twice", region)
 		}
