--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -29,7 +29,7 @@
 	return res.Revision
 }
 
-func (s *system) status(t *testing.T, n *node, revision uint64) Status {
+func (s *system) acceptanceStatus(t *testing.T, n *node, revision uint64) Status {
 	t.Helper()
 	status, err := n.acceptance.Check(t.Context(), revision)
 	assert.NilError(t, err)
@@ -48,10 +48,10 @@
 	n := s.putEdit(t, g)
 	other.frozen = true
 	s.runRound()
-	assert.DeepEqual(t, s.status(t, g, n), Status{Revision: n, Missing: []Missing{{Region: "north", Names: []string{other.peer.Name}}}})
+	assert.DeepEqual(t, s.acceptanceStatus(t, g, n), Status{Revision: n, Missing: []Missing{{Region: "north", Names: []string{other.peer.Name}}}})
 	other.frozen = false
 	s.runRound()
-	assert.Assert(t, s.status(t, g, n).Accepted)
+	assert.Assert(t, s.acceptanceStatus(t, g, n).Accepted)
 }
 
 func TestNodeJoinsWhileMembersAreRead(t *testing.T) {
@@ -80,12 +80,12 @@
 	s.nodes["s1"].mergePeers([]jwpeer.Peer{s.nodes["s0"].self()})
 	s.gatherStep(t, s.nodes["s0"])
 	s.gatherStep(t, s.nodes["s1"])
-	assert.Assert(t, !s.status(t, g, n).Accepted)
+	assert.Assert(t, !s.acceptanceStatus(t, g, n).Accepted)
 	s.gatherStep(t, g)
 	s.gatherStep(t, g)
-	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
+	assert.DeepEqual(t, s.acceptanceStatus(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
 	s.runRound()
-	assert.Assert(t, s.status(t, g, n).Accepted)
+	assert.Assert(t, s.acceptanceStatus(t, g, n).Accepted)
 }
 
 func TestChangeWhileNodeJoins(t *testing.T) {
@@ -103,7 +103,7 @@
 			n = s.putEdit(t, other)
 			s.runRound()
 			s.runRound()
-			if s.status(t, g, n).Accepted {
+			if s.acceptanceStatus(t, g, n).Accepted {
 				s.oracle.accepted = n
 			}
 		}
@@ -128,7 +128,7 @@
 	stale.Sequence += 10
 	g.peers[other.peer.Name] = stale
 	s.gatherStep(t, g)
-	status := s.status(t, g, n)
+	status := s.acceptanceStatus(t, g, n)
 	assert.Equal(t, status.Missing[0].Names[0], other.peer.Name)
 }
 
@@ -212,7 +212,7 @@
 	n2.frozen = true
 	s.runRound()
 	s.runRound()
-	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n0"}}})
+	assert.DeepEqual(t, s.acceptanceStatus(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n0"}}})
 
 	// The sponsor does not leave either while it is depended on.
 	ctx, cancel := context.WithCancel(t.Context())
@@ -224,14 +224,14 @@
 	g.mergePeers([]jwpeer.Peer{n2.self()})
 	sponsor.adoptions.Release(n2.membership.Member)
 	s.runRound()
-	assert.DeepEqual(t, s.status(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
+	assert.DeepEqual(t, s.acceptanceStatus(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
 
 	n2.frozen = false
 	assert.NilError(t, n2.membership.maintain(t.Context()))
 	assert.Assert(t, n2.membership.Registered())
 	assert.Equal(t, n2.table.Revision(), n)
 	s.runRound()
-	assert.Assert(t, s.status(t, g, n).Accepted)
+	assert.Assert(t, s.acceptanceStatus(t, g, n).Accepted)
 }
 
 func TestSponsorIsReleasedAfterTheHeadIsRead(t *testing.T) {
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -70,7 +70,7 @@
 	}
 	for caughtUp := !d.recentlyCaughtUp(); ; caughtUp = true {
 		if caughtUp {
-			if err := d.changeLog().catchUp(ctx, d.Table); err != nil {
+			if err := d.storeLog().catchUp(ctx, d.Table); err != nil {
 				return EditResult{}, asUnavailable(err)
 			}
 		}
@@ -122,7 +122,7 @@
 	return &InvalidError{Entry: e.Entry, Faults: f}
 }
 
-func (d *Editor) changeLog() changeLog {
+func (d *Editor) storeLog() changeLog {
 	keep := d.Keep
 	if keep == 0 {
 		keep = KeepInStore
@@ -181,7 +181,7 @@
 func (d *Editor) buildChange(ctx context.Context, current *Snapshot, e Edit) (Change, error) {
 	before, revision, ok := current.Entry(e.Entry)
 	if revision != e.IfRevision {
-		lastChange, err := d.lastChangeOf(ctx, e.Entry, revision)
+		lastChange, err := d.readLastChange(ctx, e.Entry, revision)
 		if err != nil {
 			return Change{}, err
 		}
@@ -203,7 +203,7 @@
 	return c, nil
 }
 
-func (d *Editor) lastChangeOf(ctx context.Context, entry string, revision uint64) (*Change, error) {
+func (d *Editor) readLastChange(ctx context.Context, entry string, revision uint64) (*Change, error) {
 	if c, ok := d.Table.lastChangeOf(entry); ok {
 		return &c, nil
 	}
@@ -296,12 +296,12 @@
 // paused for so long that its number was trimmed away has created it anew,
 // where nobody will read it; the mark of the log tells.
 func (d *Editor) finish(ctx context.Context, c Change) (EditResult, error) {
-	state, _, err := d.changeLog().readState(ctx)
+	state, _, err := d.storeLog().readState(ctx)
 	for range maxWriteAttempts {
 		if err == nil || jwclock.Sleep(ctx, d.retryDelay()) != nil {
 			break
 		}
-		state, _, err = d.changeLog().readState(ctx)
+		state, _, err = d.storeLog().readState(ctx)
 	}
 	if err != nil {
 		return EditResult{}, errors.Wrapf(jwstore.ErrUnknown, "check change %d: store: %v", c.N, err)
@@ -314,7 +314,7 @@
 	}
 	if c.N >= state.Checkpoint+CheckpointEvery {
 		// The edit is done; a checkpoint that fails is made by a later one.
-		_ = d.changeLog().compact(ctx, d.Table.Current())
+		_ = d.storeLog().compact(ctx, d.Table.Current())
 	}
 	return EditResult{Revision: c.N}, nil
 }
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -20,7 +20,7 @@
 // system is a whole of nodes in two regions, driven step by step.
 type system struct {
 	t             *rapid.T // nil where nothing is drawn
-	failer        failer
+	tb            failer
 	store         *fakeStore
 	oracle        oracle
 	now           time.Time
@@ -41,7 +41,7 @@
 
 // node is one process.
 type node struct {
-	system     *system
+	sys        *system
 	peer       jwpeer.Peer
 	table      *Table
 	membership *Membership
@@ -105,11 +105,11 @@
 
 func newSystem(t *rapid.T, tb failer) *system {
 	s := &system{
-		t: t, failer: tb, store: new(fakeStore), now: time.Unix(1000, 0), nodes: make(map[string]*node),
+		t: t, tb: tb, store: new(fakeStore), now: time.Unix(1000, 0), nodes: make(map[string]*node),
 		cutRegions: make(map[string]bool), busy: make(map[string]bool), oracle: oracle{revisions: make(map[string]uint64)},
 	}
 	s.seenRevisions[0], s.seenRevisions[1] = make(map[string]uint64), make(map[string]uint64)
-	s.store.onCreate = func(key string, value []byte) { s.oracle.recordChange(s.failer, key, value) }
+	s.store.onCreate = func(key string, value []byte) { s.oracle.recordChange(s.tb, key, value) }
 	for _, name := range []string{"n0", "n1", "s0", "s1"} {
 		s.start(name)
 	}
@@ -137,10 +137,10 @@
 // link is the way of a node to the service.
 type nodeStore struct {
 	*fakeStore
-	node *node
+	n *node
 }
 
-func (l nodeStore) reachable() bool { return !l.node.system.cutRegions[l.node.peer.Region] }
+func (l nodeStore) reachable() bool { return !l.n.sys.cutRegions[l.n.peer.Region] }
 
 func (l nodeStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
 	if !l.reachable() {
@@ -173,7 +173,7 @@
 // start brings up a process that is to join.
 func (s *system) start(name string) {
 	s.starts++
-	n := &node{system: s, table: &Table{MaxChanges: 4}, peers: make(map[string]jwpeer.Peer)}
+	n := &node{sys: s, table: &Table{MaxChanges: 4}, peers: make(map[string]jwpeer.Peer)}
 	n.peer = jwpeer.Peer{Name: name, Region: regionOfName(name), Incarnation: fmt.Sprintf("#%03d", s.starts), State: jwpeer.Joining}
 	store := nodeStore{s.store, n}
 	departures := &Departures{Hosts: s, Lag: time.Minute}
@@ -232,9 +232,9 @@
 }
 
 func (n *node) Adopt(_ context.Context, m Member, after uint64) (string, []Change, *Checkpoint, error) {
-	for _, name := range slices.Sorted(maps.Keys(n.system.nodes)) {
-		p := n.system.nodes[name]
-		if p != n && p.peer.Region == n.peer.Region && p.peer.State == jwpeer.Serving && !p.frozen && !n.system.busy[name] {
+	for _, name := range slices.Sorted(maps.Keys(n.sys.nodes)) {
+		p := n.sys.nodes[name]
+		if p != n && p.peer.Region == n.peer.Region && p.peer.State == jwpeer.Serving && !p.frozen && !n.sys.busy[name] {
 			changes, cp, err := p.adoptions.Adopt(m, after)
 			return p.peer.Name + p.peer.Incarnation, changes, cp, err
 		}
@@ -243,7 +243,7 @@
 }
 
 func (n *node) Release(_ context.Context, sponsor string, m Member) error {
-	if p := n.system.nodes[sponsor[:2]]; p != nil && p.peer.Name+p.peer.Incarnation == sponsor {
+	if p := n.sys.nodes[sponsor[:2]]; p != nil && p.peer.Name+p.peer.Incarnation == sponsor {
 		if p.frozen {
 			return errors.New("frozen")
 		}
@@ -327,7 +327,7 @@
 	switch {
 	case err == nil:
 		if c := s.oracle.log[res.Revision-1]; c.EditID != e.EditID {
-			s.failer.Fatalf("edit %s is told change %d, which is of %s", e.EditID, res.Revision, c.EditID)
+			s.tb.Fatalf("edit %s is told change %d, which is of %s", e.EditID, res.Revision, c.EditID)
 		}
 		s.seenRevisions[operator][name] = 0
 		if e.After != nil {
@@ -341,7 +341,7 @@
 	}
 	for _, c := range s.oracle.log {
 		if c.EditID == e.EditID {
-			s.failer.Fatalf("edit %s failed with %v and is change %d", e.EditID, err, c.N)
+			s.tb.Fatalf("edit %s failed with %v and is change %d", e.EditID, err, c.N)
 		}
 	}
 }
@@ -355,7 +355,7 @@
 	before := s.oracle.accepted
 	status, err := n.acceptance.Check(context.Background(), revision)
 	if err == nil && !status.Accepted && revision <= before {
-		s.failer.Fatalf("%d was accepted and is no more: %v", revision, status.Missing)
+		s.tb.Fatalf("%d was accepted and is no more: %v", revision, status.Missing)
 	}
 	if status.Accepted {
 		s.oracle.accepted = max(s.oracle.accepted, revision)
@@ -501,7 +501,7 @@
 
 func (s *system) check() {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		s.oracle.check(s.failer, s.nodes[name])
+		s.oracle.check(s.tb, s.nodes[name])
 	}
 }
 
