--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -15,10 +15,10 @@
 	"jujubewheel/core/jwstore"
 )
 
-// AcceptedKey holds the highest revision that was found in force everywhere.
+// AcceptedKey is the key of the highest accepted revision.
 const AcceptedKey = "catalogue/accepted"
 
-// Status reports whether a revision is in force at every node that may serve.
+// Status reports whether a revision is applied at every node that may serve.
 type Status struct {
 	Revision uint64
 	Accepted bool
@@ -31,38 +31,39 @@
 	Names  []string `json:"names"`
 }
 
-// DefaultPollEvery is the pace at which Wait looks at the confirmations.
+// DefaultPollInterval is the default pause between two checks of Wait.
 const DefaultPollInterval = 250 * time.Millisecond
 
-// membersAgain is the pace at which Wait reads the members again.
+// membersReadInterval is how often Wait reads the members again.
 const membersReadInterval = 2 * time.Second
 
-// Acceptance finds out which revisions are accepted. Once it has said so of a
-// revision, it never says otherwise, at no node.
+// Acceptance determines which revisions are accepted. A revision that was
+// reported as accepted is never reported otherwise, by any node.
 type Acceptance struct {
 	Store        jwstore.Store
-	PollInterval time.Duration // 0 for DefaultPollEvery
+	PollInterval time.Duration // pause between two checks of Wait, 0 for DefaultPollInterval
 
 	highestAccepted atomic.Uint64
 }
 
-// Check looks at the confirmations of a revision that is in the log.
+// Check reports whether a revision that is in the log is accepted.
 func (a *Acceptance) Check(ctx context.Context, n uint64) (Status, error) {
 	return a.check(ctx, &query{revision: n})
 }
 
-// question is a revision that is asked about again and again.
+// query keeps what is known about a revision between repeated checks.
 type query struct {
 	revision        uint64
 	members         map[string][]string // by region, read after the change was made
 	membersReadAt   time.Time
-	acceptedVersion uint64 // of the accepted revision in the service
+	acceptedVersion uint64 // version of the accepted revision in the store
 }
 
 func (a *Acceptance) check(ctx context.Context, q *query) (Status, error) {
 	s := Status{Revision: q.revision}
-	// The members of any moment after the change will do: whoever registers
-	// later reads a head that has it. They are read again for those that left.
+	// Members read at any moment after the change will do: a node that
+	// registers later reads a log that includes the change. They are read
+	// again so that nodes that have left are no longer waited for.
 	if q.members == nil || time.Since(q.membersReadAt) > membersReadInterval {
 		accepted, version, err := a.readAccepted(ctx, q.revision)
 		if err != nil || accepted >= q.revision {
@@ -83,17 +84,18 @@
 	if !s.Accepted {
 		return s, nil
 	}
-	// The word is given only after it is kept: a node that registers later,
-	// in a region without a confirmation, would make it untrue otherwise.
+	// Acceptance is reported only after it is stored. Otherwise a node that
+	// registers later, in a region without a confirmation, would make the
+	// next check report the revision as not accepted.
 	if err := a.writeAccepted(ctx, q.revision, q.acceptedVersion); err != nil {
 		return Status{Revision: q.revision}, err
 	}
 	return s, nil
 }
 
-// Wait returns when a revision is accepted or the context ends, with the
-// names that were then missing. The error is that of the last look at the
-// service, if it failed for another reason than the end of the context.
+// Wait returns when a revision is accepted or the context ends. The status
+// names the members that were missing at the last successful check. The error
+// is that of the last check, unless that check failed because the context ended.
 func (a *Acceptance) Wait(ctx context.Context, n uint64) (Status, error) {
 	last := Status{Revision: n}
 	lastErr := errors.Errorf("acceptance of %d: the context ended before the first look", n)
@@ -115,9 +117,10 @@
 	}
 }
 
-// Forget removes the record of a node on an operator's word that it will not
-// serve again: the only way out when the last node of a region has gone, since
-// a whole region that is silent may well be serving behind a cut.
+// Forget removes the record of a node after an operator has asserted that it
+// will not serve again. When the last node of a region has gone, this is the
+// only way to get later changes accepted: a region that is silent as a whole
+// may still be serving behind a network partition.
 func (a *Acceptance) Forget(ctx context.Context, region, name string) error {
 	item, ok, err := a.Store.Get(ctx, MemberKey(region, name))
 	if err != nil || !ok {
@@ -127,8 +130,8 @@
 	return errors.Wrapf(err, "forget %s: store", name)
 }
 
-// judge decides whether a revision is in force in every region that has
-// members; without any member there is nobody to say so.
+// evaluateAcceptance reports a revision as accepted if every region that has
+// members has confirmed it. Without any member, no revision is accepted.
 func evaluateAcceptance(n uint64, members map[string][]string, confirmed map[string]RegionConfirmation) Status {
 	s := Status{Revision: n}
 	for _, region := range slices.Sorted(maps.Keys(members)) {
@@ -178,8 +181,8 @@
 	Revision uint64 `json:"revision"`
 }
 
-// accepted returns the highest revision known to be accepted; it asks the
-// service only when n is above what this node knows.
+// readAccepted returns the highest accepted revision. It reads the store only
+// when n is above the highest revision that this node knows to be accepted.
 func (a *Acceptance) readAccepted(ctx context.Context, n uint64) (revision, version uint64, err error) {
 	if highest := a.highestAccepted.Load(); highest >= n {
 		return highest, 0, nil
@@ -208,7 +211,7 @@
 	}
 }
 
-// keep writes the accepted revision and never lowers it.
+// writeAccepted stores the accepted revision and never lowers it.
 func (a *Acceptance) writeAccepted(ctx context.Context, n, version uint64) error {
 	data, err := json.Marshal(acceptedRecord{Revision: n})
 	if err != nil {
--- a/core/jwcatalogue/adoption.go
+++ b/core/jwcatalogue/adoption.go
@@ -8,18 +8,19 @@
 	"jujubewheel/core/jwpeer"
 )
 
-// Peers gives the peers that a node knows, itself among them.
+// Peers returns the peers that a node knows, including itself.
 type Peers interface {
 	Peers() []jwpeer.Peer
 }
 
-// Adoptions is the table of the nodes that this node answers for, because they
-// could not reach the service when they started.
+// Adoptions holds the nodes for which this node is the sponsor: it confirms
+// revisions on their behalf, because they could not reach the store when they
+// started.
 type Adoptions struct {
 	Table      *Table
 	Peers      Peers       // nil for none
 	Departures *Departures // nil for none
-	Serving    func() bool // whether this node may answer for others, nil for always
+	Serving    func() bool // whether this node may be a sponsor, nil for always
 
 	mu      sync.Mutex
 	adopted map[string]adoption // by node name
@@ -27,17 +28,18 @@
 
 type adoption struct {
 	member              Member
-	revision            uint64 // in force there before it serves
-	previousIncarnation string // incarnation that the peers told of before
+	revision            uint64 // applied at the adopted node before it serves
+	previousIncarnation string // incarnation that the peers reported before the adoption
 }
 
-// ErrNotServing says that a node cannot answer for another.
+// ErrNotServing says that a node can't be a sponsor because it doesn't serve.
 var ErrNotServing = errors.New("this node does not serve")
 
-// Adopt records that this node answers for another and returns what the other
-// has to bring into force before it serves. A second call of the same process
-// tells which revision it has by now. A node that does not serve yet, or is
-// leaving, refuses: what it has may be old, and it may be gone the next moment.
+// Adopt makes this node the sponsor of another one and returns what the other
+// has to apply before it serves, given that it has applied revision after. A
+// second call by the same process reports the revision that it has by now. A
+// node that does not serve yet or is leaving returns ErrNotServing: its
+// catalogue may be old, and it may stop at any moment.
 func (a *Adoptions) Adopt(m Member, after uint64) ([]Change, *Checkpoint, error) {
 	if a.Serving != nil && !a.Serving() {
 		return nil, nil, ErrNotServing
@@ -49,8 +51,8 @@
 	if ok && ad.member == m {
 		ad.revision = max(ad.revision, after)
 	} else {
-		// What this node has confirmed by now is promised for the other too:
-		// it does not serve before it has all that is returned here.
+		// What this node has confirmed by now holds for the other one too:
+		// that one does not serve before it has applied all that is returned here.
 		ad = adoption{member: m, revision: a.Table.Revision(), previousIncarnation: previousIncarnation}
 	}
 	if a.adopted == nil {
@@ -61,7 +63,7 @@
 	return changes, cp, nil
 }
 
-// Release ends the answering for a node that has its record in the service.
+// Release ends the adoption of a node that has its own record in the store.
 func (a *Adoptions) Release(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -70,8 +72,8 @@
 	}
 }
 
-// Confirmed returns the revision that this node and all it answers for have in
-// force: what the node tells its peers as its revision.
+// Confirmed returns the highest revision that this node and all nodes it has
+// adopted have applied. The node reports it to its peers as its revision.
 func (a *Adoptions) Confirmed() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -82,14 +84,14 @@
 	return lowest
 }
 
-// Open reports whether this node answers for another.
+// HasAdopted reports whether this node is the sponsor of any other.
 func (a *Adoptions) HasAdopted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.adopted) > 0
 }
 
-// Tidy ends the answering for processes that have ended.
+// RemoveEnded ends the adoption of processes that have ended.
 func (a *Adoptions) RemoveEnded() {
 	peers := a.peers()
 	a.mu.Lock()
@@ -101,8 +103,8 @@
 	}
 }
 
-// over reports whether an adopted process has ended. Its silence does not tell:
-// it may serve behind a cut.
+// ended reports whether an adopted process has ended. A process that is silent
+// has not necessarily ended: it may serve behind a network partition.
 func (a *Adoptions) ended(ad adoption, peers []jwpeer.Peer) bool {
 	if a.Departures != nil && a.Departures.Gone(ad.member) {
 		return true
--- a/core/jwcatalogue/change.go
+++ b/core/jwcatalogue/change.go
@@ -10,21 +10,22 @@
 	"github.com/pkg/errors"
 )
 
-// The keys of the catalogue in the platform's service.
+// The keys of the catalogue in the platform's key-value store.
 const (
 	ChangesPrefix = "catalogue/changes/"
 	CheckpointKey = "catalogue/checkpoint"
 	LogStateKey   = "catalogue/log"
 )
 
-// The bounds of what is written, well below the service's megabyte a value.
+// The maximum sizes of records, well below the store's limit of one megabyte a
+// value.
 const (
 	MaxChangeSize    = 64 << 10  // bytes of one change
 	MaxCatalogueSize = 512 << 10 // bytes of a checkpoint
 )
 
-// Change is one record of the log: change N makes revision N of the catalogue
-// from revision N-1.
+// Change is one record of the log. Change N turns revision N-1 of the catalogue
+// into revision N.
 type Change struct {
 	N      uint64    `json:"n"`
 	EditID string    `json:"editId"` // chosen by whoever sends the edit
@@ -36,7 +37,7 @@
 	After  *Entry    `json:"after,omitempty"`  // nil when the entry is removed
 }
 
-// ParseChange reads a record of the log and refuses one that is not whole.
+// ParseChange reads a record of the log and rejects an incomplete one.
 func ParseChange(data []byte) (Change, error) {
 	var c Change
 	if err := decodeStrict(data, &c); err != nil {
@@ -48,7 +49,7 @@
 	return c, nil
 }
 
-// Encode returns the record as it is kept by the platform.
+// Encode returns the JSON form that is kept in the store.
 func (c Change) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -75,14 +76,14 @@
 	return nil
 }
 
-// Checkpoint is the whole catalogue at one revision.
+// Checkpoint holds the whole catalogue at one revision.
 type Checkpoint struct {
 	Revision  uint64            `json:"revision"`
 	Entries   map[string]Entry  `json:"entries"`   // by name
 	Revisions map[string]uint64 `json:"revisions"` // the last change of each entry
 }
 
-// ParseCheckpoint reads a checkpoint and refuses one that is not whole.
+// ParseCheckpoint reads a checkpoint and rejects an incomplete one.
 func ParseCheckpoint(data []byte) (Checkpoint, error) {
 	var c Checkpoint
 	if err := decodeStrict(data, &c); err != nil {
@@ -94,7 +95,7 @@
 	return c, nil
 }
 
-// Encode returns the record as it is kept by the platform.
+// Encode returns the JSON form that is kept in the store.
 func (c Checkpoint) Encode() ([]byte, error) {
 	if err := c.check(); err != nil {
 		return nil, err
@@ -118,7 +119,7 @@
 	return nil
 }
 
-// numberWidth keeps the keys of changes sorted by number.
+// numberWidth pads the numbers in keys so that the keys sort by number.
 const numberWidth = 12
 
 // ChangeKey returns the key of change n.
@@ -127,7 +128,7 @@
 }
 
 // blockPrefix returns the common prefix of the keys of change n and its
-// neighbours, so that one list brings no more than blockSize changes.
+// neighbours. One list of it returns at most blockSize changes.
 func blockPrefix(n uint64) string {
 	key := ChangeKey(n)
 	return key[:len(key)-blockDigits]
--- a/core/jwcatalogue/codec.go
+++ b/core/jwcatalogue/codec.go
@@ -10,8 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// ParseEntry reads the JSON form of an entry and refuses unknown keys; it does
-// not validate what the entry says.
+// ParseEntry reads the JSON form of an entry and rejects unknown keys. It does
+// not validate the values.
 func ParseEntry(data []byte) (Entry, error) {
 	var e Entry
 	if err := decodeStrict(data, &e); err != nil {
@@ -20,7 +20,7 @@
 	return e, nil
 }
 
-// MarshalJSON writes durations as strings such as "8s".
+// MarshalJSON encodes the entry, with durations as strings such as "8s".
 func (e Entry) MarshalJSON() ([]byte, error) {
 	return json.Marshal(entryJSON{
 		Name: e.Name, Owner: e.Owner, Class: e.Class,
@@ -32,8 +32,8 @@
 	})
 }
 
-// UnmarshalJSON refuses keys it does not know: a node that dropped what it
-// cannot read would write a checkpoint without it.
+// UnmarshalJSON rejects unknown keys: a node that ignored them would write a
+// checkpoint without them.
 func (e *Entry) UnmarshalJSON(data []byte) error {
 	var j entryJSON
 	if err := decodeStrict(data, &j); err != nil {
@@ -87,7 +87,7 @@
 	return nil
 }
 
-// decodeStrict reads exactly one JSON value without unknown keys.
+// decodeStrict decodes exactly one JSON value and rejects unknown keys.
 func decodeStrict(data []byte, v any) error {
 	dec := json.NewDecoder(bytes.NewReader(data))
 	dec.DisallowUnknownFields()
@@ -100,19 +100,19 @@
 	return nil
 }
 
-// decodeRecord reads a record that nodes write for each other. It ignores
-// keys that it does not know, so that neighbouring versions can run together.
+// decodeRecord decodes a record that nodes write for each other. It ignores
+// unknown keys, so that adjacent versions can run together.
 func decodeRecord(data []byte, v any) error { return json.Unmarshal(data, v) }
 
-// equal compares entries by what they say.
+// equal reports whether two entries have the same JSON form.
 func (e Entry) equal(other Entry) bool {
 	a, errA := json.Marshal(e)
 	b, errB := json.Marshal(other)
 	return errA == nil && errB == nil && bytes.Equal(a, b)
 }
 
-// size returns the bytes that an entry takes in a checkpoint, its name as the
-// key of two maps and its revision included.
+// size returns the bytes that an entry takes in a checkpoint, including its name
+// as the key of two maps and its revision.
 func (e Entry) size() int {
 	data, err := json.Marshal(e)
 	if err != nil {
@@ -121,10 +121,11 @@
 	return len(data) + 2*len(e.Name) + entryOverhead
 }
 
-// entryOverhead covers the marks between the parts and the digits of a number.
+// entryOverhead covers the JSON punctuation and the digits of the revision.
 const entryOverhead = 32
 
-// clone keeps a later write of the sender out of the catalogue in force.
+// clone returns a deep copy, so that the applied catalogue doesn't change when
+// the sender of the entry writes to its own later.
 func (e *Entry) clone() *Entry {
 	if e == nil {
 		return nil
--- a/core/jwcatalogue/departure.go
+++ b/core/jwcatalogue/departure.go
@@ -7,18 +7,18 @@
 	"jujubewheel/core/jwhost"
 )
 
-// Hosts gives the platform's list of hosts and when it was read.
+// Hosts returns the platform's list of hosts and the time at which it was taken.
 type Hosts interface {
 	Hosts() (hosts []jwhost.Host, taken time.Time)
 }
 
-// DefaultHostLag is how long the list may be behind the truth.
+// DefaultHostLag is how far the list may be behind the actual hosts.
 const DefaultHostLag = time.Minute
 
-// Departures is the table of nodes that the platform's list has dropped.
+// Departures tells which nodes have been removed from the platform's host list.
 type Departures struct {
 	Hosts Hosts
-	Lag   time.Duration // 0 for DefaultHostLag
+	Lag   time.Duration // how far the list may be behind, 0 for DefaultHostLag
 
 	mu            sync.Mutex
 	listTime      time.Time
@@ -27,18 +27,20 @@
 	absences      map[Member]absence
 }
 
-// absence tells of the lists without a node, by the times of the lists.
+// absence tells how long a node has been missing. The times are those at which
+// the lists were taken.
 type absence struct {
 	missingSince, lastAsked time.Time
 }
 
-// Gone reports whether the list has dropped a node for longer than its lag. The
-// clock begins when the process is first asked about: a node that has just
-// started under an old name may be missing from a list that is behind.
+// Gone reports whether a node has been missing from the list for longer than
+// its lag. The time counts from the first call for this process: a node that
+// has just restarted under an old name may be missing from a list that is
+// behind.
 //
-// The nodes of a region that has vanished from the list as a whole are not
-// gone: a cut between the list and the region looks the same, and behind it
-// they serve.
+// The nodes of a region that is missing from the list as a whole are not
+// gone: a network partition between the list and the region looks the same,
+// and the nodes behind it serve.
 func (d *Departures) Gone(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -55,8 +57,9 @@
 	return d.listTime.Sub(a.missingSince) > d.lag()
 }
 
-// read takes in a list that is newer than the last one. Only its own times
-// count, so that a list that is no longer read drops nobody.
+// refresh reads the list if it is newer than the last one. Time is measured
+// only between lists, so that no node counts as gone while the list can't be
+// read.
 func (d *Departures) refresh() {
 	hosts, listTime := d.Hosts.Hosts()
 	if d.absences == nil {
@@ -75,7 +78,7 @@
 		}
 	}
 	for m, a := range d.absences {
-		// With every list that lacks a whole region its clocks begin anew.
+		// A list that lacks the whole region of a node restarts its time.
 		if d.listedNodes[m.Name] || !d.listedRegions[m.Region] || listTime.Sub(a.lastAsked) > 2*d.lag() {
 			delete(d.absences, m)
 		}
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -11,15 +11,15 @@
 	"jujubewheel/core/jwstore"
 )
 
-// The bounds of what an operator says of an edit.
+// The maximum lengths, in bytes, of the texts in an edit.
 const (
 	MaxEditIDLength = 128
 	MaxReasonLength = 1024
 )
 
-// Edit is what an operator asks for.
+// Edit is an operator's request to add, replace or remove an entry.
 type Edit struct {
-	EditID     string // the same for every send of this edit
+	EditID     string // the same whenever this edit is sent again
 	Author     string
 	Reason     string
 	Entry      string
@@ -27,7 +27,7 @@
 	IfRevision uint64 // the last change of the entry that the operator saw, 0 for none
 }
 
-// EditResult tells where an edit stands in the log.
+// EditResult holds the revision that an edit made.
 type EditResult struct {
 	Revision uint64
 }
@@ -36,10 +36,10 @@
 type ConflictError struct {
 	Entry    string
 	Revision uint64  // the last change of the entry, 0 if it does not exist
-	Winner   *Change // the change that came first, nil when it is no longer kept
+	Winner   *Change // the change that the operator did not see, nil when it is no longer kept
 }
 
-// Error names the change that came first.
+// Error names the change that the operator did not see, if it is known.
 func (e *ConflictError) Error() string {
 	if e.Winner == nil {
 		return fmt.Sprintf("entry %q is at revision %d", e.Entry, e.Revision)
@@ -47,23 +47,23 @@
 	return fmt.Sprintf("entry %q was changed by %s in change %d", e.Entry, e.Winner.Author, e.Winner.N)
 }
 
-// Editor writes the edits of operators into the log. Several may run at once,
-// on any nodes.
+// Editor appends the edits of operators to the log. Several editors may run at
+// once, on any nodes.
 type Editor struct {
 	Store jwstore.Store
-	Table *Table           // brought to the head of the log by each edit
+	Table *Table           // brought up to the head of the log when needed
 	Now   func() time.Time // nil for time.Now
-	Retry time.Duration    // pause before a write of unknown outcome is looked at again, 0 for 100 ms
-	Keep  uint64           // changes left in the service, 0 for KeepInStore
+	Retry time.Duration    // pause before a write of unknown outcome is checked again, 0 for 100 ms
+	Keep  uint64           // changes kept in the store, 0 for KeepInStore
 }
 
-// writeAttempts bounds how often a lost reply is looked into.
+// maxWriteAttempts limits the writes and reads that resolve a lost reply.
 const maxWriteAttempts = 5
 
 // Put appends an edit to the log. It returns an InvalidError or ConflictError
-// for an edit that is certainly not in the log, jwstore.ErrUnavailable when it
-// certainly is not because of the service, and jwstore.ErrUnknown when it may
-// be: the same edit is then to be sent again.
+// if the edit was rejected and is not in the log, jwstore.ErrUnavailable if it
+// is not in the log because the store can't be reached, and jwstore.ErrUnknown
+// if it may be in the log; the caller should then send the same edit again.
 func (d *Editor) Put(ctx context.Context, e Edit) (EditResult, error) {
 	if err := e.Validate(); err != nil {
 		return EditResult{}, err
@@ -76,7 +76,7 @@
 		}
 		c, exists, err := d.nextChange(ctx, e)
 		if err != nil && !caughtUp {
-			continue // perhaps only because this node is behind
+			continue // the cause may be that this node is behind
 		}
 		if err != nil {
 			return EditResult{}, err
@@ -137,19 +137,20 @@
 	return d.Now()
 }
 
-// trustFor is how long a table counts as near the head after the log was read.
+// maxCatchUpAge is how long after reading the log a table counts as up to date.
 const maxCatchUpAge = 2 * time.Minute
 
-// trusted reports whether the first try may be made from what this node has,
-// which saves two calls over a slow link. It is right whenever the number is
-// free; a node that is far behind would only create a trimmed one anew.
+// recentlyCaughtUp reports whether the first attempt may use the table as it
+// is, which saves two calls over a slow link. The attempt is correct whenever
+// the number of the next change is free. The age is limited because a node far
+// behind would create a change under a number that was already trimmed.
 func (d *Editor) recentlyCaughtUp() bool {
 	at := d.Table.caughtUp.Load()
 	return at != nil && time.Since(*at) < maxCatchUpAge
 }
 
-// next returns the change to write for an edit, or the one that the edit
-// became when it was sent before.
+// nextChange returns the change to write for an edit. If the edit was written
+// before, it returns the change that it made, and exists is true.
 func (d *Editor) nextChange(ctx context.Context, e Edit) (c Change, exists bool, err error) {
 	if c, ok := d.Table.changeByEditID(e.EditID); ok {
 		return c, true, checkSameEdit(c, e)
@@ -165,8 +166,8 @@
 	return c, false, checkSize(current, c)
 }
 
-// same reports whether a change is of this edit. An edit id used for another
-// edit is a fault of the sender, not a success.
+// checkSameEdit returns an InvalidError if a change was made by another edit
+// with the same edit id: that is a mistake of the sender, not a success.
 func checkSameEdit(c Change, e Edit) error {
 	if c.Entry == e.Entry && equalEntries(c.After, e.After) {
 		return nil
@@ -176,8 +177,8 @@
 	}}
 }
 
-// change makes the next change of an edit, or returns the one that the edit
-// became when it was sent before.
+// buildChange returns the next change for an edit. If the edit was written
+// before, it returns the change that it made.
 func (d *Editor) buildChange(ctx context.Context, current *Snapshot, e Edit) (Change, error) {
 	before, revision, ok := current.Entry(e.Entry)
 	if revision != e.IfRevision {
@@ -224,8 +225,9 @@
 	return &c, nil
 }
 
-// fits refuses what would not go into one value of the service. A log that
-// outgrew its checkpoint could not be trimmed, nor read by a new node.
+// checkSize rejects a change that is too large for one value of the store or
+// that makes the checkpoint too large. Without the checkpoint, the log could
+// not be trimmed, and a new node could not read it.
 func checkSize(current *Snapshot, c Change) error {
 	data, err := c.Encode()
 	if err != nil {
@@ -244,9 +246,9 @@
 	return nil
 }
 
-// create writes the change as the next one and reports whether it is the one
-// that the log has under its number. When the reply of the write is lost, the
-// log itself tells whose change it is.
+// create writes the change under its number and reports whether the log now
+// holds it. If the reply of a write is lost, it reads the log to find out whose
+// change the log has under that number.
 func (d *Editor) create(ctx context.Context, c Change) (created bool, err error) {
 	data, err := c.Encode()
 	if err != nil {
@@ -278,8 +280,8 @@
 	return false, errors.Wrapf(jwstore.ErrUnknown, "write change %d: store", c.N)
 }
 
-// isOurs reads a change back. Only its edit id tells whose it is: the content
-// of two operators' edits may well be the same.
+// isInLog reports whether the log holds this change under its number. It
+// compares edit ids, since two operators may send edits with the same content.
 func (d *Editor) isInLog(ctx context.Context, c Change) (bool, error) {
 	item, ok, err := d.Store.Get(ctx, ChangeKey(c.N))
 	if err != nil {
@@ -292,9 +294,9 @@
 	return stored.EditID == c.EditID, err
 }
 
-// won finishes an edit whose change is in the service. An editor that was
-// paused for so long that its number was trimmed away has created it anew,
-// where nobody will read it; the mark of the log tells.
+// finish completes an edit whose change was created in the store. If the editor
+// was paused for so long that its number was trimmed, it has created the key
+// again where no node reads it; the log state shows this.
 func (d *Editor) finish(ctx context.Context, c Change) (EditResult, error) {
 	state, _, err := d.storeLog().readState(ctx)
 	for range maxWriteAttempts {
@@ -313,7 +315,7 @@
 		return EditResult{}, err
 	}
 	if c.N >= state.Checkpoint+CheckpointEvery {
-		// The edit is done; a checkpoint that fails is made by a later one.
+		// The edit is done. If the checkpoint fails, a later edit writes one.
 		_ = d.storeLog().compact(ctx, d.Table.Current())
 	}
 	return EditResult{Revision: c.N}, nil
@@ -326,7 +328,7 @@
 	return 100 * time.Millisecond
 }
 
-// noEffect marks an error of a step before the write.
+// asUnavailable makes an error from before the write match jwstore.ErrUnavailable.
 func asUnavailable(err error) error {
 	if errors.Is(err, jwstore.ErrUnavailable) {
 		return err
@@ -334,7 +336,8 @@
 	return &unavailableError{err}
 }
 
-// unavailableError is a failure before anything was written.
+// unavailableError is a failure before anything was written. It matches
+// jwstore.ErrUnavailable.
 type unavailableError struct{ cause error }
 
 func (e *unavailableError) Error() string        { return e.cause.Error() }
--- a/core/jwcatalogue/entry.go
+++ b/core/jwcatalogue/entry.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Class orders entries by how soon their callers need an answer.
+// Class ranks entries by how soon their callers need an answer.
 type Class string
 
 // The classes, most urgent first.
@@ -17,13 +17,13 @@
 	Name        string
 	Owner       string
 	Class       Class
-	Service     string        // the platform's service that runs it
+	Service     string        // name of the platform's service that runs it
 	Path        string        // URL path at the target
-	Idempotent  bool          // may be run again after a failure
-	Bound       bool          // its data never leaves the home region
-	Deadline    time.Duration // longest time to the whole answer
-	FirstToken  time.Duration // longest wait for the first byte of a stream, 0 for none
-	Progress    time.Duration // longest silence of a running call before it is given up
+	Idempotent  bool          // may run again after a failure
+	Bound       bool          // its data must not leave the home region
+	Deadline    time.Duration // maximum time to the whole answer
+	FirstToken  time.Duration // maximum wait for the first byte of a stream, 0 for none
+	Progress    time.Duration // maximum time without progress before a running call is abandoned
 	Limits      Limits
 	Weights     Weights
 	Regions     []string      // regions it may be sent to; empty means home only, "*" any
@@ -31,15 +31,16 @@
 	MaxBodySize int64         // bytes
 }
 
-// Limits bound what callers of an entry may ask of one region.
+// Limits restrict the requests for an entry in one region.
 type Limits struct {
 	Rate       float64 `json:"rate"`       // requests a second, 0 for none
 	Burst      int     `json:"burst"`      // requests at once above the rate
 	Concurrent int     `json:"concurrent"` // requests running, 0 for no limit
 }
 
-// Weights say what a second of waiting, a share sent away and a unit of cost
-// are worth against each other; all are non-negative.
+// Weights are the relative weights of cost, waiting and requests sent away.
+// They say what a unit of cost, a second of waiting and a share sent away are
+// worth against each other; all are non-negative.
 type Weights struct {
 	Cost     float64 `json:"cost"`
 	Tail     float64 `json:"tail"`
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -14,32 +14,35 @@
 	"jujubewheel/core/jwstore"
 )
 
-// The paces of a follower. At 970 nodes the slow reads make 65 reads a second
-// on the service, the waits of two nodes a data centre 54 calls that stand.
+// The default intervals of a follower. At 970 nodes the polls make 65 reads a
+// second on the store, and the watchers, two in each data centre, keep 54
+// waiting reads open.
 const (
-	DefaultMaxWait       = time.Minute            // one waiting read of the service
-	DefaultPeerInterval  = 500 * time.Millisecond // between comparisons with peers
-	DefaultStoreInterval = 30 * time.Second       // between slow reads of the service
-	DefaultRetryDelay    = time.Second            // after a failure of the service
+	DefaultMaxWait       = time.Minute            // one waiting read of the store
+	DefaultPeerInterval  = 500 * time.Millisecond // between polls of the peers
+	DefaultStoreInterval = 30 * time.Second       // between polls of the store
+	DefaultRetryDelay    = time.Second            // after a failure of the store
 )
 
-// Source gives changes that some peer has.
+// Source returns changes from peers.
 type Source interface {
-	// Changes returns what a peer has after a revision, oldest first, or the
-	// whole catalogue; nothing when no peer is known to have more.
+	// Changes returns the changes that a peer has after a revision, oldest
+	// first, or the whole catalogue. It returns nothing when no peer is known
+	// to have a newer revision.
 	Changes(ctx context.Context, after uint64) ([]Change, *Checkpoint, error)
 }
 
 // Follower keeps the table of a node at the head of the log. A watcher waits
-// on the service, every node asks its peers, and all read the service now and
-// then, so that no other node's failure leaves one behind for good.
+// on the store for the next change, every node polls its peers, and every node
+// also polls the store at a long interval, so that the failure of another node
+// never leaves one behind for good.
 type Follower struct {
 	Store   jwstore.Store
 	Table   *Table
-	Watcher func() bool // whether this node waits on the service, nil for never
+	Watcher func() bool // whether this node waits on the store, nil for never
 	Source  Source      // nil for none
 	Rand    func() float64
-	OnError func(err error) // told of each failure, for the log; nil for nobody
+	OnError func(err error) // called with each failure, for logging; may be nil
 
 	MaxWait, PeerInterval, StoreInterval, RetryDelay time.Duration // 0 for the defaults
 
@@ -52,13 +55,13 @@
 	storeErrors, peerErrors, fromStore, fromPeers atomic.Uint64
 }
 
-// FollowerCounts tells what a follower met since its start.
+// FollowerCounts holds the counters of a follower since its start.
 type FollowerCounts struct {
-	StoreErrors, PeerErrors uint64 // failed reads, refused changes included
-	FromStore, FromPeers    uint64 // rises of the revision by what brought them
+	StoreErrors, PeerErrors uint64 // failed reads, including changes that the table rejected
+	FromStore, FromPeers    uint64 // increases of the revision, by where the changes came from
 }
 
-// Counts returns the counters for the meter.
+// Counts returns the counters for the metrics.
 func (f *Follower) Counts() FollowerCounts {
 	return FollowerCounts{
 		StoreErrors: f.counts.storeErrors.Load(), PeerErrors: f.counts.peerErrors.Load(),
@@ -76,8 +79,8 @@
 	return g.Wait()
 }
 
-// Wake has the peers asked at once, because one was heard to have a newer
-// revision. It never waits.
+// Wake makes the follower poll its peers at once, for when a peer has reported
+// a newer revision. It never blocks.
 func (f *Follower) Wake() {
 	select {
 	case f.wakeChannel() <- struct{}{}:
@@ -85,8 +88,8 @@
 	}
 }
 
-// CatchUp reads the service until the table has every change that was in the
-// log when the call began.
+// CatchUp reads the store until the table has every change that was in the log
+// when the call began.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	before := f.Table.Revision()
 	err := changeLog{store: f.Store}.catchUp(ctx, f.Table)
@@ -110,7 +113,7 @@
 	return ctx.Err()
 }
 
-// await returns when it is time to read the log.
+// waitForRead returns when it is time to read the log.
 func (f *Follower) waitForRead(ctx context.Context) error {
 	if !f.isWatcher() {
 		return f.waitForPoll(ctx)
@@ -121,8 +124,8 @@
 	return err
 }
 
-// awaitTurn waits for the next slow read, or until this node is to watch: the
-// watchers of a data centre may all stop at once.
+// waitForPoll waits for the next poll of the store, or until this node becomes
+// a watcher: all watchers of a data centre may stop at once.
 func (f *Follower) waitForPoll(ctx context.Context) error {
 	remaining := f.jitter(orDefault(f.StoreInterval, DefaultStoreInterval))
 	for remaining > 0 && !f.isWatcher() {
@@ -162,7 +165,7 @@
 	return f.Table.applyReceived(changes, cp)
 }
 
-// take brings into force what a peer gave, as far as it is newer.
+// applyReceived applies what a peer sent, as far as it is newer.
 func (t *Table) applyReceived(changes []Change, cp *Checkpoint) error {
 	if cp != nil {
 		if err := t.Restore(*cp); err != nil {
@@ -196,7 +199,8 @@
 	return f.wake
 }
 
-// jitter spreads the nodes over half to one and a half of a period.
+// jitter returns a random duration from 0.5 d to 1.5 d, so that the nodes don't
+// act at the same time.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	r := rand.Float64
 	if f.Rand != nil {
--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -13,54 +13,54 @@
 	"jujubewheel/core/jwstore"
 )
 
-// ConfirmedPrefix begins the keys of the confirmations, one a region.
+// ConfirmedPrefix is the prefix of the keys of the confirmations, one for each region.
 const ConfirmedPrefix = "catalogue/confirmed/"
 
-// RegionConfirmed says what all members of a region have in force. That a
-// revision is in force is true for good: nodes do not go back, and whoever
-// registers later reads a head that has it.
+// RegionConfirmation reports what all members of a region have applied. It stays
+// true once it is: nodes never go back to an older revision, and a node that
+// registers later reads a log that includes the revision.
 type RegionConfirmation struct {
 	Region   string   `json:"region"`
-	Revision uint64   `json:"revision"` // in force at every member
-	Seen     uint64   `json:"seen"`     // revision that the gatherer knew of when it read the members
+	Revision uint64   `json:"revision"` // applied at every member
+	Seen     uint64   `json:"seen"`     // revision that the gatherer had when it read the members
 	Lagging  []string `json:"laggards,omitempty"`
 }
 
-// ParseRegionConfirmed reads a confirmation.
+// ParseRegionConfirmation reads a confirmation record.
 func ParseRegionConfirmation(data []byte) (RegionConfirmation, error) {
 	var c RegionConfirmation
 	err := decodeRecord(data, &c)
 	return c, errors.Wrap(err, "confirmation record")
 }
 
-// The paces of a gatherer.
+// The intervals of a gatherer.
 const (
-	DefaultGatherPeriod    = 500 * time.Millisecond // between two writes of a region
+	DefaultGatherPeriod    = 500 * time.Millisecond // minimum between two writes for a region
 	DefaultMembersInterval = 30 * time.Second       // between reads of the members
-	laggingInterval        = time.Second            // between reads of the members while some are missing
-	stepsPerPeriod         = 5                      // looks at the peers between two writes
+	laggingInterval        = time.Second            // between reads of the members while some are lagging, and between writes that only update their names
+	stepsPerPeriod         = 5                      // checks of the peers between two writes
 )
 
 // Gatherer writes the confirmations of a region. One node of the region does
-// so, chosen by rendezvous hash; two that both believe it do no harm, since
-// each says only what stays true, and no write lowers what another wrote.
+// so, chosen by rendezvous hash. Two nodes that both act as the gatherer do no
+// harm: each writes only what stays true, and no write lowers a confirmed revision.
 type Gatherer struct {
-	Name       string // of this node
+	Name       string // name of this node
 	Region     string
 	Store      jwstore.Store
 	Table      *Table
 	Peers      Peers
-	Departures *Departures   // nil to count nobody out by the host list
-	Registered func() bool   // whether this node has its own record, nil for always
-	Period     time.Duration // between two writes, 0 for DefaultGatherPeriod
+	Departures *Departures   // nil to ignore the host list
+	Registered func() bool   // whether this node has its own record in the store, nil for always
+	Period     time.Duration // minimum between two writes, 0 for DefaultGatherPeriod
 
 	members       []storedMember
-	seen          uint64    // revision known before the members were read
+	seen          uint64    // revision of the table before the members were read
 	readAt        time.Time // when the members were read
 	written       RegionConfirmation
 	writtenAt     time.Time
-	version       uint64 // of the record in the service
-	writtenLoaded bool   // whether written and version are those of the service
+	version       uint64 // of the record in the store
+	writtenLoaded bool   // whether written and version were read from the store
 }
 
 type storedMember struct {
@@ -68,7 +68,7 @@
 	version uint64
 }
 
-// Run gathers until the context ends.
+// Run calls Step several times a period until the context ends.
 func (g *Gatherer) Run(ctx context.Context) error {
 	ticker := time.NewTicker(g.period() / stepsPerPeriod)
 	defer ticker.Stop()
@@ -78,13 +78,13 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		// A failure of the service is met by the next turn.
+		// A failure of the store is retried by the next step.
 		_ = g.Step(ctx, time.Now())
 	}
 }
 
-// Step is one turn: it reads the members if need be and writes the
-// confirmation if it has changed.
+// Step reads the members if that is due and writes the confirmation if it has
+// changed. It does nothing on nodes that are not the gatherer of the region.
 func (g *Gatherer) Step(ctx context.Context, now time.Time) error {
 	peers := g.Peers.Peers()
 	if GathererOf(peers, g.Region) != g.Name || g.Registered != nil && !g.Registered() {
@@ -113,9 +113,9 @@
 	return g.members == nil || g.Table.Revision() > g.seen || now.Sub(g.readAt) >= interval
 }
 
-// readMembers takes the revision before it reads. A node that is not among
-// the members read registers later, and then reads a head that has at least
-// this revision.
+// readMembers notes the revision before it reads. A node that is not among the
+// members read registers later, and then reads a log that has at least this
+// revision.
 func (g *Gatherer) readMembers(ctx context.Context, now time.Time) error {
 	seen := g.Table.Revision()
 	items, err := g.Store.List(ctx, memberPrefix(g.Region))
@@ -134,9 +134,10 @@
 	return nil
 }
 
-// countOut deletes the records of nodes that left by themselves or that the
-// host list has dropped for good. The version keeps it from deleting the
-// record of a process that has started since under the same name.
+// deleteDeparted deletes the records of nodes that have left by themselves or
+// that have been missing from the host list for longer than its lag. Deleting
+// by version spares the record of a process that has since started under the
+// same name.
 func (g *Gatherer) deleteDeparted(ctx context.Context, peers []jwpeer.Peer) error {
 	for i := 0; i < len(g.members); i++ {
 		m := g.members[i]
@@ -164,8 +165,8 @@
 	return g.Departures != nil && g.Departures.Gone(m)
 }
 
-// judge finds what all members have in force. A peer that has no record but
-// serves counts too: it joined through another while the service was away.
+// aggregate returns what all members have applied. A peer that serves without a
+// record counts too: it joined through a sponsor while the store was unavailable.
 func (g *Gatherer) aggregate(peers []jwpeer.Peer) RegionConfirmation {
 	c := RegionConfirmation{Region: g.Region, Revision: g.seen, Seen: g.seen}
 	peersByName := make(map[string]jwpeer.Peer, len(peers))
@@ -177,7 +178,8 @@
 		delete(peersByName, m.Name)
 		revision := p.Revision
 		if !ok || p.Incarnation != m.Incarnation {
-			// What another process of that name had says nothing of this one.
+			// The revision of another process of that name doesn't count
+			// for this one.
 			revision = 0
 		}
 		c.addMember(m.Name, revision)
@@ -200,15 +202,16 @@
 	c.Revision = min(c.Revision, revision)
 }
 
-// write keeps the record in step: at once when more is in force everywhere,
-// at a slow pace when only the names of those missing have changed.
+// write updates the record at most once a period when the confirmed revision
+// has risen, and at most once per laggingInterval when only other fields, such
+// as the names of the lagging members, have changed.
 func (g *Gatherer) write(ctx context.Context, c RegionConfirmation, now time.Time) error {
 	if !g.writtenLoaded {
 		if err := g.readWritten(ctx); err != nil {
 			return err
 		}
 	}
-	// Nothing that was confirmed becomes unconfirmed.
+	// A confirmed revision is never lowered.
 	c.Revision = max(c.Revision, g.written.Revision)
 	c.Seen = max(c.Seen, g.written.Seen)
 	rose := c.Revision > g.written.Revision
@@ -247,7 +250,7 @@
 	return nil
 }
 
-// regionOf returns the region and name of a member's key.
+// splitMemberKey returns the region and name in the key of a member record.
 func splitMemberKey(key string) (region, name string) {
 	region, name, _ = strings.Cut(strings.TrimPrefix(key, MembersPrefix), "/")
 	return region, name
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -10,22 +10,22 @@
 	"jujubewheel/core/jwstore"
 )
 
-// The spacing of the log.
+// The sizes of the log, in changes.
 const (
 	CheckpointEvery = 64   // changes between checkpoints
-	KeepInStore     = 4096 // changes left in the service for the audit trail
+	KeepInStore     = 4096 // changes kept in the store for the audit trail
 )
 
-// changeLog reads and tends the log of changes in the platform's service.
+// changeLog reads, checkpoints and trims the log of changes in the store.
 type changeLog struct {
 	store jwstore.Store
-	keep  uint64 // changes left in the service
+	keep  uint64 // changes kept in the store
 }
 
-// catchUp brings the table to the head that the log has when the call begins,
-// or further. The mark is read after the changes: a change that an editor
-// created anew after it was trimmed away is never applied, since the mark then
-// says that it was trimmed.
+// catchUp brings the table at least to the head that the log has when the call
+// begins. It reads the log state after the changes: if an editor has created a
+// change again that was already trimmed, the state says so, and the change is
+// not applied.
 func (l changeLog) catchUp(ctx context.Context, t *Table) error {
 	startedAt := time.Now()
 	for {
@@ -86,7 +86,7 @@
 	return c, nil
 }
 
-// restore brings the checkpoint into force that a mark speaks of.
+// restoreCheckpoint applies a checkpoint at least as new as the log state says.
 func (l changeLog) restoreCheckpoint(ctx context.Context, t *Table, state logState) error {
 	cp, _, err := l.readCheckpoint(ctx)
 	if err != nil {
@@ -98,8 +98,8 @@
 	return t.Restore(cp)
 }
 
-// logMark tells how far the log is trimmed. It is a key of its own, since it
-// is read with every change and a checkpoint may be large.
+// logState holds how far the log is trimmed. It has its own key, since it is
+// read with every change and a checkpoint may be large.
 type logState struct {
 	Checkpoint uint64 `json:"checkpoint"` // the checkpoint is of this revision or a later one
 	Trimmed    uint64 `json:"trimmed"`    // changes up to here may be gone
@@ -136,9 +136,9 @@
 	return cp, item.Version, errors.Wrap(err, "read checkpoint: store")
 }
 
-// tend writes a checkpoint when one is due and trims the log behind it. Any
-// node may do it at any time, also several at once: every write is a swap,
-// and whoever loses one leaves the rest to the winner.
+// compact writes a checkpoint when one is due and trims the changes before it.
+// Any node may call it at any time, also several at once: every write is a
+// compare-and-swap, and a node that loses one leaves the rest to the winner.
 func (l changeLog) compact(ctx context.Context, s *Snapshot) error {
 	state, version, err := l.readState(ctx)
 	if err != nil || s.Revision < state.Checkpoint+CheckpointEvery {
@@ -162,7 +162,8 @@
 	return errors.Wrap(err, "write mark: store")
 }
 
-// writeCheckpoint never replaces a checkpoint by an older one.
+// writeCheckpoint writes a checkpoint but never replaces one by an older one.
+// It reports whether the store now has the checkpoint of this revision.
 func (l changeLog) writeCheckpoint(ctx context.Context, s *Snapshot) (written bool, err error) {
 	stored, version, err := l.readCheckpoint(ctx)
 	if err != nil || stored.Revision > s.Revision {
@@ -179,9 +180,9 @@
 	return written, errors.Wrap(err, "write checkpoint: store")
 }
 
-// sweep deletes the changes that an earlier mark announced as trimmed.
-// Were they deleted without that word, a paused editor could create one of
-// them anew and believe that its edit is in the log.
+// deleteTrimmed deletes the changes that an earlier log state declared trimmed.
+// If they were deleted without that, a paused editor could create one of them
+// again and take its edit for part of the log.
 func (l changeLog) deleteTrimmed(ctx context.Context, after, upTo uint64) error {
 	for n := after + 1; n <= upTo; n = (n/blockSize + 1) * blockSize {
 		items, err := l.store.List(ctx, blockPrefix(n))
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -13,11 +13,11 @@
 	"jujubewheel/core/jwstore"
 )
 
-// MembersPrefix begins the keys of all member records.
+// MembersPrefix is the prefix of the keys of all member records.
 const MembersPrefix = "catalogue/members/"
 
 // Member is the record of a node whose confirmation every change waits for.
-// A node of the same name that starts anew replaces the record.
+// A process that starts under the same name replaces the record.
 type Member struct {
 	Name        string `json:"name"`
 	Region      string `json:"region"`
@@ -53,48 +53,48 @@
 // ErrReplaced says that another process has started under this node's name.
 var ErrReplaced = errors.New("another process has this node's name")
 
-// Sponsors asks peers of the own region to answer for this node while the
-// service cannot be reached.
+// Sponsors asks peers of the own region to confirm revisions on behalf of this
+// node while it can't reach the store.
 type Sponsors interface {
-	// Adopt has one serving peer call Adoptions.Adopt and returns its name
-	// and what that gave.
+	// Adopt makes one serving peer call Adoptions.Adopt. It returns the name
+	// of the peer, which is then the sponsor, and the results of that call.
 	Adopt(ctx context.Context, m Member, after uint64) (sponsor string, changes []Change, cp *Checkpoint, err error)
-	// Release has a peer call Adoptions.Release; nil when the peer is no
-	// longer the process that adopted.
+	// Release makes the sponsor call Adoptions.Release. It returns nil also
+	// if the process that adopted this node no longer runs.
 	Release(ctx context.Context, sponsor string, m Member) error
 }
 
-// The paces of a membership.
+// The default intervals of a membership.
 const (
-	DefaultMemberCheckInterval = 30 * time.Second // between looks at the own record
+	DefaultMemberCheckInterval = 30 * time.Second // between checks of the own record
 	DefaultAdoptInterval       = 500 * time.Millisecond
 )
 
-// Membership makes this node one whose confirmation changes wait for, before
-// it serves, and takes it out again after its last request.
+// Membership registers this node before it serves, so that changes wait for its
+// confirmation, and deletes the record after the node's last request.
 type Membership struct {
 	Member
 	Store     jwstore.Store
 	Follower  *Follower
 	Sponsors  Sponsors   // nil for none
-	Adoptions *Adoptions // those this node answers for
+	Adoptions *Adoptions // nodes that this node has adopted
 
 	CheckInterval, AdoptInterval time.Duration // 0 for the defaults
 
 	registered atomic.Bool
-	sponsors   map[string]bool // peers that may answer for this node
+	sponsors   map[string]bool // peers that may still be sponsors of this node
 }
 
-// Registered reports whether the service has the record of this process.
+// Registered reports whether the store has the record of this process.
 func (m *Membership) Registered() bool { return m.registered.Load() }
 
-// Join returns when this node may serve: its record stands in the service and
-// the log was read to its head afterwards, or a peer that serves answers for
-// it and has given it the log.
+// Join returns when this node may serve: either its record is in the store and
+// the log was read to its head afterwards, or a serving peer has become its
+// sponsor and has sent it the log.
 //
-// The order is what makes an accepted change hold here: the record comes
-// first, so that a change whose gatherer did not see the record was in the log
-// before the head was read.
+// The record must be written before the log is read. A change whose gatherer
+// did not see the record was then in the log before this node read its head, so
+// that an accepted change is always applied here.
 func (m *Membership) Join(ctx context.Context) error {
 	if err := m.check(); err != nil {
 		return err
@@ -112,7 +112,7 @@
 	}
 }
 
-// enter registers this node and then reads the head of the log.
+// registerAndCatchUp registers this node and then reads the log to its head.
 func (m *Membership) registerAndCatchUp(ctx context.Context) error {
 	if err := m.register(ctx); err != nil {
 		return err
@@ -148,8 +148,9 @@
 	}
 }
 
-// adopted has a peer answer for this node and takes its log. What this node
-// answers for itself is not more than what those that it adopted have.
+// joinThroughSponsor makes a peer the sponsor of this node and applies the log
+// that the peer sends. The revision that it reports to the sponsor is not higher
+// than those of the nodes that this node has itself adopted.
 func (m *Membership) joinThroughSponsor(ctx context.Context) error {
 	if m.Sponsors == nil {
 		return errors.New("adopt: no peers")
@@ -174,8 +175,8 @@
 	return m.Follower.Table.Revision()
 }
 
-// Run keeps the membership of a node that has joined. It ends with ErrReplaced
-// when another process has the name, which then must not serve any longer.
+// Run maintains the membership of a node that has joined. It returns ErrReplaced
+// when another process has the name; this node must then no longer serve.
 func (m *Membership) Run(ctx context.Context) error {
 	for {
 		pause := orDefault(m.CheckInterval, DefaultMemberCheckInterval)
@@ -207,8 +208,8 @@
 	return m.releaseSponsors(ctx)
 }
 
-// verify enters again after this node was counted out by mistake: the host
-// list dropped it while it was serving.
+// verifyRecord registers this node again if its record was deleted by mistake,
+// because the host list lacked the node while it was serving.
 func (m *Membership) verifyRecord(ctx context.Context) error {
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
@@ -227,8 +228,9 @@
 	return nil
 }
 
-// release tells the sponsors that they need not answer any more. It comes
-// after the head was read, or a change could be accepted in between.
+// releaseSponsors tells the sponsors that they need not confirm for this node
+// any longer. It must be called after the log was read to its head: otherwise a
+// change could be accepted that this node does not have.
 func (m *Membership) releaseSponsors(ctx context.Context) error {
 	for sponsor := range m.sponsors {
 		if err := m.Sponsors.Release(ctx, sponsor, m.Member); err != nil {
@@ -239,9 +241,9 @@
 	return nil
 }
 
-// Leave takes the record back; call it after Run has ended and the last
-// request is answered. While others depend on this node's answers, the record
-// stays until the context ends; what is then left is counted out with the host.
+// Leave deletes the record of this node. Call it after Run has ended and the
+// last request is answered. While this node is a sponsor, the record stays until
+// the context ends; a record that is then left is deleted once the host is gone.
 func (m *Membership) Leave(ctx context.Context) error {
 	for m.isSponsor() {
 		m.Adoptions.RemoveEnded()
--- a/core/jwcatalogue/rank.go
+++ b/core/jwcatalogue/rank.go
@@ -9,12 +9,12 @@
 	"jujubewheel/core/jwpeer"
 )
 
-// WatchersPerDataCentre is how many nodes of a data centre wait on the service.
+// WatchersPerDataCentre is how many nodes of a data centre wait on the store.
 const WatchersPerDataCentre = 2
 
 // Watchers returns the names of the nodes of a data centre that wait on the
-// service for the next change, by rendezvous hash over the live peers given.
-// No lock is needed: with other views of who lives a few more or fewer wait.
+// store for the next change, by rendezvous hash over the given live peers. No
+// lock is needed: if nodes know different peers, a few more or fewer wait.
 func Watchers(live []jwpeer.Peer, region, dataCentre string) []string {
 	var names []string
 	for _, p := range live {
@@ -28,7 +28,7 @@
 	return names[:min(len(names), WatchersPerDataCentre)]
 }
 
-// GathererOf returns the name of the node that gathers the confirmations of a
+// GathererOf returns the name of the node that writes the confirmations of a
 // region, or "" when none is live.
 func GathererOf(live []jwpeer.Peer, region string) string {
 	gatherer, highest := "", uint64(0)
--- a/core/jwcatalogue/table.go
+++ b/core/jwcatalogue/table.go
@@ -9,13 +9,13 @@
 	"github.com/pkg/errors"
 )
 
-// Snapshot is the catalogue at one revision; nobody changes it.
+// Snapshot is the immutable catalogue at one revision.
 type Snapshot struct {
 	Revision  uint64
 	Entries   map[string]Entry  // by name
-	Revisions map[string]uint64 // the last change of each entry
+	Revisions map[string]uint64 // the last change of each entry, by name
 
-	size int // bytes of its checkpoint, no fewer than there will be
+	size int // upper bound of the bytes of its entries in a checkpoint
 }
 
 // Entry returns an entry with the number of its last change.
@@ -24,7 +24,7 @@
 	return e, s.Revisions[name], ok
 }
 
-// with returns the snapshot that a change makes of this one.
+// withChange returns the snapshot that results from a change to this one.
 func (s *Snapshot) withChange(c Change) *Snapshot {
 	next := &Snapshot{Revision: c.N, Entries: maps.Clone(s.Entries), Revisions: maps.Clone(s.Revisions), size: s.size}
 	if next.Entries == nil {
@@ -45,39 +45,39 @@
 	return next
 }
 
-// checkpoint returns the snapshot as a record to give away.
+// checkpoint returns the snapshot as a checkpoint record.
 func (s *Snapshot) checkpoint() *Checkpoint {
 	return &Checkpoint{Revision: s.Revision, Entries: s.Entries, Revisions: s.Revisions}
 }
 
-// The errors of a table; compare with errors.Is.
+// The errors of a Table. Compare them with errors.Is.
 var (
-	// ErrGap says that a change came before the one it follows.
+	// ErrGap says that a change came before one that precedes it.
 	ErrGap = errors.New("change out of order")
 	// ErrFork says that two different changes have the same number.
 	ErrFork = errors.New("two changes with one number")
 )
 
-// DefaultKeep is how many changes a table keeps to give to peers.
+// DefaultMaxChanges is how many changes a table keeps for peers by default.
 const DefaultMaxChanges = 256
 
-// Table is the catalogue that is in force at this node; its zero value is the
-// empty catalogue of revision 0. Changes go in by number only, so that the
-// revision never falls, wherever the changes come from.
+// Table holds the catalogue that this node has applied. Its zero value is the
+// empty catalogue of revision 0. Changes are applied only in the order of their
+// numbers, so that the revision never falls, wherever the changes come from.
 type Table struct {
-	MaxChanges int // changes kept to give to peers, 0 for DefaultKeep
+	MaxChanges int // changes kept for peers, 0 for DefaultMaxChanges
 
 	current  atomic.Pointer[Snapshot]
 	caughtUp atomic.Pointer[time.Time] // when the log was last read to its head
 
 	mu      sync.Mutex
-	changes []Change // the last ones, without a gap, up to the current revision
+	changes []Change // the most recent ones, without a gap, up to the current revision
 	changed chan struct{}
 }
 
 var emptySnapshot = &Snapshot{}
 
-// Current returns the catalogue in force, without waiting for a lock.
+// Current returns the applied catalogue without waiting for a lock.
 func (t *Table) Current() *Snapshot {
 	if s := t.current.Load(); s != nil {
 		return s
@@ -85,10 +85,10 @@
 	return emptySnapshot
 }
 
-// Revision returns the number of the last change in force.
+// Revision returns the number of the last applied change.
 func (t *Table) Revision() uint64 { return t.Current().Revision }
 
-// Base returns the oldest change that Changes can still give.
+// Base returns the number of the oldest change that Changes can still return.
 func (t *Table) Base() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,8 +99,9 @@
 	return t.Current().Revision + 1 - uint64(len(t.changes))
 }
 
-// Apply brings the next change into force. An older one is ignored; one that
-// leaves a gap is ErrGap, another one of a known number ErrFork.
+// Apply applies the next change. It ignores an older one, but returns ErrFork if
+// the table has a different change with its number. It returns ErrGap if changes
+// before it are missing.
 func (t *Table) Apply(c Change) error {
 	if err := c.check(); err != nil {
 		return err
@@ -122,8 +123,8 @@
 	return nil
 }
 
-// compare finds out that the log was split: two nodes would then have
-// different catalogues under one revision, which nobody would notice.
+// checkSameChange detects that the log has forked: two nodes would then have
+// different catalogues under one revision, which would go unnoticed otherwise.
 func (t *Table) checkSameChange(c Change) error {
 	base := t.base()
 	if c.N < base {
@@ -142,8 +143,8 @@
 	return DefaultMaxChanges
 }
 
-// Restore brings a whole catalogue into force if it is newer than the present
-// one, and does nothing otherwise.
+// Restore replaces the catalogue by a checkpoint if that is newer, and does
+// nothing otherwise.
 func (t *Table) Restore(c Checkpoint) error {
 	if err := c.check(); err != nil {
 		return err
@@ -170,8 +171,9 @@
 	}
 }
 
-// Changes returns at most most changes after a revision, oldest first. When
-// the table no longer has them it returns the whole catalogue instead.
+// Changes returns the changes after a revision, oldest first, and at most limit
+// of them unless limit is 0. When the table no longer has them all, it returns
+// the whole catalogue instead.
 func (t *Table) Changes(after uint64, limit int) ([]Change, *Checkpoint) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -190,8 +192,8 @@
 	return append([]Change(nil), newer...), nil
 }
 
-// Changed returns a channel that is closed at the next rise of the revision;
-// take it before reading the revision, so that no rise is missed.
+// Changed returns a channel that is closed at the next increase of the revision.
+// Call it before reading the revision, so that no increase is missed.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,7 +203,7 @@
 	return t.changed
 }
 
-// edit returns the change with an edit id, if the table still has it.
+// changeByEditID returns the change with an edit id, if the table still has it.
 func (t *Table) changeByEditID(id string) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -213,7 +215,7 @@
 	return Change{}, false
 }
 
-// lastOf returns the last change of an entry, if the table still has it.
+// lastChangeOf returns the last change of an entry, if the table still has it.
 func (t *Table) lastChangeOf(entry string) (Change, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwcatalogue/validate.go
+++ b/core/jwcatalogue/validate.go
@@ -8,20 +8,20 @@
 	"time"
 )
 
-// The bounds of an entry.
+// The limits of an entry. Lengths are in bytes.
 const (
 	MaxNameLength = 63
 	MaxPathLength = 256
 	MaxRegions    = 64
 	MaxDeadline   = time.Hour
 	MaxKeyMemory  = 7 * 24 * time.Hour
-	MaxBodyLimit  = 64 << 20 // bytes
+	MaxBodyLimit  = 64 << 20 // for MaxBodySize, in bytes
 )
 
-// AnyRegion among the regions of an entry lets it be sent to every region.
+// AnyRegion in the regions of an entry allows it to be sent to every region.
 const AnyRegion = "*"
 
-// InvalidError names every fault of an edit at once.
+// InvalidError lists all faults of an edit.
 type InvalidError struct {
 	Entry  string
 	Faults []string
@@ -70,7 +70,7 @@
 	}
 }
 
-// validName holds names that stand unescaped in a URL path and in a key.
+// validName reports whether a name can stand unescaped in a URL path and a key.
 func validName(s string) bool {
 	for i := range len(s) {
 		c := s[i]
@@ -108,8 +108,8 @@
 	if e.KeyMemory < 0 || e.KeyMemory > MaxKeyMemory {
 		f.add("keyMemory %s is not between 0 and %s", e.KeyMemory, MaxKeyMemory)
 	}
-	// A key forgotten while its call may still run would let a second send
-	// run the request again.
+	// If a key were forgotten while its call may still run, a request that
+	// is sent again could run twice.
 	if !e.Idempotent && e.KeyMemory < e.Deadline {
 		f.add("keyMemory %s is shorter than the deadline %s of an entry that is not idempotent", e.KeyMemory, e.Deadline)
 	}
