--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -98,7 +98,7 @@
 // is that of the last check, unless that check failed because the context ended.
 func (a *Acceptance) Wait(ctx context.Context, n uint64) (Status, error) {
 	last := Status{Revision: n}
-	lastErr := errors.Errorf("acceptance of %d: the context ended before the first look", n)
+	lastErr := errors.Errorf("acceptance of %d: the context ended before the first check", n)
 	q := &query{revision: n}
 	for {
 		s, err := a.check(ctx, q)
--- a/core/jwcatalogue/change.go
+++ b/core/jwcatalogue/change.go
@@ -65,13 +65,13 @@
 	case c.EditID == "":
 		return errors.Errorf("change %d has no edit id", c.N)
 	case !validName(c.Entry):
-		return errors.Errorf("change %d is of entry %q", c.N, c.Entry)
+		return errors.Errorf("change %d has invalid entry name %q", c.N, c.Entry)
 	case c.Before == nil && c.After == nil:
-		return errors.Errorf("change %d neither adds nor removes", c.N)
+		return errors.Errorf("change %d has no entry before or after it", c.N)
 	case c.Before != nil && c.Before.Name != c.Entry:
-		return errors.Errorf("change %d of %q comes from %q", c.N, c.Entry, c.Before.Name)
+		return errors.Errorf("change %d of entry %q has %q before it", c.N, c.Entry, c.Before.Name)
 	case c.After != nil && c.After.Name != c.Entry:
-		return errors.Errorf("change %d of %q makes %q", c.N, c.Entry, c.After.Name)
+		return errors.Errorf("change %d of entry %q has %q after it", c.N, c.Entry, c.After.Name)
 	}
 	return nil
 }
@@ -110,10 +110,10 @@
 	}
 	for name, e := range c.Entries {
 		if !validName(name) || e.Name != name {
-			return errors.Errorf("checkpoint %d has entry %q under %q", c.Revision, e.Name, name)
+			return errors.Errorf("checkpoint %d has entry %q under the name %q", c.Revision, e.Name, name)
 		}
 		if n := c.Revisions[name]; n == 0 || n > c.Revision {
-			return errors.Errorf("checkpoint %d has entry %q of revision %d", c.Revision, name, n)
+			return errors.Errorf("checkpoint %d has entry %q with invalid revision %d", c.Revision, name, n)
 		}
 	}
 	return nil
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -213,7 +213,7 @@
 	}
 	item, ok, err := d.Store.Get(ctx, ChangeKey(revision))
 	if err != nil {
-		return nil, asUnavailable(errors.Wrap(err, "read winner: store"))
+		return nil, asUnavailable(errors.Wrap(err, "read conflicting change: store"))
 	}
 	if !ok {
 		return nil, nil
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -93,7 +93,7 @@
 		return err
 	}
 	if cp.Revision < state.Checkpoint {
-		return errors.Errorf("read checkpoint: store: revision %d, where %d was written", cp.Revision, state.Checkpoint)
+		return errors.Errorf("read checkpoint: store: revision %d is older than %d in the state of the log", cp.Revision, state.Checkpoint)
 	}
 	return t.Restore(cp)
 }
@@ -110,16 +110,16 @@
 	var state logState
 	item, ok, err := l.store.Get(ctx, LogStateKey)
 	if err != nil {
-		return state, 0, errors.Wrap(err, "read mark: store")
+		return state, 0, errors.Wrap(err, "read state of the log: store")
 	}
 	if !ok {
 		return state, 0, nil
 	}
 	if err := decodeRecord(item.Value, &state); err != nil {
-		return state, 0, errors.Wrap(err, "read mark: store")
+		return state, 0, errors.Wrap(err, "read state of the log: store")
 	}
 	if state.Deleted > state.Trimmed || state.Trimmed > state.Checkpoint {
-		return state, 0, errors.Errorf("read mark: store: swept to %d, trimmed to %d of %d", state.Deleted, state.Trimmed, state.Checkpoint)
+		return state, 0, errors.Errorf("read state of the log: store: deleted up to %d, trimmed up to %d, checkpoint %d", state.Deleted, state.Trimmed, state.Checkpoint)
 	}
 	return state, item.Version, nil
 }
@@ -159,7 +159,7 @@
 		return err
 	}
 	_, _, err = l.store.Swap(ctx, LogStateKey, data, version)
-	return errors.Wrap(err, "write mark: store")
+	return errors.Wrap(err, "write state of the log: store")
 }
 
 // writeCheckpoint writes a checkpoint but never replaces one by an older one.
@@ -187,7 +187,7 @@
 	for n := after + 1; n <= upTo; n = (n/blockSize + 1) * blockSize {
 		items, err := l.store.List(ctx, blockPrefix(n))
 		if err != nil {
-			return errors.Wrap(err, "list old changes: store")
+			return errors.Wrap(err, "list trimmed changes: store")
 		}
 		for _, item := range items {
 			if number, err := changeNumber(item.Key); err != nil || number > upTo {
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -42,10 +42,10 @@
 
 func (m Member) check() error {
 	if m.Name == "" || m.Region == "" || m.Incarnation == "" {
-		return errors.Errorf("member %q of region %q, incarnation %q: has an empty name", m.Name, m.Region, m.Incarnation)
+		return errors.Errorf("member %q of region %q, incarnation %q: one of these is empty", m.Name, m.Region, m.Incarnation)
 	}
 	if strings.Contains(m.Name+m.Region, "/") {
-		return errors.Errorf("member %q of region %q: has a slash", m.Name, m.Region)
+		return errors.Errorf("member %q of region %q: name or region contains a slash", m.Name, m.Region)
 	}
 	return nil
 }
@@ -248,7 +248,7 @@
 	for m.isSponsor() {
 		m.Adoptions.RemoveEnded()
 		if err := jwclock.Sleep(ctx, m.adoptInterval()); err != nil {
-			return errors.Wrap(err, "leave: nodes without a record depend on this one")
+			return errors.Wrap(err, "leave: nodes without a record in the store depend on this one")
 		}
 	}
 	if err := m.releaseSponsors(ctx); err != nil {
--- a/core/jwcatalogue/table.go
+++ b/core/jwcatalogue/table.go
@@ -55,7 +55,7 @@
 	// ErrGap says that a change came before one that precedes it.
 	ErrGap = errors.New("change out of order")
 	// ErrFork says that two different changes have the same number.
-	ErrFork = errors.New("two changes with one number")
+	ErrFork = errors.New("two changes with the same number")
 )
 
 // DefaultMaxChanges is how many changes a table keeps for peers by default.
@@ -131,7 +131,7 @@
 		return nil
 	}
 	if applied := t.changes[c.N-base]; applied.EditID != c.EditID {
-		return errors.Wrapf(ErrFork, "change %d: edit %q is in force, edit %q came", c.N, applied.EditID, c.EditID)
+		return errors.Wrapf(ErrFork, "change %d: edit %q is applied, edit %q was received", c.N, applied.EditID, c.EditID)
 	}
 	return nil
 }
