--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -10,7 +10,7 @@
 	"jujubewheel/core/jwpeer"
 )
 
-// north returns the two nodes of a region, the gatherer first.
+// northNodes returns the two nodes of the region north, the gatherer first.
 func (s *system) northNodes() (gatherer, other *node) {
 	s.runRound()
 	gatherer, other = s.nodes["n0"], s.nodes["n1"]
@@ -55,9 +55,9 @@
 }
 
 func TestNodeJoinsWhileMembersAreRead(t *testing.T) {
-	// A node registers, reads the head and serves just after the gatherer has
-	// read the members. A change is made then. Were the gatherer to speak for
-	// that change, it would be accepted and not hold at the new node.
+	// A node registers, reads the log and serves just after the gatherer has
+	// read the members. Then a change is made. If the gatherer confirmed that
+	// change, it would be accepted although the new node does not have it.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	n := s.putEdit(t, other)
@@ -89,8 +89,9 @@
 }
 
 func TestChangeWhileNodeJoins(t *testing.T) {
-	// A change is made, gathered and accepted at any one moment of a node's
-	// start. The node must then serve with the change or be waited for.
+	// A change is made, gathered and accepted at each possible point of a node's
+	// start. Then either the node serves with the change, or the change is not
+	// accepted yet.
 	for call := 1; call < 12; call++ {
 		s := newSystem(nil, t)
 		g, other := s.northNodes()
@@ -118,8 +119,8 @@
 }
 
 func TestConfirmationOfPreviousProcessIgnored(t *testing.T) {
-	// A node had confirmed more than it has after its restart: it came up
-	// behind a cut of the service, from a peer that was behind.
+	// Before its restart a node had confirmed a higher revision than it has now:
+	// it started behind a network partition, from a peer that was behind.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	n := s.putEdit(t, g)
@@ -133,9 +134,9 @@
 }
 
 func TestConfirmationIsNotLowered(t *testing.T) {
-	// A member that starts anew is unknown to the gatherer for a moment. What
-	// was in force at all members still is, and an operator who is told
-	// otherwise would look for a fault that is none.
+	// The gatherer does not know a restarted member for a moment. The revision
+	// that all members had applied stays confirmed: otherwise an operator would
+	// look for a fault that does not exist.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	n := s.putEdit(t, g)
@@ -154,9 +155,9 @@
 }
 
 func TestRestartWhileRecordIsDeleted(t *testing.T) {
-	// A node has left by itself and its record is about to be deleted when it
-	// starts anew under the same name. Without its record the node would
-	// serve and no change would wait for it.
+	// A node has left by itself, and it restarts under the same name just before
+	// its record is deleted. Without its record the node would serve and no
+	// change would wait for it.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	leaving := other.self()
@@ -193,10 +194,10 @@
 }
 
 func TestJoinThroughPeer(t *testing.T) {
-	// The service is away and a new node starts: it takes the log from a peer
-	// and serves. When the service is back for the others only, a change must
-	// not be accepted before the new node has it, also if only its sponsor
-	// knows of it.
+	// The store is unavailable when a new node starts: it gets the log from a
+	// peer and serves. When the store is back for the other nodes only, a change
+	// must not be accepted before the new node has it, even if only its sponsor
+	// knows the new node.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	s.store.setDown(true)
@@ -214,12 +215,12 @@
 	s.runRound()
 	assert.DeepEqual(t, s.acceptanceStatus(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n0"}}})
 
-	// The sponsor does not leave either while it is depended on.
+	// The sponsor must not leave while the new node depends on it.
 	ctx, cancel := context.WithCancel(t.Context())
 	cancel()
 	assert.ErrorContains(t, sponsor.membership.Leave(ctx), "depend on this one")
 
-	// When the new node told others of itself, they wait for it too.
+	// When other nodes know the new node, they wait for it too.
 	other.mergePeers([]jwpeer.Peer{n2.self()})
 	g.mergePeers([]jwpeer.Peer{n2.self()})
 	sponsor.adoptions.Release(n2.membership.Member)
@@ -235,9 +236,9 @@
 }
 
 func TestSponsorIsReleasedAfterTheHeadIsRead(t *testing.T) {
-	// A node that joined through a peer registers. Its sponsor must answer
-	// for it until it has read the head: the gatherer may have read the
-	// members before.
+	// A node that joined through a sponsor registers. Its sponsor must confirm
+	// on its behalf until it has read the log: the gatherer may have read the
+	// members before the node registered.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	s.store.setDown(true)
@@ -257,8 +258,8 @@
 }
 
 func TestAdoptionEnds(t *testing.T) {
-	// An adopted node dies before it has its record. Its sponsor must not
-	// keep every later change waiting.
+	// An adopted node ends before it has registered. Its sponsor must not hold
+	// back later changes because of it.
 	tests := map[string]struct {
 		state       jwpeer.State
 		incarnation string
--- a/core/jwcatalogue/bench_test.go
+++ b/core/jwcatalogue/bench_test.go
@@ -7,7 +7,7 @@
 	"jujubewheel/core/jwpeer"
 )
 
-// catalogueOf returns a table with entries as large as operators write them.
+// newTableWith returns a table with entries as large as operators write them.
 func newTableWith(b *testing.B, entries int) *Table {
 	b.Helper()
 	t := new(Table)
--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -10,7 +10,7 @@
 	"jujubewheel/core/jwhost"
 )
 
-// hostLists gives one list after the other.
+// hostLists is a host list that the test replaces.
 type fakeHostList struct {
 	names    []string
 	listTime time.Time
@@ -25,9 +25,9 @@
 }
 
 func TestDepartures(t *testing.T) {
-	// The list is read every 40 s, its lag is a minute. Whoever is counted
-	// out too early goes on serving an old catalogue after a change was
-	// accepted; whoever is never counted out keeps every change waiting.
+	// The list is read every 40 s, its lag is a minute. A node that counts as
+	// gone too early goes on serving an old catalogue after a change was
+	// accepted. A node that never counts as gone holds back every change.
 	tests := map[string]struct {
 		lists []string // names listed, one list after the other
 		ask   string   // incarnation of n1 asked about after each list
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -23,8 +23,9 @@
 }
 
 func TestPutConflict(t *testing.T) {
-	// Two operators look at the same entry and both change it. Without the
-	// check of what they saw, the second edit would undo the first unseen.
+	// Two operators read the same entry and both change it. Without the check of
+	// the revision that they saw, the second edit would overwrite the first one
+	// unnoticed.
 	s := new(fakeStore)
 	a, b := newEditor(s), newEditor(s)
 	first, err := a.Put(t.Context(), newEdit("e1", "status", 0))
@@ -43,8 +44,8 @@
 }
 
 func TestPutLostReply(t *testing.T) {
-	// The service takes the write and its reply is lost. An operator who was
-	// told of a failure would send the edit again and find it there twice.
+	// The store applies the write and its reply is lost. If the operator was told
+	// that the edit failed, sending it again would put it into the log twice.
 	tests := map[string]struct{ lose, drop int }{
 		"took effect":            {lose: 1},
 		"took no effect":         {drop: 1},
@@ -67,8 +68,8 @@
 }
 
 func TestPutUnknownOutcome(t *testing.T) {
-	// Every reply is lost, and so are the reads that would tell. The operator
-	// hears that the outcome is unknown, never that it failed.
+	// All writes are dropped and reported as unknown. The operator must be told
+	// that the outcome is unknown, not that the edit failed.
 	s := &fakeStore{dropWrites: 100}
 	_, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 	assert.ErrorIs(t, err, jwstore.ErrUnknown)
@@ -147,10 +148,10 @@
 }
 
 func TestPutAfterPauseBeyondTrim(t *testing.T) {
-	// An editor is paused between reading the head and writing. Meanwhile the
-	// others write on, and its number is trimmed away, so that the service
-	// lets it create the key anew. Believed, its edit would be reported as
-	// done; a node that was frozen as long would even apply it.
+	// An editor is paused between reading the log and writing. Meanwhile other
+	// editors write on, and the number of its change is trimmed, so that the
+	// store lets it create the key again. Without a check, its edit would be
+	// reported as done, and a node that was frozen as long would even apply it.
 	s := new(fakeStore)
 	paused, other, frozen := newEditor(s), newEditor(s), newEditor(s)
 	other.Keep = 10
@@ -186,8 +187,8 @@
 }
 
 func TestTrimRecordedBeforeDelete(t *testing.T) {
-	// A change that is gone from the service while no mark says so could be
-	// created anew by an editor that was paused, unseen by its check.
+	// If a change was deleted before the state of the log said that it was
+	// trimmed, a paused editor could create it again and its check would miss it.
 	s := new(fakeStore)
 	d := newEditor(s)
 	d.Keep = 10
@@ -216,8 +217,8 @@
 }
 
 func TestCheckpointNotReplacedByOlder(t *testing.T) {
-	// Two nodes tend the log at once and the slower one is behind. An older
-	// checkpoint under a newer mark would keep new nodes from starting.
+	// Two nodes compact the log at once and the slower one is behind. An older
+	// checkpoint with a newer state of the log would keep new nodes from starting.
 	s := new(fakeStore)
 	d := newEditor(s)
 	l := changeLog{store: s, keep: 10}
--- a/core/jwcatalogue/follower_test.go
+++ b/core/jwcatalogue/follower_test.go
@@ -13,7 +13,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// peerTable is a peer whose catalogue is read over a link.
+// peerTable is a peer whose changes arrive after a delay.
 type peerTable struct {
 	*Table
 	delay time.Duration
@@ -30,18 +30,18 @@
 }
 
 func TestFollower(t *testing.T) {
-	// The service goes down while one node waits on it and another takes
-	// changes from it. Both must be at the head soon after it is back, and
-	// neither may fall behind while only the service is gone.
+	// The store goes down while one node waits on it and another gets its changes
+	// from that node. Both must reach the head soon after the store is back, and
+	// neither may fall behind while only the store is unavailable.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &fakeStore{Delay: 10 * time.Millisecond}
 		d := newEditor(s)
 		watcher := &Follower{Store: s, Table: new(Table), Watcher: func() bool { return true }}
-		// Its own slow reads come every 42 s, so that none falls into the moments
-		// after the service is back, which would be counted as from the store.
-		maxJitter := func() float64 { return 0.9 }
-		other := &Follower{Store: s, Table: new(Table), Source: peerTable{watcher.Table, 5 * time.Millisecond}, Rand: maxJitter}
+		// It polls the store every 42 s, so that no poll falls into the moments
+		// after the store is back; the changes would then count as from the store.
+		lateJitter := func() float64 { return 0.9 }
+		other := &Follower{Store: s, Table: new(Table), Source: peerTable{watcher.Table, 5 * time.Millisecond}, Rand: lateJitter}
 		done := make(chan error, 2)
 		go func() { done <- watcher.Run(ctx) }()
 		go func() { done <- other.Run(ctx) }()
@@ -71,8 +71,8 @@
 }
 
 func TestFollowerWithoutPeers(t *testing.T) {
-	// Both watchers of a data centre freeze. The others must still learn of
-	// a change by their own slow reads.
+	// Both watchers of a data centre freeze. The other nodes must still learn of
+	// a change by their own polls of the store.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := new(fakeStore)
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// What the service or a peer gives may be cut short or of another version. It
-// must be refused or mean the same again after it is written anew.
+// Data from the store or from a peer may be cut short or from another version.
+// The parsers must reject it, or it must mean the same after it is encoded again.
 
 func FuzzParseEntry(f *testing.F) {
 	whole, err := json.Marshal(newEntry("status"))
@@ -82,7 +82,7 @@
 	})
 }
 
-// checkpointOverhead is what a checkpoint has beside its entries.
+// checkpointOverhead is the size of a checkpoint in bytes without its entries.
 const checkpointOverhead = 80
 
 func FuzzParseRecords(f *testing.F) {
--- a/core/jwcatalogue/history_test.go
+++ b/core/jwcatalogue/history_test.go
@@ -20,7 +20,7 @@
 
 type historyOutput struct {
 	revision uint64 // of the entry after the edit
-	id       string // the edit that made it
+	id       string // the edit that made the revision
 	done     bool
 	unknown  bool
 }
@@ -30,8 +30,8 @@
 	id       string
 }
 
-// historyModel is a register that is written only by whoever saw its value;
-// others are told what it is.
+// historyModel is a register with compare-and-swap: a write takes effect only if
+// the writer saw the current value. Otherwise it returns the current value.
 var historyModel = porcupine.Model{
 	Init: func() any { return historyState{} },
 	Step: func(state, input, output any) (bool, any) {
@@ -47,9 +47,9 @@
 const historyEdits = 40
 
 func TestEditHistory(t *testing.T) {
-	// Four operators edit one entry by four nodes at once while replies are
-	// lost. Each edit that is told done must have followed what its operator
-	// saw, and each that lost must be told who came first.
+	// Four operators edit one entry through four nodes at once while replies are
+	// lost. Each edit reported as done must have followed the revision that its
+	// operator saw, and each rejected one must report the change that came first.
 	for seed := range uint64(20) {
 		s := new(fakeStore)
 		rnd := rand.New(rand.NewPCG(seed, 1))
@@ -96,8 +96,8 @@
 	}
 }
 
-// resolved looks up in the log what became of the edits of unknown outcome:
-// those that are in it took effect at some time after they were sent.
+// resolveUnknown looks up edits of unknown outcome in the log. Those found
+// there took effect at some time after they were sent.
 func resolveUnknown(t *testing.T, s *fakeStore, events []porcupine.Operation) []porcupine.Operation {
 	t.Helper()
 	table := new(Table)
--- a/core/jwcatalogue/member_test.go
+++ b/core/jwcatalogue/member_test.go
@@ -19,8 +19,8 @@
 }
 
 func TestRejoinAfterRecordDeleted(t *testing.T) {
-	// The host list dropped a node that serves, and its record was deleted.
-	// It must come back by itself, with the changes that were accepted
+	// The host list lacked a node that serves, and its record was deleted. The
+	// node must register again by itself and get the changes that were accepted
 	// meanwhile.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -44,8 +44,9 @@
 }
 
 func TestReplaced(t *testing.T) {
-	// A process was paused, its host replaced and the name started anew. When
-	// it wakes up it must stop, and must not take the new one's record along.
+	// A process was paused, its host replaced and another process started under
+	// its name. When the first one resumes, it must stop and must not delete the
+	// record of the other.
 	synctest.Test(t, func(t *testing.T) {
 		s := new(fakeStore)
 		old, replacement := newMembership(s, "n0", "a"), newMembership(s, "n0", "b")
@@ -58,8 +59,8 @@
 }
 
 func TestJoinWaitsForTheService(t *testing.T) {
-	// A node starts while the service is down and no peer can be reached. To
-	// serve with an empty catalogue would refuse every caller.
+	// A node starts while the store is down and no peer can be reached. If it
+	// served with an empty catalogue, it would reject every caller.
 	synctest.Test(t, func(t *testing.T) {
 		s := new(fakeStore)
 		s.setDown(true)
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -18,7 +18,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// The simulated links, there and back.
+// The round-trip times of the simulated links, and the intervals of the test.
 const (
 	storeRoundTrip   = 160 * time.Millisecond // from another region
 	peerRoundTrip    = 6 * time.Millisecond
@@ -26,7 +26,7 @@
 	exchangeInterval = 500 * time.Millisecond // between two exchanges of peers
 )
 
-// farStore is the service as a node of another region sees it.
+// delayedStore is the store as a node in another region sees it.
 type delayedStore struct {
 	*fakeStore
 	delay time.Duration
@@ -54,8 +54,8 @@
 	return s.fakeStore.Swap(ctx, key, value, version)
 }
 
-// fleet is a system of many nodes whose peers tell each other their revision
-// at a steady pace.
+// fleet is a system of many nodes whose peers exchange their revisions at a
+// fixed interval.
 type fleet struct {
 	store *fakeStore
 	nodes []*fleetNode
@@ -100,7 +100,7 @@
 	return names
 }
 
-// Changes asks a watcher of the own data centre.
+// Changes asks a watcher of the node's own data centre.
 func (n *fleetNode) Changes(_ context.Context, after uint64) ([]Change, *Checkpoint, error) {
 	names := n.fleet.watchersOf(n.peer)
 	i := slices.IndexFunc(n.fleet.nodes, func(p *fleetNode) bool { return p.peer.Name == names[after%uint64(len(names))] })
@@ -137,8 +137,9 @@
 
 type fleetSize struct{ nodes, regions, dataCentres int }
 
-// TestPace prints how long an edit takes to be in force and accepted, and
-// what it costs the service, with simulated links and real controllers.
+// TestPace prints how long an edit takes until it is applied everywhere and
+// until it is accepted, and how many store calls it costs, with simulated links
+// and the real controllers.
 func TestPace(t *testing.T) {
 	sizes := map[string]fleetSize{"3 nodes": {3, 3, 3}, "9 nodes": {9, 3, 6}}
 	if *measureLarge {
--- a/core/jwcatalogue/store_test.go
+++ b/core/jwcatalogue/store_test.go
@@ -10,16 +10,16 @@
 	"jujubewheel/core/jwstore"
 )
 
-// fakeStore is a key-value service in memory whose faults are set by tests.
+// fakeStore is an in-memory key-value store with faults that tests set.
 type fakeStore struct {
-	Delay time.Duration // there and back
+	Delay time.Duration // delay of each call, there and back
 
-	// before is called ahead of each call takes effect, for other things to
-	// happen in between.
+	// beforeCall is called before each call takes effect, so that a test can
+	// run something in between.
 	beforeCall func()
-	// listed is called after a list was taken, before its caller has it.
+	// afterList is called after a list was read, before it is returned.
 	afterList func()
-	// created is told of every key that is created.
+	// onCreate is called for every key that is created.
 	onCreate func(key string, value []byte)
 
 	mu            sync.Mutex
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -17,7 +17,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// system is a whole of nodes in two regions, driven step by step.
+// system is a set of nodes in two regions, driven step by step.
 type system struct {
 	t             *rapid.T // nil where nothing is drawn
 	tb            failer
@@ -30,9 +30,9 @@
 	cutRegions    map[string]bool  // regions cut off from the service and each other
 	starts        int
 	edits         int
-	seenRevisions [2]map[string]uint64 // what each operator last saw
+	seenRevisions [2]map[string]uint64 // the revision of each entry that each operator last saw
 	nestedCalls   int
-	busy          map[string]bool // nodes within a call
+	busy          map[string]bool // nodes with a call in progress
 }
 
 type failer interface {
@@ -52,9 +52,9 @@
 	frozen     bool
 }
 
-// oracle is what must hold: one winner for each number, nodes that replay
-// exactly the log and never go back, and every serving node at or past what
-// was accepted.
+// oracle checks the invariants: each number has one change, nodes replay
+// exactly the log and never go back, and every serving node is at or past the
+// accepted revision.
 type oracle struct {
 	log       []Change // as first created
 	revisions map[string]uint64
@@ -70,7 +70,7 @@
 		t.Fatalf("created %s: %v", key, err)
 	}
 	if c.N <= uint64(len(o.log)) {
-		return // created anew after it was trimmed; nobody may apply it
+		return // created again after it was trimmed; no node may apply it
 	}
 	if c.N != uint64(len(o.log))+1 {
 		t.Fatalf("change %d follows %d", c.N, len(o.log))
@@ -121,7 +121,7 @@
 
 func (s *system) Hosts() ([]jwhost.Host, time.Time) { return s.hostList, s.listTime }
 
-// refreshList takes the list anew: hosts behind a cut are not seen.
+// refreshHostList reads the list again: hosts behind a partition are missing.
 func (s *system) refreshHostList() {
 	s.now = s.now.Add(40 * time.Second)
 	s.listTime, s.hostList = s.now, nil
@@ -134,7 +134,7 @@
 
 func regionOfName(name string) string { return map[byte]string{'n': "north", 's': "south"}[name[0]] }
 
-// link is the way of a node to the service.
+// nodeStore is the store as a node reaches it.
 type nodeStore struct {
 	*fakeStore
 	n *node
@@ -170,7 +170,7 @@
 	return l.fakeStore.Delete(ctx, key, version)
 }
 
-// start brings up a process that is to join.
+// start starts a process and makes it try to join.
 func (s *system) start(name string) {
 	s.starts++
 	n := &node{sys: s, table: &Table{MaxChanges: 4}, peers: make(map[string]jwpeer.Peer)}
@@ -192,7 +192,8 @@
 	s.join(n)
 }
 
-// join tries once to enter by the service and then by a peer, as Join does.
+// join tries once to join through the store and then through a sponsor, as Join
+// does.
 func (s *system) join(n *node) {
 	if n.membership.registerAndCatchUp(context.Background()) != nil && n.membership.joinThroughSponsor(context.Background()) != nil {
 		return
@@ -216,7 +217,8 @@
 	return all
 }
 
-// learn takes in what another told; incarnations of the test sort by age.
+// mergePeers stores what another node reported. In this test a later
+// incarnation of a name sorts after an earlier one.
 func (n *node) mergePeers(peers []jwpeer.Peer) {
 	for _, p := range peers {
 		have := n.peers[p.Name]
@@ -252,8 +254,8 @@
 	return nil
 }
 
-// pick draws evenly from 0 to n-1; rapid's own ranges prefer the low end, and
-// most of the sequences would then be of a system that is down.
+// drawIndex draws evenly from 0 to n-1. The ranges of rapid prefer the low end;
+// with them, the system would be down in most of the sequences.
 func drawIndex(t *rapid.T, label string, n int) int {
 	x := rapid.Uint64().Draw(t, label) * 0x9e3779b97f4a7c15
 	return int((x >> 32) % uint64(n))
@@ -263,7 +265,7 @@
 	return from[drawIndex(t, label, len(from))]
 }
 
-// any draws a running node that is not within a call.
+// drawNode draws a running node that has no call in progress.
 func (s *system) drawNode(label string, accept func(n *node) bool) *node {
 	var names []string
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
@@ -281,9 +283,10 @@
 
 func serving(n *node) bool { return !n.frozen && n.peer.State == jwpeer.Serving }
 
-// needed reports whether an unregistered node that cannot act now relies on this
-// one. What is open then is written in the design page: a node that froze
-// right after it joined behind a cut while its sponsor ended.
+// isNeeded reports whether an unregistered node that can't act now relies on
+// this one. This excludes a case that is left open and described in the design
+// page: a node that froze right after it joined behind a partition while its
+// sponsor ended.
 func (s *system) isNeeded(n *node) bool {
 	for _, other := range s.nodes {
 		stuck := other.frozen || s.busy[other.peer.Name]
@@ -294,8 +297,8 @@
 	return false
 }
 
-// settle lets the nodes that rely on a peer renew that, as they do twice a
-// second: nothing else happens in the system between two such calls.
+// maintainUnregistered lets the nodes that rely on a sponsor renew that, as they
+// do twice a second: nothing else happens in the system between two such calls.
 func (s *system) maintainUnregistered() {
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		if n := s.nodes[name]; n != nil && serving(n) && !s.busy[name] && !n.membership.Registered() {
@@ -362,7 +365,7 @@
 	}
 }
 
-// round is what the healthy part of the system does within a second or two.
+// runRound does what the healthy part of the system does in a second or two.
 func (s *system) runRound() {
 	ctx := context.Background()
 	s.now = s.now.Add(DefaultGatherPeriod)
@@ -377,7 +380,7 @@
 	s.eachIdle(func(n *node) { s.runBusy(n, func() { _ = n.gatherer.Step(ctx, s.now) }) })
 }
 
-// within runs a node's own call, in which others may act.
+// runBusy runs a call of a node during which other nodes may act.
 func (s *system) runBusy(n *node, call func()) {
 	if n == nil {
 		return
@@ -393,8 +396,8 @@
 	}
 }
 
-// actions are the commands of the machine; each is also run in the middle of
-// other nodes' calls.
+// actions returns the commands of the state machine. Each may also run in the
+// middle of other nodes' calls.
 func (s *system) actions() map[string]func() {
 	ctx := context.Background()
 	return map[string]func(){
@@ -411,7 +414,7 @@
 			}
 		},
 		"copyStale": func() {
-			// What a peer gave a while ago arrives late.
+			// A reply that a peer sent a while ago arrives late.
 			from, to := s.drawNode("from", notFrozen), s.drawNode("to", notFrozen)
 			if from != nil && to != nil && len(s.oracle.log) > 0 {
 				old := s.oracle.log[drawIndex(s.t, "old", int(from.table.Revision())+1):from.table.Revision()]
@@ -480,7 +483,7 @@
 	}
 }
 
-// often holds the names of the actions, each as often as its weight.
+// weightedActions holds the names of the actions, each as often as its weight.
 var weightedActions = strings.Fields(strings.Repeat("put accept gather round ", 5) +
 	strings.Repeat("accept gather exchange heal read keep retryJoin start up mend ", 3) +
 	"copy copyStale tidy list list freeze thaw thaw kill kill leave cut down")
@@ -506,10 +509,10 @@
 }
 
 func TestSystem(t *testing.T) {
-	// Operators edit on stale views, replies are lost, the service and whole
-	// regions go away, nodes die, freeze, leave and start anew in the middle
-	// of each other's calls. A user would notice a fault as a change that was
-	// accepted and does not hold at some node.
+	// Operators edit with outdated revisions, replies are lost, the store and
+	// whole regions become unreachable, and nodes end, freeze, leave and restart
+	// in the middle of each other's calls. The test guards against a change that
+	// is accepted although some serving node does not have it.
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSystem(t, t)
 		actions := s.actions()
--- a/core/jwcatalogue/table_test.go
+++ b/core/jwcatalogue/table_test.go
@@ -31,8 +31,8 @@
 }
 
 func TestTableRestoreIgnoresOlder(t *testing.T) {
-	// A peer that was frozen gives its old catalogue. Taken, a change that
-	// was accepted would be undone at this node.
+	// A peer that was frozen sends its old catalogue. If it were applied, a
+	// change that was accepted would be undone at this node.
 	old, table := new(Table), &Table{MaxChanges: 2}
 	for n, id := range []string{"a", "b", "c", "d"} {
 		if n < 2 {
