--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -265,10 +265,10 @@
 		incarnation string
 		open        bool
 	}{
-		"serving":                {jwpeer.Serving, "b", true},
-		"gone":                   {jwpeer.Gone, "b", false},
-		"started anew":           {jwpeer.Joining, "c", false},
-		"news of an earlier one": {jwpeer.Gone, "a", true},
+		"serving":                         {jwpeer.Serving, "b", true},
+		"gone":                            {jwpeer.Gone, "b", false},
+		"restarted":                       {jwpeer.Joining, "c", false},
+		"report about a previous process": {jwpeer.Gone, "a", true},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -34,14 +34,14 @@
 		want  bool     // whether n1 is gone after the last
 	}{
 		"listed":                       {[]string{"n0 n1", "n0 n1", "n0 n1"}, "aaa", false},
-		"dropped for long":             {[]string{"n0 n1", "n0", "n0", "n0"}, "aaaa", true},
-		"dropped for less":             {[]string{"n0 n1", "n0", "n0"}, "aaa", false},
+		"missing longer than the lag":  {[]string{"n0 n1", "n0", "n0", "n0"}, "aaaa", true},
+		"missing shorter than the lag": {[]string{"n0 n1", "n0", "n0"}, "aaa", false},
 		"back in between":              {[]string{"n0", "n0", "n0 n1", "n0", "n0"}, "aaaaa", false},
 		"whole region":                 {[]string{"n0 n1 s0", "s0", "s0", "s0", "s0"}, "aaaaa", false},
 		"region comes back one by one": {[]string{"n0", "s0", "s0", "s0", "n0"}, "aaaaa", false},
 		"region is away for a moment":  {[]string{"n0", "s0", "s0", "n0"}, "aaaa", false},
 		"later still without it":       {[]string{"n0", "s0", "s0", "n0", "n0", "n0"}, "aaaaaa", true},
-		"started anew, list is behind": {[]string{"n0", "n0", "n0", "n0"}, "aaab", false},
+		"restarted, list is behind":    {[]string{"n0", "n0", "n0", "n0"}, "aaab", false},
 		"list is not read":             {[]string{"n0", "", "", ""}, "aaaa", false},
 	}
 	for name, tt := range tests {
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -47,10 +47,10 @@
 	// The store applies the write and its reply is lost. If the operator was told
 	// that the edit failed, sending it again would put it into the log twice.
 	tests := map[string]struct{ lose, drop int }{
-		"took effect":            {lose: 1},
-		"took no effect":         {drop: 1},
-		"both":                   {lose: 1, drop: 1},
-		"first lost, then again": {lose: 2},
+		"took effect":      {lose: 1},
+		"took no effect":   {drop: 1},
+		"both":             {lose: 1, drop: 1},
+		"two replies lost": {lose: 2},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -91,12 +91,12 @@
 		edit Edit
 		want string
 	}{
-		"edit id of another":  {newEdit("e1", "menu", 0), "belongs to change 1"},
-		"no edit id":          {newEdit("", "menu", 0), "edit id is empty"},
-		"other name":          {Edit{EditID: "e3", Author: "a", Entry: "x", After: big.After}, "not that of the entry"},
-		"invalid":             {big, "longer than"},
-		"removal of none":     {Edit{EditID: "e4", Author: "a", Entry: "x"}, "no such entry"},
-		"new one that exists": {newEdit("e5", "status", 0), "changed by amal"},
+		"edit id of another edit":    {newEdit("e1", "menu", 0), "belongs to change 1"},
+		"no edit id":                 {newEdit("", "menu", 0), "edit id is empty"},
+		"other name":                 {Edit{EditID: "e3", Author: "a", Entry: "x", After: big.After}, "not that of the entry"},
+		"invalid":                    {big, "longer than"},
+		"removal of a missing entry": {Edit{EditID: "e4", Author: "a", Entry: "x"}, "no such entry"},
+		"new entry that exists":      {newEdit("e5", "status", 0), "changed by amal"},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -201,11 +201,11 @@
 		}
 		for n := m.Trimmed + 1; n <= d.Table.Revision(); n++ {
 			_, ok := s.items[ChangeKey(n)]
-			assert.Assert(t, ok, "change %d is gone, the mark says %d", n, m.Trimmed)
+			assert.Assert(t, ok, "change %d does not exist, the state of the log says trimmed up to %d", n, m.Trimmed)
 		}
 		for n := uint64(1); n <= m.Deleted; n++ {
 			_, ok := s.items[ChangeKey(n)]
-			assert.Assert(t, !ok, "change %d is left, the mark says %d", n, m.Deleted)
+			assert.Assert(t, !ok, "change %d still exists, the state of the log says deleted up to %d", n, m.Deleted)
 			deleted++
 		}
 	}
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -76,7 +76,7 @@
 		assert.Equal(t, table.Revision(), c.Revision)
 		again, err := table.Current().checkpoint().Encode()
 		assert.NilError(t, err)
-		assert.Assert(t, len(again) <= table.Current().size+checkpointOverhead, "%d bytes, thought %d", len(again), table.Current().size)
+		assert.Assert(t, len(again) <= table.Current().size+checkpointOverhead, "%d bytes, expected at most %d and the overhead", len(again), table.Current().size)
 		_, err = ParseCheckpoint(again)
 		assert.NilError(t, err)
 	})
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -181,7 +181,7 @@
 	idleReads, idleWrites := f.store.calls()
 	waits := f.store.waiting()
 	idle := idlePeriod.Seconds()
-	t.Logf("idle: %.2f reads and %.2f writes a second, %d waits stand", float64(idleReads-startReads)/idle, float64(idleWrites-startWrites)/idle, waits)
+	t.Logf("idle: %.2f reads and %.2f writes a second, %d waiting reads open", float64(idleReads-startReads)/idle, float64(idleWrites-startWrites)/idle, waits)
 
 	const edits = 20
 	editorNode := f.nodes[1]
@@ -213,13 +213,13 @@
 		assert.Assert(t, status.Accepted)
 		accepted = append(accepted, time.Since(begin))
 		inForce = append(inForce, <-done)
-		assert.Assert(t, inForce[i] <= accepted[i], "accepted before it was in force everywhere")
+		assert.Assert(t, inForce[i] <= accepted[i], "accepted before it was applied everywhere")
 		elapsed := time.Since(begin).Seconds()
 		readsAfter, writesAfter := f.store.calls()
 		callsRead += float64(readsAfter-reads) - elapsed*float64(idleReads-startReads)/idle
 		callsWritten += float64(writesAfter - writes)
 	}
-	t.Logf("an edit: %.0f reads and %.1f writes beside the idle ones", callsRead/edits, callsWritten/edits)
+	t.Logf("an edit: %.0f reads and %.1f writes more than when idle", callsRead/edits, callsWritten/edits)
 	for _, part := range []struct {
 		name      string
 		durations []time.Duration
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -85,7 +85,7 @@
 	}
 	o.revisions[id] = current.Revision
 	if n.peer.State == jwpeer.Serving && current.Revision < o.accepted {
-		t.Fatalf("%s serves revision %d, %d was accepted", id, current.Revision, o.accepted)
+		t.Fatalf("%s serves revision %d, but %d was accepted", id, current.Revision, o.accepted)
 	}
 	want := make(map[string]string)
 	for _, c := range o.log[:current.Revision] {
@@ -330,7 +330,7 @@
 	switch {
 	case err == nil:
 		if c := s.oracle.log[res.Revision-1]; c.EditID != e.EditID {
-			s.tb.Fatalf("edit %s is told change %d, which is of %s", e.EditID, res.Revision, c.EditID)
+			s.tb.Fatalf("edit %s was reported as change %d, which is of edit %s", e.EditID, res.Revision, c.EditID)
 		}
 		s.seenRevisions[operator][name] = 0
 		if e.After != nil {
@@ -344,7 +344,7 @@
 	}
 	for _, c := range s.oracle.log {
 		if c.EditID == e.EditID {
-			s.tb.Fatalf("edit %s failed with %v and is change %d", e.EditID, err, c.N)
+			s.tb.Fatalf("edit %s failed with %v, but is change %d in the log", e.EditID, err, c.N)
 		}
 	}
 }
@@ -358,7 +358,7 @@
 	before := s.oracle.accepted
 	status, err := n.acceptance.Check(context.Background(), revision)
 	if err == nil && !status.Accepted && revision <= before {
-		s.tb.Fatalf("%d was accepted and is no more: %v", revision, status.Missing)
+		s.tb.Fatalf("revision %d was accepted and now is not, missing: %v", revision, status.Missing)
 	}
 	if status.Accepted {
 		s.oracle.accepted = max(s.oracle.accepted, revision)
