--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -235,7 +235,7 @@
 	assert.Assert(t, s.acceptanceStatus(t, g, n).Accepted)
 }
 
-func TestSponsorIsReleasedAfterTheHeadIsRead(t *testing.T) {
+func TestSponsorReleasedAfterLogIsRead(t *testing.T) {
 	// A node that joined through a sponsor registers. Its sponsor must confirm
 	// on its behalf until it has read the log: the gatherer may have read the
 	// members before the node registered.
@@ -261,9 +261,9 @@
 	// An adopted node ends before it has registered. Its sponsor must not hold
 	// back later changes because of it.
 	tests := map[string]struct {
-		state       jwpeer.State
-		incarnation string
-		open        bool
+		state        jwpeer.State
+		incarnation  string
+		stillAdopted bool
 	}{
 		"serving":                         {jwpeer.Serving, "b", true},
 		"gone":                            {jwpeer.Gone, "b", false},
@@ -278,7 +278,7 @@
 			assert.NilError(t, err)
 			(*p)[0].State, (*p)[0].Incarnation = tt.state, tt.incarnation
 			a.RemoveEnded()
-			assert.Equal(t, a.HasAdopted(), tt.open)
+			assert.Equal(t, a.HasAdopted(), tt.stillAdopted)
 		})
 	}
 }
--- a/core/jwcatalogue/history_test.go
+++ b/core/jwcatalogue/history_test.go
@@ -36,11 +36,11 @@
 	Init: func() any { return historyState{} },
 	Step: func(state, input, output any) (bool, any) {
 		s, in, out := state.(historyState), input.(historyInput), output.(historyOutput)
-		told := historyState{out.revision, out.id}
+		reported := historyState{out.revision, out.id}
 		if s.revision != in.ifRevision {
-			return !out.done && s == told, s
+			return !out.done && s == reported, s
 		}
-		return out.done && out.id == in.id && out.revision > s.revision, told
+		return out.done && out.id == in.id && out.revision > s.revision, reported
 	},
 }
 
--- a/core/jwcatalogue/member_test.go
+++ b/core/jwcatalogue/member_test.go
@@ -58,7 +58,7 @@
 	})
 }
 
-func TestJoinWaitsForTheService(t *testing.T) {
+func TestJoinWaitsForStore(t *testing.T) {
 	// A node starts while the store is down and no peer can be reached. If it
 	// served with an empty catalogue, it would reject every caller.
 	synctest.Test(t, func(t *testing.T) {
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -193,10 +193,10 @@
 	for i := range edits {
 		time.Sleep(5*time.Second + time.Duration(rnd.IntN(2000))*time.Millisecond)
 		reads, writes := f.store.calls()
-		begin := time.Now()
+		startedAt := time.Now()
 		res, err := editor.Put(ctx, newEdit(fmt.Sprintf("e%d", i), "status", editorNode.table.Current().Revisions["status"]))
 		assert.NilError(t, err)
-		written = append(written, time.Since(begin))
+		written = append(written, time.Since(startedAt))
 		done := make(chan time.Duration)
 		go func() {
 			for _, n := range f.nodes {
@@ -206,15 +206,15 @@
 					changed = n.table.Changed()
 				}
 			}
-			done <- time.Since(begin)
+			done <- time.Since(startedAt)
 		}()
 		status, err := (&Acceptance{Store: store}).Wait(ctx, res.Revision)
 		assert.NilError(t, err)
 		assert.Assert(t, status.Accepted)
-		accepted = append(accepted, time.Since(begin))
+		accepted = append(accepted, time.Since(startedAt))
 		inForce = append(inForce, <-done)
 		assert.Assert(t, inForce[i] <= accepted[i], "accepted before it was applied everywhere")
-		elapsed := time.Since(begin).Seconds()
+		elapsed := time.Since(startedAt).Seconds()
 		readsAfter, writesAfter := f.store.calls()
 		callsRead += float64(readsAfter-reads) - elapsed*float64(idleReads-startReads)/idle
 		callsWritten += float64(writesAfter - writes)
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -221,8 +221,8 @@
 // incarnation of a name sorts after an earlier one.
 func (n *node) mergePeers(peers []jwpeer.Peer) {
 	for _, p := range peers {
-		have := n.peers[p.Name]
-		newer := p.Incarnation > have.Incarnation || p.Incarnation == have.Incarnation && p.Sequence > have.Sequence
+		known := n.peers[p.Name]
+		newer := p.Incarnation > known.Incarnation || p.Incarnation == known.Incarnation && p.Sequence > known.Sequence
 		if p.Name != n.peer.Name && newer {
 			n.peers[p.Name] = p
 		}
