--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -10,7 +10,7 @@
 	"jujubewheel/core/jwhost"
 )
 
-// hostLists is a host list that the test replaces.
+// fakeHostList is a host list that the test replaces.
 type fakeHostList struct {
 	names    []string
 	listTime time.Time
--- a/core/jwcatalogue/entry.go
+++ b/core/jwcatalogue/entry.go
@@ -23,7 +23,7 @@
 	Bound       bool          // its data must not leave the home region
 	Deadline    time.Duration // maximum time to the whole answer
 	FirstToken  time.Duration // maximum wait for the first byte of a stream, 0 for none
-	Progress    time.Duration // maximum time without progress before a running call is abandoned
+	Progress    time.Duration // maximum silence of a running call before it is given up, 0 for none
 	Limits      Limits
 	Weights     Weights
 	Regions     []string      // regions it may be sent to; empty means home only, "*" any
@@ -33,16 +33,16 @@
 
 // Limits restrict the requests for an entry in one region.
 type Limits struct {
-	Rate       float64 `json:"rate"`       // requests a second, 0 for none
+	Rate       float64 `json:"rate"`       // requests a second, 0 for no limit
 	Burst      int     `json:"burst"`      // requests at once above the rate
 	Concurrent int     `json:"concurrent"` // requests running, 0 for no limit
 }
 
-// Weights are the relative weights of cost, waiting and requests sent away.
-// They say what a unit of cost, a second of waiting and a share sent away are
-// worth against each other; all are non-negative.
+// Weights say what a unit of cost, a second of waiting and a share of requests
+// sent away are worth against each other when a place for a request is chosen.
+// All are non-negative.
 type Weights struct {
-	Cost     float64 `json:"cost"`
-	Tail     float64 `json:"tail"`
-	SentAway float64 `json:"sentAway"`
+	Cost     float64 `json:"cost"`     // of a unit of cost
+	Tail     float64 `json:"tail"`     // of a second of waiting
+	SentAway float64 `json:"sentAway"` // of sending a request to another region
 }
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -39,9 +39,9 @@
 type Follower struct {
 	Store   jwstore.Store
 	Table   *Table
-	Watcher func() bool // whether this node waits on the store, nil for never
-	Source  Source      // nil for none
-	Rand    func() float64
+	Watcher func() bool     // whether this node waits on the store, nil for never
+	Source  Source          // nil for none
+	Rand    func() float64  // in [0, 1), for jitter; nil for rand.Float64
 	OnError func(err error) // called with each failure, for logging; may be nil
 
 	MaxWait, PeerInterval, StoreInterval, RetryDelay time.Duration // 0 for the defaults
--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -21,9 +21,9 @@
 // registers later reads a log that includes the revision.
 type RegionConfirmation struct {
 	Region   string   `json:"region"`
-	Revision uint64   `json:"revision"` // applied at every member
-	Seen     uint64   `json:"seen"`     // revision that the gatherer had when it read the members
-	Lagging  []string `json:"laggards,omitempty"`
+	Revision uint64   `json:"revision"`           // applied at every member
+	Seen     uint64   `json:"seen"`               // revision that the gatherer had when it read the members
+	Lagging  []string `json:"laggards,omitempty"` // names of the members that have not applied Seen, sorted
 }
 
 // ParseRegionConfirmation reads a confirmation record.
@@ -37,7 +37,7 @@
 const (
 	DefaultGatherPeriod    = 500 * time.Millisecond // minimum between two writes for a region
 	DefaultMembersInterval = 30 * time.Second       // between reads of the members
-	laggingInterval        = time.Second            // between reads of the members while some are lagging, and between writes that only update their names
+	laggingInterval        = time.Second            // while members lag: between reads, and between writes of their names
 	stepsPerPeriod         = 5                      // checks of the peers between two writes
 )
 
@@ -59,7 +59,7 @@
 	readAt        time.Time // when the members were read
 	written       RegionConfirmation
 	writtenAt     time.Time
-	version       uint64 // of the record in the store
+	version       uint64 // version of the record in the store
 	writtenLoaded bool   // whether written and version were read from the store
 }
 
@@ -178,8 +178,7 @@
 		delete(peersByName, m.Name)
 		revision := p.Revision
 		if !ok || p.Incarnation != m.Incarnation {
-			// The revision of another process of that name doesn't count
-			// for this one.
+			// A revision of another process of that name doesn't count.
 			revision = 0
 		}
 		c.addMember(m.Name, revision)
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -102,8 +102,8 @@
 // read with every change and a checkpoint may be large.
 type logState struct {
 	Checkpoint uint64 `json:"checkpoint"` // the checkpoint is of this revision or a later one
-	Trimmed    uint64 `json:"trimmed"`    // changes up to here may be gone
-	Deleted    uint64 `json:"swept"`      // changes up to here are gone
+	Trimmed    uint64 `json:"trimmed"`    // changes up to here may be deleted
+	Deleted    uint64 `json:"swept"`      // changes up to here are deleted
 }
 
 func (l changeLog) readState(ctx context.Context) (logState, uint64, error) {
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -27,7 +27,7 @@
 	hostList      []jwhost.Host
 	listTime      time.Time
 	nodes         map[string]*node // running processes by name
-	cutRegions    map[string]bool  // regions cut off from the service and each other
+	cutRegions    map[string]bool  // regions cut off from the store and each other
 	starts        int
 	edits         int
 	seenRevisions [2]map[string]uint64 // the revision of each entry that each operator last saw
--- a/core/jwcatalogue/table.go
+++ b/core/jwcatalogue/table.go
@@ -52,7 +52,7 @@
 
 // The errors of a Table. Compare them with errors.Is.
 var (
-	// ErrGap says that a change came before one that precedes it.
+	// ErrGap says that a change came before the one that it follows.
 	ErrGap = errors.New("change out of order")
 	// ErrFork says that two different changes have the same number.
 	ErrFork = errors.New("two changes with the same number")
