--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -23,7 +23,7 @@
 	Region   string   `json:"region"`
 	Revision uint64   `json:"revision"`           // applied at every member
 	Seen     uint64   `json:"seen"`               // revision that the gatherer had when it read the members
-	Lagging  []string `json:"laggards,omitempty"` // names of the members that have not applied Seen, sorted
+	Lagging  []string `json:"laggards,omitempty"` // names of the members whose revision is below Seen, sorted
 }
 
 // ParseRegionConfirmation reads a confirmation record.
