--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -15,10 +15,10 @@
 	"jujubewheel/core/jwstore"
 )
 
-// AcceptedKey holds the highest revision that was found in force everywhere.
+// AcceptedKey is the key of the highest accepted revision.
 const AcceptedKey = "catalogue/accepted"
 
-// Status reports whether a revision is in force at every node that may serve.
+// Status reports whether a revision is applied at every node that may serve.
 type Status struct {
 	Revision uint64
 	Accepted bool
@@ -31,93 +31,96 @@
 	Names  []string `json:"names"`
 }
 
-// DefaultPollEvery is the pace at which Wait looks at the confirmations.
-const DefaultPollEvery = 250 * time.Millisecond
+// DefaultPollInterval is the default pause between two checks of Wait.
+const DefaultPollInterval = 250 * time.Millisecond
 
-// membersAgain is the pace at which Wait reads the members again.
-const membersAgain = 2 * time.Second
+// membersReadInterval is how often Wait reads the members again.
+const membersReadInterval = 2 * time.Second
 
-// Acceptance finds out which revisions are accepted. Once it has said so of a
-// revision, it never says otherwise, at no node.
+// Acceptance determines which revisions are accepted. A revision that was
+// reported as accepted is never reported otherwise, by any node.
 type Acceptance struct {
-	Store     jwstore.Store
-	PollEvery time.Duration // 0 for DefaultPollEvery
+	Store        jwstore.Store
+	PollInterval time.Duration // pause between two checks of Wait, 0 for DefaultPollInterval
 
-	known atomic.Uint64
+	highestAccepted atomic.Uint64
 }
 
-// Check looks at the confirmations of a revision that is in the log.
+// Check reports whether a revision that is in the log is accepted.
 func (a *Acceptance) Check(ctx context.Context, n uint64) (Status, error) {
-	return a.check(ctx, &question{n: n})
+	return a.check(ctx, &query{revision: n})
 }
 
-// question is a revision that is asked about again and again.
-type question struct {
-	n       uint64
-	members map[string][]string // by region, read after the change was made
-	readAt  time.Time
-	version uint64 // of the accepted revision in the service
+// query keeps what is known about a revision between repeated checks.
+type query struct {
+	revision        uint64
+	members         map[string][]string // by region, read after the change was made
+	membersReadAt   time.Time
+	acceptedVersion uint64 // version of the accepted revision in the store
 }
 
-func (a *Acceptance) check(ctx context.Context, q *question) (Status, error) {
-	s := Status{Revision: q.n}
-	// The members of any moment after the change will do: whoever registers
-	// later reads a head that has it. They are read again for those that left.
-	if q.members == nil || time.Since(q.readAt) > membersAgain {
-		accepted, version, err := a.accepted(ctx, q.n)
-		if err != nil || accepted >= q.n {
+func (a *Acceptance) check(ctx context.Context, q *query) (Status, error) {
+	s := Status{Revision: q.revision}
+	// Members read at any moment after the change will do: a node that
+	// registers later reads a log that includes the change. They are read
+	// again so that nodes that have left are no longer waited for.
+	if q.members == nil || time.Since(q.membersReadAt) > membersReadInterval {
+		accepted, version, err := a.readAccepted(ctx, q.revision)
+		if err != nil || accepted >= q.revision {
 			s.Accepted = err == nil
 			return s, err
 		}
-		members, err := a.members(ctx)
+		members, err := a.readMembers(ctx)
 		if err != nil {
 			return s, err
 		}
-		q.members, q.readAt, q.version = members, time.Now(), version
+		q.members, q.membersReadAt, q.acceptedVersion = members, time.Now(), version
 	}
-	confirmed, err := a.confirmations(ctx)
+	confirmed, err := a.readConfirmations(ctx)
 	if err != nil {
 		return s, err
 	}
-	s = judge(q.n, q.members, confirmed)
+	s = evaluateAcceptance(q.revision, q.members, confirmed)
 	if !s.Accepted {
 		return s, nil
 	}
-	// The word is given only after it is kept: a node that registers later,
-	// in a region without a confirmation, would make it untrue otherwise.
-	if err := a.keep(ctx, q.n, q.version); err != nil {
-		return Status{Revision: q.n}, err
+	// Acceptance is reported only after it is stored. Otherwise a node that
+	// registers later, in a region without a confirmation, would make the
+	// next check report the revision as not accepted.
+	if err := a.writeAccepted(ctx, q.revision, q.acceptedVersion); err != nil {
+		return Status{Revision: q.revision}, err
 	}
 	return s, nil
 }
 
-// Wait returns when a revision is accepted or the context ends, with the
-// names that were then missing. The error is that of the last look at the
-// service, if it failed for another reason than the end of the context.
+// Wait returns when a revision is accepted or the context ends. The status
+// names the members that were missing at the last successful check. The error
+// is that of the last check, unless that check failed because the context ended.
 func (a *Acceptance) Wait(ctx context.Context, n uint64) (Status, error) {
 	last := Status{Revision: n}
-	failed := errors.Errorf("acceptance of %d: the context ended before the first look", n)
-	q := &question{n: n}
+	lastErr := errors.Errorf("acceptance of %d: the context ended before the first check", n)
+	q := &query{revision: n}
 	for {
 		s, err := a.check(ctx, q)
 		switch {
 		case err == nil:
-			last, failed = s, nil
+			last, lastErr = s, nil
 		case ctx.Err() == nil:
-			failed = err
+			lastErr = err
 		}
 		if last.Accepted {
 			return last, nil
 		}
-		if jwclock.Sleep(ctx, or(a.PollEvery, DefaultPollEvery)) != nil {
-			return last, failed
+		if jwclock.Sleep(ctx, orDefault(a.PollInterval, DefaultPollInterval)) != nil {
+			return last, lastErr
 		}
 	}
 }
 
-// Forget removes the record of a node on an operator's word that it will not
-// serve again: the only way out when the last node of a region has gone, since
-// a whole region that is silent may well be serving behind a cut.
+// Forget removes the record of a node after an operator has asserted that it
+// will not serve again. When the last node of a region has gone, this is the
+// only way to get later changes accepted: a region that is silent as a whole
+// may still be serving behind a network partition.
 func (a *Acceptance) Forget(ctx context.Context, region, name string) error {
 	item, ok, err := a.Store.Get(ctx, MemberKey(region, name))
 	if err != nil || !ok {
@@ -127,16 +130,16 @@
 	return errors.Wrapf(err, "forget %s: store", name)
 }
 
-// judge decides whether a revision is in force in every region that has
-// members; without any member there is nobody to say so.
-func judge(n uint64, members map[string][]string, confirmed map[string]RegionConfirmed) Status {
+// evaluateAcceptance reports a revision as accepted if every region that has
+// members has confirmed it. Without any member, no revision is accepted.
+func evaluateAcceptance(n uint64, members map[string][]string, confirmed map[string]RegionConfirmation) Status {
 	s := Status{Revision: n}
 	for _, region := range slices.Sorted(maps.Keys(members)) {
 		c := confirmed[region]
 		switch {
 		case c.Revision >= n:
-		case c.Seen >= n && len(c.Laggards) > 0:
-			s.Missing = append(s.Missing, Missing{Region: region, Names: c.Laggards})
+		case c.Seen >= n && len(c.Lagging) > 0:
+			s.Missing = append(s.Missing, Missing{Region: region, Names: c.Lagging})
 		default:
 			s.Missing = append(s.Missing, Missing{Region: region, Names: members[region]})
 		}
@@ -145,27 +148,27 @@
 	return s
 }
 
-func (a *Acceptance) members(ctx context.Context) (map[string][]string, error) {
+func (a *Acceptance) readMembers(ctx context.Context) (map[string][]string, error) {
 	items, err := a.Store.List(ctx, MembersPrefix)
 	if err != nil {
 		return nil, errors.Wrap(err, "list members: store")
 	}
 	members := make(map[string][]string)
 	for _, item := range items {
-		region, name := regionOf(item.Key)
+		region, name := splitMemberKey(item.Key)
 		members[region] = append(members[region], name)
 	}
 	return members, nil
 }
 
-func (a *Acceptance) confirmations(ctx context.Context) (map[string]RegionConfirmed, error) {
+func (a *Acceptance) readConfirmations(ctx context.Context) (map[string]RegionConfirmation, error) {
 	items, err := a.Store.List(ctx, ConfirmedPrefix)
 	if err != nil {
 		return nil, errors.Wrap(err, "list confirmations: store")
 	}
-	confirmed := make(map[string]RegionConfirmed, len(items))
+	confirmed := make(map[string]RegionConfirmation, len(items))
 	for _, item := range items {
-		c, err := ParseRegionConfirmed(item.Value)
+		c, err := ParseRegionConfirmation(item.Value)
 		if err != nil {
 			return nil, errors.Wrapf(err, "read %s: store", item.Key)
 		}
@@ -174,15 +177,15 @@
 	return confirmed, nil
 }
 
-type acceptedJSON struct {
+type acceptedRecord struct {
 	Revision uint64 `json:"revision"`
 }
 
-// accepted returns the highest revision known to be accepted; it asks the
-// service only when n is above what this node knows.
-func (a *Acceptance) accepted(ctx context.Context, n uint64) (revision, version uint64, err error) {
-	if known := a.known.Load(); known >= n {
-		return known, 0, nil
+// readAccepted returns the highest accepted revision. It reads the store only
+// when n is above the highest revision that this node knows to be accepted.
+func (a *Acceptance) readAccepted(ctx context.Context, n uint64) (revision, version uint64, err error) {
+	if highest := a.highestAccepted.Load(); highest >= n {
+		return highest, 0, nil
 	}
 	item, ok, err := a.Store.Get(ctx, AcceptedKey)
 	if err != nil {
@@ -191,26 +194,26 @@
 	if !ok {
 		return 0, 0, nil
 	}
-	var j acceptedJSON
-	if err := decodeRecord(item.Value, &j); err != nil {
+	var record acceptedRecord
+	if err := decodeRecord(item.Value, &record); err != nil {
 		return 0, 0, errors.Wrap(err, "read accepted: store")
 	}
-	a.learn(j.Revision)
-	return j.Revision, item.Version, nil
+	a.raiseHighestAccepted(record.Revision)
+	return record.Revision, item.Version, nil
 }
 
-func (a *Acceptance) learn(n uint64) {
+func (a *Acceptance) raiseHighestAccepted(n uint64) {
 	for {
-		known := a.known.Load()
-		if known >= n || a.known.CompareAndSwap(known, n) {
+		current := a.highestAccepted.Load()
+		if current >= n || a.highestAccepted.CompareAndSwap(current, n) {
 			return
 		}
 	}
 }
 
-// keep writes the accepted revision and never lowers it.
-func (a *Acceptance) keep(ctx context.Context, n, version uint64) error {
-	data, err := json.Marshal(acceptedJSON{Revision: n})
+// writeAccepted stores the accepted revision and never lowers it.
+func (a *Acceptance) writeAccepted(ctx context.Context, n, version uint64) error {
+	data, err := json.Marshal(acceptedRecord{Revision: n})
 	if err != nil {
 		return err
 	}
@@ -220,13 +223,13 @@
 			return errors.Wrap(err, "write accepted: store")
 		}
 		if swapped {
-			a.learn(n)
+			a.raiseHighestAccepted(n)
 			return nil
 		}
-		revision, next, err := a.accepted(ctx, n)
+		revision, currentVersion, err := a.readAccepted(ctx, n)
 		if err != nil || revision >= n {
 			return err
 		}
-		version = next
+		version = currentVersion
 	}
 }
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -14,51 +14,54 @@
 	"jujubewheel/core/jwstore"
 )
 
-// The paces of a follower. At 970 nodes the slow reads make 65 reads a second
-// on the service, the waits of two nodes a data centre 54 calls that stand.
+// The default intervals of a follower. At 970 nodes the polls make 65 reads a
+// second on the store, and the watchers, two in each data centre, keep 54
+// waiting reads open.
 const (
-	DefaultWaitMost   = time.Minute            // one waiting read of the service
-	DefaultPeerEvery  = 500 * time.Millisecond // between comparisons with peers
-	DefaultStoreEvery = 30 * time.Second       // between slow reads of the service
-	DefaultRetry      = time.Second            // after a failure of the service
+	DefaultMaxWait       = time.Minute            // one waiting read of the store
+	DefaultPeerInterval  = 500 * time.Millisecond // between polls of the peers
+	DefaultStoreInterval = 30 * time.Second       // between polls of the store
+	DefaultRetryDelay    = time.Second            // after a failure of the store
 )
 
-// Source gives changes that some peer has.
+// Source returns changes from peers.
 type Source interface {
-	// Changes returns what a peer has after a revision, oldest first, or the
-	// whole catalogue; nothing when no peer is known to have more.
+	// Changes returns the changes that a peer has after a revision, oldest
+	// first, or the whole catalogue. It returns nothing when no peer is known
+	// to have a newer revision.
 	Changes(ctx context.Context, after uint64) ([]Change, *Checkpoint, error)
 }
 
 // Follower keeps the table of a node at the head of the log. A watcher waits
-// on the service, every node asks its peers, and all read the service now and
-// then, so that no other node's failure leaves one behind for good.
+// on the store for the next change, every node polls its peers, and every node
+// also polls the store at a long interval, so that the failure of another node
+// never leaves one behind for good.
 type Follower struct {
 	Store   jwstore.Store
 	Table   *Table
-	Watcher func() bool // whether this node waits on the service, nil for never
-	Source  Source      // nil for none
-	Rand    func() float64
-	Failed  func(err error) // told of each failure, for the log; nil for nobody
+	Watcher func() bool     // whether this node waits on the store, nil for never
+	Source  Source          // nil for none
+	Rand    func() float64  // in [0, 1), for jitter; nil for rand.Float64
+	OnError func(err error) // called with each failure, for logging; may be nil
 
-	WaitMost, PeerEvery, StoreEvery, Retry time.Duration // 0 for the defaults
+	MaxWait, PeerInterval, StoreInterval, RetryDelay time.Duration // 0 for the defaults
 
-	once   sync.Once
-	wake   chan struct{}
-	counts followerCounts
+	wakeOnce sync.Once
+	wake     chan struct{}
+	counts   followerCounts
 }
 
 type followerCounts struct {
 	storeErrors, peerErrors, fromStore, fromPeers atomic.Uint64
 }
 
-// FollowerCounts tells what a follower met since its start.
+// FollowerCounts holds the counters of a follower since its start.
 type FollowerCounts struct {
-	StoreErrors, PeerErrors uint64 // failed reads, refused changes included
-	FromStore, FromPeers    uint64 // rises of the revision by what brought them
+	StoreErrors, PeerErrors uint64 // failed reads, including changes that the table rejected
+	FromStore, FromPeers    uint64 // increases of the revision, by where the changes came from
 }
 
-// Counts returns the counters for the meter.
+// Counts returns the counters for the metrics.
 func (f *Follower) Counts() FollowerCounts {
 	return FollowerCounts{
 		StoreErrors: f.counts.storeErrors.Load(), PeerErrors: f.counts.peerErrors.Load(),
@@ -76,21 +79,21 @@
 	return g.Wait()
 }
 
-// Wake has the peers asked at once, because one was heard to have a newer
-// revision. It never waits.
+// Wake makes the follower poll its peers at once, for when a peer has reported
+// a newer revision. It never blocks.
 func (f *Follower) Wake() {
 	select {
-	case f.waker() <- struct{}{}:
+	case f.wakeChannel() <- struct{}{}:
 	default:
 	}
 }
 
-// CatchUp reads the service until the table has every change that was in the
-// log when the call began.
+// CatchUp reads the store until the table has every change that was in the log
+// when the call began.
 func (f *Follower) CatchUp(ctx context.Context) error {
 	before := f.Table.Revision()
 	err := changeLog{store: f.Store}.catchUp(ctx, f.Table)
-	f.count(&f.counts.storeErrors, err)
+	f.countError(&f.counts.storeErrors, err)
 	if f.Table.Revision() > before {
 		f.counts.fromStore.Add(1)
 	}
@@ -99,71 +102,71 @@
 
 func (f *Follower) followStore(ctx context.Context) error {
 	for ctx.Err() == nil {
-		err := f.await(ctx)
+		err := f.waitForRead(ctx)
 		if err == nil && ctx.Err() == nil {
 			err = f.CatchUp(ctx)
 		}
 		if err != nil {
-			_ = jwclock.Sleep(ctx, f.jitter(or(f.Retry, DefaultRetry)))
+			_ = jwclock.Sleep(ctx, f.jitter(orDefault(f.RetryDelay, DefaultRetryDelay)))
 		}
 	}
 	return ctx.Err()
 }
 
-// await returns when it is time to read the log.
-func (f *Follower) await(ctx context.Context) error {
-	if !f.watching() {
-		return f.awaitTurn(ctx)
+// waitForRead returns when it is time to read the log.
+func (f *Follower) waitForRead(ctx context.Context) error {
+	if !f.isWatcher() {
+		return f.waitForPoll(ctx)
 	}
-	next := ChangeKey(f.Table.Revision() + 1)
-	_, _, err := f.Store.Wait(ctx, next, 0, or(f.WaitMost, DefaultWaitMost))
-	f.count(&f.counts.storeErrors, err)
+	nextKey := ChangeKey(f.Table.Revision() + 1)
+	_, _, err := f.Store.Wait(ctx, nextKey, 0, orDefault(f.MaxWait, DefaultMaxWait))
+	f.countError(&f.counts.storeErrors, err)
 	return err
 }
 
-// awaitTurn waits for the next slow read, or until this node is to watch: the
-// watchers of a data centre may all stop at once.
-func (f *Follower) awaitTurn(ctx context.Context) error {
-	rest := f.jitter(or(f.StoreEvery, DefaultStoreEvery))
-	for rest > 0 && !f.watching() {
-		step := min(rest, or(f.Retry, DefaultRetry))
+// waitForPoll waits for the next poll of the store, or until this node becomes
+// a watcher: all watchers of a data centre may stop at once.
+func (f *Follower) waitForPoll(ctx context.Context) error {
+	remaining := f.jitter(orDefault(f.StoreInterval, DefaultStoreInterval))
+	for remaining > 0 && !f.isWatcher() {
+		step := min(remaining, orDefault(f.RetryDelay, DefaultRetryDelay))
 		if err := jwclock.Sleep(ctx, step); err != nil {
 			return err
 		}
-		rest -= step
+		remaining -= step
 	}
 	return nil
 }
 
 func (f *Follower) followPeers(ctx context.Context) error {
 	for {
-		timer := time.NewTimer(f.jitter(or(f.PeerEvery, DefaultPeerEvery)))
+		timer := time.NewTimer(f.jitter(orDefault(f.PeerInterval, DefaultPeerInterval)))
 		select {
 		case <-ctx.Done():
 			timer.Stop()
 			return ctx.Err()
-		case <-f.waker():
+		case <-f.wakeChannel():
 			timer.Stop()
 		case <-timer.C:
 		}
 		before := f.Table.Revision()
-		f.count(&f.counts.peerErrors, f.ask(ctx))
+		f.countError(&f.counts.peerErrors, f.pollPeers(ctx))
 		if f.Table.Revision() > before {
 			f.counts.fromPeers.Add(1)
 		}
 	}
 }
 
-func (f *Follower) ask(ctx context.Context) error {
+func (f *Follower) pollPeers(ctx context.Context) error {
 	changes, cp, err := f.Source.Changes(ctx, f.Table.Revision())
 	if err != nil {
 		return err
 	}
-	return f.Table.take(changes, cp)
+	return f.Table.applyReceived(changes, cp)
 }
 
-// take brings into force what a peer gave, as far as it is newer.
-func (t *Table) take(changes []Change, cp *Checkpoint) error {
+// applyReceived applies what a peer sent, as far as it is newer.
+func (t *Table) applyReceived(changes []Change, cp *Checkpoint) error {
 	if cp != nil {
 		if err := t.Restore(*cp); err != nil {
 			return err
@@ -177,26 +180,27 @@
 	return nil
 }
 
-func (f *Follower) count(counter *atomic.Uint64, err error) {
+func (f *Follower) countError(counter *atomic.Uint64, err error) {
 	if err == nil || errors.Is(err, context.Canceled) {
 		return
 	}
 	counter.Add(1)
-	if f.Failed != nil {
-		f.Failed(err)
+	if f.OnError != nil {
+		f.OnError(err)
 	}
 }
 
-func (f *Follower) watching() bool {
+func (f *Follower) isWatcher() bool {
 	return f.Watcher != nil && f.Watcher()
 }
 
-func (f *Follower) waker() chan struct{} {
-	f.once.Do(func() { f.wake = make(chan struct{}, 1) })
+func (f *Follower) wakeChannel() chan struct{} {
+	f.wakeOnce.Do(func() { f.wake = make(chan struct{}, 1) })
 	return f.wake
 }
 
-// jitter spreads the nodes over half to one and a half of a period.
+// jitter returns a random duration from 0.5 d to 1.5 d, so that the nodes don't
+// act at the same time.
 func (f *Follower) jitter(d time.Duration) time.Duration {
 	r := rand.Float64
 	if f.Rand != nil {
@@ -205,9 +209,9 @@
 	return time.Duration((0.5 + r()) * float64(d))
 }
 
-func or(d, otherwise time.Duration) time.Duration {
+func orDefault(d, defaultValue time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return defaultValue
 }
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -7,11 +7,11 @@
 	"gotest.tools/v3/assert"
 )
 
-// What the service or a peer gives may be cut short or of another version. It
-// must be refused or mean the same again after it is written anew.
+// Data from the store or from a peer may be cut short or from another version.
+// The parsers must reject it, or it must mean the same after it is encoded again.
 
 func FuzzParseEntry(f *testing.F) {
-	whole, err := json.Marshal(entry("status"))
+	whole, err := json.Marshal(newEntry("status"))
 	assert.NilError(f, err)
 	f.Add(whole)
 	f.Add(whole[:len(whole)/2])
@@ -32,7 +32,7 @@
 }
 
 func FuzzParseChange(f *testing.F) {
-	whole, err := change(1, "a").Encode()
+	whole, err := newChange(1, "a").Encode()
 	assert.NilError(f, err)
 	f.Add(whole)
 	f.Add(whole[:len(whole)-1])
@@ -48,7 +48,7 @@
 		back, err := ParseChange(again)
 		assert.NilError(t, err)
 		assert.Equal(t, back.EditID, c.EditID)
-		assert.Assert(t, back.Time.Equal(c.Time) && sameEntry(back.Before, c.Before) && sameEntry(back.After, c.After))
+		assert.Assert(t, back.Time.Equal(c.Time) && equalEntries(back.Before, c.Before) && equalEntries(back.After, c.After))
 		table := new(Table)
 		if err := table.Apply(c); (err == nil) != (c.N == 1) {
 			t.Fatalf("change %d at revision 0: %v", c.N, err)
@@ -58,7 +58,7 @@
 
 func FuzzParseCheckpoint(f *testing.F) {
 	table := new(Table)
-	assert.NilError(f, table.Apply(change(1, "a")))
+	assert.NilError(f, table.Apply(newChange(1, "a")))
 	whole, err := table.Current().checkpoint().Encode()
 	assert.NilError(f, err)
 	f.Add(whole)
@@ -76,13 +76,13 @@
 		assert.Equal(t, table.Revision(), c.Revision)
 		again, err := table.Current().checkpoint().Encode()
 		assert.NilError(t, err)
-		assert.Assert(t, len(again) <= table.Current().size+checkpointOverhead, "%d bytes, thought %d", len(again), table.Current().size)
+		assert.Assert(t, len(again) <= table.Current().size+checkpointOverhead, "%d bytes, expected at most %d and the overhead", len(again), table.Current().size)
 		_, err = ParseCheckpoint(again)
 		assert.NilError(t, err)
 	})
 }
 
-// checkpointOverhead is what a checkpoint has beside its entries.
+// checkpointOverhead is the size of a checkpoint in bytes without its entries.
 const checkpointOverhead = 80
 
 func FuzzParseRecords(f *testing.F) {
@@ -91,6 +91,6 @@
 	f.Add([]byte(`{"region":"north","revision":3,"seen":4,"laggards":["n0"]}`))
 	f.Fuzz(func(_ *testing.T, data []byte) {
 		_, _ = ParseMember(data)
-		_, _ = ParseRegionConfirmed(data)
+		_, _ = ParseRegionConfirmation(data)
 	})
 }
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -13,11 +13,11 @@
 	"jujubewheel/core/jwstore"
 )
 
-// MembersPrefix begins the keys of all member records.
+// MembersPrefix is the prefix of the keys of all member records.
 const MembersPrefix = "catalogue/members/"
 
 // Member is the record of a node whose confirmation every change waits for.
-// A node of the same name that starts anew replaces the record.
+// A process that starts under the same name replaces the record.
 type Member struct {
 	Name        string `json:"name"`
 	Region      string `json:"region"`
@@ -26,10 +26,10 @@
 
 // MemberKey returns the key of a member record.
 func MemberKey(region, name string) string {
-	return membersOf(region) + name
+	return memberPrefix(region) + name
 }
 
-func membersOf(region string) string { return MembersPrefix + region + "/" }
+func memberPrefix(region string) string { return MembersPrefix + region + "/" }
 
 // ParseMember reads a member record.
 func ParseMember(data []byte) (Member, error) {
@@ -42,10 +42,10 @@
 
 func (m Member) check() error {
 	if m.Name == "" || m.Region == "" || m.Incarnation == "" {
-		return errors.Errorf("member %q of region %q, incarnation %q: has an empty name", m.Name, m.Region, m.Incarnation)
+		return errors.Errorf("member %q of region %q, incarnation %q: one of these is empty", m.Name, m.Region, m.Incarnation)
 	}
 	if strings.Contains(m.Name+m.Region, "/") {
-		return errors.Errorf("member %q of region %q: has a slash", m.Name, m.Region)
+		return errors.Errorf("member %q of region %q: name or region contains a slash", m.Name, m.Region)
 	}
 	return nil
 }
@@ -53,67 +53,67 @@
 // ErrReplaced says that another process has started under this node's name.
 var ErrReplaced = errors.New("another process has this node's name")
 
-// Sponsors asks peers of the own region to answer for this node while the
-// service cannot be reached.
+// Sponsors asks peers of the own region to confirm revisions on behalf of this
+// node while it can't reach the store.
 type Sponsors interface {
-	// Adopt has one serving peer call Adoptions.Adopt and returns its name
-	// and what that gave.
+	// Adopt makes one serving peer call Adoptions.Adopt. It returns the name
+	// of the peer, which is then the sponsor, and the results of that call.
 	Adopt(ctx context.Context, m Member, after uint64) (sponsor string, changes []Change, cp *Checkpoint, err error)
-	// Release has a peer call Adoptions.Release; nil when the peer is no
-	// longer the process that adopted.
+	// Release makes the sponsor call Adoptions.Release. It returns nil also
+	// if the process that adopted this node no longer runs.
 	Release(ctx context.Context, sponsor string, m Member) error
 }
 
-// The paces of a membership.
+// The default intervals of a membership.
 const (
-	DefaultMemberCheck = 30 * time.Second // between looks at the own record
-	DefaultAdoptEvery  = 500 * time.Millisecond
+	DefaultMemberCheckInterval = 30 * time.Second // between checks of the own record
+	DefaultAdoptInterval       = 500 * time.Millisecond
 )
 
-// Membership makes this node one whose confirmation changes wait for, before
-// it serves, and takes it out again after its last request.
+// Membership registers this node before it serves, so that changes wait for its
+// confirmation, and deletes the record after the node's last request.
 type Membership struct {
 	Member
 	Store     jwstore.Store
 	Follower  *Follower
 	Sponsors  Sponsors   // nil for none
-	Adoptions *Adoptions // those this node answers for
+	Adoptions *Adoptions // nodes that this node has adopted
 
-	CheckEvery, AdoptEvery time.Duration // 0 for the defaults
+	CheckInterval, AdoptInterval time.Duration // 0 for the defaults
 
 	registered atomic.Bool
-	sponsors   map[string]bool // peers that may answer for this node
+	sponsors   map[string]bool // peers that may still be sponsors of this node
 }
 
-// Registered reports whether the service has the record of this process.
+// Registered reports whether the store has the record of this process.
 func (m *Membership) Registered() bool { return m.registered.Load() }
 
-// Join returns when this node may serve: its record stands in the service and
-// the log was read to its head afterwards, or a peer that serves answers for
-// it and has given it the log.
+// Join returns when this node may serve: either its record is in the store and
+// the log was read to its head afterwards, or a serving peer has become its
+// sponsor and has sent it the log.
 //
-// The order is what makes an accepted change hold here: the record comes
-// first, so that a change whose gatherer did not see the record was in the log
-// before the head was read.
+// The record must be written before the log is read. A change whose gatherer
+// did not see the record was then in the log before this node read its head, so
+// that an accepted change is always applied here.
 func (m *Membership) Join(ctx context.Context) error {
 	if err := m.check(); err != nil {
 		return err
 	}
 	for {
-		if err := m.enter(ctx); err == nil {
+		if err := m.registerAndCatchUp(ctx); err == nil {
 			return nil
 		}
-		if err := m.adopted(ctx); err == nil {
+		if err := m.joinThroughSponsor(ctx); err == nil {
 			return nil
 		}
-		if err := jwclock.Sleep(ctx, m.Follower.jitter(m.adoptEvery())); err != nil {
+		if err := jwclock.Sleep(ctx, m.Follower.jitter(m.adoptInterval())); err != nil {
 			return errors.Wrap(err, "join")
 		}
 	}
 }
 
-// enter registers this node and then reads the head of the log.
-func (m *Membership) enter(ctx context.Context) error {
+// registerAndCatchUp registers this node and then reads the log to its head.
+func (m *Membership) registerAndCatchUp(ctx context.Context) error {
 	if err := m.register(ctx); err != nil {
 		return err
 	}
@@ -148,13 +148,14 @@
 	}
 }
 
-// adopted has a peer answer for this node and takes its log. What this node
-// answers for itself is not more than what those that it adopted have.
-func (m *Membership) adopted(ctx context.Context) error {
+// joinThroughSponsor makes a peer the sponsor of this node and applies the log
+// that the peer sends. The revision that it reports to the sponsor is not higher
+// than those of the nodes that this node has itself adopted.
+func (m *Membership) joinThroughSponsor(ctx context.Context) error {
 	if m.Sponsors == nil {
 		return errors.New("adopt: no peers")
 	}
-	sponsor, changes, cp, err := m.Sponsors.Adopt(ctx, m.Member, m.confirmed())
+	sponsor, changes, cp, err := m.Sponsors.Adopt(ctx, m.Member, m.confirmedRevision())
 	if err != nil {
 		return errors.Wrap(err, "adopt")
 	}
@@ -162,74 +163,75 @@
 		m.sponsors = make(map[string]bool)
 	}
 	m.sponsors[sponsor] = true
-	return errors.Wrapf(m.Follower.Table.take(changes, cp), "adopt: %s", sponsor)
+	return errors.Wrapf(m.Follower.Table.applyReceived(changes, cp), "adopt: %s", sponsor)
 }
 
-func (m *Membership) answers() bool { return m.Adoptions != nil && m.Adoptions.Open() }
+func (m *Membership) isSponsor() bool { return m.Adoptions != nil && m.Adoptions.HasAdopted() }
 
-func (m *Membership) confirmed() uint64 {
+func (m *Membership) confirmedRevision() uint64 {
 	if m.Adoptions != nil {
 		return m.Adoptions.Confirmed()
 	}
 	return m.Follower.Table.Revision()
 }
 
-// Run keeps the membership of a node that has joined. It ends with ErrReplaced
-// when another process has the name, which then must not serve any longer.
+// Run maintains the membership of a node that has joined. It returns ErrReplaced
+// when another process has the name; this node must then no longer serve.
 func (m *Membership) Run(ctx context.Context) error {
 	for {
-		pause := or(m.CheckEvery, DefaultMemberCheck)
-		if !m.Registered() || len(m.sponsors) > 0 || m.answers() {
-			pause = m.adoptEvery()
+		pause := orDefault(m.CheckInterval, DefaultMemberCheckInterval)
+		if !m.Registered() || len(m.sponsors) > 0 || m.isSponsor() {
+			pause = m.adoptInterval()
 		}
 		if err := jwclock.Sleep(ctx, m.Follower.jitter(pause)); err != nil {
 			return err
 		}
-		if m.answers() {
-			m.Adoptions.Tidy()
+		if m.isSponsor() {
+			m.Adoptions.RemoveEnded()
 		}
-		if err := m.keep(ctx); errors.Is(err, ErrReplaced) {
+		if err := m.maintain(ctx); errors.Is(err, ErrReplaced) {
 			return err
 		}
 	}
 }
 
-func (m *Membership) keep(ctx context.Context) error {
+func (m *Membership) maintain(ctx context.Context) error {
 	if m.Registered() {
-		if err := m.verify(ctx); err != nil {
+		if err := m.verifyRecord(ctx); err != nil {
 			return err
 		}
-		return m.release(ctx)
+		return m.releaseSponsors(ctx)
 	}
-	if err := m.enter(ctx); err != nil {
-		return m.adopted(ctx)
+	if err := m.registerAndCatchUp(ctx); err != nil {
+		return m.joinThroughSponsor(ctx)
 	}
-	return m.release(ctx)
+	return m.releaseSponsors(ctx)
 }
 
-// verify enters again after this node was counted out by mistake: the host
-// list dropped it while it was serving.
-func (m *Membership) verify(ctx context.Context) error {
+// verifyRecord registers this node again if its record was deleted by mistake,
+// because the host list lacked the node while it was serving.
+func (m *Membership) verifyRecord(ctx context.Context) error {
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
 		return errors.Wrap(err, "read member: store")
 	}
 	if !ok {
-		return m.enter(ctx)
+		return m.registerAndCatchUp(ctx)
 	}
-	have, err := ParseMember(item.Value)
+	stored, err := ParseMember(item.Value)
 	if err != nil {
 		return err
 	}
-	if have.Incarnation != m.Incarnation {
-		return errors.Wrapf(ErrReplaced, "member %s: incarnation %s", m.Name, have.Incarnation)
+	if stored.Incarnation != m.Incarnation {
+		return errors.Wrapf(ErrReplaced, "member %s: incarnation %s", m.Name, stored.Incarnation)
 	}
 	return nil
 }
 
-// release tells the sponsors that they need not answer any more. It comes
-// after the head was read, or a change could be accepted in between.
-func (m *Membership) release(ctx context.Context) error {
+// releaseSponsors tells the sponsors that they need not confirm for this node
+// any longer. It must be called after the log was read to its head: otherwise a
+// change could be accepted that this node does not have.
+func (m *Membership) releaseSponsors(ctx context.Context) error {
 	for sponsor := range m.sponsors {
 		if err := m.Sponsors.Release(ctx, sponsor, m.Member); err != nil {
 			return errors.Wrapf(err, "release: %s", sponsor)
@@ -239,29 +241,31 @@
 	return nil
 }
 
-// Leave takes the record back; call it after Run has ended and the last
-// request is answered. While others depend on this node's answers, the record
-// stays until the context ends; what is then left is counted out with the host.
+// Leave deletes the record of this node. Call it after Run has ended and the
+// last request is answered. While this node is a sponsor, the record stays until
+// the context ends; a record that is then left is deleted once the host is gone.
 func (m *Membership) Leave(ctx context.Context) error {
-	for m.answers() {
-		m.Adoptions.Tidy()
-		if err := jwclock.Sleep(ctx, m.adoptEvery()); err != nil {
-			return errors.Wrap(err, "leave: nodes without a record depend on this one")
+	for m.isSponsor() {
+		m.Adoptions.RemoveEnded()
+		if err := jwclock.Sleep(ctx, m.adoptInterval()); err != nil {
+			return errors.Wrap(err, "leave: nodes without a record in the store depend on this one")
 		}
 	}
-	if err := m.release(ctx); err != nil {
+	if err := m.releaseSponsors(ctx); err != nil {
 		return err
 	}
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
 		return errors.Wrap(err, "leave: store")
 	}
-	have, err := ParseMember(item.Value)
-	if !ok || err != nil || have.Incarnation != m.Incarnation {
+	stored, err := ParseMember(item.Value)
+	if !ok || err != nil || stored.Incarnation != m.Incarnation {
 		return nil
 	}
 	_, err = m.Store.Delete(ctx, item.Key, item.Version)
 	return errors.Wrap(err, "leave: store")
 }
 
-func (m *Membership) adoptEvery() time.Duration { return or(m.AdoptEvery, DefaultAdoptEvery) }
+func (m *Membership) adoptInterval() time.Duration {
+	return orDefault(m.AdoptInterval, DefaultAdoptInterval)
+}
