--- a/core/jwquota/bounds.go
+++ b/core/jwquota/bounds.go
@@ -14,53 +14,53 @@
 	Slack  float64 // units
 }
 
-// Most returns the bound of a quota.
-func (b Bounds) Most(q jwworkspace.Quota) float64 {
+// MaxUnits returns the bound of a quota.
+func (b Bounds) MaxUnits(q jwworkspace.Quota) float64 {
 	return (q.Rate*b.Window.Seconds()+q.Burst)*(1+b.Ratio) + b.Slack
 }
 
 // The parts of what may be kept unspent over all nodes, and who may keep it.
 const (
-	leafPart = 0.3  // by each node
-	poolPart = 0.35 // by the relays of data centres, for their nodes
-	rootPart = 0.35 // by the relay at which a workspace's units are gathered
+	nodeShare  = 0.3  // by each node
+	relayShare = 0.35 // by the relays of data centres, for their nodes
+	rootShare  = 0.35 // by the relay at which a workspace's units are gathered
 )
 
 const (
-	// aheadFor is how long the units last that a node asks for before it needs them.
-	aheadFor = 250 * time.Millisecond
-	// aheadShare bounds them by the part of what may be kept that they take in a second.
-	aheadShare = 0.25
-	// transitFor and transitShare bound the units on their way between two nodes.
-	transitFor   = 250 * time.Millisecond
-	transitShare = 0.15
-	// startShare is what a node has of its part of what may be kept when it starts: after
+	// maxPrefetchTime is how long the units last that a node asks for before it needs them.
+	maxPrefetchTime = 250 * time.Millisecond
+	// maxPrefetchShare bounds them by the part of what may be kept that they take in a second.
+	maxPrefetchShare = 0.25
+	// maxTransitTime and transitShare bound the units on their way between two nodes.
+	maxTransitTime  = 250 * time.Millisecond
+	maxTransitShare = 0.15
+	// initialShare is what a node has of its part of what may be kept when it starts: after
 	// a start of all at once their callers retry before anything is minted.
-	startShare = 0.12
+	initialShare = 0.12
 )
 
-// kept returns the units that all nodes together may keep unspent. In a window these
+// maxUnspent returns the units that all nodes together may keep unspent. In a window these
 // and what is minted meanwhile can be spent; minted is the rate times the window.
-func (b Bounds) kept(q jwworkspace.Quota) float64 {
-	return max(b.Most(q)-q.Rate*b.Window.Seconds(), 0)
+func (b Bounds) maxUnspent(q jwworkspace.Quota) float64 {
+	return max(b.MaxUnits(q)-q.Rate*b.Window.Seconds(), 0)
 }
 
-// still returns the part of kept that is left beside what nodes ask for ahead, what is on
+// baseUnspent returns the part of kept that is left beside what nodes ask for ahead, what is on
 // its way, and what nodes start with.
-func (b Bounds) still(q jwworkspace.Quota) float64 {
-	kept := b.kept(q)
-	ahead := 2 * b.ahead(q).Seconds() * q.Rate
-	return kept - ahead - min(transitShare*kept, transitFor.Seconds()*q.Rate) - startShare*kept
+func (b Bounds) baseUnspent(q jwworkspace.Quota) float64 {
+	kept := b.maxUnspent(q)
+	ahead := 2 * b.prefetchTime(q).Seconds() * q.Rate
+	return kept - ahead - min(maxTransitShare*kept, maxTransitTime.Seconds()*q.Rate) - initialShare*kept
 }
 
-// largest returns the most units that one request may take: they have to be gathered at
+// maxRequest returns the most units that one request may take: they have to be gathered at
 // one node first.
-func (b Bounds) largest(q jwworkspace.Quota) float64 { return max(b.kept(q)/2, q.Burst) }
+func (b Bounds) maxRequest(q jwworkspace.Quota) float64 { return max(b.maxUnspent(q)/2, q.Burst) }
 
-// ahead returns for how long a node asks ahead.
-func (b Bounds) ahead(q jwworkspace.Quota) time.Duration {
+// prefetchTime returns for how long a node asks prefetchTime.
+func (b Bounds) prefetchTime(q jwworkspace.Quota) time.Duration {
 	if q.Rate <= 0 {
 		return 0
 	}
-	return min(aheadFor, time.Duration(aheadShare*b.kept(q)/q.Rate*float64(time.Second)))
+	return min(maxPrefetchTime, time.Duration(maxPrefetchShare*b.maxUnspent(q)/q.Rate*float64(time.Second)))
 }
--- a/core/jwquota/claim.go
+++ b/core/jwquota/claim.go
@@ -7,34 +7,34 @@
 )
 
 const (
-	// mostClaims bounds the workspaces in one message between two nodes.
-	mostClaims = 64
-	// claimPeriod is the time between two claims for a workspace that lacks nothing.
-	claimPeriod = time.Second
-	// scarceFor is how long nodes have less ahead once others lack units, and
+	// maxClaims bounds the workspaces in one message between two nodes.
+	maxClaims = 64
+	// claimInterval is the time between two claims for a workspace that lacks nothing.
+	claimInterval = time.Second
+	// scarceTTL is how long nodes have less ahead once others lack units, and
 	// scarceShare is how much of it.
-	scarceFor   = 600 * time.Millisecond
-	scarceShare = 0.25
+	scarceTTL    = 600 * time.Millisecond
+	scarceFactor = 0.25
 )
 
 // Claim is what a node reports of a workspace to the one that it claims units from.
 type Claim struct {
 	Workspace string  `json:"workspace"`
-	Give      float64 `json:"give,omitempty"`   // units that it doesn't need; they are no longer its own
-	First     float64 `json:"first,omitempty"`  // units that the first of its waiting requests lacks
+	Surplus   float64 `json:"give,omitempty"`   // units that it doesn't need; they are no longer its own
+	FirstNeed float64 `json:"first,omitempty"`  // units that the first of its waiting requests lacks
 	Need      float64 `json:"need,omitempty"`   // units that all of them lack
-	Ahead     float64 `json:"ahead,omitempty"`  // units that it wants to have for those to come
+	Prefetch  float64 `json:"ahead,omitempty"`  // units that it wants to have for those to come
 	Demand    float64 `json:"demand,omitempty"` // units a second that are asked for there
 }
 
 // Grant answers a claim.
 type Grant struct {
-	Workspace string  `json:"workspace"`
-	Units     float64 `json:"units,omitempty"`
-	Short     bool    `json:"short,omitempty"`  // the quota is used up, and no more will come for now
-	Wanted    bool    `json:"wanted,omitempty"` // others want what the node doesn't need
-	Scarce    bool    `json:"scarce,omitempty"` // others lack units now, so it should have little ahead
-	Total     float64 `json:"total,omitempty"`  // units a second that are asked for in all
+	Workspace     string  `json:"workspace"`
+	Units         float64 `json:"units,omitempty"`
+	Exhausted     bool    `json:"short,omitempty"`  // the quota is used up, and no more will come for now
+	SurplusWanted bool    `json:"wanted,omitempty"` // others want what the node doesn't need
+	Scarce        bool    `json:"scarce,omitempty"` // others lack units now, so it should have little ahead
+	TotalDemand   float64 `json:"total,omitempty"`  // units a second that are asked for in all
 }
 
 // Claims returns what the node claims now for the workspaces that fit: those whose
@@ -55,11 +55,11 @@
 	slices.SortFunc(claims, func(a, b Claim) int {
 		return cmp.Or(cmp.Compare(b.Need, a.Need), cmp.Compare(a.Workspace, b.Workspace))
 	})
-	claims = claims[:min(len(claims), mostClaims)]
+	claims = claims[:min(len(claims), maxClaims)]
 	for _, c := range claims {
 		a := l.accounts[c.Workspace]
-		a.claimed = now
-		a.level -= c.Give
+		a.lastClaim = now
+		a.level -= c.Surplus
 	}
 	return claims
 }
@@ -68,36 +68,38 @@
 func (l *Ledger) claim(now time.Time, workspace string) (Claim, bool) {
 	a, q := l.account(now, workspace)
 	b := l.Bounds()
-	wanted := a.active(now) || now.Before(a.wanted)
+	wanted := a.active(now) || now.Before(a.wantedUntil)
 	if !wanted || !q.Limited() {
 		return Claim{}, false
 	}
-	target := a.target(now, q, b, l.place)
+	target := a.targetLevel(now, q, b, l.topology)
 	switch {
-	case now.Before(a.scarce):
-		target *= scarceShare
-	case l.place.Group > 0 && a.active(now):
-		target += min(a.largest, b.still(q)*poolPart*float64(l.place.Group)/float64(max(l.place.Fleet, 1)))
+	case now.Before(a.scarceUntil):
+		target *= scarceFactor
+	case l.topology.GroupSize > 0 && a.active(now):
+		target += min(a.largestRequest, b.baseUnspent(q)*relayShare*float64(l.topology.GroupSize)/float64(max(l.topology.FleetSize, 1)))
 	}
-	c := Claim{Workspace: workspace, Demand: a.asksTotal(now)}
-	first, lacking := a.first(now), a.lacking(now)
+	c := Claim{Workspace: workspace, Demand: a.subtreeDemand(now)}
+	first, lacking := a.firstNeed(now), a.pendingUnits(now)
 	switch spare := a.level - lacking - target; {
-	case first > a.level && l.place.Group == 0:
+	case first > a.level && l.topology.GroupSize == 0:
 		// Held by many, each too few for its first request, they would be of use to none.
-		c.Give, c.First, c.Need, c.Ahead = a.level, first, lacking, target
+		c.Surplus, c.FirstNeed, c.Need, c.Prefetch = a.level, first, lacking, target
 	case spare > 0:
-		c.Give = spare
+		c.Surplus = spare
 	default:
 		c.Need = max(lacking-a.level, 0)
-		c.First, c.Ahead = min(c.Need, first), -spare-c.Need
+		c.FirstNeed, c.Prefetch = min(c.Need, first), -spare-c.Need
 	}
 	// Few units, which the node mints itself within moments, need not be claimed at once.
-	due := c.Need > 0 || c.Ahead > target/2+someUnits || c.Give > a.even(q.Rate, l.place)/8
-	return c, due || now.Sub(a.claimed) >= claimPeriod
+	due := c.Need > 0 || c.Prefetch > target/2+negligibleUnits || c.Surplus > a.equalShare(q.Rate, l.topology)/8
+	return c, due || now.Sub(a.lastClaim) >= claimInterval
 }
 
-// even returns the node's even part of a second of the quota.
-func (a *account) even(rate float64, p Place) float64 { return rate / float64(max(p.Fleet, 1)) }
+// equalShare returns the node's equalShare part of a second of the quota.
+func (a *account) equalShare(rate float64, p Topology) float64 {
+	return rate / float64(max(p.FleetSize, 1))
+}
 
 // Answer takes the claims of a node and returns what it is given. A node that polls also
 // learns of the other workspaces that units are wanted of.
@@ -108,7 +110,7 @@
 	for _, c := range claims {
 		grants = append(grants, l.grant(now, node, c))
 	}
-	return l.wanted(now, grants, poll)
+	return l.addWanted(now, grants, poll)
 }
 
 // grant answers one claim.
@@ -118,67 +120,67 @@
 		return Grant{Workspace: c.Workspace}
 	}
 	if c.Demand > 0 {
-		a.asked = now
+		a.lastAsked = now
 	}
-	a.level += max(c.Give, 0)
-	a.serve(now)
-	units := a.share(now, node, c)
-	a.level = min(a.level-units, a.most(now, q, l.Bounds(), l.place))
-	g := Grant{Workspace: c.Workspace, Units: units, Wanted: true, Scarce: a.isScarce(now), Total: a.allAsk(now)}
-	if units+someUnits >= c.Need {
+	a.level += max(c.Surplus, 0)
+	a.serveWaiting(now)
+	units := a.allocate(now, node, c)
+	a.level = min(a.level-units, a.maxLevel(now, q, l.Bounds(), l.topology))
+	g := Grant{Workspace: c.Workspace, Units: units, SurplusWanted: true, Scarce: a.isScarce(now), TotalDemand: a.knownTotalDemand(now)}
+	if units+negligibleUnits >= c.Need {
 		return g
 	}
 	if !a.root {
-		l.lacks()
-		g.Short = now.Before(a.short)
+		l.notifyShortage()
+		g.Exhausted = now.Before(a.exhaustedUntil)
 		return g
 	}
-	g.Short = a.lacks(now) && a.asksTotal(now) > q.Rate
-	if g.Short {
-		a.short = now.Add(shortFor)
+	g.Exhausted = a.noteShortage(now) && a.subtreeDemand(now) > q.Rate
+	if g.Exhausted {
+		a.exhaustedUntil = now.Add(exhaustedTTL)
 	}
 	return g
 }
 
-// wanted adds the workspaces to an answer that others want units of: all for a node that
+// addWanted adds the workspaces to an answer that others want units of: all for a node that
 // polls, for the others those of which units are lacking.
-func (l *Ledger) wanted(now time.Time, grants []Grant, poll bool) []Grant {
+func (l *Ledger) addWanted(now time.Time, grants []Grant, poll bool) []Grant {
 	named := make(map[string]bool, len(grants))
 	for _, g := range grants {
 		named[g.Workspace] = true
 	}
 	for name, a := range l.accounts {
-		if len(grants) >= mostClaims {
+		if len(grants) >= maxClaims {
 			break
 		}
-		if !named[name] && (a.active(now) || now.Before(a.wanted)) && (poll || a.isScarce(now)) {
-			grants = append(grants, Grant{Workspace: name, Wanted: true, Scarce: a.isScarce(now), Total: a.allAsk(now)})
+		if !named[name] && (a.active(now) || now.Before(a.wantedUntil)) && (poll || a.isScarce(now)) {
+			grants = append(grants, Grant{Workspace: name, SurplusWanted: true, Scarce: a.isScarce(now), TotalDemand: a.knownTotalDemand(now)})
 		}
 	}
 	return grants
 }
 
-// Granted takes the answer to claims.
-func (l *Ledger) Granted(now time.Time, grants []Grant) {
+// ApplyGrants takes the answer to claims.
+func (l *Ledger) ApplyGrants(now time.Time, grants []Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, g := range grants {
 		a, q := l.account(now, g.Workspace)
 		a.level += max(g.Units, 0)
-		a.short = time.Time{}
-		if g.Short {
-			a.short = now.Add(shortFor)
+		a.exhaustedUntil = time.Time{}
+		if g.Exhausted {
+			a.exhaustedUntil = now.Add(exhaustedTTL)
 		}
-		if g.Total > 0 {
-			a.total, a.totalAt = g.Total, now
+		if g.TotalDemand > 0 {
+			a.totalDemand, a.totalDemandAt = g.TotalDemand, now
 		}
 		if g.Scarce {
-			a.scarce = now.Add(scarceFor)
+			a.scarceUntil = now.Add(scarceTTL)
 		}
-		if g.Wanted {
-			a.wanted = now.Add(wantedFor)
+		if g.SurplusWanted {
+			a.wantedUntil = now.Add(activePeriod)
 		}
-		a.serve(now)
-		a.level = min(a.level, a.most(now, q, l.Bounds(), l.place))
+		a.serveWaiting(now)
+		a.level = min(a.level, a.maxLevel(now, q, l.Bounds(), l.topology))
 	}
 }
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -152,12 +152,12 @@
 			}
 		}
 	}
-	p := Place{Fleet: len(f.nodes), Counted: true, Fresh: n.fresh, Live: live}
+	p := Topology{FleetSize: len(f.nodes), Counted: true, Fresh: n.fresh, LiveNodes: live}
 	if f.nodes[max(f.relay(n, n.dc), 0)] == n && !f.even {
-		p.Group = group
-		p.Root = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
+		p.GroupSize = group
+		p.IsRoot = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
 	}
-	n.ledger.SetPlace(f.now, p)
+	n.ledger.SetTopology(f.now, p)
 }
 
 func (f *fleet) delay(a, b *simNode) time.Duration {
@@ -215,7 +215,7 @@
 				return
 			}
 			n.asking[to] = time.Time{}
-			n.ledger.Granted(f.now, grants)
+			n.ledger.ApplyGrants(f.now, grants)
 		})
 	})
 }
@@ -270,7 +270,7 @@
 		part = part/2 + n.reported[workspace]/total/2
 	}
 	q := f.quotas[workspace]
-	q.Rate, q.Burst = q.Rate*part, f.bounds.kept(q)*part
+	q.Rate, q.Burst = q.Rate*part, f.bounds.maxUnspent(q)*part
 	if n.own[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the part takes all of it
 		f.spent = append(f.spent, spending{f.now, workspace, cost})
 	} else {
@@ -282,7 +282,7 @@
 func (f *fleet) report() {
 	for _, n := range f.nodes {
 		for w, r := range n.asked {
-			n.reported[w] = r.now(f.now)
+			n.reported[w] = r.current(f.now)
 		}
 	}
 	f.calls += len(f.nodes)
@@ -323,7 +323,7 @@
 // settle counts the waiting requests that were served and ends the wait of others.
 func (f *fleet) settle(n *simNode) {
 	n.waiters = slices.DeleteFunc(n.waiters, func(x simWaiter) bool {
-		served := x.w.served
+		served := x.w.granted
 		if !served && f.now.Before(x.till) {
 			return false
 		}
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -9,15 +9,15 @@
 )
 
 const (
-	// leastRetry and mostRetry bound the Retry-After of a refused caller.
-	leastRetry = 200 * time.Millisecond
-	mostRetry  = 5 * time.Second
-	// idleFor is how long the account of a workspace that nobody asks for is kept.
-	idleFor = time.Minute
-	// largestFade is by how much the largest request is forgotten with each one.
-	largestFade = 0.99
-	// someUnits is less than any request takes.
-	someUnits = 1e-6
+	// minRetryAfter and mostRetry bound the Retry-After of a refused caller.
+	minRetryAfter = 200 * time.Millisecond
+	maxRetryAfter = 5 * time.Second
+	// idleTTL is how long the account of a workspace that nobody asks for is kept.
+	idleTTL = time.Minute
+	// largestDecay is by how much the largest request is forgotten with each one.
+	largestDecay = 0.99
+	// negligibleUnits is less than any request takes.
+	negligibleUnits = 1e-6
 )
 
 // Ledger holds a node's units of all quotas; set its fields before use. Its lock is
@@ -27,20 +27,20 @@
 	Bounds func() Bounds
 	Lacks  func() // called when a request waits for units, which are to be claimed at once; may be nil
 
-	mu       sync.Mutex
-	place    Place
-	since    time.Time // when the others began to count this node
-	accounts map[string]*account
+	mu           sync.Mutex
+	topology     Topology
+	countedSince time.Time // when the others began to count this node
+	accounts     map[string]*account
 }
 
-// Place is where a node stands among those that share the quotas.
-type Place struct {
-	Fleet   int                         // nodes that there may be
-	Counted bool                        // the others count this one in theirs
-	Fresh   bool                        // no process of the node started within a window before this one
-	Live    int                         // live nodes
-	Group   int                         // of these, those that claim through this one, 0 if it is no relay
-	Root    func(workspace string) bool // whether the node gathers a workspace's units; nil for none
+// Topology is where a node stands among those that share the quotas.
+type Topology struct {
+	FleetSize int                         // nodes that there may be
+	Counted   bool                        // the others count this one in theirs
+	Fresh     bool                        // no process of the node started within a window before this one
+	LiveNodes int                         // live nodes
+	GroupSize int                         // of these, those that claim through this one, 0 if it is no relay
+	IsRoot    func(workspace string) bool // whether the node gathers a workspace's units; nil for none
 }
 
 // Waiter is a request that waits for units.
@@ -49,7 +49,7 @@
 	cost      float64
 	since     time.Time
 	ready     chan struct{}
-	served    bool
+	granted   bool
 }
 
 // Ready returns a channel that is closed once the request has its units.
@@ -73,20 +73,20 @@
 	Level      float64       // units that the node had
 }
 
-// SetPlace takes where the node stands now.
-func (l *Ledger) SetPlace(now time.Time, p Place) {
+// SetTopology takes where the node stands now.
+func (l *Ledger) SetTopology(now time.Time, p Topology) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p.Counted && !l.place.Counted {
-		l.since = now
+	if p.Counted && !l.topology.Counted {
+		l.countedSince = now
 	}
-	l.place = p
+	l.topology = p
 	for name, a := range l.accounts {
-		if now.Sub(a.asked) > idleFor && !now.Before(a.wanted) && len(a.waiting) == 0 {
+		if now.Sub(a.lastAsked) > idleTTL && !now.Before(a.wantedUntil) && len(a.waiting) == 0 {
 			delete(l.accounts, name)
 			continue
 		}
-		a.root = p.Root != nil && p.Root(name)
+		a.root = p.IsRoot != nil && p.IsRoot(name)
 	}
 }
 
@@ -95,21 +95,21 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, q := l.account(now, workspace)
-	a.asked = now
+	a.lastAsked = now
 	a.demand.add(now, cost)
-	a.largest = max(a.largest*largestFade, cost)
+	a.largestRequest = max(a.largestRequest*largestDecay, cost)
 	d := Decision{Level: a.level}
 	switch {
 	case len(a.waiting) == 0 && a.level >= cost:
 		a.level -= cost
-		a.income.add(now, cost)
+		a.spendRate.add(now, cost)
 		d.Outcome = Taken
-	case now.Before(a.short), cost > l.Bounds().largest(q), a.root && a.lacks(now) && a.asksTotal(now) > q.Rate:
-		d.Outcome, d.RetryAfter = Refused, a.book(now, q, l.place, cost)
+	case now.Before(a.exhaustedUntil), cost > l.Bounds().maxRequest(q), a.root && a.noteShortage(now) && a.subtreeDemand(now) > q.Rate:
+		d.Outcome, d.RetryAfter = Refused, a.bookRetry(now, q, l.topology, cost)
 	default:
 		d.Outcome, d.Waiter = Waits, &Waiter{workspace: workspace, cost: cost, since: now, ready: make(chan struct{})}
 		a.waiting = append(a.waiting, d.Waiter)
-		l.lacks()
+		l.notifyShortage()
 	}
 	return d
 }
@@ -119,13 +119,13 @@
 func (l *Ledger) Leave(now time.Time, w *Waiter) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if w.served {
+	if w.granted {
 		return Decision{Outcome: Taken}
 	}
 	a, q := l.account(now, w.workspace)
 	a.waiting = slices.DeleteFunc(a.waiting, func(x *Waiter) bool { return x == w })
-	a.serve(now) // those behind it may take less
-	return Decision{Outcome: Refused, RetryAfter: a.book(now, q, l.place, w.cost), Level: a.level}
+	a.serveWaiting(now) // those behind it may take less
+	return Decision{Outcome: Refused, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
 }
 
 // Return gives the units of a request back that no target has run or will.
@@ -134,24 +134,24 @@
 	defer l.mu.Unlock()
 	a, q := l.account(now, workspace)
 	a.level += cost
-	a.serve(now)
-	a.level = min(a.level, a.most(now, q, l.Bounds(), l.place)+cost)
+	a.serveWaiting(now)
+	a.level = min(a.level, a.maxLevel(now, q, l.Bounds(), l.topology)+cost)
 }
 
-// book returns the Retry-After of a refused caller: after those refused before it.
-func (a *account) book(now time.Time, q jwworkspace.Quota, p Place, cost float64) time.Duration {
-	share := max(a.income.now(now), q.Rate/float64(max(p.Fleet, 1)))
-	if a.booked.Before(now) {
-		a.booked = now
+// bookRetry returns the Retry-After of a refused caller: after those refused before it.
+func (a *account) bookRetry(now time.Time, q jwworkspace.Quota, p Topology, cost float64) time.Duration {
+	share := max(a.spendRate.current(now), q.Rate/float64(max(p.FleetSize, 1)))
+	if a.retriesBookedUntil.Before(now) {
+		a.retriesBookedUntil = now
 	}
-	gap := mostRetry
+	gap := maxRetryAfter
 	if share > 0 {
-		gap = min(time.Duration(cost/share*float64(time.Second)), mostRetry)
+		gap = min(time.Duration(cost/share*float64(time.Second)), maxRetryAfter)
 	}
-	if d := a.booked.Sub(now) + gap; d <= mostRetry {
-		a.booked = a.booked.Add(gap)
+	if d := a.retriesBookedUntil.Sub(now) + gap; d <= maxRetryAfter {
+		a.retriesBookedUntil = a.retriesBookedUntil.Add(gap)
 	}
-	return min(max(a.booked.Sub(now), leastRetry), mostRetry)
+	return min(max(a.retriesBookedUntil.Sub(now), minRetryAfter), maxRetryAfter)
 }
 
 // Waiting reports whether requests wait for units.
@@ -170,13 +170,13 @@
 func (l *Ledger) account(now time.Time, workspace string) (*account, jwworkspace.Quota) {
 	a := l.accounts[workspace]
 	if a == nil {
-		a = &account{minted: now, root: l.place.Root != nil && l.place.Root(workspace)}
-		if l.place.Counted {
+		a = &account{refilledAt: now, root: l.topology.IsRoot != nil && l.topology.IsRoot(workspace)}
+		if l.topology.Counted {
 			// Nobody has spent what was minted since; an account that is idle is dropped.
-			a.minted = later(l.since, now.Add(-idleFor))
-			if l.place.Fresh && now.Sub(l.since) < idleFor {
+			a.refilledAt = latest(l.countedSince, now.Add(-idleTTL))
+			if l.topology.Fresh && now.Sub(l.countedSince) < idleTTL {
 				q, b := l.Quota(workspace), l.Bounds()
-				a.level = startShare * b.kept(q) / float64(max(l.place.Fleet, 1))
+				a.level = initialShare * b.maxUnspent(q) / float64(max(l.topology.FleetSize, 1))
 			}
 		}
 		if l.accounts == nil {
@@ -185,18 +185,18 @@
 		l.accounts[workspace] = a
 	}
 	q := l.Quota(workspace)
-	a.mint(now, q, l.Bounds(), l.place)
-	a.serve(now)
+	a.refill(now, q, l.Bounds(), l.topology)
+	a.serveWaiting(now)
 	return a, q
 }
 
-func (l *Ledger) lacks() {
+func (l *Ledger) notifyShortage() {
 	if l.Lacks != nil {
 		l.Lacks()
 	}
 }
 
-func later(a, b time.Time) time.Time {
+func latest(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -56,7 +56,7 @@
 			t.Logf("%.0f of %.0f refused, one counter refuses %.0f", f.refuse["w"], f.asked["w"], f.ideal["w"].refused)
 			assert.Assert(t, f.refuse["w"] < f.ideal["w"].refused+0.02*f.asked["w"],
 				"%.0f of %.0f refused, one counter refuses %.0f", f.refuse["w"], f.asked["w"], f.ideal["w"].refused)
-			assert.Assert(t, f.most("w") <= tokenBounds.Most(quotas["w"]))
+			assert.Assert(t, f.most("w") <= tokenBounds.MaxUnits(quotas["w"]))
 		})
 	}
 }
@@ -77,7 +77,7 @@
 			spent += s.cost
 		}
 	}
-	assert.Assert(t, f.most("hot1") <= tokenBounds.Most(quotas["hot1"]))
+	assert.Assert(t, f.most("hot1") <= tokenBounds.MaxUnits(quotas["hot1"]))
 	assert.Assert(t, spent > 0.9*20*200_000, "only %.0f were spent", spent)
 	t.Logf("calm: %.0f of %.0f refused, one counter refuses %.0f", f.refuse["calm2"], f.asked["calm2"], f.ideal["calm2"].refused)
 	assert.Assert(t, f.refuse["calm2"] < 0.02*f.asked["calm2"], "%.0f of %.0f refused", f.refuse["calm2"], f.asked["calm2"])
@@ -118,7 +118,7 @@
 			}
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*time.Millisecond, func() { f.traffic("w", load*q.Rate, peak) })
 		}
-		if most := b.Most(q); f.most("w") > most {
+		if most := b.MaxUnits(q); f.most("w") > most {
 			t.Fatalf("%.0f units in a window, allowed are %.0f", f.most("w"), most)
 		}
 	})
@@ -154,10 +154,10 @@
 				f.traffic("small3", 60_000/1.8, peak)
 			})
 			for w, q := range quotas {
-				assert.Assert(t, way == "demand" || f.most(w) <= tokenBounds.Most(q), "%s exceeds the bound", way)
+				assert.Assert(t, way == "demand" || f.most(w) <= tokenBounds.MaxUnits(q), "%s exceeds the bound", way)
 				refused[way] += (f.refuse[w] - f.ideal[w].refused) / f.asked[w]
 				t.Logf("%3d nodes, %-6s %-6s refused %.3f, one counter %.3f, of the bound %.2f, calls a node and second %.1f", nodes, way, w,
-					f.refuse[w]/f.asked[w], f.ideal[w].refused/f.asked[w], f.most(w)/tokenBounds.Most(q), float64(f.calls)/float64(nodes)/18)
+					f.refuse[w]/f.asked[w], f.ideal[w].refused/f.asked[w], f.most(w)/tokenBounds.MaxUnits(q), float64(f.calls)/float64(nodes)/18)
 			}
 		}
 		assert.Assert(t, refused["tree"] < refused["even"] && refused["tree"] < refused["demand"], "%v", refused)
@@ -169,7 +169,7 @@
 	q := tokenQuota(1e9)
 	l := &Ledger{Quota: func(string) jwworkspace.Quota { return q }, Bounds: func() Bounds { return tokenBounds }}
 	now := time.Unix(1000, 0)
-	l.SetPlace(now, Place{Fleet: 1, Counted: true})
+	l.SetTopology(now, Topology{FleetSize: 1, Counted: true})
 	names := make([]string, 2000)
 	for i := range names {
 		names[i] = fmt.Sprint("w", i)
--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -18,16 +18,16 @@
 const Path = "/quota"
 
 const (
-	// period is the time between two looks whether something is to be claimed.
-	period = 250 * time.Millisecond
-	// waitPeriod is the same while requests wait for units.
-	waitPeriod = 25 * time.Millisecond
-	// spacing is the least time between two calls of one node, and remoteSpacing that of
+	// checkInterval is the time between two looks whether something is to be claimed.
+	checkInterval = 250 * time.Millisecond
+	// waitingCheckInterval is the same while requests wait for units.
+	waitingCheckInterval = 25 * time.Millisecond
+	// minCallGap is the least time between two calls of one node, and remoteSpacing that of
 	// one in another region, where bytes are dear and an answer takes longer anyway.
-	spacing       = 10 * time.Millisecond
-	remoteSpacing = 60 * time.Millisecond
-	// pollPeriod is the time between two questions which workspaces others want units of.
-	pollPeriod = time.Second
+	minCallGap       = 10 * time.Millisecond
+	minRemoteCallGap = 60 * time.Millisecond
+	// pollInterval is the time between two questions which workspaces others want units of.
+	pollInterval = time.Second
 	// callTimeout bounds a call; units on their way longer than that are lost.
 	callTimeout = 600 * time.Millisecond
 	// mostCalls bounds the calls to one node at once.
@@ -86,15 +86,15 @@
 // Run claims what the node lacks and gives away what it doesn't need until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
 	for ctx.Err() == nil {
-		wait := pollPeriod
+		wait := pollInterval
 		if x.Limited() {
 			now := time.Now()
 			relays := x.Members.AllRelays(now)
 			x.place(now, relays)
 			x.claim(ctx, now, relays)
-			wait = period
+			wait = checkInterval
 			if x.Ledger.Waiting() {
-				wait = waitPeriod
+				wait = waitingCheckInterval
 			}
 		}
 		t := time.NewTimer(wait)
@@ -111,23 +111,23 @@
 func (x *Exchange) place(now time.Time, relays []jwmember.Member) {
 	me := x.Members.Me()
 	live := x.Members.Live(now, "")
-	p := jwquota.Place{Live: len(live), Fresh: x.Members.Fresh(x.Window())}
-	p.Fleet, p.Counted = x.Members.Fleet(now)
+	p := jwquota.Topology{LiveNodes: len(live), Fresh: x.Members.Fresh(x.Window())}
+	p.FleetSize, p.Counted = x.Members.Fleet(now)
 	for _, m := range relays {
 		if m.Name != me.Name {
 			continue
 		}
 		for _, other := range live {
 			if other.DataCentre == me.DataCentre {
-				p.Group++
+				p.GroupSize++
 			}
 		}
-		p.Root = func(workspace string) bool {
+		p.IsRoot = func(workspace string) bool {
 			root, ok := jwmember.Root(relays, workspace)
 			return ok && root.Name == me.Name
 		}
 	}
-	x.Ledger.SetPlace(now, p)
+	x.Ledger.SetTopology(now, p)
 }
 
 // claim calls the relay of the data centre or, as the relay, those of the others.
@@ -163,15 +163,15 @@
 		x.peers[m.Name] = p
 	}
 	me := x.Members.Me()
-	least := spacing
+	least := minCallGap
 	if m.Region != me.Region {
-		least = remoteSpacing
+		least = minRemoteCallGap
 	}
 	if p.calls >= mostCalls || now.Sub(p.called) < least {
 		return
 	}
 	claims := x.Ledger.Claims(now, fits)
-	poll := now.Sub(p.polled) >= pollPeriod
+	poll := now.Sub(p.polled) >= pollInterval
 	if len(claims) == 0 && !poll {
 		return
 	}
@@ -206,7 +206,7 @@
 		x.Log.Info("grant of quota units not readable", "peer", m.Name, "error", err.Error())
 		return
 	}
-	x.Ledger.Granted(time.Now(), a.Grants)
+	x.Ledger.ApplyGrants(time.Now(), a.Grants)
 }
 
 // ServeHTTP answers the claim of another node.
