--- a/core/jwquota/account.go
+++ b/core/jwquota/account.go
@@ -10,55 +10,56 @@
 )
 
 const (
-	// averageTimeConstant is the time over which demand and income are averaged.
+	// averageTimeConstant is the time constant of the averages of demand and spending.
 	averageTimeConstant = 2 * time.Second
-	// claimTTL is how long the claim of a node counts.
+	// claimTTL is how long the last claim of a node stays valid.
 	claimTTL = 1500 * time.Millisecond
-	// reservationTTL is how long units are reserved for a node that lacked them; it asks again
-	// while its requests wait.
+	// reservationTTL is how long units stay reserved for a node that lacked them. The
+	// node claims again while its requests wait.
 	reservationTTL = 200 * time.Millisecond
-	// activePeriod is how long a workspace counts as active after it last asked.
+	// activePeriod is how long a workspace counts as active after its last request or claim.
 	activePeriod = 10 * time.Second
-	// exhaustedTTL is how long the report counts that a quota is used up.
+	// exhaustedTTL is how long a report that a quota is used up stays valid.
 	exhaustedTTL = 400 * time.Millisecond
-	// totalDemandTTL is how long the total demand counts that the root reported, and aloneShare is
-	// how many times its even part a node has ahead that doesn't know it.
+	// totalDemandTTL is how long the total demand that the root reported stays valid, and
+	// unknownTotalFactor bounds what a node without a valid report prefetches, as a multiple
+	// of its equal share.
 	totalDemandTTL     = 3 * time.Second
 	unknownTotalFactor = 2
-	// exhaustedAfter is how long the root lacks units before a quota counts as used up;
-	// what others give back may still be on its way.
+	// exhaustedAfter is how long the root must lack units before a quota counts as used up;
+	// units that other nodes return may still be in transit.
 	exhaustedAfter = 800 * time.Millisecond
 )
 
-// account is what a node holds of one workspace's quota.
+// account is the state that a node keeps of one workspace's quota.
 type account struct {
 	level              float64   // units that may be spent
-	refilledAt         time.Time // up to which the node's own part was added
-	demand             rate      // of this node's requests
-	spendRate          rate      // what they were given
-	largestRequest     float64   // request seen, fading
-	waiting            []*Waiter
-	children           []child   // by name
-	root               bool      // units of the workspace are gathered at this node
-	lastAsked          time.Time // when a request or another node asked last
-	wantedUntil        time.Time // until when others want what this node doesn't need
+	refilledAt         time.Time // time up to which the node's own share was added
+	demand             rate      // of the units that this node's requests ask for
+	spendRate          rate      // of the units that these requests were granted
+	largestRequest     float64   // maximum cost of the requests so far, decayed with each request
+	waiting            []*Waiter // oldest first
+	children           []child   // sorted by name
+	root               bool      // the workspace's units are gathered at this node
+	lastAsked          time.Time // time of the last request, or of the last claim with demand
+	wantedUntil        time.Time // until when other nodes want this node's surplus
 	totalDemand        float64   // units a second that are asked for at all nodes which the root reaches
-	totalDemandAt      time.Time // when that was reported
+	totalDemandAt      time.Time // when totalDemand was reported
 	exhaustedUntil     time.Time // until when the quota is known to be used up
-	scarceUntil        time.Time // until when others are known to lack units
+	scarceUntil        time.Time // until when other nodes are known to lack units
 	shortageSince      time.Time // since when the root has lacked units
-	lastShortage       time.Time // when it did so last
-	lastClaim          time.Time // when the node claimed last
-	retriesBookedUntil time.Time // up to which refused callers are given a Retry-After
+	lastShortage       time.Time // when the root last lacked units
+	lastClaim          time.Time // when the node last claimed units
+	retriesBookedUntil time.Time // latest retry time that was given to a refused caller
 }
 
-// child is what a node that asks this one claimed last.
+// child is the last claim of a node that claims units from this one.
 type child struct {
 	name      string
 	claimedAt time.Time
-	demand    float64
-	firstNeed float64   // that its first waiting request lacks
-	need      float64   // that it was not given
+	demand    float64   // units a second that are asked for there
+	firstNeed float64   // units that its first waiting request lacks
+	need      float64   // units that it lacked and was not granted
 	needSince time.Time // when it began to lack units
 }
 
@@ -81,60 +82,61 @@
 	return r.value * math.Exp(-d.Seconds()/averageTimeConstant.Seconds())
 }
 
-// refill adds the node's even part of the time that passed.
-func (a *account) refill(now time.Time, q jwworkspace.Quota, b Bounds, p Topology) {
+// refill adds the node's equal share of the quota for the time since the last refill.
+func (a *account) refill(now time.Time, q jwworkspace.Quota, b Bounds, topo Topology) {
 	d := now.Sub(a.refilledAt)
 	a.refilledAt = now
 	added := 0.0
-	if p.Counted && d > 0 {
-		added = q.Rate / float64(max(p.FleetSize, 1)) * d.Seconds()
+	if topo.Counted && d > 0 {
+		added = q.Rate / float64(max(topo.FleetSize, 1)) * d.Seconds()
 	}
-	if a.level+added <= a.baseLevel(q, b, p) {
+	if a.level+added <= a.baseLevel(q, b, topo) {
 		a.level += added
 		return
 	}
-	most := a.maxLevel(now, q, b, p)
-	a.level = min(a.level+added, most)
+	limit := a.maxLevel(now, q, b, topo)
+	a.level = min(a.level+added, limit)
 }
 
 // maxLevel returns the units that the node may keep.
-func (a *account) maxLevel(now time.Time, q jwworkspace.Quota, b Bounds, p Topology) float64 {
-	return a.baseLevel(q, b, p) + a.targetLevel(now, q, b, p) + a.pendingUnits(now)
+func (a *account) maxLevel(now time.Time, q jwworkspace.Quota, b Bounds, topo Topology) float64 {
+	return a.baseLevel(q, b, topo) + a.targetLevel(now, q, b, topo) + a.pendingUnits(now)
 }
 
-// baseLevel returns the units that the node may keep whatever is asked for.
-func (a *account) baseLevel(q jwworkspace.Quota, b Bounds, p Topology) float64 {
-	part := nodeShare
-	if p.GroupSize > 0 {
-		part += relayShare * float64(p.GroupSize)
+// baseLevel returns the units that the node may keep regardless of demand.
+func (a *account) baseLevel(q jwworkspace.Quota, b Bounds, topo Topology) float64 {
+	share := nodeShare
+	if topo.GroupSize > 0 {
+		share += relayShare * float64(topo.GroupSize)
 	}
 	if a.root {
-		part += rootShare * float64(max(p.LiveNodes, 1))
+		share += rootShare * float64(max(topo.LiveNodes, 1))
 	}
-	return b.baseUnspent(q) * part / float64(max(p.FleetSize, 1))
+	return b.baseUnspent(q) * share / float64(max(topo.FleetSize, 1))
 }
 
-// targetLevel returns the units that the node wants to have ahead. Together all want what is
-// minted in that time at most, however much is asked for: what is held for a flood would
-// be spent beside what is minted meanwhile.
-func (a *account) targetLevel(now time.Time, q jwworkspace.Quota, b Bounds, p Topology) float64 {
+// targetLevel returns the units that the node wants to hold for upcoming requests. All
+// nodes together want at most what the quota's rate adds in the prefetch time, however
+// high the demand is: units held for a flood of requests would be spent in addition to
+// those that the rate adds meanwhile.
+func (a *account) targetLevel(now time.Time, q jwworkspace.Quota, b Bounds, topo Topology) float64 {
 	units := a.demand.current(now)
-	if p.GroupSize > 0 {
+	if topo.GroupSize > 0 {
 		for _, c := range a.children {
 			if now.Sub(c.claimedAt) < claimTTL {
 				units += c.demand
 			}
 		}
 	}
-	fleet := float64(max(p.FleetSize, 1))
-	most := unknownTotalFactor * q.Rate / fleet * float64(max(p.GroupSize, 1))
+	fleet := float64(max(topo.FleetSize, 1))
+	limit := unknownTotalFactor * q.Rate / fleet * float64(max(topo.GroupSize, 1))
 	if now.Sub(a.totalDemandAt) < totalDemandTTL && a.totalDemand > 0 {
-		most = units * min(q.Rate*float64(max(p.LiveNodes, 1))/fleet/a.totalDemand, 1)
+		limit = units * min(q.Rate*float64(max(topo.LiveNodes, 1))/fleet/a.totalDemand, 1)
 	}
-	return min(units, most) * b.prefetchTime(q).Seconds()
+	return min(units, limit) * b.prefetchTime(q).Seconds()
 }
 
-// pendingUnits returns the units that requests and other nodes wait for.
+// pendingUnits returns the units that requests here and child nodes wait for.
 func (a *account) pendingUnits(now time.Time) float64 {
 	units := 0.0
 	for _, w := range a.waiting {
@@ -148,7 +150,8 @@
 	return units
 }
 
-// knownTotalDemand returns the units a second that are asked for at all nodes, 0 if that isn't known.
+// knownTotalDemand returns the units a second that are asked for at all nodes, or 0 if
+// no recent report of them exists.
 func (a *account) knownTotalDemand(now time.Time) float64 {
 	if a.root {
 		a.totalDemand, a.totalDemandAt = a.subtreeDemand(now), now
@@ -159,7 +162,8 @@
 	return a.totalDemand
 }
 
-// isScarce reports whether requests wait for units here or are known to elsewhere.
+// isScarce reports whether units are lacking: at the root whether more are pending than
+// it has, at other nodes whether a recent grant said so.
 func (a *account) isScarce(now time.Time) bool {
 	if a.root {
 		return a.pendingUnits(now) > a.level
@@ -167,7 +171,7 @@
 	return now.Before(a.scarceUntil)
 }
 
-// firstNeed returns the units of the request or node that has waited longest.
+// firstNeed returns the units that the longest waiting request lacks, here or at a child.
 func (a *account) firstNeed(now time.Time) float64 {
 	units, since := 0.0, now
 	if len(a.waiting) > 0 {
@@ -181,15 +185,16 @@
 	return units
 }
 
-// allocate returns the units that a node is given: what its waiting requests lack, whole
-// or for the first of them, after those that have waited longer; and what it wants
-// ahead from what nobody waits for.
+// allocate returns the units to grant to a node. Requests and nodes that have waited
+// longer come first; from the rest it gets what all its waiting requests lack or, if that
+// is too much, what the first of them lacks. Units to prefetch come only from what
+// nobody waits for.
 func (a *account) allocate(now time.Time, node string, c Claim) float64 {
-	at, known := slices.BinarySearchFunc(a.children, node, func(c child, name string) int { return strings.Compare(c.name, name) })
+	index, known := slices.BinarySearchFunc(a.children, node, func(c child, name string) int { return strings.Compare(c.name, name) })
 	if !known {
-		a.children = slices.Insert(a.children, at, child{name: node})
+		a.children = slices.Insert(a.children, index, child{name: node})
 	}
-	old := a.children[at]
+	old := a.children[index]
 	fresh := child{name: node, claimedAt: now, demand: c.Demand, needSince: now}
 	if old.need > 0 && now.Sub(old.claimedAt) < reservationTTL {
 		fresh.needSince = old.needSince
@@ -219,11 +224,12 @@
 	}
 	fresh.need, fresh.firstNeed = max(c.Need-units, 0), c.FirstNeed
 	units += max(min(c.Prefetch, rest-c.Need), 0)
-	a.children[at] = fresh
+	a.children[index] = fresh
 	return units
 }
 
-// subtreeDemand returns what all nodes ask for that claim here, and this one.
+// subtreeDemand returns the units a second that are asked for at this node and at all
+// nodes that claim from it. It also removes children whose claims have expired.
 func (a *account) subtreeDemand(now time.Time) float64 {
 	units := a.demand.current(now)
 	a.children = slices.DeleteFunc(a.children, func(c child) bool { return now.Sub(c.claimedAt) >= claimTTL })
@@ -233,7 +239,7 @@
 	return units
 }
 
-// serveWaiting gives waiting requests what there is, the first first.
+// serveWaiting grants units to waiting requests in their order while the level suffices.
 func (a *account) serveWaiting(now time.Time) {
 	n := 0
 	for n < len(a.waiting) && a.level >= a.waiting[n].cost {
@@ -247,10 +253,11 @@
 	a.waiting = append(a.waiting[:0], a.waiting[n:]...)
 }
 
-// active reports whether the workspace asked for something lately.
+// active reports whether the workspace asked for units within activePeriod.
 func (a *account) active(now time.Time) bool { return now.Sub(a.lastAsked) < activePeriod }
 
-// noteShortage notes that the root noteShortage units and reports whether it has for long.
+// noteShortage records that the root lacks units and reports whether it has lacked them
+// for exhaustedAfter.
 func (a *account) noteShortage(now time.Time) bool {
 	if now.Sub(a.lastShortage) > reservationTTL {
 		a.shortageSince = now
--- a/core/jwquota/bounds.go
+++ b/core/jwquota/bounds.go
@@ -6,20 +6,21 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// Bounds are what the operators hold all nodes together to: in any window a
-// workspace gets (rate × window + burst) × (1 + ratio) + slack at most.
+// Bounds are the operators' limits on what all nodes together may exceed a quota by: in
+// any window a workspace gets at most (rate × window + burst) × (1 + ratio) + slack units.
 type Bounds struct {
 	Window time.Duration
 	Ratio  float64
 	Slack  float64 // units
 }
 
-// MaxUnits returns the bound of a quota.
+// MaxUnits returns the units that a workspace may spend at most in a window.
 func (b Bounds) MaxUnits(q jwworkspace.Quota) float64 {
 	return (q.Rate*b.Window.Seconds()+q.Burst)*(1+b.Ratio) + b.Slack
 }
 
-// The parts of what may be kept unspent over all nodes, and who may keep it.
+// The shares of baseUnspent, the units that all nodes together may keep regardless of
+// demand, by who may keep them.
 const (
 	nodeShare  = 0.3  // by each node
 	relayShare = 0.35 // by the relays of data centres, for their nodes
@@ -27,37 +28,38 @@
 )
 
 const (
-	// maxPrefetchTime is how long the units last that a node asks for before it needs them.
+	// maxPrefetchTime is how long the units that nodes claim in advance may last at most.
 	maxPrefetchTime = 250 * time.Millisecond
-	// maxPrefetchShare bounds them by the part of what may be kept that they take in a second.
+	// maxPrefetchShare bounds the units that the rate adds in the prefetch time to this share
+	// of maxUnspent.
 	maxPrefetchShare = 0.25
-	// maxTransitTime and transitShare bound the units on their way between two nodes.
+	// maxTransitTime and maxTransitShare bound the units in transit between two nodes.
 	maxTransitTime  = 250 * time.Millisecond
 	maxTransitShare = 0.15
-	// initialShare is what a node has of its part of what may be kept when it starts: after
-	// a start of all at once their callers retry before anything is minted.
+	// initialShare is the share of its part of maxUnspent that a node has when it starts:
+	// after all nodes start at once, callers retry before the rate has added any units.
 	initialShare = 0.12
 )
 
-// maxUnspent returns the units that all nodes together may keep unspent. In a window these
-// and what is minted meanwhile can be spent; minted is the rate times the window.
+// maxUnspent returns the units that all nodes together may keep unspent. In a window
+// these can be spent and also what is added meanwhile, the rate times the window.
 func (b Bounds) maxUnspent(q jwworkspace.Quota) float64 {
 	return max(b.MaxUnits(q)-q.Rate*b.Window.Seconds(), 0)
 }
 
-// baseUnspent returns the part of kept that is left beside what nodes ask for ahead, what is on
-// its way, and what nodes start with.
+// baseUnspent returns the rest of maxUnspent after subtracting the units that nodes
+// prefetch, the units in transit and the units that nodes start with.
 func (b Bounds) baseUnspent(q jwworkspace.Quota) float64 {
-	kept := b.maxUnspent(q)
-	ahead := 2 * b.prefetchTime(q).Seconds() * q.Rate
-	return kept - ahead - min(maxTransitShare*kept, maxTransitTime.Seconds()*q.Rate) - initialShare*kept
+	unspent := b.maxUnspent(q)
+	prefetched := 2 * b.prefetchTime(q).Seconds() * q.Rate
+	return unspent - prefetched - min(maxTransitShare*unspent, maxTransitTime.Seconds()*q.Rate) - initialShare*unspent
 }
 
-// maxRequest returns the most units that one request may take: they have to be gathered at
-// one node first.
+// maxRequest returns the units that one request may take at most. All of them must
+// first be gathered at one node.
 func (b Bounds) maxRequest(q jwworkspace.Quota) float64 { return max(b.maxUnspent(q)/2, q.Burst) }
 
-// prefetchTime returns for how long a node asks prefetchTime.
+// prefetchTime returns how long the units that a node claims in advance are to last.
 func (b Bounds) prefetchTime(q jwworkspace.Quota) time.Duration {
 	if q.Rate <= 0 {
 		return 0
--- a/core/jwquota/claim.go
+++ b/core/jwquota/claim.go
@@ -7,45 +7,45 @@
 )
 
 const (
-	// maxClaims bounds the workspaces in one message between two nodes.
+	// maxClaims is the maximum number of workspaces in one message between two nodes.
 	maxClaims = 64
-	// claimInterval is the time between two claims for a workspace that lacks nothing.
+	// claimInterval is the time between two claims for a workspace that lacks no units.
 	claimInterval = time.Second
-	// scarceTTL is how long nodes have less ahead once others lack units, and
-	// scarceShare is how much of it.
+	// scarceTTL is how long a node prefetches fewer units after a grant said that other
+	// nodes lack units, and scarceFactor is the factor by which it lowers its target level.
 	scarceTTL    = 600 * time.Millisecond
 	scarceFactor = 0.25
 )
 
-// Claim is what a node reports of a workspace to the one that it claims units from.
+// Claim is a node's report on one workspace to the node that it claims units from.
 type Claim struct {
 	Workspace string  `json:"workspace"`
-	Surplus   float64 `json:"give,omitempty"`   // units that it doesn't need; they are no longer its own
+	Surplus   float64 `json:"give,omitempty"`   // units that it doesn't need and gives away with the claim
 	FirstNeed float64 `json:"first,omitempty"`  // units that the first of its waiting requests lacks
-	Need      float64 `json:"need,omitempty"`   // units that all of them lack
-	Prefetch  float64 `json:"ahead,omitempty"`  // units that it wants to have for those to come
-	Demand    float64 `json:"demand,omitempty"` // units a second that are asked for there
+	Need      float64 `json:"need,omitempty"`   // units that all its waiting requests lack
+	Prefetch  float64 `json:"ahead,omitempty"`  // units that it wants for upcoming requests
+	Demand    float64 `json:"demand,omitempty"` // units a second that are asked for at the node and those that claim from it
 }
 
-// Grant answers a claim.
+// Grant is the answer to a Claim, or a report on a workspace that was not claimed.
 type Grant struct {
 	Workspace     string  `json:"workspace"`
 	Units         float64 `json:"units,omitempty"`
-	Exhausted     bool    `json:"short,omitempty"`  // the quota is used up, and no more will come for now
-	SurplusWanted bool    `json:"wanted,omitempty"` // others want what the node doesn't need
-	Scarce        bool    `json:"scarce,omitempty"` // others lack units now, so it should have little ahead
-	TotalDemand   float64 `json:"total,omitempty"`  // units a second that are asked for in all
+	Exhausted     bool    `json:"short,omitempty"`  // the quota is used up, so no more units will come for now
+	SurplusWanted bool    `json:"wanted,omitempty"` // other nodes want the units that the claiming node doesn't need
+	Scarce        bool    `json:"scarce,omitempty"` // other nodes lack units now, so the claiming node should prefetch few
+	TotalDemand   float64 `json:"total,omitempty"`  // units a second that are asked for at all nodes together
 }
 
-// Claims returns what the node claims now for the workspaces that fit: those whose
-// units come from the node that is asked. What it gives away is taken off at once;
-// where the claim doesn't arrive it is lost.
-func (l *Ledger) Claims(now time.Time, fits func(workspace string) bool) []Claim {
+// Claims returns the claims that are due now, for the workspaces that the filter
+// accepts: those whose units come from the node that the claims go to. The surplus that
+// a claim gives away is subtracted at once, and lost if the claim doesn't arrive.
+func (l *Ledger) Claims(now time.Time, filter func(workspace string) bool) []Claim {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var claims []Claim
-	for name, old := range l.accounts {
-		if old.root || !fits(name) {
+	for name, acc := range l.accounts {
+		if acc.root || !filter(name) {
 			continue
 		}
 		if c, due := l.claim(now, name); due {
@@ -64,7 +64,7 @@
 	return claims
 }
 
-// claim returns what the node claims for a workspace and whether that is due.
+// claim returns the node's claim for a workspace and whether it should be sent now.
 func (l *Ledger) claim(now time.Time, workspace string) (Claim, bool) {
 	a, q := l.account(now, workspace)
 	b := l.Bounds()
@@ -80,29 +80,30 @@
 		target += min(a.largestRequest, b.baseUnspent(q)*relayShare*float64(l.topology.GroupSize)/float64(max(l.topology.FleetSize, 1)))
 	}
 	c := Claim{Workspace: workspace, Demand: a.subtreeDemand(now)}
-	first, lacking := a.firstNeed(now), a.pendingUnits(now)
-	switch spare := a.level - lacking - target; {
+	first, pending := a.firstNeed(now), a.pendingUnits(now)
+	switch spare := a.level - pending - target; {
 	case first > a.level && l.topology.GroupSize == 0:
-		// Held by many, each too few for its first request, they would be of use to none.
-		c.Surplus, c.FirstNeed, c.Need, c.Prefetch = a.level, first, lacking, target
+		// Units that are spread over many nodes, too few at each for its first request,
+		// would serve no request; so they go up to be gathered at one node.
+		c.Surplus, c.FirstNeed, c.Need, c.Prefetch = a.level, first, pending, target
 	case spare > 0:
 		c.Surplus = spare
 	default:
-		c.Need = max(lacking-a.level, 0)
+		c.Need = max(pending-a.level, 0)
 		c.FirstNeed, c.Prefetch = min(c.Need, first), -spare-c.Need
 	}
-	// Few units, which the node mints itself within moments, need not be claimed at once.
+	// A few units that the node's own share adds within moments need not be claimed at once.
 	due := c.Need > 0 || c.Prefetch > target/2+negligibleUnits || c.Surplus > a.equalShare(q.Rate, l.topology)/8
 	return c, due || now.Sub(a.lastClaim) >= claimInterval
 }
 
-// equalShare returns the node's equalShare part of a second of the quota.
-func (a *account) equalShare(rate float64, p Topology) float64 {
-	return rate / float64(max(p.FleetSize, 1))
+// equalShare returns the node's equal share of the units that a quota adds in a second.
+func (a *account) equalShare(rate float64, topo Topology) float64 {
+	return rate / float64(max(topo.FleetSize, 1))
 }
 
-// Answer takes the claims of a node and returns what it is given. A node that polls also
-// learns of the other workspaces that units are wanted of.
+// Answer applies the claims of a node and returns its grants. With poll, the answer also
+// names the other workspaces whose units are wanted.
 func (l *Ledger) Answer(now time.Time, node string, claims []Claim, poll bool) []Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -142,25 +143,26 @@
 	return g
 }
 
-// addWanted adds the workspaces to an answer that others want units of: all for a node that
-// polls, for the others those of which units are lacking.
+// addWanted adds to the grants the workspaces whose units other nodes want: with poll
+// all active ones, otherwise only those that lack units.
 func (l *Ledger) addWanted(now time.Time, grants []Grant, poll bool) []Grant {
-	named := make(map[string]bool, len(grants))
+	included := make(map[string]bool, len(grants))
 	for _, g := range grants {
-		named[g.Workspace] = true
+		included[g.Workspace] = true
 	}
 	for name, a := range l.accounts {
 		if len(grants) >= maxClaims {
 			break
 		}
-		if !named[name] && (a.active(now) || now.Before(a.wantedUntil)) && (poll || a.isScarce(now)) {
+		if !included[name] && (a.active(now) || now.Before(a.wantedUntil)) && (poll || a.isScarce(now)) {
 			grants = append(grants, Grant{Workspace: name, SurplusWanted: true, Scarce: a.isScarce(now), TotalDemand: a.knownTotalDemand(now)})
 		}
 	}
 	return grants
 }
 
-// ApplyGrants takes the answer to claims.
+// ApplyGrants adds the units of an answer to claims and takes over what it reports on
+// the workspaces.
 func (l *Ledger) ApplyGrants(now time.Time, grants []Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -9,38 +9,38 @@
 )
 
 const (
-	// minRetryAfter and mostRetry bound the Retry-After of a refused caller.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a refused caller.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
-	// idleTTL is how long the account of a workspace that nobody asks for is kept.
+	// idleTTL is how long the account of a workspace without requests is kept.
 	idleTTL = time.Minute
-	// largestDecay is by how much the largest request is forgotten with each one.
+	// largestDecay is the factor by which each request lowers the remembered largest cost.
 	largestDecay = 0.99
-	// negligibleUnits is less than any request takes.
+	// negligibleUnits is a tolerance for rounding, less than the cost of any request.
 	negligibleUnits = 1e-6
 )
 
-// Ledger holds a node's units of all quotas; set its fields before use. Its lock is
-// held while Quota is called, and no other lock is taken under it.
+// Ledger holds a node's units of all quotas. Set its fields before use. Its mutex is
+// held while Quota is called; no other lock is acquired while it is held.
 type Ledger struct {
-	Quota  func(workspace string) jwworkspace.Quota // as the configuration in force has it
+	Quota  func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
 	Bounds func() Bounds
-	Lacks  func() // called when a request waits for units, which are to be claimed at once; may be nil
+	Lacks  func() // called when a request begins to wait, so that units are claimed at once; may be nil
 
 	mu           sync.Mutex
 	topology     Topology
-	countedSince time.Time // when the others began to count this node
+	countedSince time.Time // when the other nodes began to count this node in the fleet size
 	accounts     map[string]*account
 }
 
-// Topology is where a node stands among those that share the quotas.
+// Topology is a node's position among the nodes that share the quotas.
 type Topology struct {
-	FleetSize int                         // nodes that there may be
-	Counted   bool                        // the others count this one in theirs
-	Fresh     bool                        // no process of the node started within a window before this one
+	FleetSize int                         // maximum number of nodes that may be running
+	Counted   bool                        // the other nodes include this one in their fleet size
+	Fresh     bool                        // no earlier process of the node started within a window before this one
 	LiveNodes int                         // live nodes
-	GroupSize int                         // of these, those that claim through this one, 0 if it is no relay
-	IsRoot    func(workspace string) bool // whether the node gathers a workspace's units; nil for none
+	GroupSize int                         // live nodes of its data centre, which claim through it; 0 if it is no relay
+	IsRoot    func(workspace string) bool // whether the node gathers a workspace's units; nil if it gathers none
 }
 
 // Waiter is a request that waits for units.
@@ -55,42 +55,43 @@
 // Ready returns a channel that is closed once the request has its units.
 func (w *Waiter) Ready() <-chan struct{} { return w.ready }
 
-// Outcome is what became of a request that asked for units.
+// Outcome is the result of a request for units.
 type Outcome string
 
-// The outcomes.
+// The possible outcomes.
 const (
-	Taken   Outcome = "taken"
-	Waits   Outcome = "waits" // units may come within moments
-	Refused Outcome = "refused"
+	Taken   Outcome = "taken"   // the request has its units
+	Waits   Outcome = "waits"   // units may arrive within moments
+	Refused Outcome = "refused" // the caller is to retry later
 )
 
-// Decision is the outcome with what it rests on.
+// Decision is an outcome with its details.
 type Decision struct {
 	Outcome    Outcome
-	Waiter     *Waiter       // of a request that waits
-	RetryAfter time.Duration // of one that is refused
-	Level      float64       // units that the node had
+	Waiter     *Waiter       // set if the request waits
+	RetryAfter time.Duration // set if the request is refused
+	Level      float64       // units that the node had for the workspace
 }
 
-// SetTopology takes where the node stands now.
-func (l *Ledger) SetTopology(now time.Time, p Topology) {
+// SetTopology sets the node's position among the nodes. It also removes idle accounts.
+func (l *Ledger) SetTopology(now time.Time, topo Topology) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if p.Counted && !l.topology.Counted {
+	if topo.Counted && !l.topology.Counted {
 		l.countedSince = now
 	}
-	l.topology = p
+	l.topology = topo
 	for name, a := range l.accounts {
 		if now.Sub(a.lastAsked) > idleTTL && !now.Before(a.wantedUntil) && len(a.waiting) == 0 {
 			delete(l.accounts, name)
 			continue
 		}
-		a.root = p.IsRoot != nil && p.IsRoot(name)
+		a.root = topo.IsRoot != nil && topo.IsRoot(name)
 	}
 }
 
-// Take asks for the units of a request.
+// Take requests the units that a request costs. If they are not available, it enqueues
+// the request and returns its Waiter, or refuses it.
 func (l *Ledger) Take(now time.Time, workspace string, cost float64) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -114,8 +115,8 @@
 	return d
 }
 
-// Leave ends the wait of a request; it reports whether that has got its units after all,
-// and otherwise its Retry-After.
+// Leave ends the wait of a request. The outcome is Taken if the request has received its
+// units by now, and otherwise Refused with a Retry-After.
 func (l *Ledger) Leave(now time.Time, w *Waiter) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -124,11 +125,11 @@
 	}
 	a, q := l.account(now, w.workspace)
 	a.waiting = slices.DeleteFunc(a.waiting, func(x *Waiter) bool { return x == w })
-	a.serveWaiting(now) // those behind it may take less
+	a.serveWaiting(now) // the requests behind it may cost less
 	return Decision{Outcome: Refused, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
 }
 
-// Return gives the units of a request back that no target has run or will.
+// Return gives back the units of a request that no target has run or will run.
 func (l *Ledger) Return(now time.Time, workspace string, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,9 +139,10 @@
 	a.level = min(a.level, a.maxLevel(now, q, l.Bounds(), l.topology)+cost)
 }
 
-// bookRetry returns the Retry-After of a refused caller: after those refused before it.
-func (a *account) bookRetry(now time.Time, q jwworkspace.Quota, p Topology, cost float64) time.Duration {
-	share := max(a.spendRate.current(now), q.Rate/float64(max(p.FleetSize, 1)))
+// bookRetry returns the Retry-After of a refused caller, after the retries of the callers
+// that were refused before it.
+func (a *account) bookRetry(now time.Time, q jwworkspace.Quota, topo Topology, cost float64) time.Duration {
+	share := max(a.spendRate.current(now), q.Rate/float64(max(topo.FleetSize, 1)))
 	if a.retriesBookedUntil.Before(now) {
 		a.retriesBookedUntil = now
 	}
@@ -166,13 +168,14 @@
 	return false
 }
 
-// account returns the account of a workspace, with what was minted since; l.mu is held.
+// account returns the account of a workspace, refilled up to now. The caller holds l.mu.
 func (l *Ledger) account(now time.Time, workspace string) (*account, jwworkspace.Quota) {
 	a := l.accounts[workspace]
 	if a == nil {
 		a = &account{refilledAt: now, root: l.topology.IsRoot != nil && l.topology.IsRoot(workspace)}
 		if l.topology.Counted {
-			// Nobody has spent what was minted since; an account that is idle is dropped.
+			// This node has spent nothing of the workspace's quota since: accounts are
+			// removed only after idleTTL without requests.
 			a.refilledAt = latest(l.countedSince, now.Add(-idleTTL))
 			if l.topology.Fresh && now.Sub(l.countedSince) < idleTTL {
 				q, b := l.Quota(workspace), l.Bounds()
--- a/io/jwquotaexchange/doc.go
+++ b/io/jwquotaexchange/doc.go
@@ -1,4 +1,4 @@
-// Package jwquotaexchange carries claims and grants of quota units between nodes: each
-// node claims from the relay of its data centre, and the relays from those at which the
-// units of a workspace are gathered.
+// Package jwquotaexchange exchanges claims and grants of quota units between nodes. Each
+// node claims from the relay of its data centre, and each relay claims the units of a
+// workspace from the relay at which they are gathered.
 package jwquotaexchange
--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -14,83 +14,85 @@
 	"jujubewheel/core/jwquota"
 )
 
-// Path is that of a claim between nodes.
+// Path is the HTTP path of claims between nodes.
 const Path = "/quota"
 
 const (
-	// checkInterval is the time between two looks whether something is to be claimed.
+	// checkInterval is how often the exchange checks whether claims are due.
 	checkInterval = 250 * time.Millisecond
 	// waitingCheckInterval is the same while requests wait for units.
 	waitingCheckInterval = 25 * time.Millisecond
-	// minCallGap is the least time between two calls of one node, and remoteSpacing that of
-	// one in another region, where bytes are dear and an answer takes longer anyway.
+	// minCallGap is the minimum time between two calls to one node, and minRemoteCallGap
+	// that to a node of another region, where traffic is expensive and answers take longer
+	// anyway.
 	minCallGap       = 10 * time.Millisecond
 	minRemoteCallGap = 60 * time.Millisecond
-	// pollInterval is the time between two questions which workspaces others want units of.
+	// pollInterval is the time between two calls that ask which workspaces other nodes want
+	// units of.
 	pollInterval = time.Second
-	// callTimeout bounds a call; units on their way longer than that are lost.
+	// callTimeout is the timeout of a call; units that are in transit for longer are lost.
 	callTimeout = 600 * time.Millisecond
-	// mostCalls bounds the calls to one node at once.
-	mostCalls = 4
-	// maxBody bounds a claim or its answer.
+	// maxCallsPerNode is the maximum number of calls in flight to one node.
+	maxCallsPerNode = 4
+	// maxBody is the maximum size in bytes of a request with claims.
 	maxBody = 64 << 10
 )
 
-// Exchange claims units for a node and answers the claims of others; set its fields
-// before Run.
+// Exchange claims units for a node and answers the claims of other nodes. Set its fields
+// before calling Run.
 type Exchange struct {
 	Ledger  *jwquota.Ledger
 	Members *jwmember.Table
 	Limited func() bool          // whether any workspace has a quota
-	Window  func() time.Duration // that quotas hold for
-	// Call makes a call to another node and returns the body of its answer.
+	Window  func() time.Duration // the window that the quota bounds apply to
+	// Call sends a request to another node and returns the body of its answer.
 	Call func(ctx context.Context, m jwmember.Member, method, path string, body []byte) ([]byte, error)
 	Log  logr.Logger
 
-	mu    sync.Mutex
-	peers map[string]*peer
-	kick  chan struct{}
-	made  sync.Once
+	mu       sync.Mutex
+	peers    map[string]*peer
+	wake     chan struct{}
+	wakeOnce sync.Once
 }
 
 // peer is a node that this one claims from.
 type peer struct {
-	called time.Time
-	polled time.Time
-	calls  int // without an answer yet
+	lastCall time.Time
+	lastPoll time.Time
+	inFlight int // calls without an answer yet
 }
 
-type question struct {
+type claimRequest struct {
 	Node   string          `json:"node"`
-	Poll   bool            `json:"poll,omitempty"` // it asks which workspaces units are wanted of
+	Poll   bool            `json:"poll,omitempty"` // asks which workspaces other nodes want units of
 	Claims []jwquota.Claim `json:"claims,omitempty"`
 }
 
-type answer struct {
+type claimResponse struct {
 	Grants []jwquota.Grant `json:"grants,omitempty"`
 }
 
-// Kick makes the exchange look at once whether something is to be claimed.
+// Kick makes Run check at once whether claims are due.
 func (x *Exchange) Kick() {
 	select {
-	case x.kicked() <- struct{}{}:
+	case x.wakeChannel() <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Exchange) kicked() chan struct{} {
-	x.made.Do(func() { x.kick = make(chan struct{}, 1) })
-	return x.kick
+func (x *Exchange) wakeChannel() chan struct{} {
+	x.wakeOnce.Do(func() { x.wake = make(chan struct{}, 1) })
+	return x.wake
 }
 
-// Run claims what the node lacks and gives away what it doesn't need until ctx ends.
+// Run claims the units that the node lacks and gives away its surplus, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := pollInterval
 		if x.Limited() {
 			now := time.Now()
 			relays := x.Members.AllRelays(now)
-			x.place(now, relays)
+			x.updateTopology(now, relays)
 			x.claim(ctx, now, relays)
 			wait = checkInterval
 			if x.Ledger.Waiting() {
@@ -101,41 +103,42 @@
 		select {
 		case <-ctx.Done():
 		case <-t.C:
-		case <-x.kicked():
+		case <-x.wakeChannel():
 		}
 		t.Stop()
 	}
 }
 
-// place sets in the ledger where the node stands.
-func (x *Exchange) place(now time.Time, relays []jwmember.Member) {
+// updateTopology sets the node's current position in the ledger.
+func (x *Exchange) updateTopology(now time.Time, relays []jwmember.Member) {
 	me := x.Members.Me()
 	live := x.Members.Live(now, "")
-	p := jwquota.Topology{LiveNodes: len(live), Fresh: x.Members.Fresh(x.Window())}
-	p.FleetSize, p.Counted = x.Members.Fleet(now)
+	topo := jwquota.Topology{LiveNodes: len(live), Fresh: x.Members.Fresh(x.Window())}
+	topo.FleetSize, topo.Counted = x.Members.Fleet(now)
 	for _, m := range relays {
 		if m.Name != me.Name {
 			continue
 		}
 		for _, other := range live {
 			if other.DataCentre == me.DataCentre {
-				p.GroupSize++
+				topo.GroupSize++
 			}
 		}
-		p.IsRoot = func(workspace string) bool {
+		topo.IsRoot = func(workspace string) bool {
 			root, ok := jwmember.Root(relays, workspace)
 			return ok && root.Name == me.Name
 		}
 	}
-	x.Ledger.SetTopology(now, p)
+	x.Ledger.SetTopology(now, topo)
 }
 
-// claim calls the relay of the data centre or, as the relay, those of the others.
+// claim claims from the relay of the data centre or, if this node is that relay, from the
+// relays of the other data centres.
 func (x *Exchange) claim(ctx context.Context, now time.Time, relays []jwmember.Member) {
 	me := x.Members.Me()
 	for _, m := range relays {
 		if m.DataCentre == me.DataCentre && m.Name != me.Name {
-			x.call(ctx, now, m, func(string) bool { return true })
+			x.claimFrom(ctx, now, m, func(string) bool { return true })
 			return
 		}
 	}
@@ -143,15 +146,15 @@
 		if m.Name == me.Name {
 			continue
 		}
-		x.call(ctx, now, m, func(workspace string) bool {
+		x.claimFrom(ctx, now, m, func(workspace string) bool {
 			root, _ := jwmember.Root(relays, workspace)
 			return root.Name == m.Name
 		})
 	}
 }
 
-// call claims from one node the units of the workspaces that fit.
-func (x *Exchange) call(ctx context.Context, now time.Time, m jwmember.Member, fits func(workspace string) bool) {
+// claimFrom claims units from one node, of the workspaces that the filter accepts.
+func (x *Exchange) claimFrom(ctx context.Context, now time.Time, m jwmember.Member, filter func(workspace string) bool) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	p := x.peers[m.Name]
@@ -163,37 +166,37 @@
 		x.peers[m.Name] = p
 	}
 	me := x.Members.Me()
-	least := minCallGap
+	minGap := minCallGap
 	if m.Region != me.Region {
-		least = minRemoteCallGap
+		minGap = minRemoteCallGap
 	}
-	if p.calls >= mostCalls || now.Sub(p.called) < least {
+	if p.inFlight >= maxCallsPerNode || now.Sub(p.lastCall) < minGap {
 		return
 	}
-	claims := x.Ledger.Claims(now, fits)
-	poll := now.Sub(p.polled) >= pollInterval
+	claims := x.Ledger.Claims(now, filter)
+	poll := now.Sub(p.lastPoll) >= pollInterval
 	if len(claims) == 0 && !poll {
 		return
 	}
 	if poll {
-		p.polled = now
+		p.lastPoll = now
 	}
-	body, err := json.Marshal(question{me.Name, poll, claims})
+	body, err := json.Marshal(claimRequest{me.Name, poll, claims})
 	if err != nil {
 		x.Log.Error(err, "claim not encoded")
 		return
 	}
-	p.called = now
-	p.calls++
+	p.lastCall = now
+	p.inFlight++
 	go func() {
-		x.ask(ctx, m, body)
+		x.sendClaims(ctx, m, body)
 		x.mu.Lock()
-		p.calls--
+		p.inFlight--
 		x.mu.Unlock()
 	}()
 }
 
-func (x *Exchange) ask(ctx context.Context, m jwmember.Member, body []byte) {
+func (x *Exchange) sendClaims(ctx context.Context, m jwmember.Member, body []byte) {
 	ctx, cancel := context.WithTimeout(ctx, callTimeout)
 	defer cancel()
 	raw, err := x.Call(ctx, m, http.MethodPost, Path, body)
@@ -201,7 +204,7 @@
 		x.Log.V(1).Info("quota units not claimed", "peer", m.Name, "error", err.Error())
 		return
 	}
-	var a answer
+	var a claimResponse
 	if err := json.Unmarshal(raw, &a); err != nil {
 		x.Log.Info("grant of quota units not readable", "peer", m.Name, "error", err.Error())
 		return
@@ -209,16 +212,17 @@
 	x.Ledger.ApplyGrants(time.Now(), a.Grants)
 }
 
-// ServeHTTP answers the claim of another node.
+// ServeHTTP answers the claims of another node with grants. It answers a body that can't
+// be decoded with status 400.
 func (x *Exchange) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	var q question
+	var q claimRequest
 	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&q); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
 	grants := x.Ledger.Answer(time.Now(), q.Node, q.Claims, q.Poll)
 	w.Header()["Content-Type"] = []string{"application/json"}
-	if err := json.NewEncoder(w).Encode(answer{grants}); err != nil {
+	if err := json.NewEncoder(w).Encode(claimResponse{grants}); err != nil {
 		x.Log.V(1).Info("grant of quota units not sent", "peer", q.Node, "error", err.Error())
 	}
 }
