--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -183,7 +183,7 @@
 	}
 	body, err := json.Marshal(claimRequest{me.Name, poll, claims})
 	if err != nil {
-		x.Log.Error(err, "claim not encoded")
+		x.Log.Error(err, "quota claims not encoded")
 		return
 	}
 	p.lastCall = now
@@ -206,7 +206,7 @@
 	}
 	var a claimResponse
 	if err := json.Unmarshal(raw, &a); err != nil {
-		x.Log.Info("grant of quota units not readable", "peer", m.Name, "error", err.Error())
+		x.Log.Info("quota grants not decoded", "peer", m.Name, "error", err.Error())
 		return
 	}
 	x.Ledger.ApplyGrants(time.Now(), a.Grants)
@@ -223,6 +223,6 @@
 	grants := x.Ledger.Answer(time.Now(), q.Node, q.Claims, q.Poll)
 	w.Header()["Content-Type"] = []string{"application/json"}
 	if err := json.NewEncoder(w).Encode(claimResponse{grants}); err != nil {
-		x.Log.V(1).Info("grant of quota units not sent", "peer", q.Node, "error", err.Error())
+		x.Log.V(1).Info("quota grants not sent", "peer", q.Node, "error", err.Error())
 	}
 }
