--- a/core/jwsuspect/apart.go
+++ b/core/jwsuspect/apart.go
@@ -28,11 +28,11 @@
 	var occupied, crashed, foreign []netip.AddrPort
 	for _, target := range targets {
 		switch {
-		case t.occupied(f, target, now):
+		case t.hasOtherSuspect(f, target, now):
 			occupied = append(occupied, target)
 		case t.crashedWith(f, target):
 			crashed = append(crashed, target)
-		case t.owner(target) != t.Node:
+		case t.suspectOwner(target) != t.Node:
 			foreign = append(foreign, target)
 		}
 	}
@@ -48,9 +48,9 @@
 	return out
 }
 
-// occupied reports whether another suspect is in flight on a target.
-func (t *Table) occupied(f Fingerprint, target netip.AddrPort, now time.Time) bool {
-	for other := range t.flights[target] {
+// hasOtherSuspect reports whether another suspect is in flight on a target.
+func (t *Table) hasOtherSuspect(f Fingerprint, target netip.AddrPort, now time.Time) bool {
+	for other := range t.inFlight[target] {
 		if state, _ := t.check(other, now); other != f && state != Clear {
 			return true
 		}
@@ -64,8 +64,8 @@
 	return s != nil && slices.ContainsFunc(s.crashes, func(c crash) bool { return c.target == target })
 }
 
-// owner returns the node that uses a target for its suspects.
-func (t *Table) owner(target netip.AddrPort) string {
+// suspectOwner returns the node that uses a target for its suspects.
+func (t *Table) suspectOwner(target netip.AddrPort) string {
 	owner, highest := t.Node, uint64(0)
 	key := jwtarget.AddressKey(target)
 	for _, node := range t.members {
--- a/core/jwsuspect/notice.go
+++ b/core/jwsuspect/notice.go
@@ -32,8 +32,8 @@
 		for _, c := range s.crashes {
 			out = append(out, Notice{Fingerprint: f, State: Suspected, Target: c.target, Age: now.Sub(c.at)})
 		}
-		if !s.cleared.IsZero() {
-			out = append(out, Notice{Fingerprint: f, State: Clear, Age: now.Sub(s.cleared)})
+		if !s.clearedAt.IsZero() {
+			out = append(out, Notice{Fingerprint: f, State: Clear, Age: now.Sub(s.clearedAt)})
 		}
 		for i := first; s.bound && i < len(out); i++ {
 			out[i].Region = t.Region
@@ -63,14 +63,14 @@
 			continue
 		}
 		if n.State == Clear {
-			if s := t.suspect(n.Fingerprint, now); s != nil {
+			if s := t.suspectFor(n.Fingerprint, now); s != nil {
 				s.bound = s.bound || n.Region != ""
 				s.clear(now.Add(-n.Age))
 			}
 			continue
 		}
 		c := crash{target: n.Target, at: now.Add(-n.Age)}
-		if t.accuse(n.Fingerprint, c, n.Region != "", now) {
+		if t.recordCrash(n.Fingerprint, c, n.Region != "", now) {
 			barred = append(barred, n.Fingerprint)
 		}
 	}
--- a/core/jwsuspect/table.go
+++ b/core/jwsuspect/table.go
@@ -21,16 +21,16 @@
 
 // The values that a Table takes where its own fields are zero.
 const (
-	DefaultRemember   = 10 * time.Minute
-	DefaultQuarantine = 2 * time.Minute
-	DefaultMost       = 4096
+	DefaultRemember        = 10 * time.Minute
+	DefaultQuarantine      = 2 * time.Minute
+	DefaultMaxFingerprints = 4096
 )
 
-// longer is by how much each further quarantine of a fingerprint outlasts the
-// one before, up to maxBars of them.
+// quarantineGrowth is by how much each further quarantine of a fingerprint outlasts the
+// one before, up to maxQuarantineSteps of them.
 const (
-	longer  = 4
-	maxBars = 4
+	quarantineGrowth   = 4
+	maxQuarantineSteps = 4
 )
 
 // crashesToQuarantine is how many different targets must have crashed with a
@@ -45,31 +45,31 @@
 // when a target crashed. One mutex guards it, and no other lock is taken under
 // it. Fields are set before use; the zero value uses the defaults.
 type Table struct {
-	Node       string        // name of this node
-	Region     string        // reported to peers with what is bound to it
-	Remember   time.Duration // how long one crash counts
-	Quarantine time.Duration // how long the first quarantine of a fingerprint lasts
-	Most       int           // fingerprints remembered at most
+	Node            string        // name of this node
+	Region          string        // reported to peers with what is bound to it
+	Remember        time.Duration // how long one crash counts
+	Quarantine      time.Duration // how long the first quarantine of a fingerprint lasts
+	MaxFingerprints int           // fingerprints remembered at most
 
 	mu       sync.Mutex
 	members  []string // live nodes of the region
-	flights  map[netip.AddrPort]map[Fingerprint]flight
+	inFlight map[netip.AddrPort]map[Fingerprint]callCount
 	suspects map[Fingerprint]*suspect
 }
 
-// flight counts the calls of one fingerprint on one target.
-type flight struct {
+// callCount counts the calls of one fingerprint on one target.
+type callCount struct {
 	calls int
 	bound bool
 }
 
 // suspect is what is held against one fingerprint.
 type suspect struct {
-	crashes []crash
-	bound   bool
-	cleared time.Time // crashes up to then do not count: it has been served
-	bars    int       // quarantines so far
-	until   time.Time // end of the last quarantine, zero before one
+	crashes          []crash
+	bound            bool
+	clearedAt        time.Time // crashes up to then do not count: it has been served
+	quarantines      int       // quarantines so far
+	quarantinedUntil time.Time // end of the last quarantine, zero before one
 }
 
 // crash is one target that went down with the fingerprint in flight.
@@ -83,15 +83,15 @@
 func (t *Table) Begin(f Fingerprint, target netip.AddrPort, bound bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.flights == nil {
-		t.flights = make(map[netip.AddrPort]map[Fingerprint]flight)
+	if t.inFlight == nil {
+		t.inFlight = make(map[netip.AddrPort]map[Fingerprint]callCount)
 	}
-	calls := t.flights[target]
+	calls := t.inFlight[target]
 	if calls == nil {
-		calls = make(map[Fingerprint]flight)
-		t.flights[target] = calls
+		calls = make(map[Fingerprint]callCount)
+		t.inFlight[target] = calls
 	}
-	calls[f] = flight{calls: calls[f].calls + 1, bound: bound || calls[f].bound}
+	calls[f] = callCount{calls: calls[f].calls + 1, bound: bound || calls[f].bound}
 }
 
 // End takes a call out. A call that was served clears its fingerprint: the
@@ -99,7 +99,7 @@
 func (t *Table) End(f Fingerprint, target netip.AddrPort, served bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	calls := t.flights[target]
+	calls := t.inFlight[target]
 	fl, known := calls[f]
 	if known && fl.calls > 1 {
 		fl.calls--
@@ -108,7 +108,7 @@
 		delete(calls, f)
 	}
 	if len(calls) == 0 {
-		delete(t.flights, target)
+		delete(t.inFlight, target)
 	}
 	if s := t.suspects[f]; served && s != nil {
 		s.clear(now)
@@ -117,14 +117,14 @@
 
 // clear drops what is held against a fingerprint up to a time.
 func (s *suspect) clear(at time.Time) {
-	if !at.After(s.cleared) {
+	if !at.After(s.clearedAt) {
 		return
 	}
-	s.cleared = at
+	s.clearedAt = at
 	s.crashes = slices.DeleteFunc(s.crashes, func(c crash) bool { return !c.at.After(at) })
 	if len(s.crashes) == 0 {
-		s.bars = 0
-		s.until = time.Time{}
+		s.quarantines = 0
+		s.quarantinedUntil = time.Time{}
 	}
 }
 
@@ -135,8 +135,8 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var barred []Fingerprint
-	for f, fl := range t.flights[target] {
-		if t.accuse(f, crash{target: target, at: now}, fl.bound, now) {
+	for f, fl := range t.inFlight[target] {
+		if t.recordCrash(f, crash{target: target, at: now}, fl.bound, now) {
 			barred = append(barred, f)
 		}
 	}
@@ -144,10 +144,10 @@
 	return barred
 }
 
-// accuse holds one crash against a fingerprint and reports whether that put it
+// recordCrash holds one crash against a fingerprint and reports whether that put it
 // in quarantine.
-func (t *Table) accuse(f Fingerprint, c crash, bound bool, now time.Time) bool {
-	s := t.suspect(f, now)
+func (t *Table) recordCrash(f Fingerprint, c crash, bound bool, now time.Time) bool {
+	s := t.suspectFor(f, now)
 	if s == nil {
 		return false
 	}
@@ -155,29 +155,29 @@
 	s.crashes = slices.DeleteFunc(s.crashes, func(old crash) bool {
 		return now.Sub(old.at) > t.remember()
 	})
-	if !c.at.After(s.cleared) || slices.ContainsFunc(s.crashes, c.same) {
+	if !c.at.After(s.clearedAt) || slices.ContainsFunc(s.crashes, c.isSameCrash) {
 		return false
 	}
 	s.crashes = append(s.crashes, c)
-	if s.barred(now) || (len(s.crashes) < crashesToQuarantine && !s.probation(now, t.remember())) {
+	if s.isQuarantined(now) || (len(s.crashes) < crashesToQuarantine && !s.onProbation(now, t.remember())) {
 		return false
 	}
-	s.until = now.Add(t.quarantine() * time.Duration(math.Pow(longer, float64(min(s.bars, maxBars)))))
-	s.bars++
+	s.quarantinedUntil = now.Add(t.quarantine() * time.Duration(math.Pow(quarantineGrowth, float64(min(s.quarantines, maxQuarantineSteps)))))
+	s.quarantines++
 	return true
 }
 
-// suspect returns what is held against a fingerprint, or nil when the table is
+// suspectFor returns what is held against a fingerprint, or nil when the table is
 // full of others that still count.
-func (t *Table) suspect(f Fingerprint, now time.Time) *suspect {
+func (t *Table) suspectFor(f Fingerprint, now time.Time) *suspect {
 	s := t.suspects[f]
 	if s != nil {
 		return s
 	}
-	if len(t.suspects) >= t.most() {
+	if len(t.suspects) >= t.maxFingerprints() {
 		t.prune(now)
 	}
-	if len(t.suspects) >= t.most() {
+	if len(t.suspects) >= t.maxFingerprints() {
 		return nil
 	}
 	s = &suspect{}
@@ -188,19 +188,19 @@
 	return s
 }
 
-// same reports whether two notices are about the same crash. Nodes notice a crash
+// isSameCrash reports whether two notices are about the isSameCrash crash. Nodes notice a crash
 // at slightly different times; a target that has come back and goes down again
 // is another crash, or a service with one target would never be safe.
-func (c crash) same(other crash) bool {
+func (c crash) isSameCrash(other crash) bool {
 	return c.target == other.target && c.at.Sub(other.at).Abs() <= crashWindow
 }
 
-func (s *suspect) barred(now time.Time) bool { return now.Before(s.until) }
+func (s *suspect) isQuarantined(now time.Time) bool { return now.Before(s.quarantinedUntil) }
 
-// probation reports whether a quarantine has ended not long ago, so that one
+// onProbation reports whether a quarantine has ended not long ago, so that one
 // more crash renews it.
-func (s *suspect) probation(now time.Time, remember time.Duration) bool {
-	return s.bars > 0 && now.Sub(s.until) <= remember
+func (s *suspect) onProbation(now time.Time, remember time.Duration) bool {
+	return s.quarantines > 0 && now.Sub(s.quarantinedUntil) <= remember
 }
 
 // Check returns how far a fingerprint is suspected; for a quarantined one it
@@ -216,17 +216,17 @@
 	switch {
 	case s == nil:
 		return Clear, 0
-	case s.barred(now):
-		return Quarantined, s.until.Sub(now)
-	case s.current(now, t.remember()):
+	case s.isQuarantined(now):
+		return Quarantined, s.quarantinedUntil.Sub(now)
+	case s.isSuspected(now, t.remember()):
 		return Suspected, 0
 	}
 	return Clear, 0
 }
 
-// current reports whether anything held against the fingerprint still counts.
-func (s *suspect) current(now time.Time, remember time.Duration) bool {
-	if s.probation(now, remember) {
+// isSuspected reports whether anything held against the fingerprint still counts.
+func (s *suspect) isSuspected(now time.Time, remember time.Duration) bool {
+	if s.onProbation(now, remember) {
 		return true
 	}
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return now.Sub(c.at) <= remember })
@@ -235,8 +235,8 @@
 // prune forgets what no longer counts.
 func (t *Table) prune(now time.Time) {
 	for f, s := range t.suspects {
-		cleared := now.Sub(s.cleared) <= t.remember()
-		if !cleared && !s.barred(now) && !s.current(now, t.remember()) {
+		cleared := now.Sub(s.clearedAt) <= t.remember()
+		if !cleared && !s.isQuarantined(now) && !s.isSuspected(now, t.remember()) {
 			delete(t.suspects, f)
 		}
 	}
@@ -245,16 +245,16 @@
 func (t *Table) remember() time.Duration   { return orDefault(t.Remember, DefaultRemember) }
 func (t *Table) quarantine() time.Duration { return orDefault(t.Quarantine, DefaultQuarantine) }
 
-func (t *Table) most() int {
-	if t.Most <= 0 {
-		return DefaultMost
+func (t *Table) maxFingerprints() int {
+	if t.MaxFingerprints <= 0 {
+		return DefaultMaxFingerprints
 	}
-	return t.Most
+	return t.MaxFingerprints
 }
 
-func orDefault(d, standard time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d <= 0 {
-		return standard
+		return fallback
 	}
 	return d
 }
--- a/core/jwsuspect/table_test.go
+++ b/core/jwsuspect/table_test.go
@@ -17,7 +17,7 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, 0, byte(n)}), 8000)
 }
 
-func printOf(n int) Fingerprint { return FingerprintOf("e", []byte(fmt.Sprint(n))) }
+func testFingerprint(n int) Fingerprint { return FingerprintOf("e", []byte(fmt.Sprint(n))) }
 
 // crashAt runs a fingerprint on a target, which crashes.
 func crashAt(t *Table, f Fingerprint, n int, now time.Time) []Fingerprint {
@@ -28,7 +28,7 @@
 }
 
 func TestCheck(t *testing.T) {
-	poison := printOf(1)
+	poison := testFingerprint(1)
 	tests := map[string]struct {
 		steps func(*Table)
 		now   time.Duration
@@ -93,18 +93,18 @@
 
 // A node tells another what it suspects. What is bound to a region must not
 // be told outside it, nor taken over there if a peer does tell.
-func TestNoticesKeepBoundDataHome(t *testing.T) {
+func TestNoticesOfBoundDataStayInRegion(t *testing.T) {
 	a := &Table{Region: "a"}
-	a.Begin(printOf(1), target(1), true)
-	a.Begin(printOf(2), target(1), false)
+	a.Begin(testFingerprint(1), target(1), true)
+	a.Begin(testFingerprint(2), target(1), false)
 	a.Crashed(target(1), start)
 	assert.Equal(t, len(a.Notices("a", start)), 2)
 	away := a.Notices("b", start)
 	assert.Equal(t, len(away), 1)
-	assert.Equal(t, away[0].Fingerprint, printOf(2))
+	assert.Equal(t, away[0].Fingerprint, testFingerprint(2))
 	b := &Table{Region: "b"}
 	b.Merge(a.Notices("a", start), start)
-	state, _ := b.Check(printOf(1), start)
+	state, _ := b.Check(testFingerprint(1), start)
 	assert.Equal(t, state, Clear)
 }
 
@@ -112,13 +112,13 @@
 // crash must not count as another one, or innocents end in quarantine.
 func TestMergeRepeats(t *testing.T) {
 	a, b := &Table{}, &Table{}
-	crashAt(a, printOf(1), 1, start)
+	crashAt(a, testFingerprint(1), 1, start)
 	for i := range 20 {
 		now := at(time.Duration(i) * time.Minute)
 		b.Merge(a.Notices("", now), now)
 		a.Merge(b.Notices("", now), now.Add(time.Second))
 		for _, table := range []*Table{a, b} {
-			state, _ := table.Check(printOf(1), now)
+			state, _ := table.Check(testFingerprint(1), now)
 			assert.Assert(t, state != Quarantined, "after %d minutes", i)
 		}
 	}
@@ -127,13 +127,13 @@
 // A caller sends a request that crashes every target it reaches, and sends it
 // again after each failure, to another node each time. Unstopped it takes the
 // whole service down; the innocent requests beside it must not be barred with it.
-func TestPoisonTakesDownTwoTargets(t *testing.T) {
+func TestPoisonCrashesTwoTargets(t *testing.T) {
 	locked, lockedTogether := 0, 0
 	for seed := range uint64(40) {
-		crashed, barred := (&model{seed: seed, delay: time.Second, again: 2 * time.Second}).run()
+		crashed, barred := (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second}).run()
 		assert.Equal(t, crashed, 2, "seed %d", seed)
 		locked += barred
-		_, barred = (&model{seed: seed, delay: time.Second, again: 2 * time.Second, together: true}).run()
+		_, barred = (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second, shareTargets: true}).run()
 		lockedTogether += barred
 	}
 	t.Logf("innocents barred over 40 runs: %d, with suspects together %d", locked, lockedTogether)
@@ -149,7 +149,7 @@
 		for _, again := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second} {
 			most, barred := 0, 0
 			for seed := range uint64(10) {
-				crashed, locked := (&model{seed: seed, delay: delay, again: again}).run()
+				crashed, locked := (&model{seed: seed, delay: delay, retryPause: again}).run()
 				most = max(most, crashed)
 				barred += locked
 			}
@@ -163,10 +163,10 @@
 // Taken for a new crash, it would bar an innocent that is on probation.
 func TestMergeNearlyForgotten(t *testing.T) {
 	a := &Table{}
-	crashAt(a, printOf(1), 1, at(0))
-	crashAt(a, printOf(1), 2, at(time.Second))
+	crashAt(a, testFingerprint(1), 1, at(0))
+	crashAt(a, testFingerprint(1), 2, at(time.Second))
 	now := at(DefaultRemember + 500*time.Millisecond)
-	old := []Notice{{Fingerprint: printOf(1), State: Suspected, Target: target(1), Age: DefaultRemember}}
+	old := []Notice{{Fingerprint: testFingerprint(1), State: Suspected, Target: target(1), Age: DefaultRemember}}
 	assert.Equal(t, len(a.Merge(old, now)), 0)
 }
 
@@ -174,13 +174,13 @@
 // heard of that go on telling of the old crashes; those must not count again.
 func TestMergeAfterClearing(t *testing.T) {
 	a, b := &Table{}, &Table{}
-	crashAt(a, printOf(1), 1, at(0))
-	crashAt(a, printOf(1), 2, at(0))
+	crashAt(a, testFingerprint(1), 1, at(0))
+	crashAt(a, testFingerprint(1), 2, at(0))
 	old := a.Notices("", at(0))
 	b.Merge(old, at(0))
-	b.Begin(printOf(1), target(3), false)
-	b.End(printOf(1), target(3), true, at(time.Second))
+	b.Begin(testFingerprint(1), target(3), false)
+	b.End(testFingerprint(1), target(3), true, at(time.Second))
 	assert.Equal(t, len(b.Merge(old, at(0))), 0)
-	state, _ := b.Check(printOf(1), at(time.Second))
+	state, _ := b.Check(testFingerprint(1), at(time.Second))
 	assert.Equal(t, state, Clear)
 }
