--- a/core/jwsuspect/fingerprint.go
+++ b/core/jwsuspect/fingerprint.go
@@ -7,12 +7,12 @@
 	"github.com/pkg/errors"
 )
 
-// Fingerprint stands for a request's entry and body. Nodes report to each other
-// fingerprints only, from which the body cannot be had back.
+// Fingerprint is a hash of a request's entry and body. Nodes report only fingerprints
+// to each other, from which the body cannot be recovered.
 type Fingerprint [16]byte
 
-// FingerprintOf returns the fingerprint of a request; the workspace is no part
-// of it, so that the same body sent by others is known as well.
+// FingerprintOf returns the fingerprint of a request. The workspace is not part of it, so
+// that the same body is recognized when another workspace sends it.
 func FingerprintOf(entry string, body []byte) Fingerprint {
 	h := sha256.New()
 	h.Write([]byte(entry))
@@ -23,7 +23,8 @@
 	return f
 }
 
-// ParseFingerprint reads what String returns.
+// ParseFingerprint parses the form that String returns. It returns an error for any other
+// text.
 func ParseFingerprint(s string) (f Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
--- a/core/jwsuspect/model_test.go
+++ b/core/jwsuspect/model_test.go
@@ -8,22 +8,22 @@
 	"time"
 )
 
-// model is a few nodes before targets that batch; one caller sends a request
-// that crashes each target, again and again, each time to another node.
+// model simulates a few nodes in front of targets that run requests in batches. One
+// caller repeatedly sends a request that crashes each target, each time to another node.
 type model struct {
 	seed         uint64
 	shareTargets bool          // suspects may run on the same target
-	delay        time.Duration // of notices between nodes
-	retryPause   time.Duration // shortest pause of the caller
+	delay        time.Duration // time between two exchanges of notices
+	retryPause   time.Duration // minimum time between two requests of the caller
 
 	rnd         *rand.Rand
 	now         time.Time
 	nodes       []*Table
 	targets     []netip.AddrPort
-	upAt        []time.Time // when a target that crashed is back
+	upAt        []time.Time // when each target is running again
 	load        []int
 	inFlight    []innocentCall
-	waiting     []int // innocents that wait for a place
+	waiting     []int // harmless requests that wait for a target
 	retries     map[time.Time][]int
 	quarantined map[Fingerprint]bool
 }
@@ -36,20 +36,20 @@
 	modelStep    = 100 * time.Millisecond
 	modelCall    = 3 * time.Second
 	modelRestart = 5 * time.Second
-	modelRetry   = 2 * time.Second // when callers are told to come back, at least
+	modelRetry   = 2 * time.Second // minimum delay after which callers retry
 )
 
 // poison is the number of the request that crashes targets.
 const poison = 0
 
-// innocentCall is one innocent request in flight.
+// innocentCall is one harmless request in flight.
 type innocentCall struct {
 	id, node, target int
 	ends             time.Time
 }
 
-// run returns how many targets went down and the innocents that were barred.
-func (m *model) run() (crashed, barred int) {
+// run returns the number of crashes and of harmless requests that were quarantined.
+func (m *model) run() (crashed, quarantined int) {
 	m.start()
 	next := at(time.Second)
 	attempt := 0
@@ -90,11 +90,11 @@
 	}
 }
 
-func (m *model) randomPause(most time.Duration) time.Duration {
-	return time.Duration(m.rnd.IntN(int(most/modelStep)+1)) * modelStep
+func (m *model) randomPause(limit time.Duration) time.Duration {
+	return time.Duration(m.rnd.IntN(int(limit/modelStep)+1)) * modelStep
 }
 
-// exchangeNotices lets all nodes hear of each other's suspects.
+// exchangeNotices merges the notices of each node into all others.
 func (m *model) exchangeNotices() {
 	for _, from := range m.nodes {
 		for _, to := range m.nodes {
@@ -109,7 +109,7 @@
 	}
 }
 
-// finish ends the calls whose time has come.
+// finish ends the calls that are complete by now.
 func (m *model) finish() {
 	m.inFlight = slices.DeleteFunc(m.inFlight, func(c innocentCall) bool {
 		if c.ends.After(m.now) {
@@ -121,7 +121,7 @@
 	})
 }
 
-// admit starts new innocent requests and those that come back.
+// admit starts new harmless requests, those that wait and those that are retried.
 func (m *model) admit(fresh ...int) {
 	ready := append(append(m.waiting, fresh...), m.retries[m.now]...)
 	m.waiting = nil
@@ -138,25 +138,26 @@
 	}
 }
 
-// pickTarget returns a target for a request, or a negative number for none.
+// pickTarget returns the index of a target for a request, or a negative number if there is
+// none.
 func (m *model) pickTarget(node int, f Fingerprint) int {
 	state, _ := m.nodes[node].Check(f, m.now)
 	if state == Quarantined {
 		return -1
 	}
-	var not []netip.AddrPort
+	var excluded []netip.AddrPort
 	if state == Suspected && !m.shareTargets {
-		not = m.nodes[node].Apart(f, m.targets, m.now)
+		excluded = m.nodes[node].Apart(f, m.targets, m.now)
 	}
 	for _, i := range m.rnd.Perm(modelTargets) {
-		if !m.upAt[i].After(m.now) && m.load[i] < modelBatch && !slices.Contains(not, target(i)) {
+		if !m.upAt[i].After(m.now) && m.load[i] < modelBatch && !slices.Contains(excluded, target(i)) {
 			return i
 		}
 	}
 	return -1
 }
 
-// sendPoison runs the poison request and reports whether it took a target down.
+// sendPoison runs the request that crashes targets and reports whether it was sent.
 func (m *model) sendPoison(node int) bool {
 	f := testFingerprint(poison)
 	i := m.pickTarget(node, f)
--- a/core/jwsuspect/notice.go
+++ b/core/jwsuspect/notice.go
@@ -7,40 +7,40 @@
 	"time"
 )
 
-// Notice is one report about a fingerprint, as peers get it: a crash held
-// against it, or that it has been served and is clear.
+// Notice is a report to a peer about one fingerprint: that a target crashed with it in
+// flight, or that it was served and is clear.
 type Notice struct {
 	Fingerprint Fingerprint
-	State       State          // Suspected for a crash, Clear
-	Target      netip.AddrPort // that crashed
-	Age         time.Duration
-	Region      string // set for bound data: reported only within this region
+	State       State          // Suspected for a crash, Clear for a served call
+	Target      netip.AddrPort // target that crashed
+	Age         time.Duration  // time since the crash or the served call
+	Region      string         // set for bound data: reported only within this region
 }
 
-// Notices returns what to report to a peer of a region, sorted; what is bound to
-// another region is left out.
+// Notices returns the sorted reports for a peer in the given region. It omits fingerprints
+// of data that is bound to another region.
 func (t *Table) Notices(region string, now time.Time) []Notice {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.prune(now)
-	var out []Notice
+	var notices []Notice
 	for f, s := range t.suspects {
 		if s.bound && region != t.Region {
 			continue
 		}
-		first := len(out)
+		first := len(notices)
 		for _, c := range s.crashes {
-			out = append(out, Notice{Fingerprint: f, State: Suspected, Target: c.target, Age: now.Sub(c.at)})
+			notices = append(notices, Notice{Fingerprint: f, State: Suspected, Target: c.target, Age: now.Sub(c.at)})
 		}
 		if !s.clearedAt.IsZero() {
-			out = append(out, Notice{Fingerprint: f, State: Clear, Age: now.Sub(s.clearedAt)})
+			notices = append(notices, Notice{Fingerprint: f, State: Clear, Age: now.Sub(s.clearedAt)})
 		}
-		for i := first; s.bound && i < len(out); i++ {
-			out[i].Region = t.Region
+		for i := first; s.bound && i < len(notices); i++ {
+			notices[i].Region = t.Region
 		}
 	}
-	slices.SortFunc(out, compareNotices)
-	return out
+	slices.SortFunc(notices, compareNotices)
+	return notices
 }
 
 func compareNotices(a, b Notice) int {
@@ -50,14 +50,14 @@
 	return a.Target.Compare(b.Target)
 }
 
-// Merge takes over what a peer reported. A notice bound to another region is
-// dropped. So is one that is nearly too old to count: this node may have
-// forgotten the same crash a moment ago, and would take it for a new one. It
-// returns the fingerprints that this has put in quarantine here.
+// Merge applies the notices of a peer and returns the fingerprints that this puts into
+// quarantine at this node. It drops notices that are bound to another region, and those
+// that are nearly too old to count: this node may just have removed the same crash and
+// would count it as a new one.
 func (t *Table) Merge(notices []Notice, now time.Time) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var barred []Fingerprint
+	var quarantined []Fingerprint
 	for _, n := range notices {
 		if n.Age < 0 || n.Age > t.remember()-2*crashWindow || (n.Region != "" && n.Region != t.Region) {
 			continue
@@ -71,8 +71,8 @@
 		}
 		c := crash{target: n.Target, at: now.Add(-n.Age)}
 		if t.recordCrash(n.Fingerprint, c, n.Region != "", now) {
-			barred = append(barred, n.Fingerprint)
+			quarantined = append(quarantined, n.Fingerprint)
 		}
 	}
-	return barred
+	return quarantined
 }
--- a/core/jwsuspect/table.go
+++ b/core/jwsuspect/table.go
@@ -9,47 +9,47 @@
 	"time"
 )
 
-// State is how far a fingerprint is suspected.
+// State tells whether a fingerprint is suspected of crashing targets.
 type State string
 
 // The states of a fingerprint.
 const (
 	Clear       State = "clear"
-	Suspected   State = "suspected"   // in flight on one target that crashed: never retried by the system
-	Quarantined State = "quarantined" // in flight on two targets that crashed: not run at all
+	Suspected   State = "suspected"   // was in flight on a target that crashed: never retried by the system
+	Quarantined State = "quarantined" // was in flight on two targets that crashed: not run at all
 )
 
-// The values that a Table takes where its own fields are zero.
+// The values that a Table uses for its fields that are zero.
 const (
 	DefaultRemember        = 10 * time.Minute
 	DefaultQuarantine      = 2 * time.Minute
 	DefaultMaxFingerprints = 4096
 )
 
-// quarantineGrowth is by how much each further quarantine of a fingerprint outlasts the
-// one before, up to maxQuarantineSteps of them.
+// quarantineGrowth is the factor by which each quarantine of a fingerprint is longer than
+// the one before. It applies up to maxQuarantineSteps times.
 const (
 	quarantineGrowth   = 4
 	maxQuarantineSteps = 4
 )
 
 // crashesToQuarantine is how many different targets must have crashed with a
-// fingerprint in flight before it is barred.
+// fingerprint in flight before it is quarantined.
 const crashesToQuarantine = 2
 
-// crashWindow is the time within which broken calls to one target are taken
-// for the same crash.
+// crashWindow is the time within which failed calls to one target count as the same
+// crash.
 const crashWindow = 5 * time.Second
 
-// Table knows which fingerprints are in flight on which target, and which were
-// when a target crashed. One mutex guards it, and no other lock is taken under
-// it. Fields are set before use; the zero value uses the defaults.
+// Table records which fingerprints are in flight on which target, and which were in
+// flight when a target crashed. Its mutex guards it; no other lock is acquired while it
+// is held. Set its fields before use; the zero value uses the defaults.
 type Table struct {
 	Node            string        // name of this node
-	Region          string        // reported to peers with what is bound to it
+	Region          string        // region of this node, named in notices of data that is bound to it
 	Remember        time.Duration // how long one crash counts
 	Quarantine      time.Duration // how long the first quarantine of a fingerprint lasts
-	MaxFingerprints int           // fingerprints remembered at most
+	MaxFingerprints int           // maximum number of fingerprints remembered
 
 	mu       sync.Mutex
 	members  []string // live nodes of the region
@@ -63,23 +63,23 @@
 	bound bool
 }
 
-// suspect is what is held against one fingerprint.
+// suspect is the record of the crashes and quarantines of one fingerprint.
 type suspect struct {
 	crashes          []crash
 	bound            bool
-	clearedAt        time.Time // crashes up to then do not count: it has been served
-	quarantines      int       // quarantines so far
-	quarantinedUntil time.Time // end of the last quarantine, zero before one
+	clearedAt        time.Time // when it was last served: earlier crashes do not count
+	quarantines      int       // number of quarantines so far
+	quarantinedUntil time.Time // end of the last quarantine, zero if there was none
 }
 
-// crash is one target that went down with the fingerprint in flight.
+// crash is the crash of one target that had the fingerprint in flight.
 type crash struct {
 	target netip.AddrPort
 	at     time.Time
 }
 
-// Begin notes a call in flight; bound says that its data must not leave the
-// region. Every Begin needs its End.
+// Begin records a call in flight; bound tells that its data must not leave the region.
+// Each call of Begin needs a call of End.
 func (t *Table) Begin(f Fingerprint, target netip.AddrPort, bound bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -94,16 +94,16 @@
 	calls[f] = callCount{calls: calls[f].calls + 1, bound: bound || calls[f].bound}
 }
 
-// End takes a call out. A call that was served clears its fingerprint: the
-// target has run it and lives, so an earlier crash had another cause.
+// End removes a call in flight. A call that was served clears its fingerprint: the target
+// ran it without crashing, so an earlier crash had another cause.
 func (t *Table) End(f Fingerprint, target netip.AddrPort, served bool, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	calls := t.inFlight[target]
-	fl, known := calls[f]
-	if known && fl.calls > 1 {
-		fl.calls--
-		calls[f] = fl
+	count, known := calls[f]
+	if known && count.calls > 1 {
+		count.calls--
+		calls[f] = count
 	} else {
 		delete(calls, f)
 	}
@@ -115,7 +115,7 @@
 	}
 }
 
-// clear drops what is held against a fingerprint up to a time.
+// clear removes the crashes of a fingerprint up to the given time.
 func (s *suspect) clear(at time.Time) {
 	if !at.After(s.clearedAt) {
 		return
@@ -128,24 +128,24 @@
 	}
 }
 
-// Crashed notes that a target went down: all that is in flight there is
-// suspected. It is called before the calls that broke are ended, and returns
-// the fingerprints that this crash has put in quarantine.
+// Crashed records that a target crashed: all fingerprints in flight there become
+// suspected. Call it before End is called for the calls that failed. It returns the
+// fingerprints that this crash puts into quarantine.
 func (t *Table) Crashed(target netip.AddrPort, now time.Time) []Fingerprint {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var barred []Fingerprint
-	for f, fl := range t.inFlight[target] {
-		if t.recordCrash(f, crash{target: target, at: now}, fl.bound, now) {
-			barred = append(barred, f)
+	var quarantined []Fingerprint
+	for f, count := range t.inFlight[target] {
+		if t.recordCrash(f, crash{target: target, at: now}, count.bound, now) {
+			quarantined = append(quarantined, f)
 		}
 	}
-	slices.SortFunc(barred, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
-	return barred
+	slices.SortFunc(quarantined, func(a, b Fingerprint) int { return bytes.Compare(a[:], b[:]) })
+	return quarantined
 }
 
-// recordCrash holds one crash against a fingerprint and reports whether that put it
-// in quarantine.
+// recordCrash records one crash of a fingerprint and reports whether that puts it into
+// quarantine.
 func (t *Table) recordCrash(f Fingerprint, c crash, bound bool, now time.Time) bool {
 	s := t.suspectFor(f, now)
 	if s == nil {
@@ -167,8 +167,8 @@
 	return true
 }
 
-// suspectFor returns what is held against a fingerprint, or nil when the table is
-// full of others that still count.
+// suspectFor returns the record of a fingerprint, which it creates if there is none. It
+// returns nil if the table is full of other records that still count.
 func (t *Table) suspectFor(f Fingerprint, now time.Time) *suspect {
 	s := t.suspects[f]
 	if s != nil {
@@ -188,23 +188,23 @@
 	return s
 }
 
-// isSameCrash reports whether two notices are about the isSameCrash crash. Nodes notice a crash
-// at slightly different times; a target that has come back and goes down again
-// is another crash, or a service with one target would never be safe.
+// isSameCrash reports whether two records describe the same crash. Nodes notice a crash
+// at slightly different times. If a target restarts and crashes again, that is another
+// crash; otherwise a service with only one target would never be protected.
 func (c crash) isSameCrash(other crash) bool {
 	return c.target == other.target && c.at.Sub(other.at).Abs() <= crashWindow
 }
 
 func (s *suspect) isQuarantined(now time.Time) bool { return now.Before(s.quarantinedUntil) }
 
-// onProbation reports whether a quarantine has ended not long ago, so that one
-// more crash renews it.
+// onProbation reports whether a quarantine ended so recently that one more crash renews
+// it.
 func (s *suspect) onProbation(now time.Time, remember time.Duration) bool {
 	return s.quarantines > 0 && now.Sub(s.quarantinedUntil) <= remember
 }
 
-// Check returns how far a fingerprint is suspected; for a quarantined one it
-// returns how long that still lasts.
+// Check returns the state of a fingerprint and, if it is quarantined, the time until the
+// quarantine ends.
 func (t *Table) Check(f Fingerprint, now time.Time) (State, time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -224,7 +224,7 @@
 	return Clear, 0
 }
 
-// isSuspected reports whether anything held against the fingerprint still counts.
+// isSuspected reports whether a crash or quarantine of the fingerprint still counts.
 func (s *suspect) isSuspected(now time.Time, remember time.Duration) bool {
 	if s.onProbation(now, remember) {
 		return true
@@ -232,7 +232,7 @@
 	return slices.ContainsFunc(s.crashes, func(c crash) bool { return now.Sub(c.at) <= remember })
 }
 
-// prune forgets what no longer counts.
+// prune removes the records that no longer count.
 func (t *Table) prune(now time.Time) {
 	for f, s := range t.suspects {
 		cleared := now.Sub(s.clearedAt) <= t.remember()
--- a/core/jwsuspect/table_test.go
+++ b/core/jwsuspect/table_test.go
@@ -19,12 +19,13 @@
 
 func testFingerprint(n int) Fingerprint { return FingerprintOf("e", []byte(fmt.Sprint(n))) }
 
-// crashAt runs a fingerprint on a target, which crashes.
+// crashAt runs a fingerprint on target n, which crashes, and returns the fingerprints that
+// are quarantined.
 func crashAt(t *Table, f Fingerprint, n int, now time.Time) []Fingerprint {
 	t.Begin(f, target(n), false)
-	barred := t.Crashed(target(n), now)
+	quarantined := t.Crashed(target(n), now)
 	t.End(f, target(n), false, now)
-	return barred
+	return quarantined
 }
 
 func TestCheck(t *testing.T) {
@@ -91,8 +92,8 @@
 	}
 }
 
-// A node tells another what it suspects. What is bound to a region must not
-// be told outside it, nor taken over there if a peer does tell.
+// Notices of data that is bound to a region must not be sent outside the region, nor
+// merged there if a peer sends them anyway.
 func TestNoticesOfBoundDataStayInRegion(t *testing.T) {
 	a := &Table{Region: "a"}
 	a.Begin(testFingerprint(1), target(1), true)
@@ -108,8 +109,9 @@
 	assert.Equal(t, state, Clear)
 }
 
-// Peers repeat what they know. Heard twice, or back from where it came, a
-// crash must not count as another one, or innocents end in quarantine.
+// Peers repeat their notices. A crash that a node receives twice, or receives back after
+// it reported the crash itself, must not count as another one. Otherwise harmless
+// requests would be quarantined.
 func TestMergeRepeats(t *testing.T) {
 	a, b := &Table{}, &Table{}
 	crashAt(a, testFingerprint(1), 1, start)
@@ -124,43 +126,43 @@
 	}
 }
 
-// A caller sends a request that crashes every target it reaches, and sends it
-// again after each failure, to another node each time. Unstopped it takes the
-// whole service down; the innocent requests beside it must not be barred with it.
+// A caller sends a request that crashes each target that runs it, and retries it at
+// another node after each failure. Without the quarantine this crashes the whole service.
+// The harmless requests on the same targets must not be quarantined with it.
 func TestPoisonCrashesTwoTargets(t *testing.T) {
-	locked, lockedTogether := 0, 0
+	total, totalShared := 0, 0
 	for seed := range uint64(40) {
-		crashed, barred := (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second}).run()
+		crashed, quarantined := (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second}).run()
 		assert.Equal(t, crashed, 2, "seed %d", seed)
-		locked += barred
-		_, barred = (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second, shareTargets: true}).run()
-		lockedTogether += barred
+		total += quarantined
+		_, quarantined = (&model{seed: seed, delay: time.Second, retryPause: 2 * time.Second, shareTargets: true}).run()
+		totalShared += quarantined
 	}
-	t.Logf("innocents barred over 40 runs: %d, with suspects together %d", locked, lockedTogether)
-	assert.Equal(t, locked, 0)
-	assert.Assert(t, lockedTogether > 0)
+	t.Logf("harmless requests quarantined in 40 runs: %d, with suspects on the same targets %d", total, totalShared)
+	assert.Equal(t, total, 0)
+	assert.Assert(t, totalShared > 0)
 }
 
-// A caller that does not wait as told comes back before the nodes have told
-// each other. What it can take down more is bounded by the pace of its tries
-// against the delay of the notices.
+// A caller that ignores Retry-After retries before the nodes have exchanged notices. The
+// number of additional crashes is bounded by how often it can retry within the delay of
+// the notices.
 func TestPoisonFasterThanNotices(t *testing.T) {
 	for _, delay := range []time.Duration{100 * time.Millisecond, time.Second} {
-		for _, again := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second} {
-			most, barred := 0, 0
+		for _, retryPause := range []time.Duration{200 * time.Millisecond, 500 * time.Millisecond, time.Second} {
+			maxCrashed, total := 0, 0
 			for seed := range uint64(10) {
-				crashed, locked := (&model{seed: seed, delay: delay, retryPause: again}).run()
-				most = max(most, crashed)
-				barred += locked
+				crashed, quarantined := (&model{seed: seed, delay: delay, retryPause: retryPause}).run()
+				maxCrashed = max(maxCrashed, crashed)
+				total += quarantined
 			}
-			t.Logf("notices after %v, sent again after %v: at most %d targets, %d innocents barred in 10 runs", delay, again, most, barred)
-			assert.Assert(t, most <= 2+int(delay/again), "%d targets", most)
+			t.Logf("notices after %v, retried after %v: at most %d crashes, %d harmless requests quarantined in 10 runs", delay, retryPause, maxCrashed, total)
+			assert.Assert(t, maxCrashed <= 2+int(delay/retryPause), "%d crashes", maxCrashed)
 		}
 	}
 }
 
-// A node forgets an old crash in the moment in which a peer still tells of it.
-// Taken for a new crash, it would bar an innocent that is on probation.
+// A node removes an old crash at the moment when a peer still reports it. Counted as a
+// new crash, it would quarantine a harmless request that is on probation.
 func TestMergeNearlyForgotten(t *testing.T) {
 	a := &Table{}
 	crashAt(a, testFingerprint(1), 1, at(0))
@@ -170,8 +172,8 @@
 	assert.Equal(t, len(a.Merge(old, now)), 0)
 }
 
-// A fingerprint is cleared here because it was served, and peers who have not
-// heard of that go on telling of the old crashes; those must not count again.
+// A fingerprint is cleared at this node because it was served, and peers that have not
+// received that notice go on reporting its old crashes. Those must not count again.
 func TestMergeAfterClearing(t *testing.T) {
 	a, b := &Table{}, &Table{}
 	crashAt(a, testFingerprint(1), 1, at(0))
