--- a/core/jwadmission/admission.go
+++ b/core/jwadmission/admission.go
@@ -3,11 +3,11 @@
 import "time"
 
 const (
-	// QueueShare is the part of the goal that a request may wait behind others. A
+	// MaxQueueShare is the part of the goal that a request may wait behind others. A
 	// queue longer than that makes every answer late; rejecting some keeps the
 	// others in time. The time that a prompt takes to read by itself doesn't count: a
 	// long one is late for its length, not for a queue, and retrying is in vain.
-	QueueShare = 1.2
+	MaxQueueShare = 1.2
 	// MinRetryAfter is the soonest that a caller which was rejected is to retry.
 	MinRetryAfter = 300 * time.Millisecond
 	// MaxRetryAfter is the latest: callers honour a third of the time that they have left.
@@ -46,8 +46,8 @@
 // Policy decides. The zero value rejects by both reasons; a field that is set
 // leaves one out, for tests and for measuring what it is worth.
 type Policy struct {
-	AnyQueue    bool
-	AnyDeadline bool
+	IgnoreQueue    bool
+	IgnoreDeadline bool
 }
 
 // Decide takes a request that can be answered before its deadline, unless too much
@@ -56,10 +56,10 @@
 	if !r.Engine || r.Begun {
 		return Decision{}
 	}
-	if !p.AnyDeadline && r.Expected > r.Left {
+	if !p.IgnoreDeadline && r.Expected > r.Left {
 		return Decision{Deadline, retryAfter(r)}
 	}
-	if !p.AnyQueue && r.Goal > 0 && r.Expected-r.Own > time.Duration(QueueShare*float64(r.Goal)) {
+	if !p.IgnoreQueue && r.Goal > 0 && r.Expected-r.Own > time.Duration(MaxQueueShare*float64(r.Goal)) {
 		return Decision{Queue, retryAfter(r)}
 	}
 	return Decision{}
--- a/core/jwadmission/admission_test.go
+++ b/core/jwadmission/admission_test.go
@@ -40,8 +40,8 @@
 		"a very long queue":              {with(11_000*ms, 100*ms), Policy{}, Decision{Queue, MaxRetryAfter}},
 		"sent before":                    {begun, Policy{}, Decision{}},
 		"plain":                          {plain, Policy{}, Decision{}},
-		"the queue is left out":          {with(1500*ms, 100*ms), Policy{AnyQueue: true}, Decision{}},
-		"the deadline is left out":       {short, Policy{AnyDeadline: true}, Decision{}},
+		"the queue is left out":          {with(1500*ms, 100*ms), Policy{IgnoreQueue: true}, Decision{}},
+		"the deadline is left out":       {short, Policy{IgnoreDeadline: true}, Decision{}},
 		"no goal, and time is left":      {Request{Left: time.Minute, Expected: 50 * time.Second, Engine: true}, Policy{}, Decision{}},
 		"no goal, and no time is left":   {Request{Left: time.Second, Expected: 50 * time.Second, Engine: true}, Policy{}, Decision{Deadline, MaxRetryAfter}},
 		"exactly the share of the queue": {with(1200*ms, 0), Policy{}, Decision{}},
@@ -55,7 +55,7 @@
 
 // No size of prompt is rejected while its deadline can be met and the queue is
 // one that a short prompt would be taken in.
-func TestNoSizeIsTurnedAway(t *testing.T) {
+func TestPromptSizeAloneNeverRejects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := func(name string, most int) time.Duration {
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * ms
--- a/core/jwplacement/placement.go
+++ b/core/jwplacement/placement.go
@@ -28,10 +28,10 @@
 
 // The reasons.
 const (
-	Nowhere Reason = "no region has a target"
-	Here    Reason = "here"
-	Cheaper Reason = "clearly cheaper"
-	Only    Reason = "none here"
+	Nowhere       Reason = "no region has a target"
+	Local         Reason = "here"
+	RemoteCheaper Reason = "clearly cheaper"
+	RemoteOnly    Reason = "none here"
 )
 
 // Choice is where a request goes; its zero value is nowhere.
@@ -42,26 +42,26 @@
 
 // Policy chooses. The zero value sends away what is cheaper by RemotePenalty.
 type Policy struct {
-	Stay bool // only what can't be served here is sent away, for tests and for measuring
+	PreferLocal bool // only what can't be served here is sent away, for tests and for measuring
 }
 
 // Choose returns the region of the node itself unless another is clearly cheaper. A
 // region that has reported nothing lately is used only where nothing else is left. here
 // is nil if no target here can take the request; others come in a fixed order, of
 // which the first of equals is taken.
-func (p Policy) Choose(here *Option, others []Option) Choice {
+func (p Policy) Choose(local *Option, others []Option) Choice {
 	best := Choice{Reason: Nowhere}
-	if here != nil {
-		best = Choice{*here, Here}
+	if local != nil {
+		best = Choice{*local, Local}
 	}
 	for _, o := range others {
 		switch {
 		case best.Reason == Nowhere:
-			best = Choice{o, Only}
-		case !o.Known || here != nil && p.Stay:
-		case here != nil && here.Cost() <= o.Cost()+RemotePenalty:
-		case best.Reason == Here:
-			best = Choice{o, Cheaper}
+			best = Choice{o, RemoteOnly}
+		case !o.Known || local != nil && p.PreferLocal:
+		case local != nil && local.Cost() <= o.Cost()+RemotePenalty:
+		case best.Reason == Local:
+			best = Choice{o, RemoteCheaper}
 		case !best.Known || o.Cost() < best.Cost():
 			best.Option = o
 		}
--- a/core/jwplacement/placement_test.go
+++ b/core/jwplacement/placement_test.go
@@ -30,19 +30,19 @@
 		reason Reason
 	}{
 		"nobody":                              {nil, nil, Policy{}, "", Nowhere},
-		"nobody else":                         {&here, nil, Policy{}, "here", Here},
-		"another a little cheaper":            {&here, []Option{option("a", 300*ms)}, Policy{}, "here", Here},
-		"another clearly cheaper":             {&here, []Option{option("a", 250*ms)}, Policy{}, "a", Cheaper},
-		"the cheaper of two":                  {&here, []Option{option("a", 250*ms), option("b", 220*ms)}, Policy{}, "b", Cheaper},
-		"the first of equals":                 {&here, []Option{option("a", 220*ms), option("b", 220*ms)}, Policy{}, "a", Cheaper},
-		"its events come slowly":              {&here, []Option{slow}, Policy{}, "here", Here},
-		"no report":                           {&here, []Option{silent}, Policy{}, "here", Here},
-		"none here":                           {nil, []Option{option("a", 9000*ms)}, Policy{}, "a", Only},
-		"none here, the cheaper":              {nil, []Option{option("a", 900*ms), option("b", 300*ms)}, Policy{}, "b", Only},
-		"none here, one has reported nothing": {nil, []Option{silent, option("b", 300*ms)}, Policy{}, "b", Only},
-		"none here, all silent":               {nil, []Option{silent}, Policy{}, "silent", Only},
-		"nothing is sent away":                {&here, []Option{option("a", 10*ms)}, Policy{Stay: true}, "here", Here},
-		"nothing here, none stays":            {nil, []Option{option("a", 10*ms)}, Policy{Stay: true}, "a", Only},
+		"nobody else":                         {&here, nil, Policy{}, "here", Local},
+		"another a little cheaper":            {&here, []Option{option("a", 300*ms)}, Policy{}, "here", Local},
+		"another clearly cheaper":             {&here, []Option{option("a", 250*ms)}, Policy{}, "a", RemoteCheaper},
+		"the cheaper of two":                  {&here, []Option{option("a", 250*ms), option("b", 220*ms)}, Policy{}, "b", RemoteCheaper},
+		"the first of equals":                 {&here, []Option{option("a", 220*ms), option("b", 220*ms)}, Policy{}, "a", RemoteCheaper},
+		"its events come slowly":              {&here, []Option{slow}, Policy{}, "here", Local},
+		"no report":                           {&here, []Option{silent}, Policy{}, "here", Local},
+		"none here":                           {nil, []Option{option("a", 9000*ms)}, Policy{}, "a", RemoteOnly},
+		"none here, the cheaper":              {nil, []Option{option("a", 900*ms), option("b", 300*ms)}, Policy{}, "b", RemoteOnly},
+		"none here, one has reported nothing": {nil, []Option{silent, option("b", 300*ms)}, Policy{}, "b", RemoteOnly},
+		"none here, all silent":               {nil, []Option{silent}, Policy{}, "silent", RemoteOnly},
+		"nothing is sent away":                {&here, []Option{option("a", 10*ms)}, Policy{PreferLocal: true}, "here", Local},
+		"nothing here, none stays":            {nil, []Option{option("a", 10*ms)}, Policy{PreferLocal: true}, "a", RemoteOnly},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwrepeat/repeat.go
+++ b/core/jwrepeat/repeat.go
@@ -15,37 +15,37 @@
 // Reason tells what a decision rests on.
 type Reason string
 
-// The reasons. Again, First and Paid say that the request may be sent.
+// The reasons. Again, FirstSend and Paid say that the request may be sent.
 const (
-	Again    Reason = "taken from the budget"
-	First    Reason = "no target was reached yet"
-	Paid     Reason = "taken from the budget before"
-	InVain   Reason = "would end as before"
-	OneBody  Reason = "its body is gone"
-	RunsOnce Reason = "may have run, and must run once"
-	Tried    Reason = "has had its tries"
-	NoBudget Reason = "no repeat is left"
+	Again             Reason = "taken from the budget"
+	FirstSend         Reason = "no target was reached yet"
+	Paid              Reason = "taken from the budget before"
+	SameOutcome       Reason = "would end as before"
+	BodyConsumed      Reason = "its body is gone"
+	MayHaveRun        Reason = "may have run, and must run once"
+	AttemptsExhausted Reason = "has had its tries"
+	NoBudget          Reason = "no repeat is left"
 )
 
 // May reports whether the request may be sent.
-func (r Reason) May() bool { return r == Again || r == First || r == Paid }
+func (r Reason) May() bool { return r == Again || r == FirstSend || r == Paid }
 
 // Decide judges a request after a try; take draws one repeat from the budget and is
 // called only where everything else allows the repeat.
 func Decide(r Request, take func() bool) Reason {
 	switch {
 	case r.Final:
-		return InVain
+		return SameOutcome
 	case r.Streamed:
-		return OneBody
+		return BodyConsumed
 	case !r.NotRun && !r.Repeatable:
-		return RunsOnce
+		return MayHaveRun
 	case !r.NotRun && r.Attempts >= r.Most:
-		return Tried
+		return AttemptsExhausted
 	case r.Paid:
 		return Paid
 	case r.Sends == 0:
-		return First
+		return FirstSend
 	case take():
 		return Again
 	}
--- a/core/jwrepeat/repeat_test.go
+++ b/core/jwrepeat/repeat_test.go
@@ -23,14 +23,14 @@
 	}{
 		"failed once":                 {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), true, Again},
 		"failed once, nothing left":   {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), false, NoBudget},
-		"failed twice":                {with(func(r *Request) { r.Attempts, r.Sends = 2, 2 }), true, Tried},
+		"failed twice":                {with(func(r *Request) { r.Attempts, r.Sends = 2, 2 }), true, AttemptsExhausted},
 		"not run":                     {with(func(r *Request) { r.NotRun, r.Sends = true, 1 }), true, Again},
-		"not run, and nobody reached": {with(func(r *Request) { r.NotRun = true }), false, First},
+		"not run, and nobody reached": {with(func(r *Request) { r.NotRun = true }), false, FirstSend},
 		"not run, runs once":          {Request{NotRun: true, Sends: 1}, true, Again},
-		"may have run, runs once":     {Request{Attempts: 1, Sends: 1, Most: 1}, true, RunsOnce},
+		"may have run, runs once":     {Request{Attempts: 1, Sends: 1, Most: 1}, true, MayHaveRun},
 		"paid before":                 {with(func(r *Request) { r.Attempts, r.Sends, r.Paid = 1, 1, true }), false, Paid},
-		"its body is gone":            {with(func(r *Request) { r.NotRun, r.Streamed = true, true }), true, OneBody},
-		"refused everywhere":          {with(func(r *Request) { r.NotRun, r.Final = true, true }), true, InVain},
+		"its body is gone":            {with(func(r *Request) { r.NotRun, r.Streamed = true, true }), true, BodyConsumed},
+		"refused everywhere":          {with(func(r *Request) { r.NotRun, r.Final = true, true }), true, SameOutcome},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -41,7 +41,7 @@
 
 // Whatever happened before: what must run once isn't sent after it may have run,
 // and the budget is asked only for a send that is made then.
-func TestNeverTwice(t *testing.T) {
+func TestNonRepeatableNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{
 			Final: rapid.Bool().Draw(t, "final"), Streamed: rapid.Bool().Draw(t, "streamed"),
