--- a/core/jwadmission/admission.go
+++ b/core/jwadmission/admission.go
@@ -3,55 +3,57 @@
 import "time"
 
 const (
-	// MaxQueueShare is the part of the goal that a request may wait behind others. A
-	// queue longer than that makes every answer late; rejecting some keeps the
-	// others in time. The time that a prompt takes to read by itself doesn't count: a
-	// long one is late for its length, not for a queue, and retrying is in vain.
+	// MaxQueueShare is the maximum time that a request may wait behind others, as a multiple
+	// of its goal. A longer queue makes every answer late; rejecting some requests keeps
+	// the others in time. The time to read the request's own prompt doesn't count: a long
+	// prompt is late because of its length, not because of a queue, and retrying doesn't help.
 	MaxQueueShare = 1.2
-	// MinRetryAfter is the soonest that a caller which was rejected is to retry.
+	// MinRetryAfter is the minimum Retry-After of a rejected request.
 	MinRetryAfter = 300 * time.Millisecond
-	// MaxRetryAfter is the latest: callers honour a third of the time that they have left.
+	// MaxRetryAfter is the maximum Retry-After of a rejected request: callers honour a
+	// Retry-After of at most a third of the time that they have left.
 	MaxRetryAfter = 2 * time.Second
 )
 
-// Request is what the decision needs to know. All times are from now on.
+// Request is the input of a decision. All times count from now.
 type Request struct {
-	Goal     time.Duration // for the first event, 0 if there is none
+	Goal     time.Duration // for the first event; 0 if the request has no goal
 	Left     time.Duration // until the deadline
-	Expected time.Duration // until the first event, where it would be served
-	Own      time.Duration // of that, what reading its own prompt takes
-	Engine   bool          // it has a prompt; plain calls are never rejected
-	Begun    bool          // it was sent already, or another node has taken it
+	Expected time.Duration // until the first event, at the place where it would be served
+	Own      time.Duration // part of Expected that reading its own prompt takes
+	Engine   bool          // it has a prompt; calls without one are never rejected
+	Begun    bool          // it was already sent, or another node has accepted it
 }
 
 // Reason is why a request was rejected.
 type Reason string
 
-// The reasons.
+// The possible reasons.
 const (
 	None     Reason = ""
 	Queue    Reason = "would wait too long behind others"
 	Deadline Reason = "can't be answered before its deadline"
 )
 
-// Decision is the outcome; its zero value takes the request.
+// Decision is the outcome; its zero value accepts the request.
 type Decision struct {
 	Reason     Reason
-	RetryAfter time.Duration // when to retry
+	RetryAfter time.Duration // set if the request is rejected
 }
 
-// Taken reports whether the request is served.
+// Taken reports whether the request is accepted.
 func (d Decision) Taken() bool { return d.Reason == None }
 
-// Policy decides. The zero value rejects by both reasons; a field that is set
-// leaves one out, for tests and for measuring what it is worth.
+// Policy decides on requests. The zero value rejects for both reasons. Each field
+// disables one of them, for tests and to measure its effect.
 type Policy struct {
 	IgnoreQueue    bool
 	IgnoreDeadline bool
 }
 
-// Decide takes a request that can be answered before its deadline, unless too much
-// waits before it.
+// Decide accepts a request that can be answered before its deadline and need not wait too
+// long behind others. It always accepts a request without a prompt, or one that has
+// begun.
 func (p Policy) Decide(r Request) Decision {
 	if !r.Engine || r.Begun {
 		return Decision{}
@@ -65,8 +67,9 @@
 	return Decision{}
 }
 
-// retryAfter is when the queue will be short enough for the goal: those who retry
-// then find what those who stayed have left.
+// retryAfter returns when the queue is expected to be down to half of the goal, between
+// MinRetryAfter and MaxRetryAfter: callers who retry then find the capacity that the
+// requests waiting now no longer need.
 func retryAfter(r Request) time.Duration {
 	return min(max(r.Expected-r.Own-r.Goal/2, MinRetryAfter), MaxRetryAfter)
 }
--- a/core/jwadmission/admission_test.go
+++ b/core/jwadmission/admission_test.go
@@ -10,9 +10,10 @@
 
 const ms = time.Millisecond
 
-// A draft has a goal of one second and a deadline of twelve, and reading its 50,000
-// tokens takes 1.3 s. It was rejected as late, came back and was rejected
-// again: of the longest tenth of the drafts a quarter was served.
+// A draft has a goal of 1 s, a deadline of 12 s and a prompt of 50,000 tokens, which
+// takes 1.3 s to read. When the time to read its own prompt counted as queueing, it was
+// rejected, retried and rejected again: only a quarter of the longest tenth of the drafts
+// was served.
 func TestDecide(t *testing.T) {
 	draft := Request{Goal: 1000 * ms, Left: 12_000 * ms, Engine: true}
 	with := func(expected, own time.Duration) Request {
@@ -53,8 +54,8 @@
 	}
 }
 
-// No size of prompt is rejected while its deadline can be met and the queue is
-// one that a short prompt would be taken in.
+// A prompt of any size is accepted while its deadline can be met and the queue is one in
+// which a short prompt would be accepted.
 func TestPromptSizeAloneNeverRejects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		d := func(name string, most int) time.Duration {
@@ -66,9 +67,9 @@
 		short := r
 		short.Own, short.Expected = 0, queue
 		if (Policy{}).Decide(short).Taken() && !(Policy{}).Decide(r).Taken() {
-			t.Fatalf("%+v is rejected, without its own length it is taken", r)
+			t.Fatalf("%+v is rejected, but accepted without the time to read its prompt", r)
 		}
-		// What can't be answered in time is rejected at once, with when to retry.
+		// A request that can't be answered in time is rejected at once, with a Retry-After.
 		r.Left = r.Expected - 1
 		got := (Policy{}).Decide(r)
 		if r.Left >= 0 && (got.Taken() || got.RetryAfter < MinRetryAfter || got.RetryAfter > MaxRetryAfter) {
--- a/core/jwadmission/doc.go
+++ b/core/jwadmission/doc.go
@@ -1,5 +1,4 @@
-// Package jwadmission decides whether a request that needs an engine is taken or
-// rejected at once, and when its caller is to retry. It holds no state: what
-// targets and regions are expected to take goes in, a Decision with its reason comes
-// out.
+// Package jwadmission decides whether a request that needs a model engine is accepted or
+// rejected at once, and when a rejected caller is to retry. It holds no state: a decision
+// depends only on the estimates that the Request carries.
 package jwadmission
--- a/core/jwplacement/placement.go
+++ b/core/jwplacement/placement.go
@@ -6,27 +6,27 @@
 	"jujubewheel/core/jwmember"
 )
 
-// RemotePenalty is by how much cheaper another region must be than this one before a
-// request is sent there: its bytes are dear and estimates are rough.
+// RemotePenalty is how much cheaper another region must be than this one before a
+// request is sent there: traffic between regions is expensive and estimates are rough.
 const RemotePenalty = 100 * time.Millisecond
 
-// Option is a region that may serve a request and can be reached.
+// Option is a reachable region that may serve a request.
 type Option struct {
 	Region   string
-	Known    bool          // it has reported lately how long requests wait
-	Expected time.Duration // until the first event, with the round trip
-	Own      time.Duration // of that, what reading the request's own prompt takes
-	Later    time.Duration // what counts beside the first event
-	Miss     int           // prompt tokens that have to be read there
+	Known    bool          // it has recently reported how long requests wait
+	Expected time.Duration // until the first event, including the round trip
+	Own      time.Duration // part of Expected that reading the request's own prompt takes
+	Later    time.Duration // cost beside that of the first event, such as slow later events
+	Miss     int           // prompt tokens that are not cached there
 }
 
-// Cost is what options are compared by.
+// Cost returns the cost by which options are compared.
 func (o Option) Cost() time.Duration { return o.Expected + o.Later }
 
 // Reason tells why a region was chosen.
 type Reason string
 
-// The reasons.
+// The possible reasons.
 const (
 	Nowhere       Reason = "no region has a target"
 	Local         Reason = "here"
@@ -34,21 +34,25 @@
 	RemoteOnly    Reason = "none here"
 )
 
-// Choice is where a request goes; its zero value is nowhere.
+// Choice is the region that a request is sent to, and why. Its Reason is Nowhere if there
+// is none.
 type Choice struct {
 	Option
 	Reason Reason
 }
 
-// Policy chooses. The zero value sends away what is cheaper by RemotePenalty.
+// Policy chooses regions. The zero value sends a request to another region if that is
+// cheaper by more than RemotePenalty.
 type Policy struct {
-	PreferLocal bool // only what can't be served here is sent away, for tests and for measuring
+	// PreferLocal sends a request to another region only if this one can't serve it, for
+	// tests and to measure the effect of the zero value.
+	PreferLocal bool
 }
 
-// Choose returns the region of the node itself unless another is clearly cheaper. A
-// region that has reported nothing lately is used only where nothing else is left. here
-// is nil if no target here can take the request; others come in a fixed order, of
-// which the first of equals is taken.
+// Choose returns the node's own region, local, unless another one is clearly cheaper. It
+// uses a region that has recently reported nothing only if no other is left. local is nil
+// if no target in the node's region can take the request. Of regions in others with the
+// same cost, Choose returns the first.
 func (p Policy) Choose(local *Option, others []Option) Choice {
 	best := Choice{Reason: Nowhere}
 	if local != nil {
@@ -69,18 +73,18 @@
 	return best
 }
 
-// Node returns one of the nodes of a region by a point in [0, 1), of those to which
-// a connection is open if there are any: to open one takes as long as the answer of
-// a quick target, which made two of three such requests late.
-func Node(nodes []jwmember.Member, open func(jwmember.Member) bool, point float64) jwmember.Member {
-	var kept []jwmember.Member
+// Node selects one of the nodes of a region by a point in [0, 1). It prefers nodes to
+// which a connection is open, because opening one takes as long as the answer of a fast
+// target, which made two of three such requests late.
+func Node(nodes []jwmember.Member, isConnected func(jwmember.Member) bool, point float64) jwmember.Member {
+	var connected []jwmember.Member
 	for _, m := range nodes {
-		if open(m) {
-			kept = append(kept, m)
+		if isConnected(m) {
+			connected = append(connected, m)
 		}
 	}
-	if len(kept) > 0 {
-		nodes = kept
+	if len(connected) > 0 {
+		nodes = connected
 	}
 	return nodes[int(point*float64(len(nodes)))]
 }
--- a/core/jwplacement/placement_test.go
+++ b/core/jwplacement/placement_test.go
@@ -15,7 +15,7 @@
 	return Option{Region: region, Known: true, Expected: expected}
 }
 
-// The peak of a small region is borne by the others, and what is no peak stays.
+// Other regions take over the peak load of a small region, and only that.
 func TestChoose(t *testing.T) {
 	here := option("here", 400*ms)
 	silent := option("silent", 0)
@@ -53,7 +53,7 @@
 	}
 }
 
-// To open a connection to another region takes a round trip more.
+// Opening a connection to another region takes an additional round trip.
 func TestNode(t *testing.T) {
 	nodes := []jwmember.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	none := func(jwmember.Member) bool { return false }
--- a/core/jwrepeat/doc.go
+++ b/core/jwrepeat/doc.go
@@ -1,3 +1,3 @@
-// Package jwrepeat decides whether a request that was not answered may be sent once
-// more. It holds no state; the budget that repeats draw on is a function.
+// Package jwrepeat decides whether a request that was not answered may be sent again. It
+// holds no state; the retry budget is a function that the caller passes.
 package jwrepeat
--- a/core/jwrepeat/repeat.go
+++ b/core/jwrepeat/repeat.go
@@ -1,21 +1,21 @@
 package jwrepeat
 
-// Request is what the decision needs to know of a request.
+// Request is the input of a decision.
 type Request struct {
-	Final      bool // what ended the last try would end the next one too
-	Streamed   bool // its body can't be sent again
-	NotRun     bool // no target has run it or will, by the last try
+	Final      bool // the next attempt would fail for the same reason as the last one
+	Streamed   bool // its body was streamed and can't be sent again
+	NotRun     bool // after the last attempt, no target has run it or will run it
 	Repeatable bool // it may run more than once
-	Attempts   int  // sends that a target may have run
-	Most       int  // of these, at most
-	Sends      int  // sends that reached a target
-	Paid       bool // the next send was taken from the budget already
+	Attempts   int  // number of sends that a target may have run
+	Most       int  // maximum of Attempts
+	Sends      int  // number of sends that reached a target
+	Paid       bool // the next send has already been taken from the budget
 }
 
-// Reason tells what a decision rests on.
+// Reason is the reason for a decision.
 type Reason string
 
-// The reasons. Again, FirstSend and Paid say that the request may be sent.
+// The possible reasons. With Again, FirstSend and Paid the request may be sent.
 const (
 	Again             Reason = "taken from the budget"
 	FirstSend         Reason = "no target was reached yet"
@@ -30,8 +30,9 @@
 // May reports whether the request may be sent.
 func (r Reason) May() bool { return r == Again || r == FirstSend || r == Paid }
 
-// Decide judges a request after a try; take draws one repeat from the budget and is
-// called only where everything else allows the repeat.
+// Decide decides whether to send a request again after an attempt. take takes one retry
+// from the budget and reports whether one was left; it is called only if everything else
+// allows the retry.
 func Decide(r Request, take func() bool) Reason {
 	switch {
 	case r.Final:
--- a/core/jwrepeat/repeat_test.go
+++ b/core/jwrepeat/repeat_test.go
@@ -7,8 +7,8 @@
 	"pgregory.net/rapid"
 )
 
-// A confirmation that may have run must never run again, whatever is left of the
-// budget; a lookup may, as often as its entry says.
+// A request that must run once and may have run is never sent again, whatever is left of
+// the budget. A repeatable request is sent again as often as its entry allows.
 func TestDecide(t *testing.T) {
 	lookup := Request{Repeatable: true, Most: 2}
 	with := func(change func(*Request)) Request {
@@ -39,8 +39,8 @@
 	}
 }
 
-// Whatever happened before: what must run once isn't sent after it may have run,
-// and the budget is asked only for a send that is made then.
+// Whatever happened before, a request that must run once isn't sent after it may have
+// run, and a retry is taken from the budget only for a send that follows.
 func TestNonRepeatableNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{
