--- a/core/jwclock/pulse.go
+++ b/core/jwclock/pulse.go
@@ -13,8 +13,8 @@
 // from others may no longer hold.
 var ErrPaused = errors.New("process was paused")
 
-// beatsPerLimit is how often within its limit a Pulse beats.
-const beatsPerLimit = 5
+// checksPerLimit is how often within its limit a Pulse beats.
+const checksPerLimit = 5
 
 // Pulse notices that the process stood still: frozen, or its host suspended.
 // Set its fields, then call Begin before Run.
@@ -29,11 +29,11 @@
 	// SinceBoot.
 	Boot func() time.Duration
 
-	last atomic.Pointer[beat]
+	last atomic.Pointer[clockReading]
 }
 
-// beat is a moment by two clocks.
-type beat struct {
+// clockReading is a moment by two clocks.
+type clockReading struct {
 	at   time.Time
 	boot time.Duration
 }
@@ -54,11 +54,11 @@
 	p.last.Store(&now)
 }
 
-func (p *Pulse) now() beat {
+func (p *Pulse) now() clockReading {
 	if p.Boot == nil {
-		return beat{time.Now(), SinceBoot()}
+		return clockReading{time.Now(), SinceBoot()}
 	}
-	return beat{time.Now(), p.Boot()}
+	return clockReading{time.Now(), p.Boot()}
 }
 
 // Alive reports whether the process has run since Begin without a long pause.
@@ -74,7 +74,7 @@
 // Run beats until ctx ends or a pause was too long; then the pulse stays dead
 // until it is begun anew.
 func (p *Pulse) Run(ctx context.Context) error {
-	ticker := time.NewTicker(p.Limit / beatsPerLimit)
+	ticker := time.NewTicker(p.Limit / checksPerLimit)
 	defer ticker.Stop()
 	for {
 		select {
--- a/core/jwclock/pulse_test.go
+++ b/core/jwclock/pulse_test.go
@@ -41,7 +41,7 @@
 }
 
 // The time of day can be set, and must not be taken for a pause.
-func TestSinceBootGoesOn(t *testing.T) {
+func TestSinceBootIsMonotonic(t *testing.T) {
 	first := SinceBoot()
 	assert.Assert(t, first > 0)
 	assert.Assert(t, SinceBoot() >= first)
