--- a/core/jwclock/doc.go
+++ b/core/jwclock/doc.go
@@ -1,3 +1,3 @@
-// Package jwclock holds what the other packages need of time beyond the
-// standard library.
+// Package jwclock provides time functions that the standard library lacks: a sleep that
+// a context can end, and the detection of pauses of the process.
 package jwclock
--- a/core/jwclock/pulse.go
+++ b/core/jwclock/pulse.go
@@ -9,46 +9,47 @@
 	"golang.org/x/sys/unix"
 )
 
-// ErrPaused says that the process stood still for so long that what it knew
-// from others may no longer hold.
+// ErrPaused reports that the process was paused for so long that what it learned from
+// others may be out of date.
 var ErrPaused = errors.New("process was paused")
 
-// checksPerLimit is how often within its limit a Pulse beats.
+// checksPerLimit is the number of readings that Run takes within Limit.
 const checksPerLimit = 5
 
-// Pulse notices that the process stood still: frozen, or its host suspended.
-// Set its fields, then call Begin before Run.
+// Pulse detects that the process was paused: frozen, or its host suspended. Set its
+// fields, then call Begin before Run.
 //
-// The process wakes unaware, and by its steady clock, which a suspended host
-// stops, everything that it was told still looks fresh. So each request asks
-// whether the pulse is alive, and once it was not, the process learns anew
-// before it serves.
+// A process doesn't notice that it was paused. By its monotonic clock, which stops while
+// the host is suspended, everything that it learned from others still looks recent. So
+// the process calls Alive for each request, and after a pause it must update its state
+// before it serves again.
 type Pulse struct {
-	Limit time.Duration // longest pause that does not matter
-	// Boot returns the time since the host started, suspended or not; nil is
-	// SinceBoot.
+	Limit time.Duration // longest pause that is tolerated
+	// Boot returns the time since the host started, including suspended time. If it is nil,
+	// SinceBoot is used.
 	Boot func() time.Duration
 
 	last atomic.Pointer[clockReading]
 }
 
-// clockReading is a moment by two clocks.
+// clockReading is one moment, read from the monotonic clock and the clock since boot.
 type clockReading struct {
 	at   time.Time
 	boot time.Duration
 }
 
-// SinceBoot returns the time since the host started, including the time that
-// it was suspended for; 0 where the system doesn't tell.
+// SinceBoot returns the time since the host started, including the time for which it was
+// suspended, or 0 if the system doesn't provide it.
 func SinceBoot() time.Duration {
 	var t unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &t); err != nil {
-		return 0 // the steady clock still shows a process that was frozen
+		return 0 // the monotonic clock still shows that a process was frozen
 	}
 	return time.Duration(t.Nano())
 }
 
-// Begin makes the pulse alive.
+// Begin records the current time, from which the next pause is measured. Alive then
+// returns true until a pause is longer than Limit.
 func (p *Pulse) Begin() {
 	now := p.now()
 	p.last.Store(&now)
@@ -61,7 +62,8 @@
 	return clockReading{time.Now(), p.Boot()}
 }
 
-// Alive reports whether the process has run since Begin without a long pause.
+// Alive reports whether at most Limit has passed since the last reading, by both clocks.
+// Readings are taken by Begin and regularly by Run. Before Begin it returns false.
 func (p *Pulse) Alive() bool {
 	last := p.last.Load()
 	if last == nil {
@@ -71,8 +73,9 @@
 	return max(now.at.Sub(last.at), now.boot-last.boot) <= p.Limit
 }
 
-// Run beats until ctx ends or a pause was too long; then the pulse stays dead
-// until it is begun anew.
+// Run takes readings regularly until ctx ends, whose error it then returns, or until a
+// pause was too long. It then returns ErrPaused, and Alive returns false until the next
+// call of Begin.
 func (p *Pulse) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.Limit / checksPerLimit)
 	defer ticker.Stop()
--- a/core/jwclock/pulse_test.go
+++ b/core/jwclock/pulse_test.go
@@ -8,28 +8,28 @@
 	"gotest.tools/v3/assert"
 )
 
-// A process is frozen for a while and wakes unaware. A short pause must not
-// matter, and after a long one nothing may be served until the node has joined
-// anew, or callers are served by entries that are no longer in force.
+// A frozen process doesn't notice that it was paused. A short pause is tolerated. After a
+// long one the node must serve nothing until it has joined again; otherwise it would
+// serve callers by entries that are no longer in force.
 func TestPulse(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
-		p := &Pulse{Limit: 10 * time.Second, Boot: func() time.Duration { return time.Since(began) }}
-		assert.Assert(t, !p.Alive(), "before it was begun")
+		started := time.Now()
+		p := &Pulse{Limit: 10 * time.Second, Boot: func() time.Duration { return time.Since(started) }}
+		assert.Assert(t, !p.Alive(), "before Begin")
 		p.Begin()
 		time.Sleep(9 * time.Second)
 		assert.Assert(t, p.Alive())
 		time.Sleep(2 * time.Second)
 		assert.Assert(t, !p.Alive())
 		assert.ErrorIs(t, p.Run(t.Context()), ErrPaused)
-		assert.Assert(t, !p.Alive(), "a dead pulse stays dead")
+		assert.Assert(t, !p.Alive(), "not alive again after Run returned")
 		p.Begin()
 		assert.Assert(t, p.Alive())
 	})
 }
 
-// The host was suspended: its steady clock stood still meanwhile, and only the
-// clock since boot tells.
+// While the host is suspended its monotonic clock stops, so only the time since boot
+// shows the pause.
 func TestPulseOfSuspendedHost(t *testing.T) {
 	boot := time.Hour
 	p := &Pulse{Limit: 10 * time.Second, Boot: func() time.Duration { return boot }}
@@ -40,7 +40,8 @@
 	assert.Assert(t, !p.Alive())
 }
 
-// The time of day can be set, and must not be taken for a pause.
+// The time since boot only moves forward. The time of day can be set, and a change of it
+// must not count as a pause.
 func TestSinceBootIsMonotonic(t *testing.T) {
 	first := SinceBoot()
 	assert.Assert(t, first > 0)
--- a/core/jwclock/sleep.go
+++ b/core/jwclock/sleep.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Sleep waits for d or until the context ends, whose error it then returns; a
-// d of 0 or less only looks at the context.
+// Sleep waits for d, or until the context ends, whose error it then returns. If d is 0 or
+// less, it only returns the context's error, if any.
 func Sleep(ctx context.Context, d time.Duration) error {
 	if d <= 0 {
 		return ctx.Err()
