--- a/core/jwsuspect/fingerprint.go
+++ b/core/jwsuspect/fingerprint.go
@@ -28,7 +28,7 @@
 func ParseFingerprint(s string) (f Fingerprint, err error) {
 	b, err := hex.DecodeString(s)
 	if err != nil || len(b) != len(f) {
-		return f, errors.Errorf("no fingerprint: %q", s)
+		return f, errors.Errorf("malformed fingerprint: %q", s)
 	}
 	copy(f[:], b)
 	return f, nil
