--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -13,21 +13,21 @@
 // fleet plays nodes that share quotas in virtual time: data centres in regions, links
 // with delays that can be cut, nodes that start anew.
 type fleet struct {
-	rand       *rand.Rand
-	now        time.Time
-	bounds     Bounds
-	quotas     map[string]jwworkspace.Quota
-	nodes      []*simNode
-	even       bool // nobody claims from anybody
-	demand     bool // parts follow what each node asked for, as the others know it after a while
-	reportedAt time.Time
-	spent      []spending
-	calls      int // between nodes
-	units      int // entries in their messages
-	queue      []message
-	refuse     map[string]float64 // units refused, by workspace
-	asked      map[string]float64
-	ideal      map[string]*bucket // what one counter for all nodes would do
+	rand           *rand.Rand
+	now            time.Time
+	bounds         Bounds
+	quotas         map[string]jwworkspace.Quota
+	nodes          []*simNode
+	equalShares    bool // nobody claims from anybody
+	demandShares   bool // parts follow what each node asked for, as the others know it after a while
+	reportedAt     time.Time
+	spent          []spending
+	calls          int // between nodes
+	entries        int // entries in their messages
+	queue          []message
+	refusedUnits   map[string]float64 // units refused, by workspace
+	requestedUnits map[string]float64
+	ideal          map[string]*bucket // what one counter for all nodes would do
 }
 
 // bucket is a quota that one place keeps exactly.
@@ -53,26 +53,26 @@
 }
 
 type simNode struct {
-	name       string
-	dc, region int
-	side       int // of a cut; nodes of different sides don't reach each other
-	ledger     *Ledger
-	epoch      int // rises when the node starts anew
-	began      time.Time
-	fresh      bool
-	kicked     bool
-	next       time.Time
-	polled     time.Time
-	asking     map[int]time.Time
-	waiters    []simWaiter
-	own        map[string]*bucket // of a node whose part follows its demand
-	asked      map[string]*rate
-	reported   map[string]float64 // its demand as the others know it
+	name         string
+	dc, region   int
+	partition    int // of a cut; nodes of different sides don't reach each other
+	ledger       *Ledger
+	epoch        int // rises when the node starts anew
+	startedAt    time.Time
+	fresh        bool
+	wakePending  bool
+	nextExchange time.Time
+	lastPoll     time.Time
+	callTimeouts map[int]time.Time
+	waiters      []simWaiter
+	buckets      map[string]*bucket // of a node whose part follows its demand
+	demands      map[string]*rate
+	reported     map[string]float64 // its demand as the others know it
 }
 
 type simWaiter struct {
-	w    *Waiter
-	till time.Time
+	w        *Waiter
+	deadline time.Time
 }
 
 type spending struct {
@@ -91,10 +91,10 @@
 func newFleet(seed uint64, nodes, dcs, regions int, b Bounds, quotas map[string]jwworkspace.Quota) *fleet {
 	f := &fleet{
 		rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), bounds: b, quotas: quotas,
-		refuse: map[string]float64{}, asked: map[string]float64{}, ideal: map[string]*bucket{},
+		refusedUnits: map[string]float64{}, requestedUnits: map[string]float64{}, ideal: map[string]*bucket{},
 	}
 	for i := range nodes {
-		n := &simNode{name: fmt.Sprintf("n%03d", i), dc: i % dcs, region: i % dcs % regions, asking: map[int]time.Time{}}
+		n := &simNode{name: fmt.Sprintf("n%03d", i), dc: i % dcs, region: i % dcs % regions, callTimeouts: map[int]time.Time{}}
 		f.nodes = append(f.nodes, n)
 		f.restart(n)
 	}
@@ -104,23 +104,23 @@
 // restart starts a node anew with nothing.
 func (f *fleet) restart(n *simNode) {
 	n.epoch++
-	n.fresh = n.began.IsZero() || f.now.Sub(n.began) >= f.bounds.Window
-	n.began = f.now
-	n.waiters, n.kicked, n.next = nil, false, f.now
-	n.asking = map[int]time.Time{}
+	n.fresh = n.startedAt.IsZero() || f.now.Sub(n.startedAt) >= f.bounds.Window
+	n.startedAt = f.now
+	n.waiters, n.wakePending, n.nextExchange = nil, false, f.now
+	n.callTimeouts = map[int]time.Time{}
 	n.ledger = &Ledger{
 		Quota:  func(w string) jwworkspace.Quota { return f.quotas[w] },
 		Bounds: func() Bounds { return f.bounds },
-		Lacks:  func() { n.kicked = true },
+		Lacks:  func() { n.wakePending = true },
 	}
-	f.place(n)
+	f.updateTopology(n)
 }
 
-// relay returns the place of the relay of a data centre as a node sees it: the first
+// relayIndex returns the place of the relayIndex of a data centre as a node sees it: the first
 // that it reaches.
-func (f *fleet) relay(n *simNode, dc int) int {
+func (f *fleet) relayIndex(n *simNode, dc int) int {
 	for i, m := range f.nodes {
-		if m.dc == dc && m.side == n.side {
+		if m.dc == dc && m.partition == n.partition {
 			return i
 		}
 	}
@@ -130,7 +130,7 @@
 func (f *fleet) relays(n *simNode) []int {
 	var list []int
 	for dc := range f.nodes {
-		if i := f.relay(n, dc); i >= 0 {
+		if i := f.relayIndex(n, dc); i >= 0 {
 			list = append(list, i)
 		}
 	}
@@ -142,10 +142,10 @@
 	return list[int(workspace[len(workspace)-1])%len(list)]
 }
 
-func (f *fleet) place(n *simNode) {
+func (f *fleet) updateTopology(n *simNode) {
 	live, group := 0, 0
 	for _, m := range f.nodes {
-		if m.side == n.side {
+		if m.partition == n.partition {
 			live++
 			if m.dc == n.dc {
 				group++
@@ -153,7 +153,7 @@
 		}
 	}
 	p := Topology{FleetSize: len(f.nodes), Counted: true, Fresh: n.fresh, LiveNodes: live}
-	if f.nodes[max(f.relay(n, n.dc), 0)] == n && !f.even {
+	if f.nodes[max(f.relayIndex(n, n.dc), 0)] == n && !f.equalShares {
 		p.GroupSize = group
 		p.IsRoot = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
 	}
@@ -172,15 +172,15 @@
 
 // exchange lets a node claim from those above it.
 func (f *fleet) exchange(n *simNode) {
-	f.place(n)
-	if f.even {
+	f.updateTopology(n)
+	if f.equalShares {
 		return
 	}
-	poll := f.now.Sub(n.polled) >= time.Second
+	poll := f.now.Sub(n.lastPoll) >= time.Second
 	if poll {
-		n.polled = f.now
+		n.lastPoll = f.now
 	}
-	relay := f.relay(n, n.dc)
+	relay := f.relayIndex(n, n.dc)
 	if f.nodes[relay] != n {
 		f.claim(n, relay, poll, func(string) bool { return true })
 		return
@@ -193,7 +193,7 @@
 }
 
 func (f *fleet) claim(n *simNode, to int, poll bool, fits func(string) bool) {
-	if f.now.Before(n.asking[to]) {
+	if f.now.Before(n.callTimeouts[to]) {
 		return
 	}
 	claims := n.ledger.Claims(f.now, fits)
@@ -201,20 +201,20 @@
 		return
 	}
 	f.calls++
-	f.units += len(claims)
-	n.asking[to] = f.now.Add(40 * time.Millisecond)
+	f.entries += len(claims)
+	n.callTimeouts[to] = f.now.Add(40 * time.Millisecond)
 	m, epoch, back := f.nodes[to], n.epoch, f.delay(n, f.nodes[to])
 	f.send(back, func() {
-		if n.side != m.side {
+		if n.partition != m.partition {
 			return
 		}
 		grants := m.ledger.Answer(f.now, n.name, claims, poll)
-		f.units += len(grants)
+		f.entries += len(grants)
 		f.send(back, func() {
-			if n.epoch != epoch || n.side != m.side {
+			if n.epoch != epoch || n.partition != m.partition {
 				return
 			}
-			n.asking[to] = time.Time{}
+			n.callTimeouts[to] = time.Time{}
 			n.ledger.ApplyGrants(f.now, grants)
 		})
 	})
@@ -226,18 +226,18 @@
 	f.queue = slices.Insert(f.queue, i, message{at, run})
 }
 
-// ask lets a request ask at a node.
-func (f *fleet) ask(i int, workspace string, cost float64, patience time.Duration) {
+// request lets a request request at a node.
+func (f *fleet) request(i int, workspace string, cost float64, patience time.Duration) {
 	n := f.nodes[i]
-	if f.demand {
-		defer f.askOwn(n, workspace, cost)
+	if f.demandShares {
+		defer f.requestDemandShare(n, workspace, cost)
 	}
-	f.asked[workspace] += cost
+	f.requestedUnits[workspace] += cost
 	if f.ideal[workspace] == nil {
 		f.ideal[workspace] = &bucket{}
 	}
 	f.ideal[workspace].take(f.now, f.quotas[workspace], cost)
-	if f.demand {
+	if f.demandShares {
 		return
 	}
 	d := n.ledger.Take(f.now, workspace, cost)
@@ -247,20 +247,20 @@
 	case Waits:
 		n.waiters = append(n.waiters, simWaiter{d.Waiter, f.now.Add(patience)})
 	default:
-		f.refuse[workspace] += cost
+		f.refusedUnits[workspace] += cost
 	}
 }
 
-// askOwn asks at a node whose part of a quota follows its demand: half of all parts is
+// requestDemandShare asks at a node whose part of a quota follows its demand: half of all parts is
 // even, the rest goes by what the nodes have reported.
-func (f *fleet) askOwn(n *simNode, workspace string, cost float64) {
-	if n.own == nil {
-		n.own, n.asked, n.reported = map[string]*bucket{}, map[string]*rate{}, map[string]float64{}
+func (f *fleet) requestDemandShare(n *simNode, workspace string, cost float64) {
+	if n.buckets == nil {
+		n.buckets, n.demands, n.reported = map[string]*bucket{}, map[string]*rate{}, map[string]float64{}
 	}
-	if n.own[workspace] == nil {
-		n.own[workspace], n.asked[workspace] = &bucket{}, &rate{}
+	if n.buckets[workspace] == nil {
+		n.buckets[workspace], n.demands[workspace] = &bucket{}, &rate{}
 	}
-	n.asked[workspace].add(f.now, cost)
+	n.demands[workspace].add(f.now, cost)
 	total := 0.0
 	for _, m := range f.nodes {
 		total += m.reported[workspace]
@@ -271,17 +271,17 @@
 	}
 	q := f.quotas[workspace]
 	q.Rate, q.Burst = q.Rate*part, f.bounds.maxUnspent(q)*part
-	if n.own[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the part takes all of it
+	if n.buckets[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the part takes all of it
 		f.spent = append(f.spent, spending{f.now, workspace, cost})
 	} else {
-		f.refuse[workspace] += cost
+		f.refusedUnits[workspace] += cost
 	}
 }
 
-// report lets all nodes know what the others asked for until now.
-func (f *fleet) report() {
+// reportDemands lets all nodes know what the others asked for until now.
+func (f *fleet) reportDemands() {
 	for _, n := range f.nodes {
-		for w, r := range n.asked {
+		for w, r := range n.demands {
 			n.reported[w] = r.current(f.now)
 		}
 	}
@@ -299,20 +299,20 @@
 		if traffic != nil {
 			traffic()
 		}
-		if f.demand {
+		if f.demandShares {
 			if f.now.Sub(f.reportedAt) >= time.Second {
 				f.reportedAt = f.now
-				f.report()
+				f.reportDemands()
 			}
 			continue
 		}
 		for _, n := range f.nodes {
-			f.settle(n)
-			if n.kicked || !f.now.Before(n.next) {
-				n.kicked = false
-				n.next = f.now.Add(250 * time.Millisecond)
+			f.settleWaiters(n)
+			if n.wakePending || !f.now.Before(n.nextExchange) {
+				n.wakePending = false
+				n.nextExchange = f.now.Add(250 * time.Millisecond)
 				if len(n.waiters) > 0 {
-					n.next = f.now.Add(25 * time.Millisecond)
+					n.nextExchange = f.now.Add(25 * time.Millisecond)
 				}
 				f.exchange(n)
 			}
@@ -320,11 +320,11 @@
 	}
 }
 
-// settle counts the waiting requests that were served and ends the wait of others.
-func (f *fleet) settle(n *simNode) {
+// settleWaiters counts the waiting requests that were served and ends the wait of others.
+func (f *fleet) settleWaiters(n *simNode) {
 	n.waiters = slices.DeleteFunc(n.waiters, func(x simWaiter) bool {
 		served := x.w.granted
-		if !served && f.now.Before(x.till) {
+		if !served && f.now.Before(x.deadline) {
 			return false
 		}
 		if !served {
@@ -333,14 +333,14 @@
 		if served {
 			f.spent = append(f.spent, spending{f.now, x.w.workspace, x.w.cost})
 		} else {
-			f.refuse[x.w.workspace] += x.w.cost
+			f.refusedUnits[x.w.workspace] += x.w.cost
 		}
 		return true
 	})
 }
 
-// most returns the most units of a workspace that were spent in a window.
-func (f *fleet) most(workspace string) float64 {
+// maxSpent returns the maxSpent units of a workspace that were spent in a window.
+func (f *fleet) maxSpent(workspace string) float64 {
 	var list []spending
 	for _, s := range f.spent {
 		if s.workspace == workspace {
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -17,8 +17,8 @@
 	return jwworkspace.Quota{Unit: jwworkspace.Tokens, Rate: perSecond, Burst: perSecond, Plain: 200}
 }
 
-// mix is what workspaces send: plain calls, short prompts and long ones.
-func (f *fleet) mix() float64 {
+// requestCost is what workspaces send: plain calls, short prompts and long ones.
+func (f *fleet) requestCost() float64 {
 	switch x := f.rand.Float64(); {
 	case x < 0.23:
 		return 200
@@ -28,22 +28,22 @@
 	return 2000 + 14_000*f.rand.Float64()
 }
 
-const mixMean = 0.23*200 + 0.57*1000 + 0.2*9000
+const meanCost = 0.23*200 + 0.57*1000 + 0.2*9000
 
 // traffic sends units a second of a workspace, most of it in one region.
 func (f *fleet) traffic(workspace string, units float64, peak int) {
-	for range f.poisson(units / mixMean) {
+	for range f.poisson(units / meanCost) {
 		i := f.rand.IntN(len(f.nodes))
 		for f.nodes[i].region != peak && f.rand.Float64() < 0.8 {
 			i = f.rand.IntN(len(f.nodes))
 		}
-		f.ask(i, workspace, f.mix(), 400*time.Millisecond)
+		f.request(i, workspace, f.requestCost(), 400*time.Millisecond)
 	}
 }
 
 // Workspaces that stay within their quotas, small ones too, are refused next to
 // nothing while the peak moves from region to region.
-func TestWithinTheQuota(t *testing.T) {
+func TestFewRefusalsWithinQuota(t *testing.T) {
 	for name, perSecond := range map[string]float64{"large": 800_000, "middle": 100_000, "small": 29_000} {
 		t.Run(name, func(t *testing.T) {
 			quotas := map[string]jwworkspace.Quota{"w": tokenQuota(perSecond)}
@@ -53,10 +53,10 @@
 			f.run(36*time.Second, func() {
 				f.traffic("w", perSecond/1.8, int(f.now.Sub(start)/(12*time.Second)))
 			})
-			t.Logf("%.0f of %.0f refused, one counter refuses %.0f", f.refuse["w"], f.asked["w"], f.ideal["w"].refused)
-			assert.Assert(t, f.refuse["w"] < f.ideal["w"].refused+0.02*f.asked["w"],
-				"%.0f of %.0f refused, one counter refuses %.0f", f.refuse["w"], f.asked["w"], f.ideal["w"].refused)
-			assert.Assert(t, f.most("w") <= tokenBounds.MaxUnits(quotas["w"]))
+			t.Logf("%.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["w"], f.requestedUnits["w"], f.ideal["w"].refused)
+			assert.Assert(t, f.refusedUnits["w"] < f.ideal["w"].refused+0.02*f.requestedUnits["w"],
+				"%.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["w"], f.requestedUnits["w"], f.ideal["w"].refused)
+			assert.Assert(t, f.maxSpent("w") <= tokenBounds.MaxUnits(quotas["w"]))
 		})
 	}
 }
@@ -77,14 +77,14 @@
 			spent += s.cost
 		}
 	}
-	assert.Assert(t, f.most("hot1") <= tokenBounds.MaxUnits(quotas["hot1"]))
+	assert.Assert(t, f.maxSpent("hot1") <= tokenBounds.MaxUnits(quotas["hot1"]))
 	assert.Assert(t, spent > 0.9*20*200_000, "only %.0f were spent", spent)
-	t.Logf("calm: %.0f of %.0f refused, one counter refuses %.0f", f.refuse["calm2"], f.asked["calm2"], f.ideal["calm2"].refused)
-	assert.Assert(t, f.refuse["calm2"] < 0.02*f.asked["calm2"], "%.0f of %.0f refused", f.refuse["calm2"], f.asked["calm2"])
+	t.Logf("calm: %.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["calm2"], f.requestedUnits["calm2"], f.ideal["calm2"].refused)
+	assert.Assert(t, f.refusedUnits["calm2"] < 0.02*f.requestedUnits["calm2"], "%.0f of %.0f refused", f.refusedUnits["calm2"], f.requestedUnits["calm2"])
 }
 
 // No history of starts, cuts and changed quotas lets all nodes together exceed the bound.
-func TestNeverBeyondTheBound(t *testing.T) {
+func TestBoundIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 24).Draw(t, "nodes")
 		dcs := rapid.IntRange(1, min(nodes, 6)).Draw(t, "dataCentres")
@@ -103,11 +103,11 @@
 			switch rapid.SampledFrom([]string{"calm", "cut", "heal", "restart", "restartAll"}).Draw(t, "event") {
 			case "cut":
 				for _, n := range f.nodes {
-					n.side = f.rand.IntN(3)
+					n.partition = f.rand.IntN(3)
 				}
 			case "heal":
 				for _, n := range f.nodes {
-					n.side = 0
+					n.partition = 0
 				}
 			case "restart":
 				f.restart(f.nodes[f.rand.IntN(nodes)])
@@ -118,16 +118,16 @@
 			}
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*time.Millisecond, func() { f.traffic("w", load*q.Rate, peak) })
 		}
-		if most := b.MaxUnits(q); f.most("w") > most {
-			t.Fatalf("%.0f units in a window, allowed are %.0f", f.most("w"), most)
+		if most := b.MaxUnits(q); f.maxSpent("w") > most {
+			t.Fatalf("%.0f units in a window, allowed are %.0f", f.maxSpent("w"), most)
 		}
 	})
 }
 
-// TestWays compares what is refused within the quota, how much of the bound is used and
+// TestCompareDistributions compares what is refused within the quota, how much of the bound is used and
 // how often nodes call each other, where parts are even, follow demand, or go up and down
 // a tree; -v prints the table.
-func TestWays(t *testing.T) {
+func TestCompareDistributions(t *testing.T) {
 	sizes := []int{9, 58}
 	if testing.Verbose() {
 		sizes = append(sizes, 300)
@@ -137,7 +137,7 @@
 		for _, way := range []string{"even", "demand", "tree"} {
 			quotas := map[string]jwworkspace.Quota{"hot1": tokenQuota(300_000), "large2": tokenQuota(800_000), "small3": tokenQuota(60_000)}
 			f := newFleet(5, nodes, min(nodes, 6), 3, tokenBounds, quotas)
-			f.even, f.demand = way == "even", way == "demand"
+			f.equalShares, f.demandShares = way == "even", way == "demand"
 			for _, n := range f.nodes {
 				f.restart(n)
 			}
@@ -154,10 +154,10 @@
 				f.traffic("small3", 60_000/1.8, peak)
 			})
 			for w, q := range quotas {
-				assert.Assert(t, way == "demand" || f.most(w) <= tokenBounds.MaxUnits(q), "%s exceeds the bound", way)
-				refused[way] += (f.refuse[w] - f.ideal[w].refused) / f.asked[w]
+				assert.Assert(t, way == "demand" || f.maxSpent(w) <= tokenBounds.MaxUnits(q), "%s exceeds the bound", way)
+				refused[way] += (f.refusedUnits[w] - f.ideal[w].refused) / f.requestedUnits[w]
 				t.Logf("%3d nodes, %-6s %-6s refused %.3f, one counter %.3f, of the bound %.2f, calls a node and second %.1f", nodes, way, w,
-					f.refuse[w]/f.asked[w], f.ideal[w].refused/f.asked[w], f.most(w)/tokenBounds.MaxUnits(q), float64(f.calls)/float64(nodes)/18)
+					f.refusedUnits[w]/f.requestedUnits[w], f.ideal[w].refused/f.requestedUnits[w], f.maxSpent(w)/tokenBounds.MaxUnits(q), float64(f.calls)/float64(nodes)/18)
 			}
 		}
 		assert.Assert(t, refused["tree"] < refused["even"] && refused["tree"] < refused["demand"], "%v", refused)
