--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -10,27 +10,27 @@
 	"jujubewheel/core/jwworkspace"
 )
 
-// fleet plays nodes that share quotas in virtual time: data centres in regions, links
-// with delays that can be cut, nodes that start anew.
+// fleet simulates nodes that share quotas, in virtual time: data centres in regions,
+// links with delays, network partitions and restarts of nodes.
 type fleet struct {
 	rand           *rand.Rand
 	now            time.Time
 	bounds         Bounds
 	quotas         map[string]jwworkspace.Quota
 	nodes          []*simNode
-	equalShares    bool // nobody claims from anybody
-	demandShares   bool // parts follow what each node asked for, as the others know it after a while
+	equalShares    bool // each node spends its equal share and claims nothing
+	demandShares   bool // a node's share follows its demand, as last reported to the others
 	reportedAt     time.Time
 	spent          []spending
-	calls          int // between nodes
-	entries        int // entries in their messages
+	calls          int // number of calls between nodes
+	entries        int // number of claims and grants in their messages
 	queue          []message
-	refusedUnits   map[string]float64 // units refused, by workspace
+	refusedUnits   map[string]float64 // by workspace
 	requestedUnits map[string]float64
-	ideal          map[string]*bucket // what one counter for all nodes would do
+	ideal          map[string]*bucket // one counter for all nodes, by workspace, for comparison
 }
 
-// bucket is a quota that one place keeps exactly.
+// bucket is a token bucket for the requests of one workspace.
 type bucket struct {
 	level   float64
 	at      time.Time
@@ -55,9 +55,9 @@
 type simNode struct {
 	name         string
 	dc, region   int
-	partition    int // of a cut; nodes of different sides don't reach each other
+	partition    int // nodes of different partitions can't reach each other
 	ledger       *Ledger
-	epoch        int // rises when the node starts anew
+	epoch        int // incremented when the node restarts
 	startedAt    time.Time
 	fresh        bool
 	wakePending  bool
@@ -65,9 +65,9 @@
 	lastPoll     time.Time
 	callTimeouts map[int]time.Time
 	waiters      []simWaiter
-	buckets      map[string]*bucket // of a node whose part follows its demand
+	buckets      map[string]*bucket // by workspace, for demandShares
 	demands      map[string]*rate
-	reported     map[string]float64 // its demand as the others know it
+	reported     map[string]float64 // its demands as last reported to the others
 }
 
 type simWaiter struct {
@@ -101,7 +101,7 @@
 	return f
 }
 
-// restart starts a node anew with nothing.
+// restart replaces a node's process by a new one without units.
 func (f *fleet) restart(n *simNode) {
 	n.epoch++
 	n.fresh = n.startedAt.IsZero() || f.now.Sub(n.startedAt) >= f.bounds.Window
@@ -116,8 +116,8 @@
 	f.updateTopology(n)
 }
 
-// relayIndex returns the place of the relayIndex of a data centre as a node sees it: the first
-// that it reaches.
+// relayIndex returns the index of the relay of a data centre as a node sees it: the first
+// node there that it can reach, or -1.
 func (f *fleet) relayIndex(n *simNode, dc int) int {
 	for i, m := range f.nodes {
 		if m.dc == dc && m.partition == n.partition {
@@ -152,12 +152,12 @@
 			}
 		}
 	}
-	p := Topology{FleetSize: len(f.nodes), Counted: true, Fresh: n.fresh, LiveNodes: live}
+	topo := Topology{FleetSize: len(f.nodes), Counted: true, Fresh: n.fresh, LiveNodes: live}
 	if f.nodes[max(f.relayIndex(n, n.dc), 0)] == n && !f.equalShares {
-		p.GroupSize = group
-		p.IsRoot = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
+		topo.GroupSize = group
+		topo.IsRoot = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
 	}
-	n.ledger.SetTopology(f.now, p)
+	n.ledger.SetTopology(f.now, topo)
 }
 
 func (f *fleet) delay(a, b *simNode) time.Duration {
@@ -170,7 +170,7 @@
 	return 80 * time.Millisecond
 }
 
-// exchange lets a node claim from those above it.
+// exchange lets a node claim from its relay or, if it is a relay, from the other relays.
 func (f *fleet) exchange(n *simNode) {
 	f.updateTopology(n)
 	if f.equalShares {
@@ -192,25 +192,25 @@
 	}
 }
 
-func (f *fleet) claim(n *simNode, to int, poll bool, fits func(string) bool) {
+func (f *fleet) claim(n *simNode, to int, poll bool, filter func(string) bool) {
 	if f.now.Before(n.callTimeouts[to]) {
 		return
 	}
-	claims := n.ledger.Claims(f.now, fits)
+	claims := n.ledger.Claims(f.now, filter)
 	if len(claims) == 0 && !poll {
 		return
 	}
 	f.calls++
 	f.entries += len(claims)
 	n.callTimeouts[to] = f.now.Add(40 * time.Millisecond)
-	m, epoch, back := f.nodes[to], n.epoch, f.delay(n, f.nodes[to])
-	f.send(back, func() {
+	m, epoch, delay := f.nodes[to], n.epoch, f.delay(n, f.nodes[to])
+	f.send(delay, func() {
 		if n.partition != m.partition {
 			return
 		}
 		grants := m.ledger.Answer(f.now, n.name, claims, poll)
 		f.entries += len(grants)
-		f.send(back, func() {
+		f.send(delay, func() {
 			if n.epoch != epoch || n.partition != m.partition {
 				return
 			}
@@ -226,7 +226,8 @@
 	f.queue = slices.Insert(f.queue, i, message{at, run})
 }
 
-// request lets a request request at a node.
+// request sends a request that costs units to node i. It waits for its units for at most
+// patience.
 func (f *fleet) request(i int, workspace string, cost float64, patience time.Duration) {
 	n := f.nodes[i]
 	if f.demandShares {
@@ -251,8 +252,8 @@
 	}
 }
 
-// requestDemandShare asks at a node whose part of a quota follows its demand: half of all parts is
-// even, the rest goes by what the nodes have reported.
+// requestDemandShare requests units at a node whose share of a quota follows its demand:
+// half of the quota is shared equally, the rest by the demands that the nodes reported.
 func (f *fleet) requestDemandShare(n *simNode, workspace string, cost float64) {
 	if n.buckets == nil {
 		n.buckets, n.demands, n.reported = map[string]*bucket{}, map[string]*rate{}, map[string]float64{}
@@ -265,20 +266,20 @@
 	for _, m := range f.nodes {
 		total += m.reported[workspace]
 	}
-	part := 1 / float64(len(f.nodes))
+	share := 1 / float64(len(f.nodes))
 	if total > 0 {
-		part = part/2 + n.reported[workspace]/total/2
+		share = share/2 + n.reported[workspace]/total/2
 	}
 	q := f.quotas[workspace]
-	q.Rate, q.Burst = q.Rate*part, f.bounds.maxUnspent(q)*part
-	if n.buckets[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the part takes all of it
+	q.Rate, q.Burst = q.Rate*share, f.bounds.maxUnspent(q)*share
+	if n.buckets[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the share takes all of it
 		f.spent = append(f.spent, spending{f.now, workspace, cost})
 	} else {
 		f.refusedUnits[workspace] += cost
 	}
 }
 
-// reportDemands lets all nodes know what the others asked for until now.
+// reportDemands reports the current demands of each node to all others.
 func (f *fleet) reportDemands() {
 	for _, n := range f.nodes {
 		for w, r := range n.demands {
@@ -288,7 +289,7 @@
 	f.calls += len(f.nodes)
 }
 
-// run plays some time; traffic is called at each step.
+// run simulates the given time; traffic is called at each step and may be nil.
 func (f *fleet) run(d time.Duration, traffic func()) {
 	for end := f.now.Add(d); f.now.Before(end); f.now = f.now.Add(simStep) {
 		for len(f.queue) > 0 && !f.queue[0].at.After(f.now) {
@@ -320,17 +321,18 @@
 	}
 }
 
-// settleWaiters counts the waiting requests that were served and ends the wait of others.
+// settleWaiters records the waiting requests of a node that were granted their units, and
+// ends the wait of those whose deadline has passed.
 func (f *fleet) settleWaiters(n *simNode) {
 	n.waiters = slices.DeleteFunc(n.waiters, func(x simWaiter) bool {
-		served := x.w.granted
-		if !served && f.now.Before(x.deadline) {
+		granted := x.w.granted
+		if !granted && f.now.Before(x.deadline) {
 			return false
 		}
-		if !served {
-			served = n.ledger.Leave(f.now, x.w).Outcome == Taken
+		if !granted {
+			granted = n.ledger.Leave(f.now, x.w).Outcome == Taken
 		}
-		if served {
+		if granted {
 			f.spent = append(f.spent, spending{f.now, x.w.workspace, x.w.cost})
 		} else {
 			f.refusedUnits[x.w.workspace] += x.w.cost
@@ -339,7 +341,7 @@
 	})
 }
 
-// maxSpent returns the maxSpent units of a workspace that were spent in a window.
+// maxSpent returns the maximum of a workspace's units that were spent in any window.
 func (f *fleet) maxSpent(workspace string) float64 {
 	var list []spending
 	for _, s := range f.spent {
@@ -347,19 +349,19 @@
 			list = append(list, s)
 		}
 	}
-	most, sum, first := 0.0, 0.0, 0
+	maxUnits, sum, first := 0.0, 0.0, 0
 	for _, s := range list {
 		sum += s.cost
 		for s.at.Sub(list[first].at) > f.bounds.Window {
 			sum -= list[first].cost
 			first++
 		}
-		most = max(most, sum)
+		maxUnits = max(maxUnits, sum)
 	}
-	return most
+	return maxUnits
 }
 
-// poisson draws how many requests come in a step at a rate a second.
+// poisson draws the number of requests that arrive in a step, from their rate a second.
 func (f *fleet) poisson(rate float64) int {
 	n, left := 0, f.rand.ExpFloat64()
 	for x := rate * simStep.Seconds(); left < x; left += f.rand.ExpFloat64() {
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -17,7 +17,7 @@
 	return jwworkspace.Quota{Unit: jwworkspace.Tokens, Rate: perSecond, Burst: perSecond, Plain: 200}
 }
 
-// requestCost is what workspaces send: plain calls, short prompts and long ones.
+// requestCost draws the cost of a request: a plain call, a short prompt or a long one.
 func (f *fleet) requestCost() float64 {
 	switch x := f.rand.Float64(); {
 	case x < 0.23:
@@ -30,7 +30,8 @@
 
 const meanCost = 0.23*200 + 0.57*1000 + 0.2*9000
 
-// traffic sends units a second of a workspace, most of it in one region.
+// traffic sends the requests of a workspace in one step, at a rate in units a second,
+// most of them in one region.
 func (f *fleet) traffic(workspace string, units float64, peak int) {
 	for range f.poisson(units / meanCost) {
 		i := f.rand.IntN(len(f.nodes))
@@ -41,8 +42,8 @@
 	}
 }
 
-// Workspaces that stay within their quotas, small ones too, are refused next to
-// nothing while the peak moves from region to region.
+// Workspaces that stay within their quotas, including small ones, are refused almost
+// nothing while the peak load moves from region to region.
 func TestFewRefusalsWithinQuota(t *testing.T) {
 	for name, perSecond := range map[string]float64{"large": 800_000, "middle": 100_000, "small": 29_000} {
 		t.Run(name, func(t *testing.T) {
@@ -61,8 +62,8 @@
 	}
 }
 
-// A workspace that sends seven times its usual gets its quota and no more, and takes
-// nothing from another one.
+// A workspace that sends seven times its usual load gets its quota and no more, and
+// doesn't reduce what another workspace gets.
 func TestFloodOfOneWorkspace(t *testing.T) {
 	quotas := map[string]jwworkspace.Quota{"hot1": tokenQuota(200_000), "calm2": tokenQuota(60_000)}
 	f := newFleet(9, 58, 6, 3, tokenBounds, quotas)
@@ -83,7 +84,8 @@
 	assert.Assert(t, f.refusedUnits["calm2"] < 0.02*f.requestedUnits["calm2"], "%.0f of %.0f refused", f.refusedUnits["calm2"], f.requestedUnits["calm2"])
 }
 
-// No history of starts, cuts and changed quotas lets all nodes together exceed the bound.
+// No sequence of restarts, network partitions and load changes lets all nodes together
+// exceed the bound.
 func TestBoundIsNeverExceeded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		nodes := rapid.IntRange(1, 24).Draw(t, "nodes")
@@ -124,9 +126,9 @@
 	})
 }
 
-// TestCompareDistributions compares what is refused within the quota, how much of the bound is used and
-// how often nodes call each other, where parts are even, follow demand, or go up and down
-// a tree; -v prints the table.
+// TestCompareDistributions compares three ways to distribute a quota: in equal shares, in
+// shares that follow demand, and by the tree. It compares what is refused, how much of the
+// bound is used and how often nodes call each other; -v logs the results.
 func TestCompareDistributions(t *testing.T) {
 	sizes := []int{9, 58}
 	if testing.Verbose() {
