--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -203,14 +203,14 @@
 	f.calls++
 	f.entries += len(claims)
 	n.callTimeouts[to] = f.now.Add(40 * time.Millisecond)
-	m, epoch, delay := f.nodes[to], n.epoch, f.delay(n, f.nodes[to])
-	f.send(delay, func() {
+	m, epoch, oneWay := f.nodes[to], n.epoch, f.delay(n, f.nodes[to])
+	f.send(oneWay, func() {
 		if n.partition != m.partition {
 			return
 		}
 		grants := m.ledger.Answer(f.now, n.name, claims, poll)
 		f.entries += len(grants)
-		f.send(delay, func() {
+		f.send(oneWay, func() {
 			if n.epoch != epoch || n.partition != m.partition {
 				return
 			}
