--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -25,7 +25,7 @@
 type Ledger struct {
 	Quota  func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
 	Bounds func() Bounds
-	Lacks  func() // called when a request begins to wait, so that units are claimed at once; may be nil
+	Lacks  func() // called when a request here or at a child waits for units, so that they are claimed at once; may be nil
 
 	mu           sync.Mutex
 	topology     Topology
--- a/core/jwsuspect/model_test.go
+++ b/core/jwsuspect/model_test.go
@@ -22,13 +22,13 @@
 	targets     []netip.AddrPort
 	upAt        []time.Time // when each target is running again
 	load        []int
-	inFlight    []innocentCall
+	inFlight    []harmlessCall
 	waiting     []int // harmless requests that wait for a target
 	retries     map[time.Time][]int
 	quarantined map[Fingerprint]bool
 }
 
-// The size of the model.
+// The size and the durations of the model.
 const (
 	modelNodes   = 6
 	modelTargets = 12
@@ -42,8 +42,8 @@
 // poison is the number of the request that crashes targets.
 const poison = 0
 
-// innocentCall is one harmless request in flight.
-type innocentCall struct {
+// harmlessCall is one harmless request in flight.
+type harmlessCall struct {
 	id, node, target int
 	ends             time.Time
 }
@@ -53,12 +53,12 @@
 	m.start()
 	next := at(time.Second)
 	attempt := 0
-	for innocent := 1; m.now.Before(at(time.Minute)); innocent += 2 {
+	for id := 1; m.now.Before(at(time.Minute)); id += 2 {
 		if m.now.Sub(start)%m.delay == 0 {
 			m.exchangeNotices()
 		}
 		m.finish()
-		m.admit(innocent, innocent+1)
+		m.admit(id, id+1)
 		if !m.now.Before(next) {
 			next = m.now.Add(m.retryPause + m.randomPause(m.retryPause))
 			if m.sendPoison(attempt % modelNodes) {
@@ -111,7 +111,7 @@
 
 // finish ends the calls that are complete by now.
 func (m *model) finish() {
-	m.inFlight = slices.DeleteFunc(m.inFlight, func(c innocentCall) bool {
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(c harmlessCall) bool {
 		if c.ends.After(m.now) {
 			return false
 		}
@@ -134,7 +134,7 @@
 		}
 		m.nodes[node].Begin(testFingerprint(id), target(i), false)
 		m.load[i]++
-		m.inFlight = append(m.inFlight, innocentCall{id, node, i, m.now.Add(modelCall)})
+		m.inFlight = append(m.inFlight, harmlessCall{id, node, i, m.now.Add(modelCall)})
 	}
 }
 
@@ -171,7 +171,7 @@
 	m.nodes[node].End(f, target(i), false, m.now)
 	m.upAt[i] = m.now.Add(modelRestart)
 	m.load[i] = 0
-	m.inFlight = slices.DeleteFunc(m.inFlight, func(c innocentCall) bool {
+	m.inFlight = slices.DeleteFunc(m.inFlight, func(c harmlessCall) bool {
 		if c.target != i {
 			return false
 		}
