--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -7,15 +7,15 @@
 	"github.com/pkg/errors"
 )
 
-// adoption is what this node answers for in the place of another process.
-type adoption struct {
+// adoptedProcess is what this node answers for in the place of another process.
+type adoptedProcess struct {
 	serials
 	holder Holder
 	until  time.Time
 }
 
-// move says where the keys of a process are now.
-type move struct {
+// movedProcess says where the keys of a process are now.
+type movedProcess struct {
 	to    Holder
 	until time.Time
 }
@@ -35,7 +35,7 @@
 			err = r.check()
 		}
 		if err != nil {
-			return Receipt{}, notAdopted(err, k.Node)
+			return Receipt{}, notAdoptedError(err, k.Node)
 		}
 		if r.Kind != EndRecord {
 			rs = append(rs, r)
@@ -46,63 +46,63 @@
 		if r.Count != uint64(len(rs)) {
 			break
 		}
-		return k.install(rs)
+		return k.adoptRecords(rs)
 	}
-	return Receipt{}, notAdopted(errors.New("records missing"), k.Node)
+	return Receipt{}, notAdoptedError(errors.New("records missing"), k.Node)
 }
 
-func notAdopted(cause error, node string) error {
+func notAdoptedError(cause error, node string) error {
 	return errors.Wrapf(ErrNotAdopted, "adopt: %s: %v", node, cause)
 }
 
-func (k *Keeper) install(rs []Record) (Receipt, error) {
+func (k *Keeper) adoptRecords(rs []Record) (Receipt, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	// A successor that stops itself may already have handed its own table on.
 	if k.closed || !k.running {
-		return Receipt{}, notAdopted(errors.New("stopping"), k.Node)
+		return Receipt{}, notAdoptedError(errors.New("stopping"), k.Node)
 	}
 	for _, r := range rs {
 		if r.Kind == IncarnationRecord && (r.Holder.Region != k.Region || r.Holder.Incarnation == k.Incarnation) {
-			return Receipt{}, notAdopted(errors.Errorf("from %s of %s", r.Holder.Node, r.Holder.Region), k.Node)
+			return Receipt{}, notAdoptedError(errors.Errorf("from %s of %s", r.Holder.Node, r.Holder.Region), k.Node)
 		}
 	}
 	for _, r := range rs {
-		k.installRecord(r)
+		k.adoptRecord(r)
 	}
-	k.readAgain()
+	k.requireNewReads()
 	return Receipt{Kept: uint64(len(rs)), Incarnation: k.Incarnation}, nil
 }
 
-// readAgain makes all who wait for a slot wait for a read that begins now. A
+// requireNewReads makes all who wait for a slot wait for a read that begins now. A
 // claim that the stopping node released just before its handover may still be
 // in a view of this node; taken for one of those handed over, it would have no
 // record, and its key be answered as unknown. k.mu is held.
-func (k *Keeper) readAgain() {
+func (k *Keeper) requireNewReads() {
 	for _, s := range k.slots {
 		for _, it := range s.queue {
-			it.reads = s.started
+			it.queuedAtOp = s.opCount
 		}
 	}
 }
 
-func (k *Keeper) installRecord(r Record) {
+func (k *Keeper) adoptRecord(r Record) {
 	switch r.Kind {
 	case IncarnationRecord:
-		k.installSerials(r)
+		k.adoptSerials(r)
 	case AnswerRecord:
-		k.installAnswer(r)
+		k.adoptAnswer(r)
 	case ReleaseRecord:
-		k.slotAt(r.Slot).add(&item{kind: releaseItem, id: *r.Claim, key: *r.Key, force: true})
+		k.slotForPrefix(r.Slot).enqueue(&item{kind: releaseItem, id: *r.Claim, key: *r.Key, force: true})
 	}
 }
 
-// installSerials joins what is known already: a second handover of the same
+// adoptSerials joins what is known already: a second handover of the same
 // process must not make a ticket that ran here look unused.
-func (k *Keeper) installSerials(r Record) {
+func (k *Keeper) adoptSerials(r Record) {
 	a := k.adopted[r.Holder.Incarnation]
 	if a == nil {
-		a = &adoption{holder: r.Holder}
+		a = &adoptedProcess{holder: r.Holder}
 		k.adopted[r.Holder.Incarnation] = a
 	}
 	a.until = k.now().Add(k.Memory)
@@ -116,8 +116,8 @@
 	}
 }
 
-func (k *Keeper) installAnswer(r Record) {
-	c := &Call{k: k, body: r.Body, until: time.UnixMilli(r.UntilMillis), done: make(chan struct{}), answer: *r.Answer}
+func (k *Keeper) adoptAnswer(r Record) {
+	c := &Call{k: k, bodyHash: r.Body, until: time.UnixMilli(r.UntilMillis), done: make(chan struct{}), answer: *r.Answer}
 	c.ref = callRef{incarnation: r.Holder.Incarnation, serial: r.Serial}
 	if r.Key != nil {
 		c.ref = callRef{key: *r.Key}
@@ -133,23 +133,23 @@
 	if r.Key != nil {
 		k.claims[c.claim] = c
 	}
-	c.state = finished
+	c.state = stateFinished
 	close(c.done)
 	if a := k.adopted[r.Holder.Incarnation]; a != nil && a.until.Before(c.until) {
 		a.until = c.until
 	}
-	k.keep(c)
+	k.keepAnswer(c)
 }
 
 // Learn takes another node's report that it answers for a process that stopped.
 func (k *Keeper) Learn(m Move) {
-	k.once.Do(k.prepare)
+	k.initOnce.Do(k.initialize)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if m.Incarnation == k.Incarnation || m.To.Incarnation == k.Incarnation {
 		return
 	}
-	k.moved[m.Incarnation] = move{to: m.To, until: k.now().Add(k.Memory)}
+	k.moved[m.Incarnation] = movedProcess{to: m.To, until: k.now().Add(k.Memory)}
 }
 
 // Moves returns who answers for the processes that this node took over, and,
@@ -159,8 +159,8 @@
 	defer k.mu.Unlock()
 	to := k.self()
 	ms := make([]Move, 0, len(k.adopted)+1)
-	if k.handing.handed {
-		to = k.handing.to
+	if k.handover.completed {
+		to = k.handover.successor
 		ms = append(ms, Move{Incarnation: k.Incarnation, To: to})
 	}
 	for incarnation := range k.adopted {
@@ -169,8 +169,8 @@
 	return ms
 }
 
-// elsewhere names the process that answers for a holder now; k.mu is held.
-func (k *Keeper) elsewhere(h Holder) Decision {
+// elsewhereDecision names the process that answers for a holder now; k.mu is held.
+func (k *Keeper) elsewhereDecision(h Holder) Decision {
 	// Bounded, for two nodes' reports could name each other.
 	for range 8 {
 		m, ok := k.moved[h.Incarnation]
@@ -182,10 +182,10 @@
 	return Decision{Verdict: Elsewhere, Holder: h}
 }
 
-func (k *Keeper) unknownTicket() Decision {
+func (k *Keeper) unknownTicketDecision() Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.unknown()
+	return k.unknownDecision()
 }
 
 func (k *Keeper) expireMoves(now time.Time) {
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -14,10 +14,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// started returns a keeper whose goroutines end with the benchmark.
-func started(b *testing.B) *Keeper {
+// startBenchKeeper returns a keeper whose goroutines end with the benchmark.
+func startBenchKeeper(b *testing.B) *Keeper {
 	b.Helper()
-	k := &Keeper{Store: &link{s: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
+	k := &Keeper{Store: &storeLink{store: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
@@ -37,7 +37,7 @@
 }
 
 func BenchmarkMint(b *testing.B) {
-	k := started(b)
+	k := startBenchKeeper(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		if _, err := k.Mint(); err != nil {
@@ -47,28 +47,28 @@
 }
 
 func BenchmarkTicketRun(b *testing.B) {
-	k := started(b)
+	k := startBenchKeeper(b)
 	b.ReportAllocs()
 	for b.Loop() {
 		b.StopTimer()
 		ticket, _ := k.Mint()
 		b.StartTimer()
-		d, err := k.Begin(b.Context(), own(ticket, "deposit"))
+		d, err := k.Begin(b.Context(), newAsk(ticket, "deposit"))
 		if err != nil || d.Verdict != Run || d.Call.Dispatched() != nil {
 			b.Fatal(d.Verdict, err)
 		}
-		d.Call.Finish(served("paid"))
+		d.Call.Finish(servedAnswer("paid"))
 	}
 }
 
 func BenchmarkTicketReplay(b *testing.B) {
-	k := started(b)
+	k := startBenchKeeper(b)
 	ticket, _ := k.Mint()
-	d, _ := k.Begin(b.Context(), own(ticket, "deposit"))
-	d.Call.Finish(served("paid"))
+	d, _ := k.Begin(b.Context(), newAsk(ticket, "deposit"))
+	d.Call.Finish(servedAnswer("paid"))
 	b.ReportAllocs()
 	for b.Loop() {
-		if d, _ := k.Begin(b.Context(), own(ticket, "deposit")); d.Verdict != Replay {
+		if d, _ := k.Begin(b.Context(), newAsk(ticket, "deposit")); d.Verdict != Replay {
 			b.Fatal(d.Verdict)
 		}
 	}
@@ -82,14 +82,14 @@
 	for b.Loop() {
 		runtime.GC()
 		runtime.ReadMemStats(&before)
-		v := view{live: map[keyHash]claimed{}}
+		v := view{live: map[keyHash]liveClaim{}}
 		v.addSegment(1, document{}, 1)
 		d := document{Holders: []Holder{{Node: "a", Region: "irbid-a", Incarnation: "a-1"}}}
 		for i := range claims {
 			r := row{ID: claimID{1, byte(i), byte(i >> 8), byte(i >> 16)}, Key: keyHash{1, byte(i), byte(i >> 8), byte(i >> 16)}}
 			d.Rows = append(d.Rows, r)
-			if len(d.Rows) == DefaultSegmentRows {
-				v.replaceHead(d, 1)
+			if len(d.Rows) == DefaultMaxSegmentRows {
+				v.replaceTail(d, 1)
 				v.addSegment(uint64(i), document{}, 0)
 				d.Rows = nil
 			}
@@ -101,52 +101,52 @@
 	}
 }
 
-// load is a steady stream of fresh own keys.
-type load struct {
-	rate      int // confirmations a second
-	nodes     int
-	preferred bool          // sent to the preferred node of the slot
-	trip      time.Duration // one way to the store
+// claimLoad is a steady stream of fresh own keys.
+type claimLoad struct {
+	rate        int // confirmations a second
+	nodes       int
+	preferred   bool          // sent to the preferred node of the slot
+	oneWayDelay time.Duration // one way to the store
 }
 
-// names are the serving nodes of the only region.
-type names []string
+// staticPeers are the serving nodes of the only region.
+type staticPeers []string
 
-func (ns names) Serving(string) []string { return ns }
+func (ns staticPeers) Serving(string) []string { return ns }
 
 type loadResult struct {
-	writes, lost, reads float64 // a second
-	bytes               float64 // written a second
-	largest             int     // bytes of a document
-	turned              int     // calls that got no claim
-	p50, p99            time.Duration
+	writes, lostSwaps, reads float64 // a second
+	bytes                    float64 // written a second
+	largest                  int     // bytes of a document
+	rejected                 int     // calls that got no claim
+	p50, p99                 time.Duration
 }
 
-func (l load) String() string {
-	return fmt.Sprintf("%d/s nodes=%d preferred=%v trip=%v", l.rate, l.nodes, l.preferred, l.trip)
+func (l claimLoad) String() string {
+	return fmt.Sprintf("%d/s nodes=%d preferred=%v trip=%v", l.rate, l.nodes, l.preferred, l.oneWayDelay)
 }
 
 // run drives the load for some seconds of a bubble's time.
-func (l load) run(seconds int) loadResult {
+func (l claimLoad) run(seconds int) loadResult {
 	s := newFakeStore()
-	var all []*node
-	var peers names
+	var nodes []*testNode
+	var peers staticPeers
 	for i := range l.nodes {
 		peers = append(peers, fmt.Sprint("n", i))
 	}
 	for _, name := range peers {
-		all = append(all, start(s, name, func(n *node) { n.Peers = peers; n.link.trip = l.trip }))
+		nodes = append(nodes, startNode(s, name, func(n *testNode) { n.Peers = peers; n.link.oneWayDelay = l.oneWayDelay }))
 	}
 	var mu sync.Mutex
-	var waits []time.Duration
+	var latencies []time.Duration
 	var res loadResult
 	var calls sync.WaitGroup
 	r := rand.New(rand.NewSource(1))
 	for i := range l.rate * seconds {
-		a := own(fmt.Sprint("k", i), "x")
-		n := all[r.Intn(len(all))]
+		a := newAsk(fmt.Sprint("k", i), "x")
+		n := nodes[r.Intn(len(nodes))]
 		if want := n.Preferred(a); l.preferred {
-			for _, m := range all {
+			for _, m := range nodes {
 				if m.Node == want {
 					n = m
 				}
@@ -157,26 +157,26 @@
 			d, _ := n.Begin(context.Background(), a)
 			mu.Lock()
 			defer mu.Unlock()
-			waits = append(waits, time.Since(began))
+			latencies = append(latencies, time.Since(began))
 			if d.Verdict != Run {
-				res.turned++
+				res.rejected++
 				return
 			}
-			d.Call.Finish(served("paid"))
+			d.Call.Finish(servedAnswer("paid"))
 		})
 		time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second) / float64(l.rate)))
 	}
 	calls.Wait()
-	for _, n := range all {
-		res.lost += float64(n.Counts().LostSwaps) / float64(seconds)
-		n.end()
+	for _, n := range nodes {
+		res.lostSwaps += float64(n.Counts().LostSwaps) / float64(seconds)
+		n.crash()
 	}
-	sort.Slice(waits, func(i, j int) bool { return waits[i] < waits[j] })
-	res.p50, res.p99 = waits[len(waits)/2], waits[len(waits)*99/100]
+	sort.Slice(latencies, func(i, j int) bool { return latencies[i] < latencies[j] })
+	res.p50, res.p99 = latencies[len(latencies)/2], latencies[len(latencies)*99/100]
 	res.writes = float64(s.writes) / float64(seconds)
 	res.reads = float64(s.reads) / float64(seconds)
 	res.bytes = float64(s.bytes) / float64(seconds)
-	res.largest = s.largest
+	res.largest = s.largestWrite
 	return res
 }
 
@@ -185,7 +185,7 @@
 // catalogue changes would wait behind them.
 func TestWriteBudget(t *testing.T) {
 	seconds := 2
-	for _, l := range []load{
+	for _, l := range []claimLoad{
 		{100, 1, true, 5 * time.Millisecond},
 		{100, 9, true, 5 * time.Millisecond},
 		{100, 9, false, 5 * time.Millisecond},
@@ -201,12 +201,12 @@
 			var res loadResult
 			synctest.Test(t, func(*testing.T) { res = l.run(seconds) })
 			t.Logf("writes/s %.1f lost/s %.1f reads/s %.1f KB/s %.0f largest %d turned %d p50 %v p99 %v",
-				res.writes, res.lost, res.reads, res.bytes/1000, res.largest, res.turned, res.p50, res.p99)
-			assert.Assert(t, res.largest < documentMax/8)
+				res.writes, res.lostSwaps, res.reads, res.bytes/1000, res.largest, res.rejected, res.p50, res.p99)
+			assert.Assert(t, res.largest < maxDocumentSize/8)
 			if l.preferred {
-				bound := float64(DefaultSlots) * (1/DefaultGroupWindow.Seconds() + 1)
+				bound := float64(DefaultSlotsPerRegion) * (1/DefaultGroupWindow.Seconds() + 1)
 				assert.Assert(t, res.writes <= bound, "%.1f writes a second", res.writes)
-				assert.Equal(t, res.turned, 0)
+				assert.Equal(t, res.rejected, 0)
 			}
 		})
 	}
--- a/core/jwclaim/call.go
+++ b/core/jwclaim/call.go
@@ -32,28 +32,28 @@
 type callState string
 
 const (
-	claiming   callState = "claiming"   // its claim is not known to be written
-	held       callState = "held"       // may be dispatched, nothing has left yet
-	dispatched callState = "dispatched" // a byte may have left
-	finished   callState = "finished"   // the answer is kept
-	released   callState = "released"   // certainly not dispatched
-	lost       callState = "lost"       // may have run, no answer
+	stateClaiming   callState = "claiming"   // its claim is not known to be written
+	stateHeld       callState = "held"       // may be dispatched, nothing has left yet
+	stateDispatched callState = "dispatched" // a byte may have left
+	stateFinished   callState = "finished"   // the answer is kept
+	stateReleased   callState = "released"   // certainly not dispatched
+	stateLost       callState = "lost"       // may have run, no answer
 )
 
 // Call is one call that this node alone may dispatch, shared by all who press
 // the same key here. Its methods may be used by several goroutines.
 type Call struct {
-	k      *Keeper
-	ref    callRef
-	body   bodyMark
-	until  time.Time // end of the key's memory by this node's clock
-	claim  claimID   // own keys only
-	slot   *slot     // own keys only
-	item   *item     // own keys only
-	done   chan struct{}
-	state  callState // guarded by k.mu, as is all below
-	answer Answer
-	size   int
+	k        *Keeper
+	ref      callRef
+	bodyHash bodyHash
+	until    time.Time // end of the key's memory by this node's clock
+	claim    claimID   // own keys only
+	slot     *slot     // own keys only
+	item     *item     // own keys only
+	done     chan struct{}
+	state    callState // guarded by k.mu, as is all below
+	answer   Answer
+	size     int
 	// element is the call's place among the kept answers.
 	element *list.Element
 }
@@ -63,7 +63,7 @@
 func (c *Call) Dispatched() error {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
-	if c.state != held {
+	if c.state != stateHeld {
 		return errors.Wrapf(ErrSettled, "dispatch: %s", c.k.Node)
 	}
 	// A process that was paused after its claim wakes with the right to run in
@@ -71,10 +71,10 @@
 	// again. It would show as a second run long after the first. The claim is
 	// given up before the first of them can forget it.
 	if c.slot != nil && !c.k.now().Before(c.until) {
-		c.lose()
+		c.settleAsLost()
 		return errors.Wrapf(ErrStale, "dispatch: %s", c.k.Node)
 	}
-	c.state = dispatched
+	c.state = stateDispatched
 	return nil
 }
 
@@ -83,7 +83,7 @@
 func (c *Call) Finish(a Answer) {
 	switch a.Outcome {
 	case jwrequest.NotRun:
-		c.release(a)
+		c.releaseWith(a)
 		return
 	case jwrequest.Unknown:
 		c.Lost()
@@ -95,25 +95,25 @@
 		return
 	}
 	c.answer = a
-	c.settle(finished)
-	c.k.keep(c)
+	c.settleAs(stateFinished)
+	c.k.keepAnswer(c)
 }
 
 // Release gives the call up: it was certainly not run, and another press of
 // the key may run it, here or at another node once the release is written.
 func (c *Call) Release() {
-	c.release(Answer{Outcome: jwrequest.NotRun})
+	c.releaseWith(Answer{Outcome: jwrequest.NotRun})
 }
 
-func (c *Call) release(a Answer) {
+func (c *Call) releaseWith(a Answer) {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
 	if c.settled() {
 		return
 	}
 	c.answer = a
-	c.settle(released)
-	c.k.giveBack(c)
+	c.settleAs(stateReleased)
+	c.k.releaseKey(c)
 }
 
 // Lost gives the call up as one that may have run: it is unknown from now on.
@@ -123,12 +123,12 @@
 	if c.settled() {
 		return
 	}
-	c.lose()
+	c.settleAsLost()
 }
 
-// lose makes the call one that may have run; k.mu is held.
-func (c *Call) lose() {
-	c.settle(lost)
+// settleAsLost makes the call one that may have run; k.mu is held.
+func (c *Call) settleAsLost() {
+	c.settleAs(stateLost)
 	c.k.counts.Unknowns++
 	c.k.forget(c)
 }
@@ -148,14 +148,14 @@
 
 // settled reports whether the call has ended; k.mu is held.
 func (c *Call) settled() bool {
-	return c.state == finished || c.state == released || c.state == lost
+	return c.state == stateFinished || c.state == stateReleased || c.state == stateLost
 }
 
-// settle ends the call and wakes those who wait; k.mu is held.
-func (c *Call) settle(s callState) {
+// settleAs ends the call and wakes those who wait; k.mu is held.
+func (c *Call) settleAs(s callState) {
 	c.state = s
-	c.k.open--
-	if s == lost {
+	c.k.unsettledCalls--
+	if s == stateLost {
 		c.answer = Answer{Outcome: jwrequest.Unknown}
 	}
 	close(c.done)
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -39,66 +39,66 @@
 	RetryAfter time.Duration
 }
 
-// outcome is the verdict of an item, resolved or given up; k.mu is held.
-func (k *Keeper) outcome(it *item, mark bodyMark) Decision {
+// decideItem is the verdict of an item, resolved or given up; k.mu is held.
+func (k *Keeper) decideItem(it *item, hash bodyHash) Decision {
 	switch it.result {
-	case won:
-		if it.taken || it.call.state != held {
-			return k.known(it.call, mark)
+	case resultWon:
+		if it.runGranted || it.call.state != stateHeld {
+			return k.decideByCall(it.call, hash)
 		}
-		it.taken = true
+		it.runGranted = true
 		return Decision{Verdict: Run, Call: it.call}
-	case occupied:
-		return k.byClaim(it.other, mark)
-	case free:
-		return k.notRun()
-	case unread:
-		return k.unread()
+	case resultOccupied:
+		return k.decideByClaim(it.otherClaim, hash)
+	case resultFree:
+		return k.notRunDecision()
+	case resultUnread:
+		return k.unreadDecision()
 	}
 	it.waiters--
-	return k.unread()
+	return k.unreadDecision()
 }
 
-// byClaim is the verdict on a key that another claim holds; k.mu is held.
-func (k *Keeper) byClaim(other claimed, mark bodyMark) Decision {
-	if other.body != mark {
+// decideByClaim is the verdict on a key that another claim holds; k.mu is held.
+func (k *Keeper) decideByClaim(other liveClaim, hash bodyHash) Decision {
+	if other.body != hash {
 		return Decision{Verdict: Mismatch}
 	}
 	if c := k.claims[other.id]; c != nil {
-		return k.known(c, mark)
+		return k.decideByCall(c, hash)
 	}
 	if other.holder.Incarnation == k.Incarnation || k.adopted[other.holder.Incarnation] != nil {
-		return k.unknown()
+		return k.unknownDecision()
 	}
-	return k.elsewhere(*other.holder)
+	return k.elsewhereDecision(*other.holder)
 }
 
-// known is the verdict on a call that is in memory; k.mu is held.
-func (k *Keeper) known(c *Call, mark bodyMark) Decision {
-	if c.body != mark {
+// decideByCall is the verdict on a call that is in memory; k.mu is held.
+func (k *Keeper) decideByCall(c *Call, hash bodyHash) Decision {
+	if c.bodyHash != hash {
 		return Decision{Verdict: Mismatch}
 	}
 	switch c.state {
-	case finished:
+	case stateFinished:
 		return Decision{Verdict: Replay, Answer: c.answer}
-	case claiming, held, dispatched:
+	case stateClaiming, stateHeld, stateDispatched:
 		return Decision{Verdict: Join, Call: c}
-	case released:
-		return k.notRun()
+	case stateReleased:
+		return k.notRunDecision()
 	}
-	return k.unknown()
+	return k.unknownDecision()
 }
 
-func (k *Keeper) notRun() Decision {
+func (k *Keeper) notRunDecision() Decision {
 	return Decision{Verdict: NotRun, RetryAfter: k.RetryAfter}
 }
 
-func (k *Keeper) unread() Decision {
+func (k *Keeper) unreadDecision() Decision {
 	k.counts.Unreads++
 	return Decision{Verdict: Unread, RetryAfter: k.RetryAfter}
 }
 
-func (k *Keeper) unknown() Decision {
+func (k *Keeper) unknownDecision() Decision {
 	k.counts.Unknowns++
 	return Decision{Verdict: Unknown}
 }
--- a/core/jwclaim/document.go
+++ b/core/jwclaim/document.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	documentFormat = 1
-	documentMax    = 1 << 20 // bytes, the largest value the store takes
-	keyHashSize    = 16      // bytes
-	bodyMarkSize   = 12      // bytes
-	claimIDSize    = 12      // bytes
-	segmentDigits  = 12
-	slotsPrefix    = "claims/"
+	documentFormat  = 1
+	maxDocumentSize = 1 << 20 // bytes, the largest value the store takes
+	keyHashSize     = 16      // bytes
+	bodyHashSize    = 12      // bytes
+	claimIDSize     = 12      // bytes
+	segmentDigits   = 12
+	slotsPrefix     = "claims/"
 )
 
 // ErrDocument says that a slot document can't be read.
@@ -25,7 +25,7 @@
 
 type (
 	keyHash  [keyHashSize]byte  // salted hash of workspace and key
-	bodyMark [bodyMarkSize]byte // salted hash of the body
+	bodyHash [bodyHashSize]byte // salted hash of the body
 	claimID  [claimIDSize]byte  // random, names one claim of one node
 )
 
@@ -52,7 +52,7 @@
 	ID      claimID  `json:"id"`
 	Release bool     `json:"release,omitempty"`
 	Key     keyHash  `json:"key"`
-	Body    bodyMark `json:"body,omitzero"`
+	Body    bodyHash `json:"body,omitzero"`
 	Holder  int      `json:"holder,omitempty"` // index in Holders
 	Until   int64    `json:"until,omitempty"`  // Unix seconds, end of the key's memory
 }
@@ -64,10 +64,10 @@
 func (h *keyHash) UnmarshalText(b []byte) error { return decodeFixed(h[:], b) }
 
 // MarshalText writes the mark in base64.
-func (m bodyMark) MarshalText() ([]byte, error) { return encodeFixed(m[:]), nil }
+func (h bodyHash) MarshalText() ([]byte, error) { return encodeFixed(h[:]), nil }
 
 // UnmarshalText reads the mark from base64.
-func (m *bodyMark) UnmarshalText(b []byte) error { return decodeFixed(m[:], b) }
+func (h *bodyHash) UnmarshalText(b []byte) error { return decodeFixed(h[:], b) }
 
 // MarshalText writes the id in base64.
 func (id claimID) MarshalText() ([]byte, error) { return encodeFixed(id[:]), nil }
@@ -116,8 +116,8 @@
 	return d, nil
 }
 
-// holder returns the index of h in the document, which it extends if need be.
-func (d *document) holder(h Holder) int {
+// holderIndex returns the index of h in the document, which it extends if need be.
+func (d *document) holderIndex(h Holder) int {
 	for i := range d.Holders {
 		if d.Holders[i] == h {
 			return i
@@ -155,10 +155,10 @@
 	return n, nil
 }
 
-// claimed is a live claim as a view holds it.
-type claimed struct {
+// liveClaim is a live claim as a view holds it.
+type liveClaim struct {
 	id     claimID
-	body   bodyMark
+	body   bodyHash
 	holder *Holder // shared by all claims of a segment
 	until  int64   // Unix seconds
 }
--- a/core/jwclaim/fuzz_test.go
+++ b/core/jwclaim/fuzz_test.go
@@ -13,17 +13,17 @@
 // not stop the node, and only the very text that was minted may be taken.
 func FuzzTicket(f *testing.F) {
 	secret := []byte("salt")
-	good := sealTicket(secret, Ticket{Holder: Holder{Node: "a", Region: "irbid-a", Incarnation: "a-1"}, Serial: 7})
+	good := signTicket(secret, Ticket{Holder: Holder{Node: "a", Region: "irbid-a", Incarnation: "a-1"}, Serial: 7})
 	for _, s := range []string{good, good[:len(good)-2], strings.ToUpper(good), "jt1.", "jt1.====", "order-17", ""} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, key string) {
-		ticket, err := openTicket(secret, key)
+		ticket, err := verifyTicket(secret, key)
 		if err != nil {
 			assert.ErrorIs(t, err, ErrTicket)
 			return
 		}
-		assert.Equal(t, sealTicket(secret, ticket), key)
+		assert.Equal(t, signTicket(secret, ticket), key)
 	})
 }
 
@@ -37,7 +37,7 @@
 		k := &Keeper{Salt: []byte("salt")}
 		same := w1 == w2 && k1 == k2
 		assert.Equal(t, k.keyHash(Ask{Workspace: w1, Key: k1}) == k.keyHash(Ask{Workspace: w2, Key: k2}), same)
-		assert.Equal(t, k.bodyMark(Ask{Workspace: w1, Key: k1}) == k.bodyMark(Ask{Workspace: w2, Key: k2}), same)
+		assert.Equal(t, k.bodyHash(Ask{Workspace: w1, Key: k1}) == k.bodyHash(Ask{Workspace: w2, Key: k2}), same)
 	})
 }
 
@@ -45,7 +45,7 @@
 // full, and so that writing it again loses nothing, or refused.
 func FuzzDocument(f *testing.F) {
 	d := document{Until: 10, Sealed: true}
-	d.Rows = []row{{ID: claimID{1}, Key: keyHash{2}, Body: bodyMark{3}, Holder: d.holder(Holder{Node: "a"}), Until: 9}, {ID: claimID{1}, Key: keyHash{2}, Release: true}}
+	d.Rows = []row{{ID: claimID{1}, Key: keyHash{2}, Body: bodyHash{3}, Holder: d.holderIndex(Holder{Node: "a"}), Until: 9}, {ID: claimID{1}, Key: keyHash{2}, Release: true}}
 	good, err := encodeDocument(d)
 	assert.NilError(f, err)
 	for _, s := range []string{string(good), `{"format":1,"until":0}`, `{"format":2}`, `{"format":1,"rows":[{"id":"AA"}]}`, `null`, ``} {
@@ -63,7 +63,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(d2.Rows), len(d.Rows))
 		assert.Equal(t, d2.Sealed, d.Sealed)
-		v := view{prefix: "claims/x/000/", live: map[keyHash]claimed{}}
+		v := view{prefix: "claims/x/000/", live: map[keyHash]liveClaim{}}
 		v.addSegment(1, d, 1)
 		v.dropOldest()
 		assert.Equal(t, len(v.live), 0)
--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -32,12 +32,12 @@
 	Handover(ctx context.Context, records iter.Seq[Record]) (Receipt, error)
 }
 
-// handing is how far this node's own handover is.
-type handing struct {
-	offer  chan struct{} // open while a successor may be taking over
-	doubt  bool          // a successor may have taken over without a receipt
-	to     Holder
-	handed bool
+// handoverState is how far this node's own handover is.
+type handoverState struct {
+	pending   chan struct{} // open while a successor may be taking over
+	uncertain bool          // a successor may have taken over without a receipt
+	successor Holder
+	completed bool
 }
 
 // Close ends the running of new calls: from now on Begin gives Run to none.
@@ -54,26 +54,26 @@
 func (k *Keeper) Cut() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	lostCalls := 0
+	unknownCalls := 0
 	for _, c := range k.calls {
 		switch c.state {
-		case dispatched:
-			lostCalls++
-			c.lose()
-		case held:
+		case stateDispatched:
+			unknownCalls++
+			c.settleAsLost()
+		case stateHeld:
 			c.answer = notRunAnswer()
-			c.settle(released)
-			k.giveBack(c)
+			c.settleAs(stateReleased)
+			k.releaseKey(c)
 		}
 	}
-	return lostCalls
+	return unknownCalls
 }
 
 // Flush returns once no call is in flight and no claim or release waits to be
 // written, or with an error when ctx ends before.
 func (k *Keeper) Flush(ctx context.Context) error {
 	for {
-		wait := k.unsettled()
+		wait := k.nextUnsettled()
 		if wait == nil {
 			return nil
 		}
@@ -85,8 +85,8 @@
 	}
 }
 
-// unsettled returns what to wait for next, nil when all is settled.
-func (k *Keeper) unsettled() <-chan struct{} {
+// nextUnsettled returns what to wait for next, nil when all is settled.
+func (k *Keeper) nextUnsettled() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range k.calls {
@@ -109,7 +109,7 @@
 // tickets wait here; and once a successor may have taken over without a receipt,
 // no other one gets the right to run unused tickets, and here they are unknown.
 func (k *Keeper) Handover(ctx context.Context, s Successor) error {
-	records, err := k.offer(s)
+	records, err := k.beginHandover(s)
 	if err != nil {
 		return err
 	}
@@ -118,63 +118,63 @@
 	if err == nil && receipt.Kept != count {
 		err = errors.Errorf("kept %d of %d records", receipt.Kept, count)
 	}
-	k.endOffer(s, receipt, err)
+	k.endHandover(s, receipt, err)
 	return errors.Wrapf(err, "handover: %s", s.Holder().Node)
 }
 
-func (k *Keeper) offer(s Successor) ([]Record, error) {
+func (k *Keeper) beginHandover(s Successor) ([]Record, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.closed || k.handing.offer != nil || k.mayRun() {
+	if !k.closed || k.handover.pending != nil || k.hasRunnableCalls() {
 		return nil, errors.Wrapf(ErrBusy, "handover: %s", k.Node)
 	}
 	if h := s.Holder(); h.Region != k.Region || h.Incarnation == k.Incarnation {
 		return nil, errors.Wrapf(ErrNotAdopted, "handover: %s is no successor of %s", h.Node, k.Node)
 	}
-	k.handing.offer = make(chan struct{})
+	k.handover.pending = make(chan struct{})
 	return k.records(), nil
 }
 
-// mayRun reports whether a call is running here or may still start; k.mu is
+// hasRunnableCalls reports whether a call is running here or may still start; k.mu is
 // held. A claim in doubt does not count: once the keeper is closed it is never
 // run, and the successor is given its release.
-func (k *Keeper) mayRun() bool {
+func (k *Keeper) hasRunnableCalls() bool {
 	for _, c := range k.calls {
-		if c.state == held || c.state == dispatched {
+		if c.state == stateHeld || c.state == stateDispatched {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Keeper) endOffer(s Successor, r Receipt, err error) {
+func (k *Keeper) endHandover(s Successor, r Receipt, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	close(k.handing.offer)
-	k.handing.offer = nil
+	close(k.handover.pending)
+	k.handover.pending = nil
 	switch {
 	case err == nil:
-		k.handing.handed = true
-		k.handing.to = s.Holder()
+		k.handover.completed = true
+		k.handover.successor = s.Holder()
 		if r.Incarnation != "" {
-			k.handing.to.Incarnation = r.Incarnation
+			k.handover.successor.Incarnation = r.Incarnation
 		}
 	case !errors.Is(err, ErrNotAdopted):
-		k.handing.doubt = true
+		k.handover.uncertain = true
 	}
 }
 
-// closedTicket is the verdict on an unused ticket once the keeper is closed;
+// decideClosedTicket is the verdict on an unused ticket once the keeper is closed;
 // k.mu is held.
-func (k *Keeper) closedTicket(s *serials) (Decision, <-chan struct{}) {
+func (k *Keeper) decideClosedTicket(s *serials) (Decision, <-chan struct{}) {
 	switch {
-	case k.handing.offer != nil:
-		return Decision{}, k.handing.offer
-	case k.handing.doubt || !s.runnable:
-		return k.unknown(), nil
-	case k.handing.handed:
-		to := k.handing.to
+	case k.handover.pending != nil:
+		return Decision{}, k.handover.pending
+	case k.handover.uncertain || !s.runnable:
+		return k.unknownDecision(), nil
+	case k.handover.completed:
+		to := k.handover.successor
 		return Decision{Verdict: Elsewhere, Holder: to}, nil
 	}
-	return k.notRun(), nil
+	return k.notRunDecision(), nil
 }
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -12,19 +12,19 @@
 	"gotest.tools/v3/assert"
 )
 
-// heir hands records to a node, with a fault on the way there or back.
-type heir struct {
-	to     *node
-	before func(records []Record) []Record
-	after  error
+// faultySuccessor hands records to a node, with a fault on the way there or back.
+type faultySuccessor struct {
+	to            *testNode
+	changeRecords func(records []Record) []Record
+	replyErr      error
 }
 
-func (h *heir) Holder() Holder { return h.to.self() }
+func (h *faultySuccessor) Holder() Holder { return h.to.self() }
 
-func (h *heir) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
+func (h *faultySuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
 	rs := slices.Collect(records)
-	if h.before != nil {
-		rs = h.before(rs)
+	if h.changeRecords != nil {
+		rs = h.changeRecords(rs)
 	}
 	time.Sleep(100 * time.Millisecond)
 	r, err := h.to.Adopt(func(yield func(Record, error) bool) {
@@ -34,43 +34,43 @@
 			}
 		}
 	})
-	if h.after != nil {
-		return Receipt{}, h.after
+	if h.replyErr != nil {
+		return Receipt{}, h.replyErr
 	}
 	return r, err
 }
 
-func mint(t *testing.T, n *node) string {
+func mint(t *testing.T, n *testNode) string {
 	t.Helper()
 	ticket, err := n.Mint()
 	assert.NilError(t, err)
 	return ticket
 }
 
-// estate is a stopping node with a used ticket, an unused one and an own key.
-type estate struct {
-	store        *fakeStore
-	from, b, c   *node
-	used, unused string
+// handoverFixture is a stopping node with a used ticket, an unused one and an own key.
+type handoverFixture struct {
+	store          *fakeStore
+	stopping, b, c *testNode
+	used, unused   string
 }
 
-func newEstate(t *testing.T) *estate {
-	e := &estate{store: newFakeStore()}
-	e.from, e.b, e.c = start(e.store, "a", nil), start(e.store, "b", nil), start(e.store, "c", nil)
-	e.used, e.unused = mint(t, e.from), mint(t, e.from)
-	for _, key := range []string{e.used, "k"} {
-		c := run(t, e.from, own(key, "deposit"))
+func newHandoverFixture(t *testing.T) *handoverFixture {
+	f := &handoverFixture{store: newFakeStore()}
+	f.stopping, f.b, f.c = startNode(f.store, "a", nil), startNode(f.store, "b", nil), startNode(f.store, "c", nil)
+	f.used, f.unused = mint(t, f.stopping), mint(t, f.stopping)
+	for _, key := range []string{f.used, "k"} {
+		c := mustRun(t, f.stopping, newAsk(key, "deposit"))
 		assert.NilError(t, c.Dispatched())
-		c.Finish(served("paid"))
+		c.Finish(servedAnswer("paid"))
 	}
-	e.from.Close()
-	return e
+	f.stopping.Close()
+	return f
 }
 
-func (e *estate) end() {
-	e.from.end()
-	e.b.end()
-	e.c.end()
+func (f *handoverFixture) end() {
+	f.stopping.crash()
+	f.b.crash()
+	f.c.crash()
 }
 
 // Nodes are replaced hundreds of times a day. Without the handover each of
@@ -83,35 +83,35 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		first  *heir // tried before the one that takes over
-		used   Verdict
-		unused Verdict
-		atFrom Verdict // of the unused ticket at the stopping node
+		first      *faultySuccessor // tried before the one that takes over
+		used       Verdict
+		unused     Verdict
+		atStopping Verdict // of the unused ticket at the stopping node
 	}{
-		"clean":                   {used: Replay, unused: Run, atFrom: Elsewhere},
-		"first refuses":           {first: &heir{after: ErrNotAdopted, before: drop(EndRecord)}, used: Replay, unused: Run, atFrom: Elsewhere},
-		"first loses its word":    {first: &heir{after: errors.New("no reply")}, used: Replay, unused: Unknown, atFrom: Unknown},
-		"records lost on the way": {first: &heir{before: drop(AnswerRecord)}, used: Replay, unused: Run, atFrom: Elsewhere},
+		"clean":                   {used: Replay, unused: Run, atStopping: Elsewhere},
+		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
+		"first loses its word":    {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
+		"records lost on the way": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				e := newEstate(t)
-				defer e.end()
+				f := newHandoverFixture(t)
+				defer f.end()
 				if tc.first != nil {
-					tc.first.to = e.c
-					assert.Assert(t, e.from.Handover(context.Background(), tc.first) != nil)
+					tc.first.to = f.c
+					assert.Assert(t, f.stopping.Handover(context.Background(), tc.first) != nil)
 				}
-				assert.NilError(t, e.from.Handover(context.Background(), &heir{to: e.b}))
-				assert.Equal(t, press(t, e.from, own(e.unused, "deposit")).Verdict, tc.atFrom)
-				assert.Equal(t, press(t, e.b, own(e.used, "deposit")).Verdict, tc.used)
-				assert.Equal(t, press(t, e.b, own(e.unused, "deposit")).Verdict, tc.unused)
-				assert.Equal(t, press(t, e.b, own("k", "deposit")).Verdict, Replay)
-				for _, m := range e.b.Moves() {
-					e.c.Learn(m)
+				assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
+				assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, tc.atStopping)
+				assert.Equal(t, begin(t, f.b, newAsk(f.used, "deposit")).Verdict, tc.used)
+				assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, tc.unused)
+				assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
+				for _, m := range f.b.Moves() {
+					f.c.Learn(m)
 				}
 				if tc.first == nil {
-					assert.Equal(t, press(t, e.c, own(e.unused, "deposit")).Holder, e.b.self())
-					assert.Equal(t, press(t, e.c, own("k", "deposit")).Holder, e.b.self())
+					assert.Equal(t, begin(t, f.c, newAsk(f.unused, "deposit")).Holder, f.b.self())
+					assert.Equal(t, begin(t, f.c, newAsk("k", "deposit")).Holder, f.b.self())
 				}
 			})
 		})
@@ -121,14 +121,14 @@
 // While the successor's word is on its way, it may already run a ticket. A
 // caller who presses at the stopping node in that moment must not be told that
 // the ticket was not run: it would send the order again under another key.
-func TestPressDuringHandover(t *testing.T) {
+func TestRetryDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
-		defer e.end()
-		go func() { _ = e.from.Handover(context.Background(), &heir{to: e.b}) }()
+		f := newHandoverFixture(t)
+		defer f.end()
+		go func() { _ = f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}) }()
 		synctest.Wait()
-		assert.Equal(t, press(t, e.from, own(e.used, "deposit")).Verdict, Replay)
-		assert.Equal(t, press(t, e.from, own(e.unused, "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, f.stopping, newAsk(f.used, "deposit")).Verdict, Replay)
+		assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, Elsewhere)
 	})
 }
 
@@ -137,20 +137,20 @@
 func TestHandoverWaitsForCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := start(s, "a", nil), start(s, "b", nil)
-		defer a.end()
-		defer b.end()
-		c := run(t, a, own(mint(t, a), "deposit"))
-		sent := run(t, a, own("k", "deposit"))
+		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		defer a.crash()
+		defer b.crash()
+		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
+		sent := mustRun(t, a, newAsk("k", "deposit"))
 		assert.NilError(t, sent.Dispatched())
-		assert.ErrorIs(t, a.Handover(context.Background(), &heir{to: b}), ErrBusy)
+		assert.ErrorIs(t, a.Handover(context.Background(), &faultySuccessor{to: b}), ErrBusy)
 		a.Close()
-		assert.ErrorIs(t, a.Handover(context.Background(), &heir{to: b}), ErrBusy)
+		assert.ErrorIs(t, a.Handover(context.Background(), &faultySuccessor{to: b}), ErrBusy)
 		assert.Equal(t, a.Cut(), 1)
 		assert.ErrorIs(t, c.Dispatched(), ErrSettled)
-		assert.NilError(t, a.Handover(context.Background(), &heir{to: b}))
-		assert.Equal(t, press(t, b, own("k", "deposit")).Verdict, Unknown)
-		assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Unknown)
+		assert.NilError(t, a.Handover(context.Background(), &faultySuccessor{to: b}))
+		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Unknown)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unknown)
 	})
 }
 
@@ -158,15 +158,15 @@
 // lost. The second list is older than what it has run itself since.
 func TestAdoptTwiceKeepsWhatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
-		defer e.end()
-		lostWord := &heir{to: e.b, after: errors.New("no reply")}
-		assert.Assert(t, e.from.Handover(context.Background(), lostWord) != nil)
-		c := run(t, e.b, own(e.unused, "deposit"))
+		f := newHandoverFixture(t)
+		defer f.end()
+		lostReply := &faultySuccessor{to: f.b, replyErr: errors.New("no reply")}
+		assert.Assert(t, f.stopping.Handover(context.Background(), lostReply) != nil)
+		c := mustRun(t, f.b, newAsk(f.unused, "deposit"))
 		assert.NilError(t, c.Dispatched())
 		c.Lost()
-		assert.NilError(t, e.from.Handover(context.Background(), &heir{to: e.b}))
-		assert.Equal(t, press(t, e.b, own(e.unused, "deposit")).Verdict, Unknown)
+		assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
+		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, Unknown)
 	})
 }
 
@@ -175,21 +175,21 @@
 func TestClaimWrittenAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := start(s, "a", nil), start(s, "b", nil)
-		defer a.end()
-		defer b.end()
-		run(t, a, own("warm", "up")).Release()
+		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		defer a.crash()
+		defer b.crash()
+		mustRun(t, a, newAsk("warm", "up")).Release()
 		time.Sleep(time.Second)
 		gate := a.link.freeze()
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- press(t, a, own("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, a, newAsk("k", "deposit")).Verdict }()
 		synctest.Wait()
 		a.Close()
-		a.link.set(func(l *link) { l.gates = nil })
+		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, <-verdict, NotRun)
 		assert.NilError(t, a.Flush(context.Background()))
-		run(t, b, own("k", "deposit"))
+		mustRun(t, b, newAsk("k", "deposit"))
 	})
 }
 
@@ -197,36 +197,36 @@
 // whole table: a used ticket that is missing from it would run again.
 func TestBrokenHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
-		defer e.end()
-		rs := e.from.records()
-		_, err := e.b.Adopt(func(yield func(Record, error) bool) {
+		f := newHandoverFixture(t)
+		defer f.end()
+		rs := f.stopping.records()
+		_, err := f.b.Adopt(func(yield func(Record, error) bool) {
 			_ = yield(rs[0], nil) && yield(Record{}, errors.New("connection reset"))
 		})
 		assert.ErrorIs(t, err, ErrNotAdopted)
-		assert.Equal(t, press(t, e.b, own(e.unused, "deposit")).Verdict, Elsewhere)
-		assert.Equal(t, len(e.b.Moves()), 0)
+		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, len(f.b.Moves()), 0)
 	})
 }
 
 // A caller presses again at the very node that is taking over, while its claim
 // is still on the way to the store. The answer that arrives meanwhile must not
 // be dropped for the pending claim, or the caller is told unknown for good.
-func TestPressAtSuccessorDuringHandover(t *testing.T) {
+func TestRetryAtSuccessorDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		e := newEstate(t)
-		defer e.end()
-		gate := e.b.link.freeze()
+		f := newHandoverFixture(t)
+		defer f.end()
+		gate := f.b.link.freeze()
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- press(t, e.b, own("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, f.b, newAsk("k", "deposit")).Verdict }()
 		synctest.Wait()
-		assert.NilError(t, e.from.Handover(context.Background(), &heir{to: e.b}))
-		e.b.link.set(func(l *link) { l.gates = nil })
+		assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
+		f.b.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, <-verdict, Replay)
-		assert.Equal(t, press(t, e.b, own("k", "deposit")).Verdict, Replay)
-		assert.Equal(t, e.b.Counts().Calls, uint64(0))
-		assert.DeepEqual(t, e.from.Moves(), []Move{{Incarnation: "a-1", To: e.b.self()}})
+		assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
+		assert.Equal(t, f.b.Counts().Calls, uint64(0))
+		assert.DeepEqual(t, f.stopping.Moves(), []Move{{Incarnation: "a-1", To: f.b.self()}})
 	})
 }
 
@@ -236,31 +236,31 @@
 func TestReleaseJustBeforeHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		one := func(n *node) { n.Slots = 1 }
-		a, b := start(s, "a", one), start(s, "b", func(n *node) { n.Slots, n.GroupWindow = 1, time.Second })
-		defer a.end()
-		defer b.end()
-		c := run(t, a, own("k", "deposit"))
+		oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
+		a, b := startNode(s, "a", oneSlot), startNode(s, "b", func(n *testNode) { n.SlotsPerRegion, n.GroupWindow = 1, time.Second })
+		defer a.crash()
+		defer b.crash()
+		c := mustRun(t, a, newAsk("k", "deposit"))
 		time.Sleep(time.Second)
 		// The view that b reads here holds the claim, and b's next group comes
 		// after the handover.
-		run(t, b, own("other", "x"))
+		mustRun(t, b, newAsk("other", "x"))
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- press(t, b, own("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, b, newAsk("k", "deposit")).Verdict }()
 		synctest.Wait()
 		b.mu.Lock()
-		waits := b.slots[slotPrefix("irbid-a", 0)]
-		waits.started++ // as by a write that began since
-		waits.reads = waits.started
+		sl := b.slots[slotPrefix("irbid-a", 0)]
+		sl.opCount++ // as by a write that began since
+		sl.lastReadOp = sl.opCount
 		b.mu.Unlock()
 		c.Release()
 		a.Close()
 		assert.NilError(t, a.Flush(context.Background()))
 		b.mu.Lock()
-		waiting := len(waits.queue)
+		queued := len(sl.queue)
 		b.mu.Unlock()
-		assert.Equal(t, waiting, 1)
-		assert.NilError(t, a.Handover(context.Background(), &heir{to: b}))
+		assert.Equal(t, queued, 1)
+		assert.NilError(t, a.Handover(context.Background(), &faultySuccessor{to: b}))
 		assert.Assert(t, <-verdict != Unknown)
 	})
 }
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -63,29 +63,29 @@
 	},
 }
 
-// historian writes down what several callers at several nodes saw.
-type historian struct {
+// historyRecorder writes down what several callers at several nodes saw.
+type historyRecorder struct {
 	mu    sync.Mutex
 	clock atomic.Int64
 	ops   []porcupine.Operation
 }
 
-func (h *historian) note(client int, in claimInput, out any, from int64) {
+func (h *historyRecorder) record(client int, in claimInput, out any, from int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: from, Return: h.clock.Add(1)})
 }
 
-// work presses keys at one node and gives back what it may run.
-func (h *historian) work(client int, n *node, r *rand.Rand) {
+// runCaller presses keys at one node and gives back what it may run.
+func (h *historyRecorder) runCaller(client int, n *testNode, r *rand.Rand) {
 	for range 30 {
 		in := claimInput{key: fmt.Sprint("k", r.Intn(3)), node: n.Node}
 		from := h.clock.Add(1)
-		d, err := n.Begin(context.Background(), own(in.key, "x"))
+		d, err := n.Begin(context.Background(), newAsk(in.key, "x"))
 		if err != nil {
 			return
 		}
-		h.note(client, in, d.Verdict, from)
+		h.record(client, in, d.Verdict, from)
 		time.Sleep(time.Duration(r.Intn(50)) * time.Millisecond)
 		if d.Verdict != Run {
 			continue
@@ -93,14 +93,14 @@
 		in.release = true
 		from = h.clock.Add(1)
 		d.Call.Release()
-		for n.releasing(d.Call.claim) {
+		for n.releaseQueued(d.Call.claim) {
 			time.Sleep(time.Millisecond)
 		}
-		h.note(client, in, nil, from)
+		h.record(client, in, nil, from)
 	}
 }
 
-func (n *node) releasing(id claimID) bool {
+func (n *testNode) releaseQueued(id claimID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.slots {
@@ -117,28 +117,28 @@
 func TestClaimHistoriesLinearizable(t *testing.T) {
 	for seed := range int64(30) {
 		synctest.Test(t, func(t *testing.T) {
-			s, h := newFakeStore(), &historian{}
+			s, h := newFakeStore(), &historyRecorder{}
 			var callers sync.WaitGroup
-			var nodes []*node
+			var nodes []*testNode
 			// One caller a node: two at one node share a claim, and the one that
 			// came second may get to run it.
 			for i := range 6 {
-				n := start(s, fmt.Sprint("n", i), func(n *node) {
-					n.Slots, n.SegmentRows = 1, 8
+				n := startNode(s, fmt.Sprint("n", i), func(n *testNode) {
+					n.SlotsPerRegion, n.MaxSegmentRows = 1, 8
 					n.GroupWindow = 5 * time.Millisecond
-					n.ClaimWait = time.Hour
+					n.ClaimTimeout = time.Hour
 				})
 				nodes = append(nodes, n)
-				defer n.end()
+				defer n.crash()
 				r := rand.New(rand.NewSource(seed*10 + int64(i)))
-				callers.Go(func() { h.work(i, n, r) })
+				callers.Go(func() { h.runCaller(i, n, r) })
 			}
 			r := rand.New(rand.NewSource(seed))
 			for range 40 {
 				time.Sleep(time.Duration(r.Intn(60)) * time.Millisecond)
-				nodes[r.Intn(len(nodes))].link.set(func(l *link) {
-					l.lose, l.late = r.Intn(2), r.Intn(3)
-					l.by = time.Duration(r.Intn(100)) * time.Millisecond
+				nodes[r.Intn(len(nodes))].link.set(func(l *storeLink) {
+					l.loseReplies, l.deferWrites = r.Intn(2), r.Intn(3)
+					l.deferBy = time.Duration(r.Intn(100)) * time.Millisecond
 				})
 			}
 			callers.Wait()
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -18,18 +18,18 @@
 
 // Defaults and limits of a Keeper.
 const (
-	DefaultMemory       = time.Hour
-	DefaultGroupWindow  = 100 * time.Millisecond
-	DefaultClaimWait    = 2 * time.Second
-	DefaultStoreTimeout = 2 * time.Second
-	DefaultSkew         = 30 * time.Second
-	DefaultSlots        = 4
-	DefaultSegmentRows  = 64
-	DefaultAnswerBytes  = 32 << 20
-	DefaultSweep        = 5 * time.Minute
-	DefaultRetryAfter   = time.Second
+	DefaultMemory         = time.Hour
+	DefaultGroupWindow    = 100 * time.Millisecond
+	DefaultClaimTimeout   = 2 * time.Second
+	DefaultStoreTimeout   = 2 * time.Second
+	DefaultMaxClockSkew   = 30 * time.Second
+	DefaultSlotsPerRegion = 4
+	DefaultMaxSegmentRows = 64
+	DefaultMaxAnswerBytes = 32 << 20
+	DefaultSweepInterval  = 5 * time.Minute
+	DefaultRetryAfter     = time.Second
 
-	keyMax       = 255 // bytes of an own key
+	maxKeyLength = 255 // bytes of an own key
 	callOverhead = 400 // bytes counted for a kept call besides its answer
 )
 
@@ -69,35 +69,35 @@
 	Salt  []byte
 	Peers Peers // for Preferred; may be nil
 
-	Memory       time.Duration // of keys whose Ask names none, and of adopted tickets
-	GroupWindow  time.Duration // least time between two groups of a slot
-	ClaimWait    time.Duration // longest wait of a call for its claim
-	StoreTimeout time.Duration // longest wait for one call of the store
-	Skew         time.Duration // most by which the clocks of two nodes differ
-	Sweep        time.Duration // between two searches for what has expired
-	RetryAfter   time.Duration // advice to rejected callers
-	Slots        int           // logs a region; the same on all nodes, fixed for good
-	SegmentRows  int           // rows after which a segment is sealed
-	AnswerBytes  int           // most bytes of kept answers
-	Now          func() time.Time
+	Memory         time.Duration // of keys whose Ask names none, and of adopted tickets
+	GroupWindow    time.Duration // least time between two groups of a slot
+	ClaimTimeout   time.Duration // longest wait of a call for its claim
+	StoreTimeout   time.Duration // longest wait for one call of the store
+	MaxClockSkew   time.Duration // most by which the clocks of two nodes differ
+	SweepInterval  time.Duration // between two searches for what has expired
+	RetryAfter     time.Duration // advice to rejected callers
+	SlotsPerRegion int           // logs a region; the same on all nodes, fixed for good
+	MaxSegmentRows int           // rows after which a segment is sealed
+	MaxAnswerBytes int           // most bytes of kept answers
+	Now            func() time.Time
 
-	once         sync.Once // prepare
-	mu           sync.Mutex
-	running      bool
-	closed       bool
-	ctx          context.Context // of Run, for the goroutines of slots
-	workers      sync.WaitGroup
-	ticketSecret []byte
-	slots        map[string]*slot
-	calls        map[callRef]*Call // in flight or kept
-	claims       map[claimID]*Call // of calls, those with an own key
-	open         int               // calls that are not settled
-	kept         list.List         // of *Call, oldest answer first
-	tickets      serials
-	adopted      map[string]*adoption // by incarnation
-	moved        map[string]move      // by incarnation
-	handing      handing
-	counts       Counts
+	initOnce       sync.Once // prepare
+	mu             sync.Mutex
+	running        bool
+	closed         bool
+	ctx            context.Context // of Run, for the goroutines of slots
+	workers        sync.WaitGroup
+	ticketSecret   []byte
+	slots          map[string]*slot
+	calls          map[callRef]*Call // in flight or kept
+	claims         map[claimID]*Call // of calls, those with an own key
+	unsettledCalls int               // calls that are not settled
+	keptCalls      list.List         // of *Call, oldest answer first
+	ownSerials     serials
+	adopted        map[string]*adoptedProcess // by incarnation
+	moved          map[string]movedProcess    // by incarnation
+	handover       handoverState
+	counts         Counts
 }
 
 // callRef names a call in memory: a ticket by its process and serial, an own
@@ -114,7 +114,7 @@
 	if err := k.start(ctx); err != nil {
 		return err
 	}
-	t := time.NewTicker(k.Sweep)
+	t := time.NewTicker(k.SweepInterval)
 	defer t.Stop()
 	for {
 		select {
@@ -131,7 +131,7 @@
 }
 
 func (k *Keeper) start(ctx context.Context) error {
-	k.once.Do(k.prepare)
+	k.initOnce.Do(k.initialize)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if k.Store == nil || k.Node == "" || k.Region == "" || k.Incarnation == "" || len(k.Salt) == 0 {
@@ -142,28 +142,28 @@
 	return nil
 }
 
-// prepare sets what is not set. Callers may ask before Run has begun, and must
+// initialize sets what is not set. Callers may ask before Run has begun, and must
 // find the same settings then.
-func (k *Keeper) prepare() {
+func (k *Keeper) initialize() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	setDefault(&k.Memory, DefaultMemory)
 	setDefault(&k.GroupWindow, DefaultGroupWindow)
-	setDefault(&k.ClaimWait, DefaultClaimWait)
+	setDefault(&k.ClaimTimeout, DefaultClaimTimeout)
 	setDefault(&k.StoreTimeout, DefaultStoreTimeout)
-	setDefault(&k.Skew, DefaultSkew)
-	setDefault(&k.Sweep, DefaultSweep)
+	setDefault(&k.MaxClockSkew, DefaultMaxClockSkew)
+	setDefault(&k.SweepInterval, DefaultSweepInterval)
 	setDefault(&k.RetryAfter, DefaultRetryAfter)
-	setDefault(&k.Slots, DefaultSlots)
-	setDefault(&k.SegmentRows, DefaultSegmentRows)
-	setDefault(&k.AnswerBytes, DefaultAnswerBytes)
+	setDefault(&k.SlotsPerRegion, DefaultSlotsPerRegion)
+	setDefault(&k.MaxSegmentRows, DefaultMaxSegmentRows)
+	setDefault(&k.MaxAnswerBytes, DefaultMaxAnswerBytes)
 	k.ticketSecret = k.mac("ticket")
 	k.slots = map[string]*slot{}
 	k.calls = map[callRef]*Call{}
 	k.claims = map[claimID]*Call{}
-	k.adopted = map[string]*adoption{}
-	k.moved = map[string]move{}
-	k.tickets.runnable = true
+	k.adopted = map[string]*adoptedProcess{}
+	k.moved = map[string]movedProcess{}
+	k.ownSerials.runnable = true
 }
 
 func setDefault[T int | time.Duration](field *T, value T) {
@@ -198,8 +198,8 @@
 // Begin decides on one call. It waits for the store only for an own key that
 // is not known here, and no longer than ClaimWait.
 func (k *Keeper) Begin(ctx context.Context, a Ask) (Decision, error) {
-	k.once.Do(k.prepare)
-	if a.Key == "" || (len(a.Key) > keyMax && !IsTicket(a.Key)) {
+	k.initOnce.Do(k.initialize)
+	if a.Key == "" || (len(a.Key) > maxKeyLength && !IsTicket(a.Key)) {
 		return Decision{}, errors.Wrapf(ErrKey, "begin: %s", k.Node)
 	}
 	if a.Memory <= 0 {
@@ -211,7 +211,7 @@
 	if a.Region == "" {
 		return Decision{}, errors.Wrapf(ErrRegion, "begin: %s", k.Node)
 	}
-	return k.beginOwn(ctx, a), nil
+	return k.beginCallerKey(ctx, a), nil
 }
 
 func (k *Keeper) keyHash(a Ask) (h keyHash) {
@@ -219,21 +219,21 @@
 	return h
 }
 
-// bodyMark covers the workspace too, so that a ticket that falls into other
+// bodyHash covers the workspace too, so that a ticket that falls into other
 // hands brings nobody the answer of someone else.
-func (k *Keeper) bodyMark(a Ask) (m bodyMark) {
-	copy(m[:], k.mac("body", a.Workspace, a.Key, string(a.Body[:])))
-	return m
+func (k *Keeper) bodyHash(a Ask) (h bodyHash) {
+	copy(h[:], k.mac("body", a.Workspace, a.Key, string(a.Body[:])))
+	return h
 }
 
-func (k *Keeper) beginOwn(ctx context.Context, a Ask) Decision {
+func (k *Keeper) beginCallerKey(ctx context.Context, a Ask) Decision {
 	ref := callRef{key: k.keyHash(a)}
-	mark := k.bodyMark(a)
-	it, d := k.queueOwn(ref, mark, a)
+	hash := k.bodyHash(a)
+	it, d := k.queueCallerKey(ref, hash, a)
 	if it == nil {
 		return d
 	}
-	t := time.NewTimer(k.ClaimWait)
+	t := time.NewTimer(k.ClaimTimeout)
 	defer t.Stop()
 	select {
 	case <-it.done:
@@ -242,58 +242,58 @@
 	}
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.outcome(it, mark)
+	return k.decideItem(it, hash)
 }
 
-// queueOwn decides on an own key at once if it is known here, and otherwise
+// queueCallerKey decides on an own key at once if it is known here, and otherwise
 // queues its claim and returns the item to wait for.
-func (k *Keeper) queueOwn(ref callRef, mark bodyMark, a Ask) (*item, Decision) {
+func (k *Keeper) queueCallerKey(ref callRef, hash bodyHash, a Ask) (*item, Decision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.running {
-		return nil, k.unread()
+		return nil, k.unreadDecision()
 	}
 	now := k.now()
 	c := k.calls[ref]
-	if c != nil && c.state == finished && !now.Before(c.until) {
+	if c != nil && c.state == stateFinished && !now.Before(c.until) {
 		k.forget(c)
 		c = nil
 	}
-	if c != nil && (c.state != claiming || c.body != mark) {
-		return nil, k.known(c, mark)
+	if c != nil && (c.state != stateClaiming || c.bodyHash != hash) {
+		return nil, k.decideByCall(c, hash)
 	}
 	if c != nil {
 		c.item.waiters++
 		return c.item, Decision{}
 	}
-	s := k.slotOf(a.Region, ref.key)
-	if s.down(now) {
-		d := k.unread()
+	s := k.slotForKey(a.Region, ref.key)
+	if s.rejecting(now) {
+		d := k.unreadDecision()
 		d.RetryAfter = max(d.RetryAfter, s.retryAt.Sub(now))
 		return nil, d
 	}
-	it := &item{kind: lookItem, key: ref.key, memory: a.Memory, waiters: 1}
+	it := &item{kind: lookupItem, key: ref.key, keyMemory: a.Memory, waiters: 1}
 	if !k.closed {
 		it.kind = claimItem
 		rand.Read(it.id[:])
-		it.call = &Call{k: k, ref: ref, body: mark, claim: it.id, slot: s, item: it, done: make(chan struct{}), state: claiming}
-		k.open++
+		it.call = &Call{k: k, ref: ref, bodyHash: hash, claim: it.id, slot: s, item: it, done: make(chan struct{}), state: stateClaiming}
+		k.unsettledCalls++
 		k.calls[ref] = it.call
 		k.claims[it.id] = it.call
 	}
-	s.add(it)
+	s.enqueue(it)
 	return it, Decision{}
 }
 
 func (k *Keeper) slotNumber(h keyHash) int {
-	return int(binary.BigEndian.Uint64(h[:]) % uint64(k.Slots))
+	return int(binary.BigEndian.Uint64(h[:]) % uint64(k.SlotsPerRegion))
 }
 
-func (k *Keeper) slotOf(region string, h keyHash) *slot {
-	return k.slotAt(slotPrefix(region, k.slotNumber(h)))
+func (k *Keeper) slotForKey(region string, h keyHash) *slot {
+	return k.slotForPrefix(slotPrefix(region, k.slotNumber(h)))
 }
 
-func (k *Keeper) slotAt(prefix string) *slot {
+func (k *Keeper) slotForPrefix(prefix string) *slot {
 	s := k.slots[prefix]
 	if s == nil {
 		s = &slot{k: k, prefix: prefix, view: view{prefix: prefix}}
@@ -307,7 +307,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	n := k.counts
-	n.Calls = uint64(k.open)
+	n.Calls = uint64(k.unsettledCalls)
 	return n
 }
 
--- a/core/jwclaim/memory.go
+++ b/core/jwclaim/memory.go
@@ -1,14 +1,14 @@
 package jwclaim
 
-// keep holds a finished call for those who ask again, and evicts the oldest
+// keepAnswer holds a finished call for those who ask again, and evicts the oldest
 // answers past AnswerBytes; k.mu is held.
-func (k *Keeper) keep(c *Call) {
+func (k *Keeper) keepAnswer(c *Call) {
 	c.size = callOverhead + len(c.answer.Body) + len(c.answer.ContentType)
 	k.counts.AnswerBytes += uint64(c.size)
-	c.element = k.kept.PushBack(c)
-	for k.counts.AnswerBytes > uint64(k.AnswerBytes) {
+	c.element = k.keptCalls.PushBack(c)
+	for k.counts.AnswerBytes > uint64(k.MaxAnswerBytes) {
 		k.counts.Evicted++
-		k.forget(k.kept.Front().Value.(*Call))
+		k.forget(k.keptCalls.Front().Value.(*Call))
 	}
 }
 
@@ -16,15 +16,15 @@
 // in the log, so that the key is unknown from now on; k.mu is held.
 func (k *Keeper) forget(c *Call) {
 	if c.element != nil {
-		k.kept.Remove(c.element)
+		k.keptCalls.Remove(c.element)
 		k.counts.AnswerBytes -= uint64(c.size)
 		c.element = nil
 	}
-	k.drop(c)
+	k.removeCall(c)
 }
 
-// drop takes a call out of the tables; k.mu is held.
-func (k *Keeper) drop(c *Call) {
+// removeCall takes a call out of the tables; k.mu is held.
+func (k *Keeper) removeCall(c *Call) {
 	if k.calls[c.ref] == c {
 		delete(k.calls, c.ref)
 	}
@@ -33,16 +33,16 @@
 	}
 }
 
-// giveBack frees the key of a call that was certainly not run; k.mu is held.
-func (k *Keeper) giveBack(c *Call) {
+// releaseKey frees the key of a call that was certainly not run; k.mu is held.
+func (k *Keeper) releaseKey(c *Call) {
 	k.counts.Releases++
-	k.drop(c)
+	k.removeCall(c)
 	if c.slot != nil {
-		c.slot.add(&item{kind: releaseItem, id: c.claim, key: c.ref.key})
+		c.slot.enqueue(&item{kind: releaseItem, id: c.claim, key: c.ref.key})
 		return
 	}
 	if s := k.serialsOf(c.ref.incarnation); s != nil {
-		s.clear(c.ref.serial)
+		s.markUnused(c.ref.serial)
 	}
 }
 
@@ -56,7 +56,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := k.now()
-	for e := k.kept.Front(); e != nil; {
+	for e := k.keptCalls.Front(); e != nil; {
 		c := e.Value.(*Call)
 		e = e.Next()
 		if !now.Before(c.until) {
@@ -64,17 +64,17 @@
 		}
 	}
 	k.expireMoves(now)
-	for n := range k.Slots {
+	for n := range k.SlotsPerRegion {
 		prefix := slotPrefix(k.Region, n)
 		if len(nodes) == 0 || preferred(prefix, nodes) == k.Node {
-			s := k.slotAt(prefix)
-			s.sweep = true
-			s.used = now
-			s.kick()
+			s := k.slotForPrefix(prefix)
+			s.sweepPending = true
+			s.lastUsed = now
+			s.startWorker()
 		}
 	}
 	for prefix, s := range k.slots {
-		if !s.busy && now.Sub(s.used) > 2*k.Sweep {
+		if !s.busy && now.Sub(s.lastUsed) > 2*k.SweepInterval {
 			delete(k.slots, prefix)
 		}
 	}
--- a/core/jwclaim/preferred.go
+++ b/core/jwclaim/preferred.go
@@ -11,7 +11,7 @@
 // sent, so that its slot has one writer; empty when none is known. Any other
 // node decides as rightly, at the cost of lost swaps.
 func (k *Keeper) Preferred(a Ask) string {
-	k.once.Do(k.prepare)
+	k.initOnce.Do(k.initialize)
 	if k.Peers == nil {
 		return ""
 	}
@@ -22,11 +22,11 @@
 // move when nodes come and go.
 func preferred(prefix string, nodes []string) string {
 	var best string
-	var most uint64
+	var maxHash uint64
 	for _, n := range nodes {
 		h := xxhash.Sum64String(prefix + "\x00" + n)
-		if best == "" || h > most || (h == most && n < best) {
-			best, most = n, h
+		if best == "" || h > maxHash || (h == maxHash && n < best) {
+			best, maxHash = n, h
 		}
 	}
 	return best
--- a/core/jwclaim/record.go
+++ b/core/jwclaim/record.go
@@ -30,7 +30,7 @@
 	Key         *keyHash   `json:"key,omitempty"`      // of an own key's answer or release
 	Claim       *claimID   `json:"claim,omitempty"`
 	Slot        string     `json:"slot,omitempty"`
-	Body        bodyMark   `json:"body,omitzero"`
+	Body        bodyHash   `json:"body,omitzero"`
 	UntilMillis int64      `json:"untilMillis,omitempty"` // Unix time
 	Answer      *Answer    `json:"answer,omitempty"`
 	Count       uint64     `json:"count,omitempty"`
@@ -65,16 +65,16 @@
 
 // records are all that a successor needs, the end record last; k.mu is held.
 func (k *Keeper) records() []Record {
-	rs := []Record{k.incarnationRecord(k.self(), &k.tickets)}
+	rs := []Record{k.incarnationRecord(k.self(), &k.ownSerials)}
 	for _, a := range k.adopted {
 		rs = append(rs, k.incarnationRecord(a.holder, &a.serials))
 	}
-	for e := k.kept.Front(); e != nil; e = e.Next() {
+	for e := k.keptCalls.Front(); e != nil; e = e.Next() {
 		rs = append(rs, k.answerRecord(e.Value.(*Call)))
 	}
 	for _, s := range k.slots {
 		for _, it := range s.queue {
-			if it.kind != lookItem {
+			if it.kind != lookupItem {
 				rs = append(rs, Record{Kind: ReleaseRecord, Key: &it.key, Claim: &it.id, Slot: s.prefix})
 			}
 		}
@@ -88,13 +88,13 @@
 		Holder:   h,
 		Minted:   s.minted,
 		Used:     slices.Clone(s.used),
-		Runnable: s.runnable && !k.handing.doubt,
+		Runnable: s.runnable && !k.handover.uncertain,
 	}
 }
 
 func (k *Keeper) answerRecord(c *Call) Record {
 	answer := c.answer
-	r := Record{Kind: AnswerRecord, Holder: k.self(), Body: c.body, UntilMillis: c.until.UnixMilli(), Answer: &answer}
+	r := Record{Kind: AnswerRecord, Holder: k.self(), Body: c.bodyHash, UntilMillis: c.until.UnixMilli(), Answer: &answer}
 	if c.ref.serial != 0 {
 		r.Holder.Incarnation = c.ref.incarnation
 		r.Serial = c.ref.serial
--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -10,33 +10,33 @@
 )
 
 const (
-	attemptsMax  = 32  // swaps lost to other nodes in one cycle
-	rowsMax      = 512 // rows added by one write
-	backoffFirst = 20 * time.Millisecond
-	backoffMost  = 2 * time.Second
+	maxSwapAttempts = 32  // swaps lost to other nodes in one cycle
+	maxRowsPerWrite = 512 // rows added by one write
+	initialBackoff  = 20 * time.Millisecond
+	maxBackoff      = 2 * time.Second
 )
 
 var (
 	errContended = errors.New("lost every swap to other nodes")
-	errPaused    = errors.New("view too old after the write")
+	errStaleView = errors.New("view too old after the write")
 )
 
 // slot writes the log of one slot: one goroutine at a time, many claims a
 // write. All fields but view are guarded by the keeper's lock; view belongs to
 // the goroutine while busy is set.
 type slot struct {
-	k       *Keeper
-	prefix  string
-	view    view
-	queue   []*item
-	busy    bool
-	sweep   bool      // delete what has expired in the next cycle
-	started uint64    // reads and writes of the store begun so far
-	reads   uint64    // the last of them that showed the whole log
-	ended   time.Time // of the last cycle
-	used    time.Time // last item
-	fails   int       // cycles in a row that failed
-	retryAt time.Time // own keys are rejected until then
+	k            *Keeper
+	prefix       string
+	view         view
+	queue        []*item
+	busy         bool
+	sweepPending bool      // delete what has expired in the next cycle
+	opCount      uint64    // reads and writes of the store begun so far
+	lastReadOp   uint64    // the last of them that showed the whole log
+	lastCycleEnd time.Time // of the last cycle
+	lastUsed     time.Time // last item
+	failures     int       // cycles in a row that failed
+	retryAt      time.Time // own keys are rejected until then
 }
 
 // position is a state of the log, as a write names the one it extends.
@@ -45,29 +45,29 @@
 	version uint64
 }
 
-// add queues an item and makes sure that someone works on it; k.mu is held.
-func (s *slot) add(it *item) {
-	it.reads = s.started
+// enqueue queues an item and makes sure that someone works on it; k.mu is held.
+func (s *slot) enqueue(it *item) {
+	it.queuedAtOp = s.opCount
 	it.done = make(chan struct{})
 	s.queue = append(s.queue, it)
-	s.used = s.k.now()
-	s.kick()
+	s.lastUsed = s.k.now()
+	s.startWorker()
 }
 
-// kick starts the goroutine of the slot if it has none; k.mu is held.
-func (s *slot) kick() {
+// startWorker starts the goroutine of the slot if it has none; k.mu is held.
+func (s *slot) startWorker() {
 	if s.busy || !s.k.running {
 		return
 	}
 	s.busy = true
-	s.k.workers.Go(func() { s.work(s.k.ctx) })
+	s.k.workers.Go(func() { s.runCycles(s.k.ctx) })
 }
 
-// work runs cycles until nothing is left to do.
-func (s *slot) work(ctx context.Context) {
-	for s.pause(ctx) {
+// runCycles runs cycles until nothing is left to do.
+func (s *slot) runCycles(ctx context.Context) {
+	for s.waitForCycle(ctx) {
 		err := s.cycle(ctx)
-		if !s.again(err) {
+		if !s.endCycle(err) {
 			return
 		}
 	}
@@ -75,17 +75,17 @@
 	defer s.k.mu.Unlock()
 	s.busy = false
 	for _, it := range s.queue {
-		s.resolve(it, unread)
+		s.resolve(it, resultUnread)
 	}
 	s.queue = nil
 }
 
-// pause spaces the cycles of a slot, so that many claims share a write, and
+// waitForCycle spaces the cycles of a slot, so that many claims share a write, and
 // waits longer after failures; it is false once ctx has ended.
-func (s *slot) pause(ctx context.Context) bool {
+func (s *slot) waitForCycle(ctx context.Context) bool {
 	s.k.mu.Lock()
-	wait := s.k.GroupWindow - s.k.now().Sub(s.ended)
-	if s.fails > 0 {
+	wait := s.k.GroupWindow - s.k.now().Sub(s.lastCycleEnd)
+	if s.failures > 0 {
 		wait = s.retryAt.Sub(s.k.now())
 	}
 	s.k.mu.Unlock()
@@ -102,57 +102,57 @@
 	}
 }
 
-// again books the end of a cycle and reports whether there is more to do.
-func (s *slot) again(err error) bool {
+// endCycle books the end of a cycle and reports whether there is more to do.
+func (s *slot) endCycle(err error) bool {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	s.ended = s.k.now()
+	s.lastCycleEnd = s.k.now()
 	if err != nil {
-		s.fail(err)
+		s.handleFailure(err)
 	} else {
-		s.fails = 0
+		s.failures = 0
 	}
-	if len(s.queue) > 0 || s.sweep {
+	if len(s.queue) > 0 || s.sweepPending {
 		return true
 	}
 	s.busy = false
 	return false
 }
 
-// fail turns away what is certainly not written and keeps the rest for the
+// handleFailure turns away what is certainly not written and keeps the rest for the
 // next cycle. A single lost reply turns nobody away: those who came since may
 // well be served by the next write. k.mu is held.
-func (s *slot) fail(err error) {
+func (s *slot) handleFailure(err error) {
 	s.k.counts.StoreFailures++
-	once := s.fails == 0 && !errors.Is(err, jwstore.ErrUnavailable)
-	s.sweep = false
-	s.retryAt = s.k.now().Add(min(backoffFirst<<min(s.fails, 10), backoffMost))
-	s.fails++
+	retryAll := s.failures == 0 && !errors.Is(err, jwstore.ErrUnavailable)
+	s.sweepPending = false
+	s.retryAt = s.k.now().Add(min(initialBackoff<<min(s.failures, 10), maxBackoff))
+	s.failures++
 	kept := s.queue[:0]
 	for _, it := range s.queue {
-		if once || it.kind == releaseItem || it.doubt {
+		if retryAll || it.kind == releaseItem || it.uncertain {
 			kept = append(kept, it)
 			continue
 		}
-		s.resolve(it, s.unclaimed(it))
+		s.resolve(it, s.failureResult(it))
 	}
 	s.queue = kept
 }
 
-// unclaimed is the result for an item that is given up: free if the log was
+// failureResult is the result for an item that is given up: free if the log was
 // read since it came and showed no claim of the key; k.mu is held.
-func (s *slot) unclaimed(it *item) itemResult {
-	if s.reads > it.reads && s.view.loaded {
-		if _, ok := s.view.find(it.key, s.k.now(), s.k.Skew); !ok {
-			return free
+func (s *slot) failureResult(it *item) itemResult {
+	if s.lastReadOp > it.queuedAtOp && s.view.loaded {
+		if _, ok := s.view.find(it.key, s.k.now(), s.k.MaxClockSkew); !ok {
+			return resultFree
 		}
 	}
-	return unread
+	return resultUnread
 }
 
-// down reports whether own keys are to be rejected at once; k.mu is held.
-func (s *slot) down(now time.Time) bool {
-	return s.fails > 1 && now.Before(s.retryAt)
+// rejecting reports whether own keys are to be rejected at once; k.mu is held.
+func (s *slot) rejecting(now time.Time) bool {
+	return s.failures > 1 && now.Before(s.retryAt)
 }
 
 // cycle reads what it has to and writes the queue in one group.
@@ -162,9 +162,9 @@
 			return err
 		}
 	}
-	begun := s.begun()
-	for range attemptsMax {
-		p := s.plan(begun)
+	cycleOp := s.currentOpCount()
+	for range maxSwapAttempts {
+		p := s.plan(cycleOp)
 		if p.read {
 			if err := s.confirm(ctx); err != nil {
 				return err
@@ -191,39 +191,39 @@
 func (s *slot) stale() bool {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	return !s.view.loaded || s.sweep || age(s.k.now(), s.view.read) > viewAge
+	return !s.view.loaded || s.sweepPending || elapsed(s.k.now(), s.view.confirmedAt) > maxViewAge
 }
 
 // confirm reads what the view lacks.
 func (s *slot) confirm(ctx context.Context) error {
-	begun := s.begin()
+	op := s.startOp()
 	ctx, cancel := context.WithTimeout(ctx, s.k.StoreTimeout)
 	defer cancel()
-	if err := s.view.confirm(ctx, s.k.Store, s.k.now, s.k.Skew); err != nil {
+	if err := s.view.confirm(ctx, s.k.Store, s.k.now, s.k.MaxClockSkew); err != nil {
 		return err
 	}
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	s.reads = begun
+	s.lastReadOp = op
 	return nil
 }
 
-// begin counts a read or write of the store that starts now.
-func (s *slot) begin() uint64 {
+// startOp counts a read or write of the store that starts now.
+func (s *slot) startOp() uint64 {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	s.started++
-	return s.started
+	s.opCount++
+	return s.opCount
 }
 
-func (s *slot) begun() uint64 {
+func (s *slot) currentOpCount() uint64 {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	return s.started
+	return s.opCount
 }
 
 func (s *slot) position() position {
-	return position{segment: s.view.last(), version: s.view.version}
+	return position{segment: s.view.lastNumber(), version: s.view.version}
 }
 
 // write appends the plan to the log. It returns false when another node wrote
@@ -231,30 +231,30 @@
 // nothing can have been written.
 func (s *slot) write(ctx context.Context, p plan) (bool, error) {
 	at := s.position()
-	d := s.extend(p)
+	d := s.appendRows(p)
 	b, err := encodeDocument(d)
 	if err != nil {
 		return false, errors.Wrapf(err, "encode claims: %s", s.prefix)
 	}
-	if len(b) > documentMax {
+	if len(b) > maxDocumentSize {
 		return false, errors.Errorf("claims of %s: %d bytes are more than the store takes", s.prefix, len(b))
 	}
 	limited, cancel := context.WithTimeout(ctx, s.k.StoreTimeout)
 	defer cancel()
-	begun, start := s.begin(), s.k.now()
+	op, start := s.startOp(), s.k.now()
 	next, swapped, err := s.k.Store.Swap(limited, segmentKey(s.prefix, at.segment), b, at.version)
-	swapped, err = s.reply(p, at, swapped, err)
-	if errors.Is(err, errPaused) && at.version == 0 {
-		s.removeStray(ctx, at, next)
+	swapped, err = s.handleSwapReply(p, at, swapped, err)
+	if errors.Is(err, errStaleView) && at.version == 0 {
+		s.removeStraySegment(ctx, at, next)
 	}
 	if err == nil && swapped {
-		s.accept(p, d, next, start, begun)
+		s.applyWrite(p, d, next, start, op)
 	}
 	return swapped, errors.Wrapf(err, "write claims: %s", s.prefix)
 }
 
-// reply books the store's reply to a write and reports whether its rows count.
-func (s *slot) reply(p plan, at position, swapped bool, err error) (bool, error) {
+// handleSwapReply books the store's handleSwapReply to a write and reports whether its rows count.
+func (s *slot) handleSwapReply(p plan, at position, swapped bool, err error) (bool, error) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
 	s.k.counts.Writes++
@@ -262,7 +262,7 @@
 	case errors.Is(err, jwstore.ErrUnavailable):
 		return false, err
 	case err != nil:
-		s.doubt(p, at)
+		s.markUncertain(p, at)
 		return false, err
 	case !swapped:
 		s.k.counts.LostSwaps++
@@ -271,18 +271,18 @@
 	// A process that was paused here for long may have created a segment that
 	// the others had used up and deleted, where nobody looks for its claims. It
 	// would show as a second run. A view this old proves nothing.
-	if age(s.k.now(), s.view.read) > retention/2 {
+	if elapsed(s.k.now(), s.view.confirmedAt) > minRetention/2 {
 		s.view.loaded = false
-		s.doubt(p, at)
-		return false, errPaused
+		s.markUncertain(p, at)
+		return false, errStaleView
 	}
 	return true, nil
 }
 
-// removeStray deletes a segment that this node created from too old a view: it
+// removeStraySegment deletes a segment that this node created from too old a view: it
 // would leave a hole in the log, and every node would refuse to read it. Where
 // it was in order after all, nothing in it has been relied on.
-func (s *slot) removeStray(ctx context.Context, at position, version uint64) {
+func (s *slot) removeStraySegment(ctx context.Context, at position, version uint64) {
 	if _, err := s.k.Store.Delete(ctx, segmentKey(s.prefix, at.segment), version); err != nil {
 		s.k.mu.Lock()
 		defer s.k.mu.Unlock()
@@ -290,55 +290,55 @@
 	}
 }
 
-// accept takes a written segment into the view and resolves its items.
-func (s *slot) accept(p plan, d document, version uint64, start time.Time, begun uint64) {
+// applyWrite takes a written segment into the view and resolves its items.
+func (s *slot) applyWrite(p plan, d document, version uint64, start time.Time, op uint64) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
-	s.view.replaceHead(d, version)
+	s.view.replaceTail(d, version)
 	if d.Sealed {
-		s.view.addSegment(s.view.last()+1, document{}, 0)
+		s.view.addSegment(s.view.lastNumber()+1, document{}, 0)
 	}
-	s.view.read = start
-	s.reads = begun
-	s.settle(p)
+	s.view.confirmedAt = start
+	s.lastReadOp = op
+	s.resolvePlan(p)
 }
 
-// extend returns the last segment with the rows of the plan.
-func (s *slot) extend(p plan) document {
-	d := s.view.head.clone()
-	me := d.holder(s.k.self())
-	least := s.k.now().Add(retention).Unix()
-	d.Until = max(d.Until, least)
+// appendRows returns the last segment with the rows of the plan.
+func (s *slot) appendRows(p plan) document {
+	d := s.view.tail.clone()
+	holder := d.holderIndex(s.k.self())
+	minUntil := s.k.now().Add(minRetention).Unix()
+	d.Until = max(d.Until, minUntil)
 	for _, r := range p.rows {
 		if !r.Release {
-			r.Holder = me
+			r.Holder = holder
 		}
 		d.Until = max(d.Until, r.Until)
 		d.Rows = append(d.Rows, r)
 	}
-	d.Sealed = len(d.Rows) >= s.k.SegmentRows
+	d.Sealed = len(d.Rows) >= s.k.MaxSegmentRows
 	return d
 }
 
-// doubt marks the items whose rows may have been written; k.mu is held.
-func (s *slot) doubt(p plan, at position) {
+// markUncertain marks the items whose rows may have been written; k.mu is held.
+func (s *slot) markUncertain(p plan, at position) {
 	for _, it := range p.items {
-		it.doubt, it.at = true, at
+		it.uncertain, it.basePosition = true, at
 	}
 }
 
 // sweepExpired deletes the segments that no node needs any more.
 func (s *slot) sweepExpired(ctx context.Context) error {
 	s.k.mu.Lock()
-	sweep := s.sweep
-	s.sweep = false
+	sweep := s.sweepPending
+	s.sweepPending = false
 	s.k.mu.Unlock()
 	for sweep {
-		old, ok := s.view.expired(s.k.now(), s.k.Skew)
+		oldest, ok := s.view.oldestExpired(s.k.now(), s.k.MaxClockSkew)
 		if !ok {
 			return nil
 		}
-		if _, err := s.k.Store.Delete(ctx, segmentKey(s.prefix, old.number), old.version); err != nil {
+		if _, err := s.k.Store.Delete(ctx, segmentKey(s.prefix, oldest.number), oldest.version); err != nil {
 			return errors.Wrapf(err, "delete claims: %s", s.prefix)
 		}
 		s.k.mu.Lock()
--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -15,39 +15,39 @@
 // key claimed by a call that never ran, for every later press of it would be
 // told unknown.
 func TestWriteInDoubt(t *testing.T) {
-	for name, fault := range map[string]func(l *link){
-		"reply lost":          func(l *link) { l.lose = 1 },
-		"two replies lost":    func(l *link) { l.lose = 2 },
-		"lands at once":       func(l *link) { l.late = 1 },
-		"lands after a while": func(l *link) { l.late, l.by = 1, 30*time.Millisecond },
-		"lands much later":    func(l *link) { l.late, l.by = 1, 5*time.Second },
+	for name, fault := range map[string]func(l *storeLink){
+		"reply lost":          func(l *storeLink) { l.loseReplies = 1 },
+		"two replies lost":    func(l *storeLink) { l.loseReplies = 2 },
+		"lands at once":       func(l *storeLink) { l.deferWrites = 1 },
+		"lands after a while": func(l *storeLink) { l.deferWrites, l.deferBy = 1, 30*time.Millisecond },
+		"lands much later":    func(l *storeLink) { l.deferWrites, l.deferBy = 1, 5*time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
-				one := func(n *node) { n.Slots = 1 }
-				a, b := start(s, "a", one), start(s, "b", one)
-				defer a.end()
-				defer b.end()
+				oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
+				a, b := startNode(s, "a", oneSlot), startNode(s, "b", oneSlot)
+				defer a.crash()
+				defer b.crash()
 				a.link.set(fault)
-				c := run(t, a, own("k", "deposit"))
-				assert.Equal(t, press(t, b, own("k", "deposit")).Verdict, Elsewhere)
+				c := mustRun(t, a, newAsk("k", "deposit"))
+				assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Elsewhere)
 				c.Release()
 				time.Sleep(10 * time.Second)
-				c = run(t, b, own("k", "deposit"))
+				c = mustRun(t, b, newAsk("k", "deposit"))
 				c.Release()
 				time.Sleep(10 * time.Second)
 
-				run(t, a, own("warm", "up")).Release()
+				mustRun(t, a, newAsk("warm", "up")).Release()
 				time.Sleep(time.Second)
 				a.link.set(fault)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 				defer cancel()
-				d, err := a.Begin(ctx, own("gone", "deposit"))
+				d, err := a.Begin(ctx, newAsk("gone", "deposit"))
 				assert.NilError(t, err)
 				assert.Equal(t, d.Verdict, Unread)
 				time.Sleep(10 * time.Second)
-				run(t, b, own("gone", "deposit"))
+				mustRun(t, b, newAsk("gone", "deposit"))
 			})
 		})
 	}
@@ -59,27 +59,27 @@
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := start(s, "a", nil)
-		defer a.end()
-		a.link.set(func(l *link) { l.down = true })
-		began := time.Now()
+		a := startNode(s, "a", nil)
+		defer a.crash()
+		a.link.set(func(l *storeLink) { l.down = true })
+		begun := time.Now()
 		for range 50 {
-			d := press(t, a, own("k", "deposit"))
+			d := begin(t, a, newAsk("k", "deposit"))
 			assert.Equal(t, d.Verdict, Unread)
 			assert.Assert(t, d.RetryAfter > 0)
 		}
-		assert.Assert(t, time.Since(began) < 500*time.Millisecond, "%v", time.Since(began))
-		c := run(t, a, own(mint(t, a), "deposit"))
-		c.Finish(served("paid"))
-		a.link.set(func(l *link) { l.down = false })
+		assert.Assert(t, time.Since(begun) < 500*time.Millisecond, "%v", time.Since(begun))
+		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
+		c.Finish(servedAnswer("paid"))
+		a.link.set(func(l *storeLink) { l.down = false })
 		time.Sleep(5 * time.Second)
-		run(t, a, own("k", "deposit"))
+		mustRun(t, a, newAsk("k", "deposit"))
 
 		gate := a.link.freeze()
-		began = time.Now()
-		assert.Equal(t, press(t, a, own("slow", "deposit")).Verdict, Unread)
-		assert.Equal(t, time.Since(began), a.ClaimWait)
-		a.link.set(func(l *link) { l.gates = nil })
+		begun = time.Now()
+		assert.Equal(t, begin(t, a, newAsk("slow", "deposit")).Verdict, Unread)
+		assert.Equal(t, time.Since(begun), a.ClaimTimeout)
+		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 	})
 }
@@ -88,39 +88,39 @@
 // than the log lives: the segment it creates is one that the others used up
 // and deleted. It takes its claim for written where nobody will look, and the
 // key runs a second time at another node.
-func TestPausedPastTheLog(t *testing.T) {
+func TestWriteAfterPauseBeyondRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		few := func(n *node) { n.Slots, n.SegmentRows, n.Memory = 1, 1, time.Minute }
-		a, b := start(s, "a", few), start(s, "b", few)
+		smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 1, time.Minute }
+		a, b := startNode(s, "a", smallSlot), startNode(s, "b", smallSlot)
 		// A paused process finds its timer and the reply together when it wakes.
-		a.ClaimWait = 2 * time.Hour
-		defer a.end()
-		defer b.end()
-		run(t, b, own("warm", "up"))
-		assert.Equal(t, press(t, a, own("warm", "up")).Verdict, Elsewhere)
+		a.ClaimTimeout = 2 * time.Hour
+		defer a.crash()
+		defer b.crash()
+		mustRun(t, b, newAsk("warm", "up"))
+		assert.Equal(t, begin(t, a, newAsk("warm", "up")).Verdict, Elsewhere)
 		gate := a.link.freeze()
 		got := make(chan Decision, 1)
 		go func() {
-			long := own("k", "deposit")
+			long := newAsk("k", "deposit")
 			long.Memory = 5 * time.Hour
 			d, _ := a.Begin(context.Background(), long)
 			got <- d
 		}()
 		synctest.Wait()
 		for i := range 30 {
-			run(t, b, own(fmt.Sprint("k", i), "x"))
+			mustRun(t, b, newAsk(fmt.Sprint("k", i), "x"))
 			time.Sleep(time.Minute)
 		}
-		run(t, b, own("k", "deposit"))
-		a.link.set(func(l *link) { l.gates = nil })
+		mustRun(t, b, newAsk("k", "deposit"))
+		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Assert(t, (<-got).Verdict != Run)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Elsewhere)
-		c := start(s, "c", few)
-		defer c.end()
-		assert.Equal(t, press(t, c, own("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
+		c := startNode(s, "c", smallSlot)
+		defer c.crash()
+		assert.Equal(t, begin(t, c, newAsk("k", "deposit")).Verdict, Elsewhere)
 	})
 }
 
@@ -129,16 +129,16 @@
 func TestSegmentsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := start(s, "a", func(n *node) { n.Slots, n.SegmentRows, n.Memory = 1, 2, time.Minute })
-		defer a.end()
+		a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 2, time.Minute })
+		defer a.crash()
 		for i := range 40 {
-			run(t, a, own(fmt.Sprint("k", i), "x")).Finish(served("paid"))
+			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
 			time.Sleep(time.Second)
 		}
 		assert.Assert(t, len(s.list(slotsPrefix)) >= 20)
 		time.Sleep(time.Hour)
 		assert.Assert(t, len(s.list(slotsPrefix)) <= 2)
-		run(t, a, own("k0", "x"))
+		mustRun(t, a, newAsk("k0", "x"))
 	})
 }
 
@@ -156,11 +156,11 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
-				a := start(s, "a", func(n *node) { n.Slots = 1 })
-				defer a.end()
+				a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion = 1 })
+				defer a.crash()
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 1), []byte(value), 0)
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 3), []byte(later), 0)
-				assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Unread)
+				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unread)
 			})
 		})
 	}
@@ -171,18 +171,18 @@
 func TestEvictedAnswerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := start(s, "a", func(n *node) { n.AnswerBytes = 2 * callOverhead }), start(s, "b", nil)
-		defer a.end()
-		defer b.end()
+		a, b := startNode(s, "a", func(n *testNode) { n.MaxAnswerBytes = 2 * callOverhead }), startNode(s, "b", nil)
+		defer a.crash()
+		defer b.crash()
 		first := []string{"k", mint(t, a)}
 		for _, key := range append(first, "k2", "k3", "k4") {
-			c := run(t, a, own(key, "deposit"))
+			c := mustRun(t, a, newAsk(key, "deposit"))
 			assert.NilError(t, c.Dispatched())
-			c.Finish(served("paid"))
+			c.Finish(servedAnswer("paid"))
 		}
 		for _, key := range first {
-			assert.Equal(t, press(t, a, own(key, "deposit")).Verdict, Unknown)
-			assert.Equal(t, press(t, b, own(key, "deposit")).Verdict, Elsewhere)
+			assert.Equal(t, begin(t, a, newAsk(key, "deposit")).Verdict, Unknown)
+			assert.Equal(t, begin(t, b, newAsk(key, "deposit")).Verdict, Elsewhere)
 		}
 		assert.Assert(t, a.Counts().AnswerBytes <= 2*callOverhead)
 	})
@@ -191,16 +191,16 @@
 // A process sleeps with the right to run in its hand until the key is
 // forgotten and runs elsewhere. When it wakes, the deposit would be charged a
 // second time.
-func TestStaleRightToRun(t *testing.T) {
+func TestDispatchAfterClaimExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		short := func(n *node) { n.Memory = time.Minute }
-		a, b := start(s, "a", short), start(s, "b", short)
-		defer a.end()
-		defer b.end()
-		c := run(t, a, own("k", "deposit"))
+		shortMemory := func(n *testNode) { n.Memory = time.Minute }
+		a, b := startNode(s, "a", shortMemory), startNode(s, "b", shortMemory)
+		defer a.crash()
+		defer b.crash()
+		c := mustRun(t, a, newAsk("k", "deposit"))
 		time.Sleep(time.Hour)
-		run(t, b, own("k", "deposit"))
+		mustRun(t, b, newAsk("k", "deposit"))
 		assert.ErrorIs(t, c.Dispatched(), ErrStale)
 	})
 }
@@ -210,43 +210,43 @@
 func TestLateRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		short := func(n *node) { n.Memory, n.Slots = time.Minute, 1 }
-		a, b := start(s, "a", short), start(s, "b", short)
-		defer a.end()
-		defer b.end()
-		c := run(t, a, own("k", "deposit"))
+		shortMemory := func(n *testNode) { n.Memory, n.SlotsPerRegion = time.Minute, 1 }
+		a, b := startNode(s, "a", shortMemory), startNode(s, "b", shortMemory)
+		defer a.crash()
+		defer b.crash()
+		c := mustRun(t, a, newAsk("k", "deposit"))
 		time.Sleep(2 * time.Minute)
-		run(t, b, own("k", "deposit"))
+		mustRun(t, b, newAsk("k", "deposit"))
 		c.Release()
 		time.Sleep(time.Second)
-		assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
 
 		// So must one that a successor writes for a node that is gone.
-		heir := start(s, "c", short)
-		defer heir.end()
-		_, err := heir.Adopt(func(yield func(Record, error) bool) {
+		successor := startNode(s, "c", shortMemory)
+		defer successor.crash()
+		_, err := successor.Adopt(func(yield func(Record, error) bool) {
 			_ = yield(Record{Kind: ReleaseRecord, Key: &c.ref.key, Claim: &c.claim, Slot: c.slot.prefix}, nil) &&
 				yield(Record{Kind: EndRecord, Count: 1}, nil)
 		})
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, press(t, heir, own("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, successor, newAsk("k", "deposit")).Verdict, Elsewhere)
 	})
 }
 
 // Nodes that tend a quiet slot look at it every few minutes. If each look read
 // the whole log, a night's idling would cost more than the day's work.
-func TestIdleSlotIsNotReadWhole(t *testing.T) {
+func TestIdleSlotIsNotListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := start(s, "a", func(n *node) { n.Slots, n.SegmentRows = 1, 2 })
-		defer a.end()
+		a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows = 1, 2 })
+		defer a.crash()
 		for i := range 5 {
-			run(t, a, own(fmt.Sprint("k", i), "x")).Finish(served("paid"))
+			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
 			time.Sleep(20 * time.Minute)
 		}
 		assert.Equal(t, s.lists, 1)
-		assert.Equal(t, press(t, a, own("k4", "x")).Verdict, Replay)
+		assert.Equal(t, begin(t, a, newAsk("k4", "x")).Verdict, Replay)
 	})
 }
 
@@ -254,7 +254,7 @@
 // of the segment it knew last, or before it: the leftover of a node that was
 // paused. If it went on from there, it would miss all claims made since, and
 // run one of their keys again.
-func TestOldViewMeetsStray(t *testing.T) {
+func TestOldViewRejectsStraySegment(t *testing.T) {
 	for name, rows := range map[string]int{
 		"last segment was open":      2,
 		"last segment was not there": 1,
@@ -262,24 +262,24 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
-				few := func(n *node) { n.Slots, n.SegmentRows, n.Memory = 1, rows, time.Minute }
-				a, b := start(s, "a", func(n *node) { few(n); n.Sweep = 100 * time.Hour }), start(s, "b", few)
-				defer a.end()
-				defer b.end()
-				run(t, a, own("warm", "up"))
-				at := a.slots[slotPrefix("irbid-a", 0)].view.last()
+				smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, rows, time.Minute }
+				a, b := startNode(s, "a", func(n *testNode) { smallSlot(n); n.SweepInterval = 100 * time.Hour }), startNode(s, "b", smallSlot)
+				defer a.crash()
+				defer b.crash()
+				mustRun(t, a, newAsk("warm", "up"))
+				at := a.slots[slotPrefix("irbid-a", 0)].view.lastNumber()
 				for i := range 30 {
-					run(t, b, own(fmt.Sprint("k", i), "x"))
+					mustRun(t, b, newAsk(fmt.Sprint("k", i), "x"))
 					time.Sleep(time.Minute)
 				}
-				run(t, b, own("k", "deposit"))
+				mustRun(t, b, newAsk("k", "deposit"))
 				stray := document{Until: time.Now().Unix() - 1000}
-				stray.Rows = []row{{ID: claimID{9}, Key: keyHash{9}, Holder: stray.holder(Holder{Node: "z"}), Until: stray.Until}}
+				stray.Rows = []row{{ID: claimID{9}, Key: keyHash{9}, Holder: stray.holderIndex(Holder{Node: "z"}), Until: stray.Until}}
 				value, err := encodeDocument(stray)
 				assert.NilError(t, err)
 				_, swapped := s.swap(segmentKey(slotPrefix("irbid-a", 0), at), value, 0)
 				assert.Assert(t, swapped)
-				assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Elsewhere)
+				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
 			})
 		})
 	}
@@ -288,26 +288,26 @@
 // A write hangs for most of a key's memory and then takes effect. A caller who
 // presses just then would have its key forgotten within moments of the call, and
 // the next press would run it again.
-func TestClaimThatHungIsNotUsed(t *testing.T) {
+func TestDelayedClaimIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		one := func(n *node) { n.Slots = 1 }
-		a, b := start(s, "a", one), start(s, "b", one)
-		defer a.end()
-		defer b.end()
-		run(t, a, own("warm", "up")).Finish(served("paid"))
+		oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
+		a, b := startNode(s, "a", oneSlot), startNode(s, "b", oneSlot)
+		defer a.crash()
+		defer b.crash()
+		mustRun(t, a, newAsk("warm", "up")).Finish(servedAnswer("paid"))
 		gate := a.link.freeze()
-		assert.Equal(t, press(t, a, own("k", "deposit")).Verdict, Unread)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unread)
 		time.Sleep(59 * time.Minute)
 		got := make(chan Decision, 1)
-		go func() { got <- press(t, a, own("k", "deposit")) }()
+		go func() { got <- begin(t, a, newAsk("k", "deposit")) }()
 		synctest.Wait()
-		a.link.set(func(l *link) { l.gates = nil })
+		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, (<-got).Verdict, NotRun)
 		time.Sleep(time.Second)
-		run(t, a, own("k", "deposit")).Finish(served("paid"))
+		mustRun(t, a, newAsk("k", "deposit")).Finish(servedAnswer("paid"))
 		time.Sleep(59 * time.Minute)
-		assert.Equal(t, press(t, b, own("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Elsewhere)
 	})
 }
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -20,171 +20,171 @@
 )
 
 const (
-	trialMemory = time.Hour
-	trialSkew   = 20 * time.Second
+	simKeyMemory = time.Hour
+	simClockSkew = 20 * time.Second
 )
 
 // oracle knows what really ran, which no node does.
 type oracle struct {
-	runs map[string][]ran // by key
+	runs map[string][]runRecord // by key
 }
 
-// ran is one real run of a key.
-type ran struct {
-	pressed time.Time // start of the press that got the right to run
-	at      time.Time
-	body    string
+// runRecord is one real run of a key.
+type runRecord struct {
+	begunAt      time.Time // start of the press that got the right to run
+	dispatchedAt time.Time
+	body         string
 }
 
-// before returns the runs of a key that have happened and whose memory is not
+// remembered returns the runs of a key that have happened and whose memory is not
 // over, for a press that starts now.
-func (o *oracle) before(key string) []ran {
-	var rs []ran
+func (o *oracle) remembered(key string) []runRecord {
+	var rs []runRecord
 	for _, r := range o.runs[key] {
-		if time.Since(r.pressed) < trialMemory {
+		if time.Since(r.begunAt) < simKeyMemory {
 			rs = append(rs, r)
 		}
 	}
 	return rs
 }
 
-// running is a call that some node got the right to run.
-type running struct {
-	node    *trialNode
-	call    *Call
-	key     string
-	body    string
-	pressed time.Time
-	sent    bool
+// grantedCall is a call that some node got the right to run.
+type grantedCall struct {
+	node       *simNode
+	call       *Call
+	key        string
+	body       string
+	begunAt    time.Time
+	dispatched bool
 }
 
-type trialNode struct {
-	*node
-	name    string
-	life    int
-	frozen  chan struct{}
-	closed  bool
-	handed  bool
-	stopped bool
+type simNode struct {
+	*testNode
+	name       string
+	generation int
+	frozen     chan struct{}
+	closed     bool
+	handedOver bool
+	stopped    bool
 }
 
-// trial drives several keepers over one faulty store.
-type trial struct {
-	t      *rapid.T
-	store  *fakeStore
-	dead   []*trialNode
-	keys   []string
-	bodies map[string]map[string]bool // bodies pressed so far by key
-	open   sync.WaitGroup             // presses under way
+// simulation drives several keepers over one faulty store.
+type simulation struct {
+	t       *rapid.T
+	store   *fakeStore
+	dead    []*simNode
+	keys    []string
+	bodies  map[string]map[string]bool // bodies begunAt so far by key
+	pending sync.WaitGroup             // presses under way
 
 	answerBytes int
-	calm        bool // no faults, planned stops only
+	noFaults    bool // no faults, planned stops only
 
-	mu      sync.Mutex // guards what follows, which presses under way use too
-	oracle  oracle
-	nodes   []*trialNode
-	calls   []*running
-	told    map[Verdict]int
-	failure string
+	mu       sync.Mutex // guards what follows, which presses under way use too
+	oracle   oracle
+	nodes    []*simNode
+	calls    []*grantedCall
+	verdicts map[Verdict]int
+	failure  string
 }
 
 // Serving makes every node of the trial a candidate for every slot.
-func (tr *trial) Serving(string) []string {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
+func (sim *simulation) Serving(string) []string {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	var names []string
-	for _, n := range tr.nodes {
+	for _, n := range sim.nodes {
 		names = append(names, n.name)
 	}
 	return names
 }
 
-func (tr *trial) failf(format string, args ...any) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	tr.fail(format, args...)
+func (sim *simulation) failf(format string, args ...any) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.fail(format, args...)
 }
 
-func (tr *trial) fail(format string, args ...any) {
-	if tr.failure == "" {
-		tr.failure = fmt.Sprintf(format, args...)
+func (sim *simulation) fail(format string, args ...any) {
+	if sim.failure == "" {
+		sim.failure = fmt.Sprintf(format, args...)
 	}
 }
 
-func (tr *trial) startNode(i, life int) *trialNode {
-	n := &trialNode{name: fmt.Sprintf("n%d", i), life: life}
-	skew := time.Duration(i-1) * trialSkew / 2
-	n.node = start(tr.store, n.name, func(nd *node) {
+func (sim *simulation) startNode(i, life int) *simNode {
+	n := &simNode{name: fmt.Sprintf("n%d", i), generation: life}
+	skew := time.Duration(i-1) * simClockSkew / 2
+	n.testNode = startNode(sim.store, n.name, func(nd *testNode) {
 		nd.Incarnation = fmt.Sprintf("%s-%d", n.name, life)
-		nd.Slots = 1
-		nd.SegmentRows = 4
+		nd.SlotsPerRegion = 1
+		nd.MaxSegmentRows = 4
 		nd.GroupWindow = 50 * time.Millisecond
-		nd.AnswerBytes = tr.answerBytes
-		nd.Memory = trialMemory
-		nd.Skew = trialSkew
-		nd.Peers = tr
+		nd.MaxAnswerBytes = sim.answerBytes
+		nd.Memory = simKeyMemory
+		nd.MaxClockSkew = simClockSkew
+		nd.Peers = sim
 		nd.Now = func() time.Time { return time.Now().Add(skew) }
 	})
 	return n
 }
 
-func (tr *trial) drawNode(t *rapid.T) (int, *trialNode) {
-	i := rapid.IntRange(0, len(tr.nodes)-1).Draw(t, "node")
-	return i, tr.nodes[i]
+func (sim *simulation) drawNode(t *rapid.T) (int, *simNode) {
+	i := rapid.IntRange(0, len(sim.nodes)-1).Draw(t, "node")
+	return i, sim.nodes[i]
 }
 
-func (tr *trial) press(t *rapid.T) {
-	_, n := tr.drawNode(t)
-	key := rapid.SampledFrom(tr.keys).Draw(t, "key")
+func (sim *simulation) beginRandom(t *rapid.T) {
+	_, n := sim.drawNode(t)
+	key := rapid.SampledFrom(sim.keys).Draw(t, "key")
 	body := rapid.SampledFrom([]string{"x", "x", "x", "x", "y"}).Draw(t, "body")
-	tr.begin(n, key, body)
+	sim.beginInBackground(n, key, body)
 	if rapid.Bool().Draw(t, "wait") {
 		time.Sleep(20 * time.Millisecond)
 	}
 	synctest.Wait()
 }
 
-func (tr *trial) begin(n *trialNode, key, body string) {
-	if tr.bodies[key] == nil {
-		tr.bodies[key] = map[string]bool{}
+func (sim *simulation) beginInBackground(n *simNode, key, body string) {
+	if sim.bodies[key] == nil {
+		sim.bodies[key] = map[string]bool{}
 	}
-	tr.bodies[key][body] = true
-	pressed := time.Now()
-	tr.mu.Lock()
-	ranBefore := tr.oracle.before(key)
-	tr.mu.Unlock()
-	tr.open.Go(func() {
+	sim.bodies[key][body] = true
+	begunAt := time.Now()
+	sim.mu.Lock()
+	ranBefore := sim.oracle.remembered(key)
+	sim.mu.Unlock()
+	sim.pending.Go(func() {
 		ctx, cancel := context.WithTimeout(context.Background(), 3*time.Second)
 		defer cancel()
-		tr.follow(ctx, n, key, body, pressed, ranBefore)
+		sim.beginAtHolder(ctx, n, key, body, begunAt, ranBefore)
 	})
 }
 
-// follow presses a key, at the holder too if it is sent there, and checks what
+// beginAtHolder presses a key, at the holder too if it is sent there, and checks what
 // the caller is told.
-func (tr *trial) follow(ctx context.Context, n *trialNode, key, body string, pressed time.Time, ranBefore []ran) {
+func (sim *simulation) beginAtHolder(ctx context.Context, n *simNode, key, body string, begunAt time.Time, ranBefore []runRecord) {
 	for range 3 {
-		d, err := n.Begin(ctx, own(key, body))
+		d, err := n.Begin(ctx, newAsk(key, body))
 		if err != nil {
-			tr.failf("begin: %v", err)
+			sim.failf("begin: %v", err)
 			return
 		}
 		if d.Verdict != Elsewhere {
-			tr.answer(n, d, key, body, pressed, ranBefore)
+			sim.checkDecision(n, d, key, body, begunAt, ranBefore)
 			return
 		}
-		n = tr.byIncarnation(d.Holder.Incarnation)
+		n = sim.byIncarnation(d.Holder.Incarnation)
 		if n == nil {
-			tr.answer(nil, Decision{Verdict: Unknown, Holder: d.Holder}, key, body, pressed, ranBefore) // gone
+			sim.checkDecision(nil, Decision{Verdict: Unknown, Holder: d.Holder}, key, body, begunAt, ranBefore) // gone
 			return
 		}
 	}
 }
 
-func (tr *trial) byIncarnation(incarnation string) *trialNode {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	for _, n := range tr.nodes {
+func (sim *simulation) byIncarnation(incarnation string) *simNode {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, n := range sim.nodes {
 		if n.Incarnation == incarnation && !n.stopped {
 			return n
 		}
@@ -192,43 +192,43 @@
 	return nil
 }
 
-func (tr *trial) answer(n *trialNode, d Decision, key, body string, pressed time.Time, ranBefore []ran) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	tr.told[d.Verdict]++
-	if tr.calm && (d.Verdict == Unknown || d.Verdict == Unread) {
-		tr.fail("%s: %s without any fault, holder %s", key, d.Verdict, d.Holder.Incarnation)
+func (sim *simulation) checkDecision(n *simNode, d Decision, key, body string, begunAt time.Time, ranBefore []runRecord) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.verdicts[d.Verdict]++
+	if sim.noFaults && (d.Verdict == Unknown || d.Verdict == Unread) {
+		sim.fail("%s: %s without any fault, holder %s", key, d.Verdict, d.Holder.Incarnation)
 	}
 	switch d.Verdict {
 	case Run:
 		if n.stopped {
 			return
 		}
-		tr.calls = append(tr.calls, &running{node: n, call: d.Call, key: key, body: body, pressed: pressed})
+		sim.calls = append(sim.calls, &grantedCall{node: n, call: d.Call, key: key, body: body, begunAt: begunAt})
 	case NotRun:
 		// Nothing of this press ran; a run that was over before it makes it a lie.
-		for _, r := range tr.oracle.before(key) {
+		for _, r := range sim.oracle.remembered(key) {
 			if slices.Contains(ranBefore, r) {
-				tr.fail("%s: told not run, but it ran at %v", key, r.at)
+				sim.fail("%s: told not run, but it ran at %v", key, r.dispatchedAt)
 			}
 		}
 	case Replay:
 		if string(d.Answer.Body) != key+body {
-			tr.fail("%s: replay of %q", key, d.Answer.Body)
+			sim.fail("%s: replay of %q", key, d.Answer.Body)
 		}
 	case Mismatch:
-		if len(tr.bodies[key]) < 2 {
-			tr.fail("%s: mismatch without another body", key)
+		if len(sim.bodies[key]) < 2 {
+			sim.fail("%s: mismatch without another body", key)
 		}
 	case Refused:
-		tr.fail("%s: refused", key)
+		sim.fail("%s: refused", key)
 	}
 }
 
 // drawCall picks a call of a node that is not frozen.
-func (tr *trial) drawCall(t *rapid.T) *running {
-	var cs []*running
-	for _, c := range tr.running() {
+func (sim *simulation) drawCall(t *rapid.T) *grantedCall {
+	var cs []*grantedCall
+	for _, c := range sim.grantedCalls() {
 		if c.node.frozen == nil {
 			cs = append(cs, c)
 		}
@@ -239,122 +239,122 @@
 	return rapid.SampledFrom(cs).Draw(t, "call")
 }
 
-func (tr *trial) running() []*running {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	return slices.Clone(tr.calls)
+func (sim *simulation) grantedCalls() []*grantedCall {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	return slices.Clone(sim.calls)
 }
 
-func (tr *trial) dispatch(t *rapid.T) {
-	c := tr.drawCall(t)
-	if c.sent {
+func (sim *simulation) dispatchRandom(t *rapid.T) {
+	c := sim.drawCall(t)
+	if c.dispatched {
 		t.Skip("sent")
 	}
-	tr.send(c)
+	sim.dispatchCall(c)
 }
 
-func (tr *trial) send(c *running) {
+func (sim *simulation) dispatchCall(c *grantedCall) {
 	if err := c.call.Dispatched(); err != nil {
-		tr.remove(c)
+		sim.remove(c)
 		return
 	}
-	c.sent = true
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	for _, r := range tr.oracle.before(c.key) {
-		tr.fail("%s ran twice: at %v as %s and now at %s as %s", c.key, r.at, r.body, c.node.Incarnation, c.body)
+	c.dispatched = true
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	for _, r := range sim.oracle.remembered(c.key) {
+		sim.fail("%s ran twice: at %v as %s and now at %s as %s", c.key, r.dispatchedAt, r.body, c.node.Incarnation, c.body)
 	}
-	tr.oracle.runs[c.key] = append(tr.oracle.runs[c.key], ran{pressed: c.pressed, at: time.Now(), body: c.body})
+	sim.oracle.runs[c.key] = append(sim.oracle.runs[c.key], runRecord{begunAt: c.begunAt, dispatchedAt: time.Now(), body: c.body})
 }
 
-func (tr *trial) remove(c *running) {
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	tr.calls = slices.DeleteFunc(tr.calls, func(o *running) bool { return o == c })
+func (sim *simulation) remove(c *grantedCall) {
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	sim.calls = slices.DeleteFunc(sim.calls, func(o *grantedCall) bool { return o == c })
 }
 
-func (tr *trial) finish(t *rapid.T) {
-	tr.finishCall(tr.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.Served, jwrequest.NotRun, jwrequest.Unknown}).Draw(t, "outcome"))
+func (sim *simulation) finish(t *rapid.T) {
+	sim.finishCall(sim.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.Served, jwrequest.NotRun, jwrequest.Unknown}).Draw(t, "outcome"))
 }
 
-func (tr *trial) finishCall(c *running, o jwrequest.Outcome) {
-	tr.remove(c)
-	if !c.sent {
+func (sim *simulation) finishCall(c *grantedCall, o jwrequest.Outcome) {
+	sim.remove(c)
+	if !c.dispatched {
 		c.call.Release()
 		return
 	}
 	if o == jwrequest.NotRun { // the target refused it
-		tr.mu.Lock()
-		rs := tr.oracle.runs[c.key]
-		tr.oracle.runs[c.key] = rs[:len(rs)-1]
-		tr.mu.Unlock()
+		sim.mu.Lock()
+		rs := sim.oracle.runs[c.key]
+		sim.oracle.runs[c.key] = rs[:len(rs)-1]
+		sim.mu.Unlock()
 	}
 	c.call.Finish(Answer{Status: 200, Body: []byte(c.key + c.body), Outcome: o})
 }
 
-func (tr *trial) mint(t *rapid.T) {
-	if len(tr.keys) > 8 {
+func (sim *simulation) mint(t *rapid.T) {
+	if len(sim.keys) > 8 {
 		t.Skip("enough")
 	}
-	_, n := tr.drawNode(t)
+	_, n := sim.drawNode(t)
 	if ticket, err := n.Mint(); err == nil {
-		tr.keys = append(tr.keys, ticket)
+		sim.keys = append(sim.keys, ticket)
 	}
 }
 
 // kill ends a process without warning; what it had on the wire still lands.
-func (tr *trial) kill(t *rapid.T) {
-	i, n := tr.drawNode(t)
-	tr.replace(i, n)
+func (sim *simulation) kill(t *rapid.T) {
+	i, n := sim.drawNode(t)
+	sim.replace(i, n)
 }
 
-func (tr *trial) replace(i int, n *trialNode) {
-	n.stop()
-	tr.dead = append(tr.dead, n)
-	next := tr.startNode(i, n.life+1)
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
+func (sim *simulation) replace(i int, n *simNode) {
+	n.cancel()
+	sim.dead = append(sim.dead, n)
+	next := sim.startNode(i, n.generation+1)
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
 	n.stopped = true
-	tr.calls = slices.DeleteFunc(tr.calls, func(c *running) bool { return c.node == n })
-	tr.nodes[i] = next
+	sim.calls = slices.DeleteFunc(sim.calls, func(c *grantedCall) bool { return c.node == n })
+	sim.nodes[i] = next
 }
 
-func (tr *trial) freeze(t *rapid.T) {
-	_, n := tr.drawNode(t)
+func (sim *simulation) freeze(t *rapid.T) {
+	_, n := sim.drawNode(t)
 	if n.frozen != nil {
 		t.Skip("frozen")
 	}
 	n.frozen = n.link.freeze()
 }
 
-func (tr *trial) thaw(t *rapid.T) {
-	_, n := tr.drawNode(t)
+func (sim *simulation) unfreeze(t *rapid.T) {
+	_, n := sim.drawNode(t)
 	if n.frozen == nil {
 		t.Skip("not frozen")
 	}
-	n.melt()
+	n.unfreeze()
 	synctest.Wait()
 }
 
-func (n *trialNode) melt() {
+func (n *simNode) unfreeze() {
 	if n.frozen != nil {
-		n.link.set(func(l *link) { l.gates = nil })
+		n.link.set(func(l *storeLink) { l.gates = nil })
 		close(n.frozen)
 		n.frozen = nil
 	}
 }
 
-func (tr *trial) fault(t *rapid.T) {
-	_, n := tr.drawNode(t)
+func (sim *simulation) fault(t *rapid.T) {
+	_, n := sim.drawNode(t)
 	kind := rapid.SampledFrom([]string{"lose", "lose", "late", "late", "down", "up"}).Draw(t, "fault")
 	by := time.Duration(rapid.IntRange(0, 2000).Draw(t, "by")) * time.Millisecond
-	n.link.set(func(l *link) {
+	n.link.set(func(l *storeLink) {
 		switch kind {
 		case "lose":
-			l.lose++
+			l.loseReplies++
 		case "late":
-			l.late++
-			l.by = by
+			l.deferWrites++
+			l.deferBy = by
 		case "down":
 			l.down = true
 		case "up":
@@ -363,7 +363,7 @@
 	})
 }
 
-func (tr *trial) sleep(t *rapid.T) {
+func (sim *simulation) sleep(t *rapid.T) {
 	time.Sleep(rapid.SampledFrom([]time.Duration{
 		time.Millisecond, 10 * time.Millisecond, 60 * time.Millisecond, 3 * time.Second, 3 * time.Minute, 11 * time.Minute, 59*time.Minute + 45*time.Second, 62 * time.Minute,
 	}).Draw(t, "time"))
@@ -372,59 +372,59 @@
 
 // drain is the planned stop up to the handover; the process lives on until a
 // later kill, as the callers still know its address.
-func (tr *trial) drain(t *rapid.T) {
-	i, n := tr.drawNode(t)
+func (sim *simulation) drain(t *rapid.T) {
+	i, n := sim.drawNode(t)
 	if n.closed || n.frozen != nil {
 		t.Skip("closed or frozen")
 	}
-	tr.stopNode(t, i, n)
+	sim.stopNode(t, i, n)
 }
 
 // restart is a planned stop and the start of the next process.
-func (tr *trial) restart(t *rapid.T) {
-	i, n := tr.drawNode(t)
-	tr.stopNode(t, i, n)
-	if !n.handed {
-		tr.failf("%s: nobody took over", n.Incarnation)
+func (sim *simulation) restart(t *rapid.T) {
+	i, n := sim.drawNode(t)
+	sim.stopNode(t, i, n)
+	if !n.handedOver {
+		sim.failf("%s: nobody took over", n.Incarnation)
 	}
 	time.Sleep(5 * time.Second) // the stop lingers until presses at the node are answered
-	tr.replace(i, n)
-	tr.tell()
+	sim.replace(i, n)
+	sim.shareMoves()
 }
 
-func (tr *trial) stopNode(t *rapid.T, i int, n *trialNode) {
+func (sim *simulation) stopNode(t *rapid.T, i int, n *simNode) {
 	n.closed = true
 	n.Close()
-	for _, c := range tr.running() {
+	for _, c := range sim.grantedCalls() {
 		if c.node == n {
-			if !c.sent && rapid.Bool().Draw(t, "send") {
-				tr.send(c)
+			if !c.dispatched && rapid.Bool().Draw(t, "send") {
+				sim.dispatchCall(c)
 			}
-			tr.finishCall(c, jwrequest.Served)
+			sim.finishCall(c, jwrequest.Served)
 		}
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
 	_ = n.Flush(ctx)
-	for j, other := range tr.nodes {
-		if j == i || n.handed {
+	for j, other := range sim.nodes {
+		if j == i || n.handedOver {
 			continue
 		}
-		h := &trialSuccessor{to: other}
-		if !tr.calm {
+		h := &simSuccessor{to: other}
+		if !sim.noFaults {
 			h.fault = rapid.SampledFrom([]string{"", "", "refuse", "ack lost", "cut off"}).Draw(t, "handover")
 		}
-		n.handed = n.Handover(context.Background(), h) == nil
+		n.handedOver = n.Handover(context.Background(), h) == nil
 	}
-	if n.handed && (tr.calm || rapid.Bool().Draw(t, "tell")) {
-		tr.tell()
+	if n.handedOver && (sim.noFaults || rapid.Bool().Draw(t, "tell")) {
+		sim.shareMoves()
 	}
 }
 
-// tell spreads who answers for whom, as the exchange between nodes does.
-func (tr *trial) tell() {
-	for _, a := range tr.nodes {
-		for _, b := range tr.nodes {
+// shareMoves spreads who answers for whom, as the exchange between nodes does.
+func (sim *simulation) shareMoves() {
+	for _, a := range sim.nodes {
+		for _, b := range sim.nodes {
 			for _, m := range a.Moves() {
 				b.Learn(m)
 			}
@@ -432,15 +432,15 @@
 	}
 }
 
-// trialSuccessor hands records to a keeper of the trial, with a fault.
-type trialSuccessor struct {
-	to    *trialNode
+// simSuccessor hands records to a keeper of the trial, with a fault.
+type simSuccessor struct {
+	to    *simNode
 	fault string
 }
 
-func (s *trialSuccessor) Holder() Holder { return s.to.self() }
+func (s *simSuccessor) Holder() Holder { return s.to.self() }
 
-func (s *trialSuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
+func (s *simSuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
 	time.Sleep(5 * time.Millisecond)
 	if s.fault == "refuse" {
 		return Receipt{}, ErrNotAdopted
@@ -463,48 +463,48 @@
 	return r, err
 }
 
-func (tr *trial) check(*rapid.T) {
+func (sim *simulation) check(*rapid.T) {
 	synctest.Wait()
-	tr.mu.Lock()
-	defer tr.mu.Unlock()
-	if tr.failure != "" {
-		panic(trialFailure(tr.failure))
+	sim.mu.Lock()
+	defer sim.mu.Unlock()
+	if sim.failure != "" {
+		panic(simFailure(sim.failure))
 	}
 }
 
-// heal takes all faults away and checks that the system serves again.
-func (tr *trial) heal() {
-	for _, n := range append(slices.Clone(tr.nodes), tr.dead...) {
-		n.melt()
-		n.link.set(func(l *link) { l.down, l.lose, l.late = false, 0, 0 })
+// removeFaults takes all faults away and checks that the system serves again.
+func (sim *simulation) removeFaults() {
+	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
+		n.unfreeze()
+		n.link.set(func(l *storeLink) { l.down, l.loseReplies, l.deferWrites = false, 0, 0 })
 	}
 	time.Sleep(10 * time.Second)
-	for _, c := range tr.running() {
-		tr.finishCall(c, jwrequest.Served)
+	for _, c := range sim.grantedCalls() {
+		sim.finishCall(c, jwrequest.Served)
 	}
 	time.Sleep(5 * time.Second)
-	for i, n := range tr.nodes {
+	for i, n := range sim.nodes {
 		if n.closed {
 			continue
 		}
-		d, err := n.Begin(context.Background(), own(fmt.Sprintf("fresh%d", i), "x"))
+		d, err := n.Begin(context.Background(), newAsk(fmt.Sprintf("fresh%d", i), "x"))
 		if err != nil || d.Verdict != Run {
-			tr.failf("%s does not take a fresh key after all faults: %v %v", n.Incarnation, d.Verdict, err)
+			sim.failf("%s does not take a fresh key after all faults: %v %v", n.Incarnation, d.Verdict, err)
 			continue
 		}
 		d.Call.Release()
 	}
 }
 
-func (tr *trial) end() {
-	for _, n := range append(slices.Clone(tr.nodes), tr.dead...) {
-		n.stop()
-		n.melt()
+func (sim *simulation) end() {
+	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
+		n.cancel()
+		n.unfreeze()
 	}
-	for _, n := range append(slices.Clone(tr.nodes), tr.dead...) {
+	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
 		n.done.Wait()
 	}
-	tr.open.Wait()
+	sim.pending.Wait()
 }
 
 // Nodes crash, freeze past any pause, lose replies, find the store down and
@@ -515,12 +515,12 @@
 	told := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, rt, func() {
-			tr := newTrial(rt, 3*callOverhead, false)
-			defer tr.end()
-			rt.Repeat(tr.actions())
-			tr.heal()
-			tr.check(rt)
-			for v, n := range tr.told {
+			sim := newSimulation(rt, 3*callOverhead, false)
+			defer sim.end()
+			rt.Repeat(sim.actions())
+			sim.removeFaults()
+			sim.check(rt)
+			for v, n := range sim.verdicts {
 				told[v] += n
 			}
 		})
@@ -534,21 +534,21 @@
 	told := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, rt, func() {
-			tr := newTrial(rt, 0, true)
-			defer tr.end()
+			sim := newSimulation(rt, 0, true)
+			defer sim.end()
 			rt.Repeat(map[string]func(*rapid.T){
-				"press":    tr.press,
-				"press2":   tr.press,
-				"dispatch": tr.dispatch,
-				"finish":   tr.finishWell,
-				"mint":     tr.mint,
-				"restart":  tr.restart,
+				"press":    sim.beginRandom,
+				"press2":   sim.beginRandom,
+				"dispatch": sim.dispatchRandom,
+				"finish":   sim.finishWithoutUnknown,
+				"mint":     sim.mint,
+				"restart":  sim.restart,
 				"sleep":    func(*rapid.T) { time.Sleep(200 * time.Millisecond) },
-				"":         tr.check,
+				"":         sim.check,
 			})
-			tr.heal()
-			tr.check(rt)
-			for v, n := range tr.told {
+			sim.removeFaults()
+			sim.check(rt)
+			for v, n := range sim.verdicts {
 				told[v] += n
 			}
 		})
@@ -556,40 +556,40 @@
 	t.Logf("presses answered: %v", told)
 }
 
-func (tr *trial) finishWell(t *rapid.T) {
-	tr.finishCall(tr.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.NotRun}).Draw(t, "outcome"))
+func (sim *simulation) finishWithoutUnknown(t *rapid.T) {
+	sim.finishCall(sim.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.NotRun}).Draw(t, "outcome"))
 }
 
-func newTrial(rt *rapid.T, answerBytes int, calm bool) *trial {
-	tr := &trial{t: rt, answerBytes: answerBytes, calm: calm, store: newFakeStore(), keys: []string{"k0", "k1", "k2"}, bodies: map[string]map[string]bool{}}
-	tr.oracle.runs = map[string][]ran{}
-	tr.told = map[Verdict]int{}
+func newSimulation(rt *rapid.T, answerBytes int, calm bool) *simulation {
+	sim := &simulation{t: rt, answerBytes: answerBytes, noFaults: calm, store: newFakeStore(), keys: []string{"k0", "k1", "k2"}, bodies: map[string]map[string]bool{}}
+	sim.oracle.runs = map[string][]runRecord{}
+	sim.verdicts = map[Verdict]int{}
 	for i := range 3 {
-		tr.nodes = append(tr.nodes, tr.startNode(i, 1))
+		sim.nodes = append(sim.nodes, sim.startNode(i, 1))
 	}
-	return tr
+	return sim
 }
 
-func (tr *trial) actions() map[string]func(*rapid.T) {
+func (sim *simulation) actions() map[string]func(*rapid.T) {
 	return map[string]func(*rapid.T){
-		"press":    tr.press,
-		"press2":   tr.press,
-		"press3":   tr.press,
-		"dispatch": tr.dispatch,
-		"finish":   tr.finish,
-		"mint":     tr.mint,
-		"kill":     tr.kill,
-		"freeze":   tr.freeze,
-		"thaw":     tr.thaw,
-		"fault":    tr.fault,
-		"sleep":    tr.sleep,
-		"drain":    tr.drain,
-		"":         tr.check,
+		"press":    sim.beginRandom,
+		"press2":   sim.beginRandom,
+		"press3":   sim.beginRandom,
+		"dispatch": sim.dispatchRandom,
+		"finish":   sim.finish,
+		"mint":     sim.mint,
+		"kill":     sim.kill,
+		"freeze":   sim.freeze,
+		"thaw":     sim.unfreeze,
+		"fault":    sim.fault,
+		"sleep":    sim.sleep,
+		"drain":    sim.drain,
+		"":         sim.check,
 	}
 }
 
-// trialFailure is what a node or the system as a whole did wrong.
-type trialFailure string
+// simFailure is what a node or the system as a whole did wrong.
+type simFailure string
 
 // inBubble runs one case with its own clock; a panic of rapid has to end up in
 // rapid's goroutine.
@@ -599,7 +599,7 @@
 		defer func() { failure = recover() }()
 		f()
 	})
-	if text, ok := failure.(trialFailure); ok {
+	if text, ok := failure.(simFailure); ok {
 		rt.Fatal(text)
 	}
 	if failure != nil {
--- a/core/jwclaim/store_test.go
+++ b/core/jwclaim/store_test.go
@@ -12,14 +12,14 @@
 
 // fakeStore is a small key-value service whose faults a test sets.
 type fakeStore struct {
-	mu      sync.Mutex
-	items   map[string]jwstore.Item
-	version uint64
-	writes  int
-	bytes   int // written
-	largest int
-	reads   int
-	lists   int // of these, whole logs
+	mu           sync.Mutex
+	items        map[string]jwstore.Item
+	version      uint64
+	writes       int
+	bytes        int // written
+	largestWrite int
+	reads        int
+	lists        int // of these, whole logs
 }
 
 func newFakeStore() *fakeStore {
@@ -34,7 +34,7 @@
 	if s.items[key].Version != version {
 		return 0, false
 	}
-	s.largest = max(s.largest, len(value))
+	s.largestWrite = max(s.largestWrite, len(value))
 	s.version++
 	s.items[key] = jwstore.Item{Key: key, Value: append([]byte(nil), value...), Version: s.version}
 	return s.version, true
@@ -73,35 +73,35 @@
 	return true
 }
 
-// link is one node's way to the store.
-type link struct {
-	s     *fakeStore
-	trip  time.Duration // one way
-	mu    sync.Mutex
-	down  bool
-	lose  int           // next writes take effect, and their replies are lost
-	late  int           // next writes are given up and take effect lateBy afterwards
-	by    time.Duration // for late
-	gates []chan struct{}
+// storeLink is one node's way to the store.
+type storeLink struct {
+	store       *fakeStore
+	oneWayDelay time.Duration // one way
+	mu          sync.Mutex
+	down        bool
+	loseReplies int           // next writes take effect, and their replies are lost
+	deferWrites int           // next writes are given up and take effect lateBy afterwards
+	deferBy     time.Duration // for late
+	gates       []chan struct{}
 }
 
-func (l *link) set(f func(l *link)) {
+func (l *storeLink) set(f func(l *storeLink)) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	f(l)
 }
 
 // freeze holds the node at its next step at the store until the gate closes.
-func (l *link) freeze() chan struct{} {
+func (l *storeLink) freeze() chan struct{} {
 	gate := make(chan struct{})
-	l.set(func(l *link) { l.gates = append(l.gates, gate) })
+	l.set(func(l *storeLink) { l.gates = append(l.gates, gate) })
 	return gate
 }
 
 // step is one way of a call; a frozen node stands here, whatever its ctx says.
-func (l *link) step() {
-	if l.trip > 0 {
-		time.Sleep(l.trip)
+func (l *storeLink) step() {
+	if l.oneWayDelay > 0 {
+		time.Sleep(l.oneWayDelay)
 	}
 	l.mu.Lock()
 	gates := l.gates
@@ -111,65 +111,65 @@
 	}
 }
 
-func (l *link) isDown() bool {
+func (l *storeLink) isDown() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.down
 }
 
-func (l *link) Get(_ context.Context, key string) (jwstore.Item, bool, error) {
+func (l *storeLink) Get(_ context.Context, key string) (jwstore.Item, bool, error) {
 	l.step()
 	if l.isDown() {
 		return jwstore.Item{}, false, jwstore.ErrUnavailable
 	}
-	item, ok := l.s.get(key)
+	item, ok := l.store.get(key)
 	l.step()
 	return item, ok, nil
 }
 
-func (l *link) List(_ context.Context, prefix string) ([]jwstore.Item, error) {
+func (l *storeLink) List(_ context.Context, prefix string) ([]jwstore.Item, error) {
 	l.step()
 	if l.isDown() {
 		return nil, jwstore.ErrUnavailable
 	}
-	items := l.s.list(prefix)
+	items := l.store.list(prefix)
 	l.step()
 	return items, nil
 }
 
-func (l *link) Wait(ctx context.Context, key string, _ uint64, _ time.Duration) (jwstore.Item, bool, error) {
+func (l *storeLink) Wait(ctx context.Context, key string, _ uint64, _ time.Duration) (jwstore.Item, bool, error) {
 	return l.Get(ctx, key)
 }
 
-func (l *link) Swap(_ context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (l *storeLink) Swap(_ context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	l.step()
 	l.mu.Lock()
-	down, lose, late, by := l.down, l.lose > 0, l.late > 0, l.by
-	if !down && lose {
-		l.lose--
-	} else if !down && late {
-		l.late--
+	down, loseReply, deferred, by := l.down, l.loseReplies > 0, l.deferWrites > 0, l.deferBy
+	if !down && loseReply {
+		l.loseReplies--
+	} else if !down && deferred {
+		l.deferWrites--
 	}
 	l.mu.Unlock()
 	if down {
 		return 0, false, jwstore.ErrUnavailable
 	}
-	if !lose && late {
-		time.AfterFunc(by, func() { l.s.swap(key, value, version) })
+	if !loseReply && deferred {
+		time.AfterFunc(by, func() { l.store.swap(key, value, version) })
 		return 0, false, jwstore.ErrUnknown
 	}
-	next, swapped := l.s.swap(key, value, version)
+	next, swapped := l.store.swap(key, value, version)
 	l.step()
-	if lose {
+	if loseReply {
 		return 0, false, jwstore.ErrUnknown
 	}
 	return next, swapped, nil
 }
 
-func (l *link) Delete(_ context.Context, key string, version uint64) (bool, error) {
+func (l *storeLink) Delete(_ context.Context, key string, version uint64) (bool, error) {
 	l.step()
 	if l.isDown() {
 		return false, jwstore.ErrUnavailable
 	}
-	return l.s.remove(key, version), nil
+	return l.store.remove(key, version), nil
 }
--- a/core/jwclaim/ticket.go
+++ b/core/jwclaim/ticket.go
@@ -13,9 +13,9 @@
 )
 
 const (
-	ticketPrefix  = "jt1."
-	ticketMacSize = 16 // bytes
-	ticketMax     = 512
+	ticketPrefix    = "jt1."
+	ticketMacSize   = 16 // bytes
+	maxTicketLength = 512
 )
 
 // ErrTicket says that a ticket was not minted by a node of this system.
@@ -40,14 +40,14 @@
 	if k.closed || !k.running {
 		return "", errors.Errorf("mint ticket: %s does not take new calls", k.Node)
 	}
-	k.tickets.minted++
-	return sealTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: k.tickets.minted}), nil
+	k.ownSerials.minted++
+	return signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: k.ownSerials.minted}), nil
 }
 
 // ParseTicket returns what a ticket names, or ErrTicket when it is forged.
 func (k *Keeper) ParseTicket(key string) (Ticket, error) {
-	k.once.Do(k.prepare)
-	return openTicket(k.ticketSecret, key)
+	k.initOnce.Do(k.initialize)
+	return verifyTicket(k.ticketSecret, key)
 }
 
 func (k *Keeper) beginTicket(ctx context.Context, a Ask) Decision {
@@ -55,50 +55,50 @@
 	if err != nil {
 		return Decision{Verdict: Refused}
 	}
-	mark := k.bodyMark(a)
+	hash := k.bodyHash(a)
 	for {
-		d, wait := k.tryTicket(t, mark, a.Memory)
+		d, wait := k.decideTicket(t, hash, a.Memory)
 		if wait == nil {
 			return d
 		}
 		select {
 		case <-wait:
 		case <-ctx.Done():
-			return k.unknownTicket()
+			return k.unknownTicketDecision()
 		}
 	}
 }
 
-// tryTicket decides on a ticket, or returns what has to end first.
-func (k *Keeper) tryTicket(t Ticket, mark bodyMark, memory time.Duration) (Decision, <-chan struct{}) {
+// decideTicket decides on a ticket, or returns what has to end first.
+func (k *Keeper) decideTicket(t Ticket, hash bodyHash, keyMemory time.Duration) (Decision, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.running {
-		return k.unknown(), nil
+		return k.unknownDecision(), nil
 	}
 	s := k.serialsOf(t.Incarnation)
 	if s == nil {
-		return k.elsewhere(t.Holder), nil
+		return k.elsewhereDecision(t.Holder), nil
 	}
 	if t.Serial > s.minted {
 		return Decision{Verdict: Refused}, nil
 	}
 	ref := callRef{incarnation: t.Incarnation, serial: t.Serial}
 	if c := k.calls[ref]; c != nil {
-		return k.known(c, mark), nil
+		return k.decideByCall(c, hash), nil
 	}
 	if s.isUsed(t.Serial) {
-		return k.unknown(), nil
+		return k.unknownDecision(), nil
 	}
 	if k.closed {
-		return k.closedTicket(s)
+		return k.decideClosedTicket(s)
 	}
 	if !s.runnable {
-		return k.unknown(), nil
+		return k.unknownDecision(), nil
 	}
-	s.set(t.Serial)
-	c := &Call{k: k, ref: ref, body: mark, until: k.now().Add(memory), done: make(chan struct{}), state: held}
-	k.open++
+	s.markUsed(t.Serial)
+	c := &Call{k: k, ref: ref, bodyHash: hash, until: k.now().Add(keyMemory), done: make(chan struct{}), state: stateHeld}
+	k.unsettledCalls++
 	k.calls[ref] = c
 	k.counts.Tickets++
 	return Decision{Verdict: Run, Call: c}, nil
@@ -106,7 +106,7 @@
 
 func (k *Keeper) serialsOf(incarnation string) *serials {
 	if incarnation == k.Incarnation {
-		return &k.tickets
+		return &k.ownSerials
 	}
 	if a := k.adopted[incarnation]; a != nil {
 		return &a.serials
@@ -114,7 +114,7 @@
 	return nil
 }
 
-func sealTicket(secret []byte, t Ticket) string {
+func signTicket(secret []byte, t Ticket) string {
 	b := make([]byte, 0, 3+len(t.Node)+len(t.Region)+len(t.Incarnation)+binary.MaxVarintLen64+ticketMacSize)
 	for _, s := range []string{t.Node, t.Region, t.Incarnation} {
 		b = binary.AppendUvarint(b, uint64(len(s)))
@@ -125,10 +125,10 @@
 	return ticketPrefix + base64.RawURLEncoding.EncodeToString(b)
 }
 
-func openTicket(secret []byte, key string) (Ticket, error) {
+func verifyTicket(secret []byte, key string) (Ticket, error) {
 	text, ok := strings.CutPrefix(key, ticketPrefix)
 	// The decoder skips line ends; a text that was not minted must not pass.
-	if !ok || len(key) > ticketMax || strings.ContainsAny(text, "\r\n") {
+	if !ok || len(key) > maxTicketLength || strings.ContainsAny(text, "\r\n") {
 		return Ticket{}, ErrTicket
 	}
 	b, err := base64.RawURLEncoding.Strict().DecodeString(text)
@@ -178,14 +178,14 @@
 	return word < uint64(len(s.used)) && s.used[word]&(1<<(n%64)) != 0
 }
 
-func (s *serials) set(n uint64) {
+func (s *serials) markUsed(n uint64) {
 	for n/64 >= uint64(len(s.used)) {
 		s.used = append(s.used, 0)
 	}
 	s.used[n/64] |= 1 << (n % 64)
 }
 
-func (s *serials) clear(n uint64) {
+func (s *serials) markUnused(n uint64) {
 	if n/64 < uint64(len(s.used)) {
 		s.used[n/64] &^= 1 << (n % 64)
 	}
--- a/core/jwclaim/view.go
+++ b/core/jwclaim/view.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	// viewAge is how long a view may be used without a read of the store.
-	viewAge = 2 * time.Minute
-	// retention is the least time for which a segment stays, whatever it
+	// maxViewAge is how long a view may be used without a read of the store.
+	maxViewAge = 2 * time.Minute
+	// minRetention is the least time for which a segment stays, whatever it
 	// holds; it has to be well above viewAge.
-	retention = 10 * time.Minute
+	minRetention = 10 * time.Minute
 )
 
 // view is what this node has read of one slot's log. Sealed segments never
 // change, so only the last one has to be read again. It belongs to the
 // goroutine that writes the slot.
 type view struct {
-	prefix   string
-	segments []segment
-	head     document // content of the last segment
-	version  uint64   // of the last segment, 0 when it is not created yet
-	live     map[keyHash]claimed
-	read     time.Time // start of the last read or write that confirmed the view
-	loaded   bool
+	prefix      string
+	segments    []segment
+	tail        document // content of the last segment
+	version     uint64   // of the last segment, 0 when it is not created yet
+	live        map[keyHash]liveClaim
+	confirmedAt time.Time // start of the last read or write that confirmed the view
+	loaded      bool
 }
 
 // segment is one document of the log, oldest first.
@@ -50,9 +50,9 @@
 	if !v.loaded {
 		return v.load(ctx, s, start, skew)
 	}
-	old := age(start, v.read) > viewAge
+	tooOld := elapsed(start, v.confirmedAt) > maxViewAge
 	for {
-		item, ok, err := s.Get(ctx, segmentKey(v.prefix, v.last()))
+		item, ok, err := s.Get(ctx, segmentKey(v.prefix, v.lastNumber()))
 		if err != nil {
 			return errors.Wrapf(err, "read claims: %s", v.prefix)
 		}
@@ -62,47 +62,47 @@
 				return errors.Wrapf(err, "read claims: %s", item.Key)
 			}
 		}
-		joined := ok || v.version == 0
-		if joined && old {
-			joined, err = v.joins(ctx, s, d)
+		continuous := ok || v.version == 0
+		if continuous && tooOld {
+			continuous, err = v.continuesWith(ctx, s, d)
 		}
 		if err != nil {
 			return err
 		}
-		if !joined {
+		if !continuous {
 			return v.load(ctx, s, start, skew)
 		}
-		old = false
+		tooOld = false
 		if item.Version != v.version {
-			v.replaceHead(d, item.Version)
+			v.replaceTail(d, item.Version)
 		}
-		if !v.head.Sealed {
-			v.read = start
+		if !v.tail.Sealed {
+			v.confirmedAt = start
 			return nil
 		}
-		v.addSegment(v.last()+1, document{}, 0)
+		v.addSegment(v.lastNumber()+1, document{}, 0)
 	}
 }
 
-// joins reports whether d, which was just read in the place of the last segment
+// continuesWith reports whether d, which was just read in the place of the last segment
 // or found missing there, is what follows the view. After a long time the
 // number may have been used up and deleted by others, and what stands there, if
 // anything, be a stray; a view that took it up would miss every claim between.
 // Segments are deleted oldest first, so one that is known and still there
 // proves that none after it is gone.
-func (v *view) joins(ctx context.Context, s jwstore.Reader, d document) (bool, error) {
+func (v *view) continuesWith(ctx context.Context, s jwstore.Reader, d document) (bool, error) {
 	if v.version != 0 {
-		return len(d.Rows) > 0 && d.Rows[0].ID == v.head.Rows[0].ID, nil
+		return len(d.Rows) > 0 && d.Rows[0].ID == v.tail.Rows[0].ID, nil
 	}
 	if len(v.segments) < 2 {
 		return false, nil
 	}
-	_, ok, err := s.Get(ctx, segmentKey(v.prefix, v.last()-1))
+	_, ok, err := s.Get(ctx, segmentKey(v.prefix, v.lastNumber()-1))
 	return ok, errors.Wrapf(err, "read claims: %s", v.prefix)
 }
 
-// last is the number of the last segment.
-func (v *view) last() uint64 {
+// lastNumber is the number of the lastNumber segment.
+func (v *view) lastNumber() uint64 {
 	return v.segments[len(v.segments)-1].number
 }
 
@@ -112,7 +112,7 @@
 	if err != nil {
 		return errors.Wrapf(err, "read claims: %s", v.prefix)
 	}
-	fresh := view{prefix: v.prefix, live: map[keyHash]claimed{}}
+	fresh := view{prefix: v.prefix, live: map[keyHash]liveClaim{}}
 	for _, item := range items {
 		n, err := segmentNumber(v.prefix, item.Key)
 		if err != nil {
@@ -120,11 +120,11 @@
 		}
 		// A hole means that a segment is missing whose claims would be
 		// forgotten, and their keys run again.
-		if fresh.holeBefore(n) {
+		if fresh.gapBefore(n) {
 			if !fresh.allExpired(start, skew) {
 				return errors.Wrapf(ErrDocument, "hole before %s", item.Key)
 			}
-			fresh = view{prefix: v.prefix, live: map[keyHash]claimed{}}
+			fresh = view{prefix: v.prefix, live: map[keyHash]liveClaim{}}
 		}
 		d, err := decodeDocument(item.Value)
 		if err != nil {
@@ -135,16 +135,16 @@
 	switch {
 	case len(fresh.segments) == 0:
 		fresh.addSegment(1, document{}, 0)
-	case fresh.head.Sealed:
-		fresh.addSegment(fresh.last()+1, document{}, 0)
+	case fresh.tail.Sealed:
+		fresh.addSegment(fresh.lastNumber()+1, document{}, 0)
 	}
-	fresh.read, fresh.loaded = start, true
+	fresh.confirmedAt, fresh.loaded = start, true
 	*v = fresh
 	return nil
 }
 
-func (v *view) holeBefore(n uint64) bool {
-	return len(v.segments) > 0 && v.last()+1 != n
+func (v *view) gapBefore(n uint64) bool {
+	return len(v.segments) > 0 && v.lastNumber()+1 != n
 }
 
 func (v *view) allExpired(now time.Time, skew time.Duration) bool {
@@ -159,31 +159,31 @@
 // addSegment puts a new last segment behind the others.
 func (v *view) addSegment(n uint64, d document, version uint64) {
 	v.segments = append(v.segments, segment{number: n})
-	v.head = document{}
-	v.replaceHead(d, version)
+	v.tail = document{}
+	v.replaceTail(d, version)
 }
 
-// replaceHead takes a later state of the last segment, which only grows.
-func (v *view) replaceHead(d document, version uint64) {
-	known := len(v.head.Rows)
-	if known > len(d.Rows) {
-		known = 0
+// replaceTail takes a later state of the last segment, which only grows.
+func (v *view) replaceTail(d document, version uint64) {
+	knownRows := len(v.tail.Rows)
+	if knownRows > len(d.Rows) {
+		knownRows = 0
 	}
 	last := &v.segments[len(v.segments)-1]
-	for _, r := range d.Rows[known:] {
+	for _, r := range d.Rows[knownRows:] {
 		v.apply(r, d.Holders)
 		if !r.Release {
 			last.claims = append(last.claims, claimRef{key: r.Key, id: r.ID})
 		}
 	}
-	v.head, v.version = d, version
+	v.tail, v.version = d, version
 	last.version = version
 	last.until = time.Unix(d.Until, 0)
 }
 
 func (v *view) apply(r row, holders []Holder) {
 	if !r.Release {
-		v.live[r.Key] = claimed{id: r.ID, body: r.Body, holder: &holders[r.Holder], until: r.Until}
+		v.live[r.Key] = liveClaim{id: r.ID, body: r.Body, holder: &holders[r.Holder], until: r.Until}
 		return
 	}
 	// A late release frees its own claim only: the key may have been claimed
@@ -193,25 +193,25 @@
 	}
 }
 
-// holds reports whether a claim is live.
-func (v *view) holds(key keyHash, id claimID) bool {
+// hasClaim reports whether a claim is live.
+func (v *view) hasClaim(key keyHash, id claimID) bool {
 	c, ok := v.live[key]
 	return ok && c.id == id
 }
 
 // find returns the live claim of a key; one that every clock within skew of
 // this one takes for expired is left out.
-func (v *view) find(key keyHash, now time.Time, skew time.Duration) (claimed, bool) {
+func (v *view) find(key keyHash, now time.Time, skew time.Duration) (liveClaim, bool) {
 	c, ok := v.live[key]
 	if !ok || now.After(time.Unix(c.until, 0).Add(skew)) {
-		return claimed{}, false
+		return liveClaim{}, false
 	}
 	return c, true
 }
 
-// expired returns the oldest segment if nothing in it matters to any node; the
+// oldestExpired returns the oldest segment if nothing in it matters to any node; the
 // last two are never given up, so that the log never starts again at 1.
-func (v *view) expired(now time.Time, skew time.Duration) (segment, bool) {
+func (v *view) oldestExpired(now time.Time, skew time.Duration) (segment, bool) {
 	if len(v.segments) < 3 || !now.After(v.segments[0].until.Add(2*skew)) {
 		return segment{}, false
 	}
@@ -221,16 +221,16 @@
 // dropOldest forgets the oldest segment.
 func (v *view) dropOldest() {
 	for _, r := range v.segments[0].claims {
-		if v.holds(r.key, r.id) {
+		if v.hasClaim(r.key, r.id) {
 			delete(v.live, r.key)
 		}
 	}
 	v.segments = append([]segment(nil), v.segments[1:]...)
 }
 
-// age is the time between two moments by the clock that shows more: the
+// elapsed is the time between two moments by the clock that shows more: the
 // monotonic one stands still while a machine is suspended, and the other can
 // be set back.
-func age(now, then time.Time) time.Duration {
+func elapsed(now, then time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
