--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -7,27 +7,28 @@
 	"github.com/pkg/errors"
 )
 
-// adoptedProcess is what this node answers for in the place of another process.
+// adoptedProcess is a stopped process whose tickets and answers this node has
+// taken over.
 type adoptedProcess struct {
 	serials
 	holder Holder
 	until  time.Time
 }
 
-// movedProcess says where the keys of a process are now.
+// movedProcess says which process answers for the keys of a stopped process.
 type movedProcess struct {
 	to    Holder
 	until time.Time
 }
 
-// Move says that the keys of a process that stopped are answered by another.
+// Move says that another process answers for the keys of a stopped process.
 type Move struct {
 	Incarnation string
 	To          Holder
 }
 
-// Adopt takes over from a stopping node of the same region; all of its records
-// or none. An error says that nothing was taken over.
+// Adopt takes over the records of a stopping node of the same region, either
+// all of them or none. If it returns an error, nothing was taken over.
 func (k *Keeper) Adopt(records iter.Seq2[Record, error]) (Receipt, error) {
 	var rs []Record
 	for r, err := range records {
@@ -41,8 +42,8 @@
 			rs = append(rs, r)
 			continue
 		}
-		// A stream that broke off would leave used tickets out, and they would
-		// run here a second time.
+		// A truncated stream would leave out used tickets, and they would run
+		// here a second time.
 		if r.Count != uint64(len(rs)) {
 			break
 		}
@@ -58,7 +59,8 @@
 func (k *Keeper) adoptRecords(rs []Record) (Receipt, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// A successor that stops itself may already have handed its own table on.
+	// A successor that is stopping itself may already have handed over its own
+	// records.
 	if k.closed || !k.running {
 		return Receipt{}, notAdoptedError(errors.New("stopping"), k.Node)
 	}
@@ -74,10 +76,11 @@
 	return Receipt{Kept: uint64(len(rs)), Incarnation: k.Incarnation}, nil
 }
 
-// requireNewReads makes all who wait for a slot wait for a read that begins now. A
-// claim that the stopping node released just before its handover may still be
-// in a view of this node; taken for one of those handed over, it would have no
-// record, and its key be answered as unknown. k.mu is held.
+// requireNewReads makes all queued items wait for a read of the store that
+// starts after this call. The view of this node may still show a claim that the
+// stopping node released just before its handover. That claim has no record
+// among those handed over, so its key would be answered as unknown. k.mu is
+// held.
 func (k *Keeper) requireNewReads() {
 	for _, s := range k.slots {
 		for _, it := range s.queue {
@@ -97,8 +100,8 @@
 	}
 }
 
-// adoptSerials joins what is known already: a second handover of the same
-// process must not make a ticket that ran here look unused.
+// adoptSerials merges r into what is already known: a second handover of the
+// same process must not make a ticket that ran here look unused.
 func (k *Keeper) adoptSerials(r Record) {
 	a := k.adopted[r.Holder.Incarnation]
 	if a == nil {
@@ -123,8 +126,9 @@
 		c.ref = callRef{key: *r.Key}
 		c.claim = *r.Claim
 	}
-	// A press of the same own key may be under way here. Its claim will fail and
-	// lead to the one that is taken over, so the answer must be found by that.
+	// A call with the same caller key may be in progress here. Its claim will
+	// fail because of the claim that is taken over now, so the answer must be
+	// found by the id of that claim.
 	if k.calls[c.ref] == nil {
 		k.calls[c.ref] = c
 	} else if r.Key == nil || k.claims[c.claim] != nil {
@@ -141,7 +145,8 @@
 	k.keepAnswer(c)
 }
 
-// Learn takes another node's report that it answers for a process that stopped.
+// Learn records the report of another node that it answers for a stopped
+// process.
 func (k *Keeper) Learn(m Move) {
 	k.initOnce.Do(k.initialize)
 	k.mu.Lock()
@@ -152,8 +157,9 @@
 	k.moved[m.Incarnation] = movedProcess{to: m.To, until: k.now().Add(k.Memory)}
 }
 
-// Moves returns who answers for the processes that this node took over, and,
-// once it has handed its keys on, for itself; to be reported to all others.
+// Moves returns which process answers for those that this node took over and,
+// once its own handover is completed, for this process itself. The caller
+// reports them to all other nodes.
 func (k *Keeper) Moves() []Move {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -169,9 +175,11 @@
 	return ms
 }
 
-// elsewhereDecision names the process that answers for a holder now; k.mu is held.
+// elsewhereDecision refers the caller to the process that now answers for h;
+// k.mu is held.
 func (k *Keeper) elsewhereDecision(h Holder) Decision {
-	// Bounded, for two nodes' reports could name each other.
+	// The loop is bounded because the reports of two nodes could name each
+	// other.
 	for range 8 {
 		m, ok := k.moved[h.Incarnation]
 		if !ok {
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -74,8 +74,7 @@
 	}
 }
 
-// BenchmarkViewMemory tells what a node that tends a slot spends on each key
-// that is remembered.
+// BenchmarkViewMemory reports the memory that a view needs per remembered key.
 func BenchmarkViewMemory(b *testing.B) {
 	const claims = 100_000
 	var before, after runtime.MemStats
@@ -101,24 +100,24 @@
 	}
 }
 
-// claimLoad is a steady stream of fresh own keys.
+// claimLoad is a steady stream of new caller keys.
 type claimLoad struct {
-	rate        int // confirmations a second
+	rate        int // calls per second
 	nodes       int
-	preferred   bool          // sent to the preferred node of the slot
-	oneWayDelay time.Duration // one way to the store
+	preferred   bool          // calls are sent to the preferred node of their slot
+	oneWayDelay time.Duration // to the store, in each direction
 }
 
-// staticPeers are the serving nodes of the only region.
+// staticPeers lists the serving nodes of the only region.
 type staticPeers []string
 
 func (ns staticPeers) Serving(string) []string { return ns }
 
 type loadResult struct {
-	writes, lostSwaps, reads float64 // a second
-	bytes                    float64 // written a second
-	largest                  int     // bytes of a document
-	rejected                 int     // calls that got no claim
+	writes, lostSwaps, reads float64 // per second
+	bytes                    float64 // written per second
+	largest                  int     // size of the largest document in bytes
+	rejected                 int     // calls that were not given the right to run
 	p50, p99                 time.Duration
 }
 
@@ -126,7 +125,7 @@
 	return fmt.Sprintf("%d/s nodes=%d preferred=%v trip=%v", l.rate, l.nodes, l.preferred, l.oneWayDelay)
 }
 
-// run drives the load for some seconds of a bubble's time.
+// run generates the load for some seconds of synctest time.
 func (l claimLoad) run(seconds int) loadResult {
 	s := newFakeStore()
 	var nodes []*testNode
@@ -181,8 +180,8 @@
 }
 
 // The store takes several hundred writes a second from all regions together.
-// Without groups, a morning's peak of confirmations would use it up, and
-// catalogue changes would wait behind them.
+// Without group writes, the claims of a morning's peak of confirmations would
+// use up this rate, and catalogue changes would wait behind them.
 func TestWriteBudget(t *testing.T) {
 	seconds := 2
 	for _, l := range []claimLoad{
--- a/core/jwclaim/call.go
+++ b/core/jwclaim/call.go
@@ -10,66 +10,68 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// The errors of a call; compare with errors.Is.
+// Errors returned by the methods of Call; compare with errors.Is.
 var (
 	// ErrStale says that the claim is too old to start the call: other nodes
-	// may soon forget it.
+	// may soon treat it as expired.
 	ErrStale = errors.New("claim too old to dispatch")
 	// ErrSettled says that the call was already released, finished or lost.
 	ErrSettled = errors.New("call already settled")
 )
 
-// Answer is the whole answer to a call, as kept for those who ask again.
+// Answer is the complete answer to a call, kept for later callers with the same
+// key.
 type Answer struct {
 	Status      int               `json:"status"`
 	ContentType string            `json:"contentType,omitempty"`
 	Body        []byte            `json:"body,omitempty"`
 	Outcome     jwrequest.Outcome `json:"outcome"`
-	Region      string            `json:"region,omitempty"` // where it ran
+	Region      string            `json:"region,omitempty"` // region in which the call ran
 }
 
-// callState is how far a call is.
+// callState is the stage that a call has reached.
 type callState string
 
 const (
-	stateClaiming   callState = "claiming"   // its claim is not known to be written
-	stateHeld       callState = "held"       // may be dispatched, nothing has left yet
-	stateDispatched callState = "dispatched" // a byte may have left
+	stateClaiming   callState = "claiming"   // its claim is not yet known to be written
+	stateHeld       callState = "held"       // may be dispatched; nothing has been sent yet
+	stateDispatched callState = "dispatched" // part of the request may have been sent
 	stateFinished   callState = "finished"   // the answer is kept
-	stateReleased   callState = "released"   // certainly not dispatched
-	stateLost       callState = "lost"       // may have run, no answer
+	stateReleased   callState = "released"   // certainly did not run
+	stateLost       callState = "lost"       // may have run; there is no answer
 )
 
-// Call is one call that this node alone may dispatch, shared by all who press
-// the same key here. Its methods may be used by several goroutines.
+// Call is one call that only this node may dispatch. All callers with the same
+// key on this node share it. Its methods may be used by several goroutines.
 type Call struct {
 	k        *Keeper
 	ref      callRef
 	bodyHash bodyHash
-	until    time.Time // end of the key's memory by this node's clock
-	claim    claimID   // own keys only
-	slot     *slot     // own keys only
-	item     *item     // own keys only
+	until    time.Time // expiry of the key by this node's clock
+	claim    claimID   // for caller keys only
+	slot     *slot     // for caller keys only
+	item     *item     // for caller keys only
 	done     chan struct{}
-	state    callState // guarded by k.mu, as is all below
+	state    callState // guarded by k.mu, as are all fields below
 	answer   Answer
 	size     int
-	// element is the call's place among the kept answers.
+	// element is the call's element in Keeper.keptCalls, nil if its answer is
+	// not kept.
 	element *list.Element
 }
 
-// Dispatched marks that a byte of the call may leave from now on. The call
-// must not go out unless it returns nil.
+// Dispatched records that the request may be sent from now on. It must not be
+// sent unless Dispatched returns nil.
 func (c *Call) Dispatched() error {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
 	if c.state != stateHeld {
 		return errors.Wrapf(ErrSettled, "dispatch: %s", c.k.Node)
 	}
-	// A process that was paused after its claim wakes with the right to run in
-	// its hand while the others have forgotten the key and may have run it
-	// again. It would show as a second run long after the first. The claim is
-	// given up before the first of them can forget it.
+	// A process that was paused after its claim still has the right to run when
+	// it resumes, although the claim may have expired on the other nodes and
+	// the key may have run there again. The call is therefore given up from
+	// c.until on, before the claim expires on any other node.
 	if c.slot != nil && !c.k.now().Before(c.until) {
 		c.settleAsLost()
 		return errors.Wrapf(ErrStale, "dispatch: %s", c.k.Node)
@@ -78,8 +80,9 @@
 	return nil
 }
 
-// Finish keeps the answer for all who wait or ask again. An answer whose
-// outcome is notRun releases the call instead, unknown loses it.
+// Finish keeps the answer for all callers that wait or retry. An answer with
+// the outcome notRun releases the call instead, and one with the outcome
+// unknown marks it as lost.
 func (c *Call) Finish(a Answer) {
 	switch a.Outcome {
 	case jwrequest.NotRun:
@@ -99,8 +102,8 @@
 	c.k.keepAnswer(c)
 }
 
-// Release gives the call up: it was certainly not run, and another press of
-// the key may run it, here or at another node once the release is written.
+// Release ends the call as certainly not run. Another call with the key may
+// then run, here or, once the release is written, on another node.
 func (c *Call) Release() {
 	c.releaseWith(Answer{Outcome: jwrequest.NotRun})
 }
@@ -116,7 +119,8 @@
 	c.k.releaseKey(c)
 }
 
-// Lost gives the call up as one that may have run: it is unknown from now on.
+// Lost ends the call as one that may have run. Its key is answered as unknown
+// from now on.
 func (c *Call) Lost() {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
@@ -126,15 +130,15 @@
 	c.settleAsLost()
 }
 
-// settleAsLost makes the call one that may have run; k.mu is held.
+// settleAsLost ends the call as one that may have run; k.mu is held.
 func (c *Call) settleAsLost() {
 	c.settleAs(stateLost)
 	c.k.counts.Unknowns++
 	c.k.forget(c)
 }
 
-// Wait returns the answer of the call once it is settled, whatever node code
-// runs it; the outcome says whether it ran.
+// Wait returns the answer once the call is settled. The outcome of the answer
+// says whether the call ran.
 func (c *Call) Wait(ctx context.Context) (Answer, error) {
 	select {
 	case <-c.done:
@@ -151,7 +155,7 @@
 	return c.state == stateFinished || c.state == stateReleased || c.state == stateLost
 }
 
-// settleAs ends the call and wakes those who wait; k.mu is held.
+// settleAs ends the call in state s and wakes those who wait; k.mu is held.
 func (c *Call) settleAs(s callState) {
 	c.state = s
 	c.k.unsettledCalls--
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Verdict is what to do with a call that has a key.
+// Verdict says what to do with a call that has a key.
 type Verdict string
 
-// The verdicts on a call.
+// The verdicts on a call with a key.
 const (
 	Run       Verdict = "run"       // this node alone may dispatch Decision.Call
 	Join      Verdict = "join"      // the key is in flight here: wait for Decision.Call
 	Replay    Verdict = "replay"    // Decision.Answer is the answer to the first call
-	Elsewhere Verdict = "elsewhere" // ask Decision.Holder; if it is gone, unknown
+	Elsewhere Verdict = "elsewhere" // ask the process Decision.Holder; if it is gone, the outcome is unknown
 	Mismatch  Verdict = "mismatch"  // the key came with another body before
-	Unknown   Verdict = "unknown"   // the key may have run and never runs again
+	Unknown   Verdict = "unknown"   // the call of the key may have run and is not run again
 	NotRun    Verdict = "notRun"    // neither this call nor an earlier one of the key ran
 	Unread    Verdict = "unread"    // this call was not run; an earlier one of the key may have
-	Refused   Verdict = "refused"   // a ticket that no node minted
+	Refused   Verdict = "refused"   // the key looks like a ticket, but no node minted it
 )
 
-// Ask is one call with a key.
+// Ask describes one call with a key.
 type Ask struct {
 	Workspace string
 	Region    string // home region of the workspace, where its keys are claimed
@@ -30,7 +30,7 @@
 	Memory    time.Duration // how long the key is remembered, 0 for Keeper.Memory
 }
 
-// Decision is the answer to an Ask.
+// Decision is the result of Begin for an Ask.
 type Decision struct {
 	Verdict    Verdict
 	Call       *Call  // for Run and Join
@@ -39,7 +39,8 @@
 	RetryAfter time.Duration
 }
 
-// decideItem is the verdict of an item, resolved or given up; k.mu is held.
+// decideItem returns the decision for a caller that waited for the item,
+// whether the item is resolved or the caller gave up waiting; k.mu is held.
 func (k *Keeper) decideItem(it *item, hash bodyHash) Decision {
 	switch it.result {
 	case resultWon:
@@ -59,7 +60,8 @@
 	return k.unreadDecision()
 }
 
-// decideByClaim is the verdict on a key that another claim holds; k.mu is held.
+// decideByClaim returns the decision on a key that another claim holds; k.mu is
+// held.
 func (k *Keeper) decideByClaim(other liveClaim, hash bodyHash) Decision {
 	if other.body != hash {
 		return Decision{Verdict: Mismatch}
@@ -73,7 +75,8 @@
 	return k.elsewhereDecision(*other.holder)
 }
 
-// decideByCall is the verdict on a call that is in memory; k.mu is held.
+// decideByCall returns the decision on a key whose call is in memory; k.mu is
+// held.
 func (k *Keeper) decideByCall(c *Call, hash bodyHash) Decision {
 	if c.bodyHash != hash {
 		return Decision{Verdict: Mismatch}
--- a/core/jwclaim/doc.go
+++ b/core/jwclaim/doc.go
@@ -1,13 +1,18 @@
 // Package jwclaim makes a call with an idempotency key run at most once.
 //
-// A caller brings its own key, or a ticket that a node minted. An own key is
-// claimed in the platform's key-value service before the call goes out: the
-// claim is appended to a log that all nodes share, by compare-and-swap, and
-// only a claim that is known to be written lets the call run. A ticket is run
-// by the process that minted it alone, whose memory is the record, so tickets
-// need no write. What is no longer remembered is answered unknown and never
-// runs again.
+// A key is either chosen by the caller (a caller key) or minted by a node (a
+// ticket). A caller key is claimed in the platform's key-value service before
+// the call is sent: the claim is appended by compare-and-swap to a log that all
+// nodes share, and the call may run only once its claim is known to be written.
+// A ticket may run only in the process that minted it. That process keeps the
+// record of used tickets in memory, so tickets need no write. A used key whose
+// answer is no longer kept is answered as unknown and is not run again.
 //
-// A Keeper has one lock, held for memory only and never during a call of the
-// store. The view of a slot belongs to the one goroutine that writes the slot.
+// The caller keys of a region are divided by their hash among a fixed number of
+// slots. Each slot has a log of its own, which is stored as a sequence of
+// segments.
+//
+// A Keeper has one lock, which is held for memory access only and never during
+// a call of the store. Only the goroutine that writes a slot uses the view of
+// that slot.
 package jwclaim
--- a/core/jwclaim/document.go
+++ b/core/jwclaim/document.go
@@ -25,36 +25,36 @@
 
 type (
 	keyHash  [keyHashSize]byte  // salted hash of workspace and key
-	bodyHash [bodyHashSize]byte // salted hash of the body
-	claimID  [claimIDSize]byte  // random, names one claim of one node
+	bodyHash [bodyHashSize]byte // salted hash of workspace, key and body
+	claimID  [claimIDSize]byte  // random, identifies one claim by one node
 )
 
-// Holder names the process that holds a key.
+// Holder identifies the process that holds a key.
 type Holder struct {
 	Node        string `json:"node"`
 	Region      string `json:"region"`
 	Incarnation string `json:"incarnation"`
 }
 
-// document is one segment of a slot's log as the store keeps it. A sealed
-// segment never changes again; the next one may then be created.
+// document is one segment of a slot's log as it is stored. A sealed segment
+// never changes again, and only then may the next one be created.
 type document struct {
 	Format  int      `json:"format"`
 	Holders []Holder `json:"holders,omitempty"`
 	Rows    []row    `json:"rows,omitempty"`
-	Until   int64    `json:"until"` // Unix seconds after which no row matters
+	Until   int64    `json:"until"` // Unix seconds after which no row is needed
 	Sealed  bool     `json:"sealed,omitempty"`
 }
 
-// row is a claim, or the release of one when Release is set, with ID and Key
-// alone.
+// row is a claim or, if Release is set, the release of a claim. A release sets
+// only ID and Key.
 type row struct {
 	ID      claimID  `json:"id"`
 	Release bool     `json:"release,omitempty"`
 	Key     keyHash  `json:"key"`
 	Body    bodyHash `json:"body,omitzero"`
 	Holder  int      `json:"holder,omitempty"` // index in Holders
-	Until   int64    `json:"until,omitempty"`  // Unix seconds, end of the key's memory
+	Until   int64    `json:"until,omitempty"`  // Unix seconds until which the key is remembered
 }
 
 // MarshalText writes the hash in base64.
@@ -63,10 +63,10 @@
 // UnmarshalText reads the hash from base64.
 func (h *keyHash) UnmarshalText(b []byte) error { return decodeFixed(h[:], b) }
 
-// MarshalText writes the mark in base64.
+// MarshalText writes the hash in base64.
 func (h bodyHash) MarshalText() ([]byte, error) { return encodeFixed(h[:]), nil }
 
-// UnmarshalText reads the mark from base64.
+// UnmarshalText reads the hash from base64.
 func (h *bodyHash) UnmarshalText(b []byte) error { return decodeFixed(h[:], b) }
 
 // MarshalText writes the id in base64.
@@ -95,8 +95,8 @@
 	return json.Marshal(d)
 }
 
-// decodeDocument refuses what it can't read in full: a claim that is skipped
-// would let its key run a second time.
+// decodeDocument rejects a document that it can't read in full: skipping a
+// claim would let its key run a second time.
 func decodeDocument(b []byte) (document, error) {
 	var d document
 	if err := json.Unmarshal(b, &d); err != nil {
@@ -116,7 +116,8 @@
 	return d, nil
 }
 
-// holderIndex returns the index of h in the document, which it extends if need be.
+// holderIndex returns the index of h in d.Holders, to which it adds h if
+// needed.
 func (d *document) holderIndex(h Holder) int {
 	for i := range d.Holders {
 		if d.Holders[i] == h {
@@ -155,7 +156,7 @@
 	return n, nil
 }
 
-// liveClaim is a live claim as a view holds it.
+// liveClaim is a claim that has not been released, as a view holds it.
 type liveClaim struct {
 	id     claimID
 	body   bodyHash
--- a/core/jwclaim/fuzz_test.go
+++ b/core/jwclaim/fuzz_test.go
@@ -9,8 +9,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// A ticket comes from any caller on the network. Whatever it holds, it must
-// not stop the node, and only the very text that was minted may be taken.
+// Any caller on the network can send a ticket. No ticket may crash the node,
+// and only the exact text that was minted may be accepted.
 func FuzzTicket(f *testing.F) {
 	secret := []byte("salt")
 	good := signTicket(secret, Ticket{Holder: Holder{Node: "a", Region: "irbid-a", Incarnation: "a-1"}, Serial: 7})
@@ -27,7 +27,7 @@
 	})
 }
 
-// The key header comes from any caller. Two callers, or two keys, must never
+// The key header comes from any caller. Two workspaces or two keys must never
 // share a hash because of where one field ends and the next begins.
 func FuzzKey(f *testing.F) {
 	f.Add("hall", "k", "hal", "lk")
@@ -41,8 +41,8 @@
 	})
 }
 
-// A slot document that is read in part would let keys run again: it is read in
-// full, and so that writing it again loses nothing, or refused.
+// Reading a slot document in part would let keys run again. A document must be
+// rejected, or read in full so that encoding it again loses nothing.
 func FuzzDocument(f *testing.F) {
 	d := document{Until: 10, Sealed: true}
 	d.Rows = []row{{ID: claimID{1}, Key: keyHash{2}, Body: bodyHash{3}, Holder: d.holderIndex(Holder{Node: "a"}), Until: 9}, {ID: claimID{1}, Key: keyHash{2}, Release: true}}
@@ -70,8 +70,8 @@
 	})
 }
 
-// Handover records come from another node, perhaps of another version. One
-// that is taken in part would leave a used ticket out, which then runs again.
+// Handover records come from another node, perhaps of another version. A record
+// that is read in part could miss a used ticket, which would then run again.
 func FuzzRecord(f *testing.F) {
 	key, claim := keyHash{1}, claimID{2}
 	for _, r := range []Record{
--- a/core/jwclaim/group.go
+++ b/core/jwclaim/group.go
@@ -7,30 +7,31 @@
 const (
 	claimItem   itemKind = "claim"
 	releaseItem itemKind = "release"
-	lookupItem  itemKind = "look" // reads only
+	lookupItem  itemKind = "look" // finds out whether a claim holds the key, writes nothing
 )
 
-// item is one wish of a slot's queue.
+// item is one request in the queue of a slot.
 type item struct {
 	kind       itemKind
 	id         claimID
 	key        keyHash
-	call       *Call // claims only
+	call       *Call // for claims only
 	keyMemory  time.Duration
 	waiters    int
-	queuedAtOp uint64 // reads and writes of the slot cycleOp before the item came
-	// uncertain says that a write with this row may have taken effect, on top of
-	// the state at.
+	queuedAtOp uint64 // slot.opCount when the item was queued
+	// uncertain says that a write with this row may have taken effect on top of
+	// basePosition.
 	uncertain    bool
 	basePosition position
-	// force writes a release even if its claim is not in the log: another
-	// process, now gone, may still have the claim's write under way.
+	// force writes a release even if its claim is not in the log: the claim's
+	// write by another process, which is gone, may still be in flight.
 	force bool
-	// set once resolved
+	// done is closed when the item is resolved; result and otherClaim are set
+	// by then.
 	done       chan struct{}
 	result     itemResult
 	otherClaim liveClaim
-	runGranted bool // a waiter has got the right to run
+	runGranted bool // a waiter has been given the right to run
 }
 
 type itemResult string
@@ -38,21 +39,22 @@
 const (
 	resultWon      itemResult = "won"      // the claim is known to be written
 	resultOccupied itemResult = "occupied" // another claim holds the key
-	resultFree     itemResult = "free"     // nobody held the key at a moment since the item came
+	resultFree     itemResult = "free"     // no claim held the key at some moment since the item was queued
 	resultUnread   itemResult = "unread"   // the claims could not be read
 )
 
-// plan is one write: the items it settles and the rows they add.
+// plan is one write: the items it resolves and the rows it adds for them.
 type plan struct {
-	read     bool // the store has to be read before anything can be decided
+	read     bool // the store must be read before all items can be decided
 	items    []*item
 	rows     []row
-	releases map[claimID]bool // claims that these rows release
+	releases map[claimID]bool // the claims that these rows release
 }
 
-// plan resolves the items that need no write and gathers those that do. Only
-// items that came before the cycle, when cycleOp operations had cycleOp, may ask for
-// a read: presses of one claimed key could otherwise keep all others waiting.
+// plan resolves the items that need no write and collects those that do. Only
+// items queued before the cycle, at operation cycleOp or earlier, may request a
+// read of the store. Otherwise a stream of retries with one claimed key could
+// keep all other items waiting.
 func (s *slot) plan(cycleOp uint64) plan {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
@@ -79,7 +81,8 @@
 		case actionResolved:
 		}
 	}
-	// A claim that is given back in this loop has added its release at the end.
+	// A claim that was released in this loop has appended its release to
+	// s.queue.
 	s.queue = append(kept, s.queue[len(queue):]...)
 	return p
 }
@@ -92,12 +95,12 @@
 	actionWrite    planAction = "write"
 )
 
-// planItem decides one item by the view and the releases written before it in the
-// same group, and resolves it where it can; k.mu is held.
+// planItem decides on one item from the view and from the releases planned
+// before it in the same group, and resolves it where it can; k.mu is held.
 func (s *slot) planItem(it *item, now time.Time, releases map[claimID]bool) planAction {
 	live := s.view.hasClaim(it.key, it.id)
 	if it.uncertain && !live && it.basePosition != s.position() {
-		it.uncertain = false // the state it was to extend is gone, so it can't land
+		it.uncertain = false // the log is past basePosition, so the write can't succeed any more
 	}
 	switch it.kind {
 	case releaseItem:
@@ -120,16 +123,16 @@
 		s.completeClaim(it, time.Unix(other.until, 0))
 		return actionResolved
 	case found && s.lastReadOp <= it.queuedAtOp:
-		return actionRead // it may have been released since
+		return actionRead // the claim may have been released since the last read
 	case found:
 		s.resolveFromView(it, now, releases)
 		return actionResolved
 	case it.waiters > 0:
 		return actionWrite
 	case it.uncertain:
-		// Nobody waits any more, yet the claim may still appear and hold the key
-		// for good. Its release, written over the same state, either frees it or
-		// keeps it from landing.
+		// No caller waits any more, but the write of the claim may still take
+		// effect and block the key. A release written at the same position
+		// either removes the claim or makes its write fail.
 		s.convertToRelease(it)
 		return actionWrite
 	}
@@ -147,14 +150,15 @@
 	s.resolve(it, resultOccupied)
 }
 
-// completeClaim hands the right to run to a waiter. A claim without one is given back,
-// and so is one that comes through after the keeper was closed; k.mu is held.
+// completeClaim gives the right to run to a waiter. If no caller waits, the
+// keeper is closed or the claim expires too early, it releases the claim
+// instead; k.mu is held.
 func (s *slot) completeClaim(it *item, until time.Time) {
 	c := it.call
 	c.until = until
-	// A write that hung for long lands with the memory of its own time. A caller
-	// who came since would have its key forgotten too soon, and a later press
-	// would run it again.
+	// A write that was delayed for long sets the expiry by the time at which it
+	// was planned. For a caller that came later that is too early, and a later
+	// retry would run its key again.
 	expiresEarly := until.Before(s.k.now().Add(it.keyMemory))
 	if it.waiters > 0 && !s.k.closed && !expiresEarly {
 		c.state = stateHeld
@@ -192,18 +196,19 @@
 	}
 }
 
-// row is what the item adds to the log; k.mu is held.
+// row returns the row that the item adds to the log; k.mu is held.
 func (it *item) row(now time.Time) row {
 	if it.kind == releaseItem {
 		return row{ID: it.id, Key: it.key, Release: true}
 	}
-	// Rounded up, and with room for the write: a key is never remembered for less
-	// than was asked by the last caller who waits for this claim.
+	// ClaimTimeout allows for the duration of the write and the second for
+	// rounding: the key is remembered at least as long as the last caller that
+	// waits for this claim asked for.
 	until := now.Add(it.keyMemory + it.call.k.ClaimTimeout + time.Second).Unix()
 	return row{ID: it.id, Key: it.key, Body: it.call.bodyHash, Until: until}
 }
 
-// resolvePlan resolves the items of a plan that is written; k.mu is held.
+// resolvePlan resolves the items of a written plan; k.mu is held.
 func (s *slot) resolvePlan(p plan) {
 	done := make(map[*item]bool, len(p.items))
 	for i, it := range p.items {
--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of a handover; compare with errors.Is.
+// Errors of a handover; compare with errors.Is.
 var (
 	// ErrNotAdopted says that the successor certainly took nothing over.
 	ErrNotAdopted = errors.New("handover not adopted")
@@ -18,9 +18,10 @@
 	ErrRecord = errors.New("unreadable handover record")
 )
 
-// Receipt is a successor's statement that it answers for what it was handed.
+// Receipt is a successor's confirmation that it answers for the records it was
+// sent.
 type Receipt struct {
-	Kept        uint64 // records taken over, the end record left out
+	Kept        uint64 // records taken over, without the end record
 	Incarnation string // of the successor
 }
 
@@ -32,25 +33,25 @@
 	Handover(ctx context.Context, records iter.Seq[Record]) (Receipt, error)
 }
 
-// handoverState is how far this node's own handover is.
+// handoverState is the progress of this node's own handover.
 type handoverState struct {
-	pending   chan struct{} // open while a successor may be taking over
+	pending   chan struct{} // not nil during an attempt, closed at its end
 	uncertain bool          // a successor may have taken over without a receipt
 	successor Holder
 	completed bool
 }
 
-// Close ends the running of new calls: from now on Begin gives Run to none.
-// Those in flight go on, and what is known is still answered.
+// Close stops new calls: from now on Begin lets no call run. Calls in flight
+// continue, and keys that are known are still answered.
 func (k *Keeper) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closed = true
 }
 
-// Cut ends all calls in flight, for a stop that may wait no longer: those that
-// may have run become unknown, the others are released. It returns how many
-// became unknown.
+// Cut ends all calls that may run or are running, for a stop that can wait no
+// longer: those that may have run become unknown, the others are released. It
+// returns how many became unknown.
 func (k *Keeper) Cut() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -70,7 +71,7 @@
 }
 
 // Flush returns once no call is in flight and no claim or release waits to be
-// written, or with an error when ctx ends before.
+// written, or with an error if ctx ends first.
 func (k *Keeper) Flush(ctx context.Context) error {
 	for {
 		wait := k.nextUnsettled()
@@ -85,7 +86,8 @@
 	}
 }
 
-// nextUnsettled returns what to wait for next, nil when all is settled.
+// nextUnsettled returns a channel that is closed when the next unsettled call
+// or queued item ends, or nil if there is none.
 func (k *Keeper) nextUnsettled() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -102,12 +104,13 @@
 	return nil
 }
 
-// Handover gives tickets, answers and unwritten releases to a successor. It
-// may be called again with another successor after an error. The order keeps
-// a key from running twice: the keeper is closed and nothing is in flight
-// before the first record leaves; until the successor's receipt is in, unused
-// tickets wait here; and once a successor may have taken over without a receipt,
-// no other one gets the right to run unused tickets, and here they are unknown.
+// Handover hands tickets, answers and unwritten releases over to a successor.
+// After an error it may be called again with another successor. Three rules
+// keep a key from running twice. No record is sent before the keeper is closed
+// and no call may run. Until the receipt of the successor arrives, unused
+// tickets wait here. Once a successor may have taken over without a receipt, no
+// other successor gets the right to run unused tickets, and here they are
+// answered as unknown.
 func (k *Keeper) Handover(ctx context.Context, s Successor) error {
 	records, err := k.beginHandover(s)
 	if err != nil {
@@ -135,9 +138,9 @@
 	return k.records(), nil
 }
 
-// hasRunnableCalls reports whether a call is running here or may still start; k.mu is
-// held. A claim in doubt does not count: once the keeper is closed it is never
-// run, and the successor is given its release.
+// hasRunnableCalls reports whether a call is running here or may still start;
+// k.mu is held. An uncertain claim does not count: a closed keeper never runs
+// it, and the successor is given its release.
 func (k *Keeper) hasRunnableCalls() bool {
 	for _, c := range k.calls {
 		if c.state == stateHeld || c.state == stateDispatched {
@@ -164,8 +167,8 @@
 	}
 }
 
-// decideClosedTicket is the verdict on an unused ticket once the keeper is closed;
-// k.mu is held.
+// decideClosedTicket decides on an unused ticket once the keeper is closed, or
+// returns a channel to wait on before the next attempt; k.mu is held.
 func (k *Keeper) decideClosedTicket(s *serials) (Decision, <-chan struct{}) {
 	switch {
 	case k.handover.pending != nil:
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -12,7 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// faultySuccessor hands records to a node, with a fault on the way there or back.
+// faultySuccessor sends records to a node, with a fault on the way there or
+// back.
 type faultySuccessor struct {
 	to            *testNode
 	changeRecords func(records []Record) []Record
@@ -47,7 +48,8 @@
 	return ticket
 }
 
-// handoverFixture is a stopping node with a used ticket, an unused one and an own key.
+// handoverFixture has a stopping node with a used ticket, an unused ticket and
+// a finished caller key, and two nodes that can succeed it.
 type handoverFixture struct {
 	store          *fakeStore
 	stopping, b, c *testNode
@@ -73,9 +75,9 @@
 	f.c.crash()
 }
 
-// Nodes are replaced hundreds of times a day. Without the handover each of
-// them would leave its callers with unknown deposits; with one that gives the
-// right to run to two nodes, a deposit would be charged twice.
+// Nodes are replaced hundreds of times a day. Without a handover, every
+// replacement would leave callers with the outcome unknown. A handover that
+// gives the right to run to two nodes would let one key run twice.
 func TestHandover(t *testing.T) {
 	drop := func(kind RecordKind) func([]Record) []Record {
 		return func(rs []Record) []Record {
@@ -83,10 +85,10 @@
 		}
 	}
 	for name, tc := range map[string]struct {
-		first      *faultySuccessor // tried before the one that takes over
+		first      *faultySuccessor // tried before the successor that takes over
 		used       Verdict
 		unused     Verdict
-		atStopping Verdict // of the unused ticket at the stopping node
+		atStopping Verdict // verdict on the unused ticket at the stopping node
 	}{
 		"clean":                   {used: Replay, unused: Run, atStopping: Elsewhere},
 		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
@@ -118,9 +120,9 @@
 	}
 }
 
-// While the successor's word is on its way, it may already run a ticket. A
-// caller who presses at the stopping node in that moment must not be told that
-// the ticket was not run: it would send the order again under another key.
+// While the receipt is on its way, the successor may already run a ticket. A
+// caller that retries at the stopping node at that moment must not be answered
+// that the ticket was not run: it would send the order again with another key.
 func TestRetryDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newHandoverFixture(t)
@@ -132,8 +134,8 @@
 	})
 }
 
-// A call that still runs when the records leave would be unknown to the
-// successor, which could run its ticket a second time.
+// A call that still runs when the records are sent is unknown to the successor,
+// which could run its ticket a second time.
 func TestHandoverWaitsForCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -154,8 +156,8 @@
 	})
 }
 
-// A successor may be handed the same process twice, when its first word was
-// lost. The second list is older than what it has run itself since.
+// A process may be handed over twice to the same successor if the first receipt
+// was lost. The second list must not undo what the successor has run since.
 func TestAdoptTwiceKeepsWhatRan(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newHandoverFixture(t)
@@ -170,8 +172,8 @@
 	})
 }
 
-// The stop may begin while a claim is on its way to the store. Its caller has
-// not been let out yet; were it, the call would run behind the handover.
+// The keeper is closed while a claim is on its way to the store. The call must
+// not run, since it would run after the handover.
 func TestClaimWrittenAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -193,8 +195,8 @@
 	})
 }
 
-// The connection breaks in the middle of a handover. What came is not the
-// whole table: a used ticket that is missing from it would run again.
+// The connection breaks in the middle of a handover. Nothing may be taken over:
+// a used ticket that is missing from the records would run again.
 func TestBrokenHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newHandoverFixture(t)
@@ -209,9 +211,10 @@
 	})
 }
 
-// A caller presses again at the very node that is taking over, while its claim
-// is still on the way to the store. The answer that arrives meanwhile must not
-// be dropped for the pending claim, or the caller is told unknown for good.
+// A caller retries at the successor during the handover, while its claim is on
+// the way to the store. The answer that is handed over must not be dropped
+// because of the pending claim, or the caller is answered as unknown from then
+// on.
 func TestRetryAtSuccessorDuringHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newHandoverFixture(t)
@@ -230,9 +233,9 @@
 	})
 }
 
-// The stopping node releases a claim and hands over within moments. A caller
-// waits at the successor, whose view still shows the claim. It must not be told
-// unknown of a call that never ran.
+// The stopping node releases a claim and hands over shortly afterwards. A
+// caller waits at the successor, whose view still shows the claim. It must not
+// be answered as unknown, because the call never ran.
 func TestReleaseJustBeforeHandover(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -242,7 +245,7 @@
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
 		time.Sleep(time.Second)
-		// The view that b reads here holds the claim, and b's next group comes
+		// The view that b reads here holds the claim. The next group of b comes
 		// after the handover.
 		mustRun(t, b, newAsk("other", "x"))
 		verdict := make(chan Verdict, 1)
@@ -250,7 +253,7 @@
 		synctest.Wait()
 		b.mu.Lock()
 		sl := b.slots[slotPrefix("irbid-a", 0)]
-		sl.opCount++ // as by a write that began since
+		sl.opCount++ // like a write that started since
 		sl.lastReadOp = sl.opCount
 		b.mu.Unlock()
 		c.Release()
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -15,14 +15,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// claimInput is an operation on one key: a press, or the release of a call.
+// claimInput is an operation on one key: a call of Begin, or the release of a
+// call.
 type claimInput struct {
 	key     string
 	release bool
 	node    string
 }
 
-// claimModel is a key that at most one node holds at a time.
+// claimModel models a key that at most one node holds at a time.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -46,7 +47,8 @@
 		case Run:
 			return holder == "", in.node
 		case NotRun:
-			// Given back here, though others may still read the claim.
+			// The claim may be released here although other nodes still read
+			// it.
 			return holder == "" || holder == in.node, holder
 		case Unread:
 			// No caller of this test gives up waiting, so its claim was never sent.
@@ -63,7 +65,7 @@
 	},
 }
 
-// historyRecorder writes down what several callers at several nodes saw.
+// historyRecorder records what several callers at several nodes observed.
 type historyRecorder struct {
 	mu    sync.Mutex
 	clock atomic.Int64
@@ -76,7 +78,8 @@
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: from, Return: h.clock.Add(1)})
 }
 
-// runCaller presses keys at one node and gives back what it may run.
+// runCaller calls Begin with random keys at one node and releases the calls
+// that it may run.
 func (h *historyRecorder) runCaller(client int, n *testNode, r *rand.Rand) {
 	for range 30 {
 		in := claimInput{key: fmt.Sprint("k", r.Intn(3)), node: n.Node}
@@ -111,17 +114,17 @@
 	return false
 }
 
-// Two callers press the same key at two nodes at the same time, while writes
-// are late and replies get lost. Whatever they are told has to fit one order in
-// which at most one of them holds the key; where it doesn't, both may be charged.
+// Callers use the same keys at several nodes at the same time, while writes are
+// late and replies are lost. Their answers must fit an order in which at most
+// one of them holds a key at a time; otherwise two calls of one key could run.
 func TestClaimHistoriesLinearizable(t *testing.T) {
 	for seed := range int64(30) {
 		synctest.Test(t, func(t *testing.T) {
 			s, h := newFakeStore(), &historyRecorder{}
 			var callers sync.WaitGroup
 			var nodes []*testNode
-			// One caller a node: two at one node share a claim, and the one that
-			// came second may get to run it.
+			// One caller per node: two callers at one node would share a claim,
+			// and the one that came second may get to run it.
 			for i := range 6 {
 				n := startNode(s, fmt.Sprint("n", i), func(n *testNode) {
 					n.SlotsPerRegion, n.MaxSegmentRows = 1, 8
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -29,34 +29,35 @@
 	DefaultSweepInterval  = 5 * time.Minute
 	DefaultRetryAfter     = time.Second
 
-	maxKeyLength = 255 // bytes of an own key
-	callOverhead = 400 // bytes counted for a kept call besides its answer
+	maxKeyLength = 255 // maximum size of a caller key in bytes
+	callOverhead = 400 // bytes counted for a kept call in addition to its answer
 )
 
-// The errors of Begin; compare with errors.Is.
+// Errors returned by Begin; compare with errors.Is.
 var (
 	ErrKey    = errors.New("key empty or too long")
 	ErrRegion = errors.New("no home region")
 )
 
-// Counts are running totals of a keeper since its start.
+// Counts holds totals since the start of a keeper, and the current values
+// AnswerBytes and Calls.
 type Counts struct {
-	Claims            uint64 // own keys claimed for a call
+	Claims            uint64 // caller keys claimed for a call
 	Tickets           uint64 // tickets run
-	Releases          uint64 // calls given back as not run
-	Unknowns          uint64 // verdicts and calls that ended unknown
-	Unreads           uint64 // own keys rejected unread
-	Evicted           uint64 // answers forgotten for want of memory
-	Writes            uint64 // writes of the store
-	LostSwaps         uint64 // of these, lost to another node
-	StoreFailures     uint64 // groups that failed at the store
+	Releases          uint64 // calls released as not run
+	Unknowns          uint64 // verdicts and calls that ended as unknown
+	Unreads           uint64 // caller keys rejected because their claims could not be read
+	Evicted           uint64 // answers dropped to stay within MaxAnswerBytes
+	Writes            uint64 // swaps sent to the store
+	LostSwaps         uint64 // swaps lost to another node
+	StoreFailures     uint64 // failed cycles and failed deletions of stray segments
 	Deleted           uint64 // expired segments deleted
 	UnwrittenReleases uint64 // releases still unwritten when the process stopped
-	AnswerBytes       uint64 // bytes of kept answers now
-	Calls             uint64 // calls in flight now
+	AnswerBytes       uint64 // current size of the kept answers in bytes
+	Calls             uint64 // calls now in flight
 }
 
-// Keeper decides which calls may run, by claims in the store and by the
+// Keeper decides which calls may run, from the claims in the store and the
 // tickets that it minted. Set the fields before Run; all but Store, Node,
 // Region, Incarnation and Salt have defaults.
 type Keeper struct {
@@ -64,35 +65,35 @@
 	Node        string
 	Region      string
 	Incarnation string // new at every start of the process
-	// Salt hides keys and bodies in the store and signs tickets; it is the same
-	// on all nodes and secret.
+	// Salt is the secret with which keys and bodies are hashed before they are
+	// stored, and with which tickets are signed. It is the same on all nodes.
 	Salt  []byte
 	Peers Peers // for Preferred; may be nil
 
-	Memory         time.Duration // of keys whose Ask names none, and of adopted tickets
-	GroupWindow    time.Duration // least time between two groups of a slot
-	ClaimTimeout   time.Duration // longest wait of a call for its claim
-	StoreTimeout   time.Duration // longest wait for one call of the store
-	MaxClockSkew   time.Duration // most by which the clocks of two nodes differ
-	SweepInterval  time.Duration // between two searches for what has expired
-	RetryAfter     time.Duration // advice to rejected callers
-	SlotsPerRegion int           // logs a region; the same on all nodes, fixed for good
-	MaxSegmentRows int           // rows after which a segment is sealed
-	MaxAnswerBytes int           // most bytes of kept answers
+	Memory         time.Duration // how long keys without Ask.Memory and adopted tickets are remembered
+	GroupWindow    time.Duration // minimum time between two cycles of a slot
+	ClaimTimeout   time.Duration // maximum wait of a call for its claim
+	StoreTimeout   time.Duration // maximum duration of a store operation
+	MaxClockSkew   time.Duration // maximum difference between the clocks of two nodes
+	SweepInterval  time.Duration // time between two searches for expired calls and segments
+	RetryAfter     time.Duration // retry delay suggested to rejected callers
+	SlotsPerRegion int           // each has its own log; the same on all nodes, must never change
+	MaxSegmentRows int           // a segment with this many rows is sealed
+	MaxAnswerBytes int           // maximum size of the kept answers
 	Now            func() time.Time
 
-	initOnce       sync.Once // prepare
+	initOnce       sync.Once // guards initialize
 	mu             sync.Mutex
 	running        bool
 	closed         bool
-	ctx            context.Context // of Run, for the goroutines of slots
+	ctx            context.Context // context of Run, used by the goroutines of slots
 	workers        sync.WaitGroup
 	ticketSecret   []byte
 	slots          map[string]*slot
-	calls          map[callRef]*Call // in flight or kept
-	claims         map[claimID]*Call // of calls, those with an own key
-	unsettledCalls int               // calls that are not settled
-	keptCalls      list.List         // of *Call, oldest answer first
+	calls          map[callRef]*Call // calls in flight or with a kept answer
+	claims         map[claimID]*Call // the calls that have a caller key
+	unsettledCalls int
+	keptCalls      list.List // of *Call, oldest answer first
 	ownSerials     serials
 	adopted        map[string]*adoptedProcess // by incarnation
 	moved          map[string]movedProcess    // by incarnation
@@ -100,16 +101,16 @@
 	counts         Counts
 }
 
-// callRef names a call in memory: a ticket by its process and serial, an own
-// key by its hash.
+// callRef identifies a call in memory: a ticket by its process and serial, a
+// caller key by its hash.
 type callRef struct {
 	incarnation string
 	serial      uint64
 	key         keyHash
 }
 
-// Run writes claims in groups and forgets what has expired, until ctx ends.
-// Begin and Mint give nothing out before Run and after it.
+// Run writes claims in groups and drops what has expired, until ctx ends.
+// Before and after that, Begin lets no call run and Mint returns an error.
 func (k *Keeper) Run(ctx context.Context) error {
 	if err := k.start(ctx); err != nil {
 		return err
@@ -142,8 +143,8 @@
 	return nil
 }
 
-// initialize sets what is not set. Callers may ask before Run has begun, and must
-// find the same settings then.
+// initialize sets defaults for unset fields and creates the tables. Begin may
+// be called before Run and must then use the same settings.
 func (k *Keeper) initialize() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -183,7 +184,8 @@
 	return Holder{Node: k.Node, Region: k.Region, Incarnation: k.Incarnation}
 }
 
-// mac is a salted hash of strings, each with its length.
+// mac returns the HMAC of the parts with the salt as its key. The length of
+// each part precedes it, so that different parts never give the same input.
 func (k *Keeper) mac(parts ...string) []byte {
 	h := hmac.New(sha256.New, k.Salt)
 	for _, p := range parts {
@@ -195,8 +197,9 @@
 	return h.Sum(nil)
 }
 
-// Begin decides on one call. It waits for the store only for an own key that
-// is not known here, and no longer than ClaimWait.
+// Begin decides on one call. It waits for the store only if the key is a caller
+// key that is not known here, and no longer than ClaimTimeout. An unused ticket
+// waits for the end of a handover in progress.
 func (k *Keeper) Begin(ctx context.Context, a Ask) (Decision, error) {
 	k.initOnce.Do(k.initialize)
 	if a.Key == "" || (len(a.Key) > maxKeyLength && !IsTicket(a.Key)) {
@@ -219,8 +222,8 @@
 	return h
 }
 
-// bodyHash covers the workspace too, so that a ticket that falls into other
-// hands brings nobody the answer of someone else.
+// bodyHash includes the workspace, so that a caller from another workspace who
+// obtains a ticket can't read the answer to it.
 func (k *Keeper) bodyHash(a Ask) (h bodyHash) {
 	copy(h[:], k.mac("body", a.Workspace, a.Key, string(a.Body[:])))
 	return h
@@ -245,8 +248,9 @@
 	return k.decideItem(it, hash)
 }
 
-// queueCallerKey decides on an own key at once if it is known here, and otherwise
-// queues its claim and returns the item to wait for.
+// queueCallerKey decides at once on a caller key that is known here. Otherwise
+// it queues its claim, or a lookup if the keeper is closed, and returns the
+// item to wait for.
 func (k *Keeper) queueCallerKey(ref callRef, hash bodyHash, a Ask) (*item, Decision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -14,7 +14,7 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// testNode is one keeper with its way to the store, running in a test.
+// testNode is a running keeper with its connection to the store.
 type testNode struct {
 	*Keeper
 	link   *storeLink
@@ -41,7 +41,7 @@
 	return n
 }
 
-// crash stops the node as a crash would: nothing is flushed.
+// crash stops the node without writing or handing over anything.
 func (n *testNode) crash() {
 	n.cancel()
 	n.done.Wait()
@@ -124,8 +124,8 @@
 	})
 }
 
-// Someone makes up a ticket, or alters the serial of one, to have a call run
-// under a key that was never handed out. Nothing may run for it.
+// A caller makes up a ticket or changes the serial of one, to run a call under
+// a key that was never minted. No such call may run.
 func TestForgedTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startNode(newFakeStore(), "a", nil)
@@ -149,7 +149,8 @@
 	})
 }
 
-// A caller's mistake is told as such, before anything is written.
+// An invalid Ask is rejected with the matching error before anything is
+// written.
 func TestAskErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startNode(newFakeStore(), "a", nil)
@@ -168,8 +169,9 @@
 	})
 }
 
-// If most keys changed their node whenever one came or went, every change of
-// the fleet would set many nodes writing the same slots.
+// Removing a node moves only the slots for which it was preferred. If most
+// slots moved with every change of the nodes, many nodes would write the same
+// slots for a while.
 func TestPreferredIsStableWhenNodesLeave(t *testing.T) {
 	nodes := []string{"a", "b", "c", "d", "e"}
 	moved := 0
@@ -185,8 +187,8 @@
 	assert.Equal(t, preferred("x", nil), "")
 }
 
-// The listener may be up a moment before the keeper. A caller of that moment
-// must be told nothing that is not known, and nothing may run.
+// The listener may be up shortly before the keeper runs. Calls of that time
+// must not run, and must not be answered as not run.
 func TestBeforeRun(t *testing.T) {
 	k := &Keeper{Store: &storeLink{store: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
 	d, err := k.Begin(t.Context(), newAsk("k", "deposit"))
--- a/core/jwclaim/memory.go
+++ b/core/jwclaim/memory.go
@@ -1,7 +1,8 @@
 package jwclaim
 
-// keepAnswer holds a finished call for those who ask again, and evicts the oldest
-// answers past AnswerBytes; k.mu is held.
+// keepAnswer keeps a finished call for later callers with the same key, and
+// evicts the oldest answers while their size exceeds MaxAnswerBytes; k.mu is
+// held.
 func (k *Keeper) keepAnswer(c *Call) {
 	c.size = callOverhead + len(c.answer.Body) + len(c.answer.ContentType)
 	k.counts.AnswerBytes += uint64(c.size)
@@ -12,8 +13,9 @@
 	}
 }
 
-// forget takes a call out of memory. Its ticket stays used and its claim stays
-// in the log, so that the key is unknown from now on; k.mu is held.
+// forget removes a call and its kept answer. Its ticket stays used and its
+// claim stays in the log, so that the key is answered as unknown from now on;
+// k.mu is held.
 func (k *Keeper) forget(c *Call) {
 	if c.element != nil {
 		k.keptCalls.Remove(c.element)
@@ -23,7 +25,7 @@
 	k.removeCall(c)
 }
 
-// removeCall takes a call out of the tables; k.mu is held.
+// removeCall removes a call from the tables; k.mu is held.
 func (k *Keeper) removeCall(c *Call) {
 	if k.calls[c.ref] == c {
 		delete(k.calls, c.ref)
@@ -33,7 +35,7 @@
 	}
 }
 
-// releaseKey frees the key of a call that was certainly not run; k.mu is held.
+// releaseKey frees the key of a call that certainly did not run; k.mu is held.
 func (k *Keeper) releaseKey(c *Call) {
 	k.counts.Releases++
 	k.removeCall(c)
@@ -46,8 +48,8 @@
 	}
 }
 
-// expire forgets what is past its memory and has the slots that are this
-// node's to tend look for segments to delete.
+// expire drops calls and moves that have expired, and starts a search for
+// expired segments in the slots that this node is preferred for.
 func (k *Keeper) expire() {
 	var nodes []string
 	if k.Peers != nil {
--- a/core/jwclaim/preferred.go
+++ b/core/jwclaim/preferred.go
@@ -2,14 +2,14 @@
 
 import "github.com/cespare/xxhash/v2"
 
-// Peers returns which nodes of a region serve.
+// Peers lists the nodes of a region that serve calls.
 type Peers interface {
 	Serving(region string) []string
 }
 
-// Preferred names the node of a region to which the calls of a key are best
-// sent, so that its slot has one writer; empty when none is known. Any other
-// node decides as rightly, at the cost of lost swaps.
+// Preferred returns the node of a region to which the calls of a key are best
+// sent, so that its slot has one writer. It returns "" if no node is known.
+// Every other node decides just as correctly, but loses more swaps.
 func (k *Keeper) Preferred(a Ask) string {
 	k.initOnce.Do(k.initialize)
 	if k.Peers == nil {
@@ -18,8 +18,8 @@
 	return preferred(slotPrefix(a.Region, k.slotNumber(k.keyHash(a))), k.Peers.Serving(a.Region))
 }
 
-// preferred is the node with the highest hash for the slot, so that few slots
-// move when nodes come and go.
+// preferred returns the node with the highest hash for the slot (rendezvous
+// hashing), so that few slots move when nodes join or leave.
 func preferred(prefix string, nodes []string) string {
 	var best string
 	var maxHash uint64
--- a/core/jwclaim/record.go
+++ b/core/jwclaim/record.go
@@ -8,26 +8,26 @@
 	"github.com/pkg/errors"
 )
 
-// RecordKind is what a handover record holds.
+// RecordKind says what a handover record holds.
 type RecordKind string
 
 // The kinds of handover records, in the order in which they are sent.
 const (
-	IncarnationRecord RecordKind = "incarnation" // tickets of one process
+	IncarnationRecord RecordKind = "incarnation" // the tickets of one process
 	AnswerRecord      RecordKind = "answer"      // one kept answer
-	ReleaseRecord     RecordKind = "release"     // a claim that was never run and still has to be released
-	EndRecord         RecordKind = "end"         // the last one, with the count of those before
+	ReleaseRecord     RecordKind = "release"     // a claim whose call never ran and that still has to be released
+	EndRecord         RecordKind = "end"         // the last record, with the number of records before it
 )
 
 // Record is one part of what a stopping node hands to its successor.
 type Record struct {
 	Kind        RecordKind `json:"kind"`
-	Holder      Holder     `json:"holder,omitzero"` // the process that minted or claimed
+	Holder      Holder     `json:"holder,omitzero"` // the process that minted the tickets or made the claim
 	Minted      uint64     `json:"minted,omitempty"`
-	Used        []uint64   `json:"used,omitempty"`     // one bit a serial
+	Used        []uint64   `json:"used,omitempty"`     // one bit per serial
 	Runnable    bool       `json:"runnable,omitempty"` // the successor may run unused tickets
-	Serial      uint64     `json:"serial,omitempty"`   // of a ticket's answer
-	Key         *keyHash   `json:"key,omitempty"`      // of an own key's answer or release
+	Serial      uint64     `json:"serial,omitempty"`   // for the answer to a ticket
+	Key         *keyHash   `json:"key,omitempty"`      // for the answer to a caller key, or for a release
 	Claim       *claimID   `json:"claim,omitempty"`
 	Slot        string     `json:"slot,omitempty"`
 	Body        bodyHash   `json:"body,omitzero"`
@@ -36,7 +36,8 @@
 	Count       uint64     `json:"count,omitempty"`
 }
 
-// DecodeRecord reads one record and refuses what it can't read in full.
+// DecodeRecord decodes one record. It rejects a record that it can't read in
+// full with an error that is ErrRecord.
 func DecodeRecord(b []byte) (Record, error) {
 	var r Record
 	if err := json.Unmarshal(b, &r); err != nil {
@@ -63,7 +64,8 @@
 	return nil
 }
 
-// records are all that a successor needs, the end record last; k.mu is held.
+// records returns all that a successor needs, the end record last; k.mu is
+// held.
 func (k *Keeper) records() []Record {
 	rs := []Record{k.incarnationRecord(k.self(), &k.ownSerials)}
 	for _, a := range k.adopted {
--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -10,7 +10,7 @@
 )
 
 const (
-	maxSwapAttempts = 32  // swaps lost to other nodes in one cycle
+	maxSwapAttempts = 32  // attempts per cycle while other nodes win the swap
 	maxRowsPerWrite = 512 // rows added by one write
 	initialBackoff  = 20 * time.Millisecond
 	maxBackoff      = 2 * time.Second
@@ -21,31 +21,33 @@
 	errStaleView = errors.New("view too old after the write")
 )
 
-// slot writes the log of one slot: one goroutine at a time, many claims a
-// write. All fields but view are guarded by the keeper's lock; view belongs to
-// the goroutine while busy is set.
+// slot writes the log of one slot. At most one goroutine works on a slot at a
+// time, and one write carries many claims. All fields but view are guarded by
+// the keeper's lock; view belongs to the goroutine that runs while busy is set.
 type slot struct {
 	k            *Keeper
 	prefix       string
 	view         view
 	queue        []*item
 	busy         bool
-	sweepPending bool      // delete what has expired in the next cycle
-	opCount      uint64    // reads and writes of the store begun so far
-	lastReadOp   uint64    // the last of them that showed the whole log
-	lastCycleEnd time.Time // of the last cycle
-	lastUsed     time.Time // last item
-	failures     int       // cycles in a row that failed
-	retryAt      time.Time // own keys are rejected until then
+	sweepPending bool   // the next cycle deletes expired segments
+	opCount      uint64 // store operations started so far
+	lastReadOp   uint64 // number of the last operation that confirmed the view
+	lastCycleEnd time.Time
+	lastUsed     time.Time // time of the last enqueued item or requested sweep
+	failures     int       // consecutive failed cycles
+	retryAt      time.Time // caller keys are rejected until then
 }
 
-// position is a state of the log, as a write names the one it extends.
+// position identifies a state of the log by its last segment and the version of
+// that segment. A write names the position that it extends.
 type position struct {
 	segment uint64
 	version uint64
 }
 
-// enqueue queues an item and makes sure that someone works on it; k.mu is held.
+// enqueue adds an item to the queue and starts the worker if there is none;
+// k.mu is held.
 func (s *slot) enqueue(it *item) {
 	it.queuedAtOp = s.opCount
 	it.done = make(chan struct{})
@@ -54,7 +56,8 @@
 	s.startWorker()
 }
 
-// startWorker starts the goroutine of the slot if it has none; k.mu is held.
+// startWorker starts the goroutine of the slot unless it already runs or the
+// keeper does not run; k.mu is held.
 func (s *slot) startWorker() {
 	if s.busy || !s.k.running {
 		return
@@ -63,7 +66,8 @@
 	s.k.workers.Go(func() { s.runCycles(s.k.ctx) })
 }
 
-// runCycles runs cycles until nothing is left to do.
+// runCycles runs cycles until the queue is empty and no sweep is pending, or
+// until ctx ends. Items that are still queued then are resolved as unread.
 func (s *slot) runCycles(ctx context.Context) {
 	for s.waitForCycle(ctx) {
 		err := s.cycle(ctx)
@@ -80,8 +84,9 @@
 	s.queue = nil
 }
 
-// waitForCycle spaces the cycles of a slot, so that many claims share a write, and
-// waits longer after failures; it is false once ctx has ended.
+// waitForCycle waits until the next cycle may start. The group window between
+// cycles lets many claims share a write; failures make the wait longer. It
+// returns false once ctx has ended.
 func (s *slot) waitForCycle(ctx context.Context) bool {
 	s.k.mu.Lock()
 	wait := s.k.GroupWindow - s.k.now().Sub(s.lastCycleEnd)
@@ -102,7 +107,7 @@
 	}
 }
 
-// endCycle books the end of a cycle and reports whether there is more to do.
+// endCycle records the end of a cycle and reports whether there is more to do.
 func (s *slot) endCycle(err error) bool {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
@@ -119,9 +124,10 @@
 	return false
 }
 
-// handleFailure turns away what is certainly not written and keeps the rest for the
-// next cycle. A single lost reply turns nobody away: those who came since may
-// well be served by the next write. k.mu is held.
+// handleFailure rejects the items that are certainly not written and keeps the
+// rest for the next cycle. After a single failure of a reachable store it
+// rejects none: the next write may well serve the items that were queued since.
+// k.mu is held.
 func (s *slot) handleFailure(err error) {
 	s.k.counts.StoreFailures++
 	retryAll := s.failures == 0 && !errors.Is(err, jwstore.ErrUnavailable)
@@ -139,8 +145,9 @@
 	s.queue = kept
 }
 
-// failureResult is the result for an item that is given up: free if the log was
-// read since it came and showed no claim of the key; k.mu is held.
+// failureResult returns the result for an item that is given up: resultFree if
+// the log was read after the item was queued and showed no claim of the key,
+// otherwise resultUnread; k.mu is held.
 func (s *slot) failureResult(it *item) itemResult {
 	if s.lastReadOp > it.queuedAtOp && s.view.loaded {
 		if _, ok := s.view.find(it.key, s.k.now(), s.k.MaxClockSkew); !ok {
@@ -150,12 +157,13 @@
 	return resultUnread
 }
 
-// rejecting reports whether own keys are to be rejected at once; k.mu is held.
+// rejecting reports whether caller keys are rejected at once, which they are
+// during the backoff after two or more consecutive failures; k.mu is held.
 func (s *slot) rejecting(now time.Time) bool {
 	return s.failures > 1 && now.Before(s.retryAt)
 }
 
-// cycle reads what it has to and writes the queue in one group.
+// cycle updates the view where needed and writes the queued items as one group.
 func (s *slot) cycle(ctx context.Context) error {
 	if s.stale() {
 		if err := s.confirm(ctx); err != nil {
@@ -194,7 +202,7 @@
 	return !s.view.loaded || s.sweepPending || elapsed(s.k.now(), s.view.confirmedAt) > maxViewAge
 }
 
-// confirm reads what the view lacks.
+// confirm updates the view from the store.
 func (s *slot) confirm(ctx context.Context) error {
 	op := s.startOp()
 	ctx, cancel := context.WithTimeout(ctx, s.k.StoreTimeout)
@@ -208,7 +216,7 @@
 	return nil
 }
 
-// startOp counts a read or write of the store that starts now.
+// startOp counts a store operation that starts now and returns its number.
 func (s *slot) startOp() uint64 {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
@@ -226,9 +234,9 @@
 	return position{segment: s.view.lastNumber(), version: s.view.version}
 }
 
-// write appends the plan to the log. It returns false when another node wrote
-// first; after an error the items are in doubt unless the error says that
-// nothing can have been written.
+// write appends the rows of the plan to the log. It returns false when another
+// node wrote first. After an error the items are uncertain unless the error
+// says that nothing can have been written.
 func (s *slot) write(ctx context.Context, p plan) (bool, error) {
 	at := s.position()
 	d := s.appendRows(p)
@@ -253,7 +261,8 @@
 	return swapped, errors.Wrapf(err, "write claims: %s", s.prefix)
 }
 
-// handleSwapReply books the store's handleSwapReply to a write and reports whether its rows count.
+// handleSwapReply processes the store's reply to a write and reports whether
+// its rows count as written.
 func (s *slot) handleSwapReply(p plan, at position, swapped bool, err error) (bool, error) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
@@ -268,9 +277,10 @@
 		s.k.counts.LostSwaps++
 		return false, nil
 	}
-	// A process that was paused here for long may have created a segment that
-	// the others had used up and deleted, where nobody looks for its claims. It
-	// would show as a second run. A view this old proves nothing.
+	// If this process was paused here for long, the other nodes may have filled
+	// and deleted this segment in the meantime. The write then created it again
+	// where no node looks for its claims, so that their keys could run a second
+	// time. A view this old can't rule that out.
 	if elapsed(s.k.now(), s.view.confirmedAt) > minRetention/2 {
 		s.view.loaded = false
 		s.markUncertain(p, at)
@@ -279,9 +289,10 @@
 	return true, nil
 }
 
-// removeStraySegment deletes a segment that this node created from too old a view: it
-// would leave a hole in the log, and every node would refuse to read it. Where
-// it was in order after all, nothing in it has been relied on.
+// removeStraySegment deletes a segment that this node created from too old a
+// view. The segment would leave a gap in the log, and every node would refuse
+// to read it. If the segment was in order after all, deleting it is safe
+// because none of its claims has been relied on.
 func (s *slot) removeStraySegment(ctx context.Context, at position, version uint64) {
 	if _, err := s.k.Store.Delete(ctx, segmentKey(s.prefix, at.segment), version); err != nil {
 		s.k.mu.Lock()
@@ -290,7 +301,8 @@
 	}
 }
 
-// applyWrite takes a written segment into the view and resolves its items.
+// applyWrite takes a written segment into the view and resolves the items of
+// the plan.
 func (s *slot) applyWrite(p plan, d document, version uint64, start time.Time, op uint64) {
 	s.k.mu.Lock()
 	defer s.k.mu.Unlock()
@@ -303,7 +315,8 @@
 	s.resolvePlan(p)
 }
 
-// appendRows returns the last segment with the rows of the plan.
+// appendRows returns the last segment's document with the rows of the plan
+// appended.
 func (s *slot) appendRows(p plan) document {
 	d := s.view.tail.clone()
 	holder := d.holderIndex(s.k.self())
--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -10,10 +10,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// A write can take effect though its reply is lost, or after it was given up.
-// Its caller waits a moment longer; one that waits no more must not leave the
-// key claimed by a call that never ran, for every later press of it would be
-// told unknown.
+// A write can take effect although its reply is lost or the node gave up on it.
+// A caller that still waits gets the right to run a moment later. If no caller
+// waits any more, the key must not stay claimed by a call that never ran, or
+// every retry would be answered as unknown.
 func TestWriteInDoubt(t *testing.T) {
 	for name, fault := range map[string]func(l *storeLink){
 		"reply lost":          func(l *storeLink) { l.loseReplies = 1 },
@@ -53,9 +53,9 @@
 	}
 }
 
-// With the store down or silent, a caller who waits for a claim would see the
-// page hang. It is told at once that this call was not run, and nobody is told
-// so of the key as such, which may have run before.
+// While the store is down or does not reply, callers must not wait for long.
+// They are answered that this call did not run, which says nothing about
+// earlier calls with the key.
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -84,16 +84,17 @@
 	})
 }
 
-// A process is paused between its view of the log and its write, for longer
-// than the log lives: the segment it creates is one that the others used up
-// and deleted. It takes its claim for written where nobody will look, and the
-// key runs a second time at another node.
+// A process is paused between reading the log and writing to it, for longer
+// than segments are kept. The segment that it creates is one that the other
+// nodes filled and deleted, so that no node looks for its claim there. The
+// claim must not count, or the key runs a second time on another node.
 func TestWriteAfterPauseBeyondRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 1, time.Minute }
 		a, b := startNode(s, "a", smallSlot), startNode(s, "b", smallSlot)
-		// A paused process finds its timer and the reply together when it wakes.
+		// A paused process finds its timer and the reply together when it
+		// resumes.
 		a.ClaimTimeout = 2 * time.Hour
 		defer a.crash()
 		defer b.crash()
@@ -124,8 +125,8 @@
 	})
 }
 
-// Documents of a slot have to stay small and go away, or the store fills up
-// and refuses every claim.
+// Segments must be deleted after their claims have expired, or the store fills
+// up and refuses every claim.
 func TestSegmentsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -142,8 +143,8 @@
 	})
 }
 
-// A document that can't be read may hold the claim of the key that is asked
-// for. Whoever skips it runs the key again.
+// A document that can't be read may hold the claim of the requested key.
+// Skipping it would run the key again.
 func TestUnreadableDocument(t *testing.T) {
 	const later = `{"format":1,"until":4000000000,"sealed":true}`
 	for name, value := range map[string]string{
@@ -166,8 +167,8 @@
 	}
 }
 
-// An answer that no longer fits in memory is forgotten; a press for it must
-// not run the call again.
+// An answer that exceeds MaxAnswerBytes is evicted. A retry must not run the
+// call again.
 func TestEvictedAnswerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -188,9 +189,9 @@
 	})
 }
 
-// A process sleeps with the right to run in its hand until the key is
-// forgotten and runs elsewhere. When it wakes, the deposit would be charged a
-// second time.
+// A process is paused between its claim and the dispatch until the claim has
+// expired and the key has run on another node. When it resumes, it must not run
+// the key a second time.
 func TestDispatchAfterClaimExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -205,8 +206,8 @@
 	})
 }
 
-// A release that is written late must free its own claim only, and not the one
-// that another node has made since: that call may be running.
+// A release that is written late must remove only its own claim, not a later
+// one by another node, whose call may be running.
 func TestLateRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -221,7 +222,8 @@
 		time.Sleep(time.Second)
 		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
 
-		// So must one that a successor writes for a node that is gone.
+		// The same holds for a release that a successor writes for a process
+		// that is gone.
 		successor := startNode(s, "c", shortMemory)
 		defer successor.crash()
 		_, err := successor.Adopt(func(yield func(Record, error) bool) {
@@ -234,8 +236,8 @@
 	})
 }
 
-// Nodes that tend a quiet slot look at it every few minutes. If each look read
-// the whole log, a night's idling would cost more than the day's work.
+// Nodes look at their preferred slots every few minutes. Listing the whole log
+// each time would cost more on idle slots than the claims themselves.
 func TestIdleSlotIsNotListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
@@ -250,9 +252,9 @@
 	})
 }
 
-// A node that has not looked at a slot for hours finds something in the place
-// of the segment it knew last, or before it: the leftover of a node that was
-// paused. If it went on from there, it would miss all claims made since, and
+// A node that has not read a slot for hours finds a stray segment, created by a
+// paused node, under the number of the last segment that it knows or of the one
+// after it. If it continued from there, it would miss all claims made since and
 // run one of their keys again.
 func TestOldViewRejectsStraySegment(t *testing.T) {
 	for name, rows := range map[string]int{
@@ -285,9 +287,9 @@
 	}
 }
 
-// A write hangs for most of a key's memory and then takes effect. A caller who
-// presses just then would have its key forgotten within moments of the call, and
-// the next press would run it again.
+// A write is delayed for most of a key's memory and then takes effect. A caller
+// that comes at that moment must not use this claim: the key would expire soon
+// after the call, and the next retry would run it again.
 func TestDelayedClaimIsNotUsed(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -24,20 +24,20 @@
 	simClockSkew = 20 * time.Second
 )
 
-// oracle knows what really ran, which no node does.
+// oracle records which calls really ran, which no node knows.
 type oracle struct {
 	runs map[string][]runRecord // by key
 }
 
-// runRecord is one real run of a key.
+// runRecord is one dispatched call of a key.
 type runRecord struct {
-	begunAt      time.Time // start of the press that got the right to run
+	begunAt      time.Time // when Begin was called for it
 	dispatchedAt time.Time
 	body         string
 }
 
-// remembered returns the runs of a key that have happened and whose memory is not
-// over, for a press that starts now.
+// remembered returns the runs of a key that have happened and whose key memory
+// has not ended, for a call that begins now.
 func (o *oracle) remembered(key string) []runRecord {
 	var rs []runRecord
 	for _, r := range o.runs[key] {
@@ -48,7 +48,7 @@
 	return rs
 }
 
-// grantedCall is a call that some node got the right to run.
+// grantedCall is a call that a node was given the right to run.
 type grantedCall struct {
 	node       *simNode
 	call       *Call
@@ -68,19 +68,19 @@
 	stopped    bool
 }
 
-// simulation drives several keepers over one faulty store.
+// simulation drives several keepers on one faulty store.
 type simulation struct {
 	t       *rapid.T
 	store   *fakeStore
 	dead    []*simNode
 	keys    []string
-	bodies  map[string]map[string]bool // bodies begunAt so far by key
-	pending sync.WaitGroup             // presses under way
+	bodies  map[string]map[string]bool // bodies sent so far, by key
+	pending sync.WaitGroup             // calls of Begin in progress
 
 	answerBytes int
 	noFaults    bool // no faults, planned stops only
 
-	mu       sync.Mutex // guards what follows, which presses under way use too
+	mu       sync.Mutex // guards the fields below, which calls of Begin in progress use too
 	oracle   oracle
 	nodes    []*simNode
 	calls    []*grantedCall
@@ -88,7 +88,7 @@
 	failure  string
 }
 
-// Serving makes every node of the trial a candidate for every slot.
+// Serving makes every node of the simulation a candidate for every slot.
 func (sim *simulation) Serving(string) []string {
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
@@ -160,8 +160,8 @@
 	})
 }
 
-// beginAtHolder presses a key, at the holder too if it is sent there, and checks what
-// the caller is told.
+// beginAtHolder calls Begin at n, and at the holder if n refers to it, and
+// checks the decision that the caller gets.
 func (sim *simulation) beginAtHolder(ctx context.Context, n *simNode, key, body string, begunAt time.Time, ranBefore []runRecord) {
 	for range 3 {
 		d, err := n.Begin(ctx, newAsk(key, body))
@@ -175,7 +175,7 @@
 		}
 		n = sim.byIncarnation(d.Holder.Incarnation)
 		if n == nil {
-			sim.checkDecision(nil, Decision{Verdict: Unknown, Holder: d.Holder}, key, body, begunAt, ranBefore) // gone
+			sim.checkDecision(nil, Decision{Verdict: Unknown, Holder: d.Holder}, key, body, begunAt, ranBefore) // the holder is gone
 			return
 		}
 	}
@@ -206,7 +206,8 @@
 		}
 		sim.calls = append(sim.calls, &grantedCall{node: n, call: d.Call, key: key, body: body, begunAt: begunAt})
 	case NotRun:
-		// Nothing of this press ran; a run that was over before it makes it a lie.
+		// Nothing of this call ran. The answer is wrong if the key had run
+		// before the call began.
 		for _, r := range sim.oracle.remembered(key) {
 			if slices.Contains(ranBefore, r) {
 				sim.fail("%s: told not run, but it ran at %v", key, r.dispatchedAt)
@@ -283,7 +284,7 @@
 		c.call.Release()
 		return
 	}
-	if o == jwrequest.NotRun { // the target refused it
+	if o == jwrequest.NotRun { // the target rejected it
 		sim.mu.Lock()
 		rs := sim.oracle.runs[c.key]
 		sim.oracle.runs[c.key] = rs[:len(rs)-1]
@@ -302,7 +303,7 @@
 	}
 }
 
-// kill ends a process without warning; what it had on the wire still lands.
+// kill stops a process without notice. Its writes in flight still take effect.
 func (sim *simulation) kill(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	sim.replace(i, n)
@@ -370,8 +371,8 @@
 	synctest.Wait()
 }
 
-// drain is the planned stop up to the handover; the process lives on until a
-// later kill, as the callers still know its address.
+// drain is a planned stop up to the handover. The process runs on until a later
+// kill, because callers still know its address.
 func (sim *simulation) drain(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	if n.closed || n.frozen != nil {
@@ -380,14 +381,14 @@
 	sim.stopNode(t, i, n)
 }
 
-// restart is a planned stop and the start of the next process.
+// restart is a planned stop, followed by the start of the next process.
 func (sim *simulation) restart(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	sim.stopNode(t, i, n)
 	if !n.handedOver {
 		sim.failf("%s: nobody took over", n.Incarnation)
 	}
-	time.Sleep(5 * time.Second) // the stop lingers until presses at the node are answered
+	time.Sleep(5 * time.Second) // a stopping process runs on until it has answered its callers
 	sim.replace(i, n)
 	sim.shareMoves()
 }
@@ -421,7 +422,8 @@
 	}
 }
 
-// shareMoves spreads who answers for whom, as the exchange between nodes does.
+// shareMoves sends the moves of every node to all nodes, as the exchange
+// between nodes does.
 func (sim *simulation) shareMoves() {
 	for _, a := range sim.nodes {
 		for _, b := range sim.nodes {
@@ -432,7 +434,7 @@
 	}
 }
 
-// simSuccessor hands records to a keeper of the trial, with a fault.
+// simSuccessor hands records to a node of the simulation, with a fault.
 type simSuccessor struct {
 	to    *simNode
 	fault string
@@ -472,7 +474,8 @@
 	}
 }
 
-// removeFaults takes all faults away and checks that the system serves again.
+// removeFaults removes all faults and checks that the nodes take new keys
+// again.
 func (sim *simulation) removeFaults() {
 	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
 		n.unfreeze()
@@ -507,10 +510,10 @@
 	sim.pending.Wait()
 }
 
-// Nodes crash, freeze past any pause, lose replies, find the store down and
-// hand over to each other, while callers press the same keys again wherever
-// they like. A caller would notice a fault here as a deposit charged twice, or
-// as one that was charged though it was told that nothing had run.
+// Nodes crash, freeze for long, lose replies, find the store down and hand over
+// to each other, while callers retry the same keys at any node. No key may run
+// twice within its memory, and no caller may be answered that a key did not run
+// if it had run before the call.
 func TestAtMostOnce(t *testing.T) {
 	told := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -528,8 +531,8 @@
 	t.Logf("presses answered: %v", told)
 }
 
-// Processes are replaced hundreds of times a day by planned stops. None of them
-// may leave a caller with an unknown confirmation, wherever it presses again.
+// Processes are replaced hundreds of times a day by planned stops. None of
+// these stops may leave a caller with the outcome unknown, wherever it retries.
 func TestPlannedStopsLeaveNoUnknown(t *testing.T) {
 	told := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
@@ -588,11 +591,11 @@
 	}
 }
 
-// simFailure is what a node or the system as a whole did wrong.
+// simFailure is a wrong result of a node or of all nodes together.
 type simFailure string
 
-// inBubble runs one case with its own clock; a panic of rapid has to end up in
-// rapid's goroutine.
+// inBubble runs one case in a synctest bubble. A panic of rapid must be raised
+// again in rapid's goroutine.
 func inBubble(t *testing.T, rt *rapid.T, f func()) {
 	var failure any
 	synctest.Test(t, func(*testing.T) {
@@ -609,7 +612,7 @@
 
 func TestMain(m *testing.M) {
 	flag.Parse()
-	// Every run draws the same cases, unless others are asked for.
+	// Every run uses the same seed unless another one is set.
 	for name, value := range map[string]string{"rapid.seed": cmp.Or(os.Getenv("JUJUBE_SEED"), "1"), "rapid.checks": "500"} {
 		if f := flag.Lookup(name); f.Value.String() == f.DefValue {
 			_ = flag.Set(name, value)
--- a/core/jwclaim/store_test.go
+++ b/core/jwclaim/store_test.go
@@ -10,16 +10,17 @@
 	"jujubewheel/core/jwstore"
 )
 
-// fakeStore is a small key-value service whose faults a test sets.
+// fakeStore is an in-memory key-value service. Faults are set on the links to
+// it.
 type fakeStore struct {
 	mu           sync.Mutex
 	items        map[string]jwstore.Item
 	version      uint64
 	writes       int
-	bytes        int // written
+	bytes        int // bytes written
 	largestWrite int
 	reads        int
-	lists        int // of these, whole logs
+	lists        int // those reads that list a whole log
 }
 
 func newFakeStore() *fakeStore {
@@ -73,15 +74,15 @@
 	return true
 }
 
-// storeLink is one node's way to the store.
+// storeLink is the connection of one node to the store.
 type storeLink struct {
 	store       *fakeStore
-	oneWayDelay time.Duration // one way
+	oneWayDelay time.Duration // in each direction
 	mu          sync.Mutex
 	down        bool
-	loseReplies int           // next writes take effect, and their replies are lost
-	deferWrites int           // next writes are given up and take effect lateBy afterwards
-	deferBy     time.Duration // for late
+	loseReplies int           // the next writes take effect, but their replies are lost
+	deferWrites int           // the next writes fail as unknown and take effect deferBy later
+	deferBy     time.Duration // for deferWrites
 	gates       []chan struct{}
 }
 
@@ -91,14 +92,15 @@
 	f(l)
 }
 
-// freeze holds the node at its next step at the store until the gate closes.
+// freeze blocks the node at its next step until the returned gate is closed.
 func (l *storeLink) freeze() chan struct{} {
 	gate := make(chan struct{})
 	l.set(func(l *storeLink) { l.gates = append(l.gates, gate) })
 	return gate
 }
 
-// step is one way of a call; a frozen node stands here, whatever its ctx says.
+// step passes one direction of a store operation. A frozen node blocks here,
+// whatever its context says.
 func (l *storeLink) step() {
 	if l.oneWayDelay > 0 {
 		time.Sleep(l.oneWayDelay)
--- a/core/jwclaim/ticket.go
+++ b/core/jwclaim/ticket.go
@@ -21,19 +21,21 @@
 // ErrTicket says that a ticket was not minted by a node of this system.
 var ErrTicket = errors.New("not a ticket of this system")
 
-// Ticket is what a minted key names: the process that alone may run it.
+// Ticket is the content of a minted key: the only process that may run it, and
+// a serial number.
 type Ticket struct {
 	Holder
 	Serial uint64
 }
 
-// IsTicket reports whether a key claims to be a ticket; it may still be forged.
+// IsTicket reports whether a key has the form of a ticket; it may still be
+// forged.
 func IsTicket(key string) bool {
 	return strings.HasPrefix(key, ticketPrefix)
 }
 
-// Mint returns a new ticket that this process alone may run. It fails once the
-// keeper is closed.
+// Mint returns a new ticket that only this process may run. It fails unless the
+// keeper runs and is not closed.
 func (k *Keeper) Mint() (string, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -44,7 +46,7 @@
 	return signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: k.ownSerials.minted}), nil
 }
 
-// ParseTicket returns what a ticket names, or ErrTicket when it is forged.
+// ParseTicket returns the content of a ticket, or ErrTicket if it is forged.
 func (k *Keeper) ParseTicket(key string) (Ticket, error) {
 	k.initOnce.Do(k.initialize)
 	return verifyTicket(k.ticketSecret, key)
@@ -69,7 +71,8 @@
 	}
 }
 
-// decideTicket decides on a ticket, or returns what has to end first.
+// decideTicket decides on a ticket, or returns a channel to wait on before the
+// next attempt.
 func (k *Keeper) decideTicket(t Ticket, hash bodyHash, keyMemory time.Duration) (Decision, <-chan struct{}) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -127,7 +130,8 @@
 
 func verifyTicket(secret []byte, key string) (Ticket, error) {
 	text, ok := strings.CutPrefix(key, ticketPrefix)
-	// The decoder skips line ends; a text that was not minted must not pass.
+	// The base64 decoder skips line ends, and would accept a text that was not
+	// minted.
 	if !ok || len(key) > maxTicketLength || strings.ContainsAny(text, "\r\n") {
 		return Ticket{}, ErrTicket
 	}
@@ -137,7 +141,7 @@
 	}
 	body, mac := b[:len(b)-ticketMacSize], b[len(b)-ticketMacSize:]
 	// Without this check a caller could name another process or a serial that
-	// was never handed out, and have its call run under someone's ticket.
+	// was never minted, and run its call under the ticket of another caller.
 	if !hmac.Equal(mac, ticketMac(secret, body)) {
 		return Ticket{}, ErrTicket
 	}
@@ -164,12 +168,12 @@
 	return h.Sum(nil)[:ticketMacSize]
 }
 
-// serials is what one process remembers of its tickets: one bit each, so that
-// a ticket that was used stays used after its answer is forgotten.
+// serials records the tickets of one process, one bit per ticket, so that a
+// used ticket stays used after its answer is dropped.
 type serials struct {
 	minted uint64
 	used   []uint64
-	// runnable reports whether tickets that were not used yet may run here.
+	// runnable says whether unused tickets may run here.
 	runnable bool
 }
 
--- a/core/jwclaim/view.go
+++ b/core/jwclaim/view.go
@@ -12,25 +12,25 @@
 const (
 	// maxViewAge is how long a view may be used without a read of the store.
 	maxViewAge = 2 * time.Minute
-	// minRetention is the least time for which a segment stays, whatever it
-	// holds; it has to be well above viewAge.
+	// minRetention is the minimum time for which a segment is kept, whatever it
+	// holds. It must be well above maxViewAge.
 	minRetention = 10 * time.Minute
 )
 
 // view is what this node has read of one slot's log. Sealed segments never
-// change, so only the last one has to be read again. It belongs to the
-// goroutine that writes the slot.
+// change, so only the last segment has to be read again. Only the goroutine
+// that writes the slot uses it.
 type view struct {
 	prefix      string
 	segments    []segment
 	tail        document // content of the last segment
-	version     uint64   // of the last segment, 0 when it is not created yet
+	version     uint64   // version of the last segment, 0 if it is not created yet
 	live        map[keyHash]liveClaim
 	confirmedAt time.Time // start of the last read or write that confirmed the view
 	loaded      bool
 }
 
-// segment is one document of the log, oldest first.
+// segment describes one document of the log; a view holds them oldest first.
 type segment struct {
 	number  uint64
 	version uint64
@@ -38,13 +38,14 @@
 	claims  []claimRef
 }
 
-// claimRef finds a claim of a segment among the live ones.
+// claimRef identifies a claim of a segment in view.live.
 type claimRef struct {
 	key keyHash
 	id  claimID
 }
 
-// confirm makes the view as new as the store at some moment of the call.
+// confirm updates the view to a state that the store had at some moment during
+// the call.
 func (v *view) confirm(ctx context.Context, s jwstore.Reader, now func() time.Time, skew time.Duration) error {
 	start := now()
 	if !v.loaded {
@@ -84,12 +85,13 @@
 	}
 }
 
-// continuesWith reports whether d, which was just read in the place of the last segment
-// or found missing there, is what follows the view. After a long time the
-// number may have been used up and deleted by others, and what stands there, if
-// anything, be a stray; a view that took it up would miss every claim between.
-// Segments are deleted oldest first, so one that is known and still there
-// proves that none after it is gone.
+// continuesWith reports whether d continues the view. d was just read under the
+// number of the last segment, or is empty if nothing was stored there. After a
+// long time other nodes may have filled and deleted the segment with that
+// number, and what is stored there now, if anything, may be a stray segment. A
+// view that took it over would miss every claim made in between. Segments are
+// deleted oldest first, so a known segment that still exists proves that none
+// after it has been deleted.
 func (v *view) continuesWith(ctx context.Context, s jwstore.Reader, d document) (bool, error) {
 	if v.version != 0 {
 		return len(d.Rows) > 0 && d.Rows[0].ID == v.tail.Rows[0].ID, nil
@@ -101,7 +103,7 @@
 	return ok, errors.Wrapf(err, "read claims: %s", v.prefix)
 }
 
-// lastNumber is the number of the lastNumber segment.
+// lastNumber returns the number of the last segment.
 func (v *view) lastNumber() uint64 {
 	return v.segments[len(v.segments)-1].number
 }
@@ -118,8 +120,8 @@
 		if err != nil {
 			return err
 		}
-		// A hole means that a segment is missing whose claims would be
-		// forgotten, and their keys run again.
+		// A gap means that a segment is missing. Its claims would be ignored,
+		// and their keys could run again.
 		if fresh.gapBefore(n) {
 			if !fresh.allExpired(start, skew) {
 				return errors.Wrapf(ErrDocument, "hole before %s", item.Key)
@@ -156,14 +158,15 @@
 	return true
 }
 
-// addSegment puts a new last segment behind the others.
+// addSegment appends a new last segment.
 func (v *view) addSegment(n uint64, d document, version uint64) {
 	v.segments = append(v.segments, segment{number: n})
 	v.tail = document{}
 	v.replaceTail(d, version)
 }
 
-// replaceTail takes a later state of the last segment, which only grows.
+// replaceTail replaces the last segment by a later state of it. Rows are only
+// ever appended to a segment.
 func (v *view) replaceTail(d document, version uint64) {
 	knownRows := len(v.tail.Rows)
 	if knownRows > len(d.Rows) {
@@ -186,21 +189,21 @@
 		v.live[r.Key] = liveClaim{id: r.ID, body: r.Body, holder: &holders[r.Holder], until: r.Until}
 		return
 	}
-	// A late release frees its own claim only: the key may have been claimed
+	// A late release removes only its own claim: the key may have been claimed
 	// again since.
 	if c, ok := v.live[r.Key]; ok && c.id == r.ID {
 		delete(v.live, r.Key)
 	}
 }
 
-// hasClaim reports whether a claim is live.
+// hasClaim reports whether the claim id of key is live.
 func (v *view) hasClaim(key keyHash, id claimID) bool {
 	c, ok := v.live[key]
 	return ok && c.id == id
 }
 
-// find returns the live claim of a key; one that every clock within skew of
-// this one takes for expired is left out.
+// find returns the live claim of a key. It leaves out a claim that has expired
+// by every clock within skew of this one.
 func (v *view) find(key keyHash, now time.Time, skew time.Duration) (liveClaim, bool) {
 	c, ok := v.live[key]
 	if !ok || now.After(time.Unix(c.until, 0).Add(skew)) {
@@ -209,8 +212,9 @@
 	return c, true
 }
 
-// oldestExpired returns the oldest segment if nothing in it matters to any node; the
-// last two are never given up, so that the log never starts again at 1.
+// oldestExpired returns the oldest segment if no node needs it any more. The
+// last two segments are always kept, so that the log never starts again at
+// number 1.
 func (v *view) oldestExpired(now time.Time, skew time.Duration) (segment, bool) {
 	if len(v.segments) < 3 || !now.After(v.segments[0].until.Add(2*skew)) {
 		return segment{}, false
@@ -218,7 +222,7 @@
 	return v.segments[0], true
 }
 
-// dropOldest forgets the oldest segment.
+// dropOldest removes the oldest segment and its claims.
 func (v *view) dropOldest() {
 	for _, r := range v.segments[0].claims {
 		if v.hasClaim(r.key, r.id) {
@@ -228,9 +232,9 @@
 	v.segments = append([]segment(nil), v.segments[1:]...)
 }
 
-// elapsed is the time between two moments by the clock that shows more: the
-// monotonic one stands still while a machine is suspended, and the other can
-// be set back.
+// elapsed returns the time between two moments by the clock that shows more:
+// the monotonic clock stands still while a machine is suspended, and the wall
+// clock can be set back.
 func elapsed(now, then time.Time) time.Duration {
 	return max(now.Sub(then), now.Round(0).Sub(then.Round(0)))
 }
