--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -120,7 +120,7 @@
 }
 
 func (k *Keeper) adoptAnswer(r Record) {
-	c := &Call{k: k, bodyHash: r.Body, until: time.UnixMilli(r.UntilMillis), done: make(chan struct{}), answer: *r.Answer}
+	c := &Call{k: k, body: r.Body, until: time.UnixMilli(r.UntilMillis), done: make(chan struct{}), answer: *r.Answer}
 	c.ref = callRef{incarnation: r.Holder.Incarnation, serial: r.Serial}
 	if r.Key != nil {
 		c.ref = callRef{key: *r.Key}
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -128,13 +128,13 @@
 // run generates the load for some seconds of synctest time.
 func (l claimLoad) run(seconds int) loadResult {
 	s := newFakeStore()
-	var nodes []*testNode
+	var testNodes []*testNode
 	var peers staticPeers
 	for i := range l.nodes {
 		peers = append(peers, fmt.Sprint("n", i))
 	}
 	for _, name := range peers {
-		nodes = append(nodes, startNode(s, name, func(n *testNode) { n.Peers = peers; n.link.oneWayDelay = l.oneWayDelay }))
+		testNodes = append(testNodes, startTestNode(s, name, func(n *testNode) { n.Peers = peers; n.link.oneWayDelay = l.oneWayDelay }))
 	}
 	var mu sync.Mutex
 	var latencies []time.Duration
@@ -143,9 +143,9 @@
 	r := rand.New(rand.NewSource(1))
 	for i := range l.rate * seconds {
 		a := newAsk(fmt.Sprint("k", i), "x")
-		n := nodes[r.Intn(len(nodes))]
+		n := testNodes[r.Intn(len(testNodes))]
 		if want := n.Preferred(a); l.preferred {
-			for _, m := range nodes {
+			for _, m := range testNodes {
 				if m.Node == want {
 					n = m
 				}
@@ -166,7 +166,7 @@
 		time.Sleep(time.Duration(r.ExpFloat64() * float64(time.Second) / float64(l.rate)))
 	}
 	calls.Wait()
-	for _, n := range nodes {
+	for _, n := range testNodes {
 		res.lostSwaps += float64(n.Counts().LostSwaps) / float64(seconds)
 		n.crash()
 	}
--- a/core/jwclaim/call.go
+++ b/core/jwclaim/call.go
@@ -44,17 +44,17 @@
 // Call is one call that only this node may dispatch. All callers with the same
 // key on this node share it. Its methods may be used by several goroutines.
 type Call struct {
-	k        *Keeper
-	ref      callRef
-	bodyHash bodyHash
-	until    time.Time // expiry of the key by this node's clock
-	claim    claimID   // for caller keys only
-	slot     *slot     // for caller keys only
-	item     *item     // for caller keys only
-	done     chan struct{}
-	state    callState // guarded by k.mu, as are all fields below
-	answer   Answer
-	size     int
+	k      *Keeper
+	ref    callRef
+	body   bodyHash
+	until  time.Time // expiry of the key by this node's clock
+	claim  claimID   // for caller keys only
+	slot   *slot     // for caller keys only
+	item   *item     // for caller keys only
+	done   chan struct{}
+	state  callState // guarded by k.mu, as are all fields below
+	answer Answer
+	size   int
 	// element is the call's element in Keeper.keptCalls, nil if its answer is
 	// not kept.
 	element *list.Element
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -78,7 +78,7 @@
 // decideByCall returns the decision on a key whose call is in memory; k.mu is
 // held.
 func (k *Keeper) decideByCall(c *Call, hash bodyHash) Decision {
-	if c.bodyHash != hash {
+	if c.body != hash {
 		return Decision{Verdict: Mismatch}
 	}
 	switch c.state {
--- a/core/jwclaim/group.go
+++ b/core/jwclaim/group.go
@@ -205,7 +205,7 @@
 	// rounding: the key is remembered at least as long as the last caller that
 	// waits for this claim asked for.
 	until := now.Add(it.keyMemory + it.call.k.ClaimTimeout + time.Second).Unix()
-	return row{ID: it.id, Key: it.key, Body: it.call.bodyHash, Until: until}
+	return row{ID: it.id, Key: it.key, Body: it.call.body, Until: until}
 }
 
 // resolvePlan resolves the items of a written plan; k.mu is held.
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -58,7 +58,7 @@
 
 func newHandoverFixture(t *testing.T) *handoverFixture {
 	f := &handoverFixture{store: newFakeStore()}
-	f.stopping, f.b, f.c = startNode(f.store, "a", nil), startNode(f.store, "b", nil), startNode(f.store, "c", nil)
+	f.stopping, f.b, f.c = startTestNode(f.store, "a", nil), startTestNode(f.store, "b", nil), startTestNode(f.store, "c", nil)
 	f.used, f.unused = mint(t, f.stopping), mint(t, f.stopping)
 	for _, key := range []string{f.used, "k"} {
 		c := mustRun(t, f.stopping, newAsk(key, "deposit"))
@@ -139,7 +139,7 @@
 func TestHandoverWaitsForCalls(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
@@ -177,7 +177,7 @@
 func TestClaimWrittenAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		mustRun(t, a, newAsk("warm", "up")).Release()
@@ -240,7 +240,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
-		a, b := startNode(s, "a", oneSlot), startNode(s, "b", func(n *testNode) { n.SlotsPerRegion, n.GroupWindow = 1, time.Second })
+		a, b := startTestNode(s, "a", oneSlot), startTestNode(s, "b", func(n *testNode) { n.SlotsPerRegion, n.GroupWindow = 1, time.Second })
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
@@ -252,15 +252,15 @@
 		go func() { verdict <- begin(t, b, newAsk("k", "deposit")).Verdict }()
 		synctest.Wait()
 		b.mu.Lock()
-		sl := b.slots[slotPrefix("irbid-a", 0)]
-		sl.opCount++ // like a write that started since
-		sl.lastReadOp = sl.opCount
+		slotB := b.slots[slotPrefix("irbid-a", 0)]
+		slotB.opCount++ // like a write that started since
+		slotB.lastReadOp = slotB.opCount
 		b.mu.Unlock()
 		c.Release()
 		a.Close()
 		assert.NilError(t, a.Flush(context.Background()))
 		b.mu.Lock()
-		queued := len(sl.queue)
+		queued := len(slotB.queue)
 		b.mu.Unlock()
 		assert.Equal(t, queued, 1)
 		assert.NilError(t, a.Handover(context.Background(), &faultySuccessor{to: b}))
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -126,7 +126,7 @@
 			// One caller per node: two callers at one node would share a claim,
 			// and the one that came second may get to run it.
 			for i := range 6 {
-				n := startNode(s, fmt.Sprint("n", i), func(n *testNode) {
+				n := startTestNode(s, fmt.Sprint("n", i), func(n *testNode) {
 					n.SlotsPerRegion, n.MaxSegmentRows = 1, 8
 					n.GroupWindow = 5 * time.Millisecond
 					n.ClaimTimeout = time.Hour
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -263,7 +263,7 @@
 		k.forget(c)
 		c = nil
 	}
-	if c != nil && (c.state != stateClaiming || c.bodyHash != hash) {
+	if c != nil && (c.state != stateClaiming || c.body != hash) {
 		return nil, k.decideByCall(c, hash)
 	}
 	if c != nil {
@@ -280,7 +280,7 @@
 	if !k.closed {
 		it.kind = claimItem
 		rand.Read(it.id[:])
-		it.call = &Call{k: k, ref: ref, bodyHash: hash, claim: it.id, slot: s, item: it, done: make(chan struct{}), state: stateClaiming}
+		it.call = &Call{k: k, ref: ref, body: hash, claim: it.id, slot: s, item: it, done: make(chan struct{}), state: stateClaiming}
 		k.unsettledCalls++
 		k.calls[ref] = it.call
 		k.claims[it.id] = it.call
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -17,12 +17,12 @@
 // testNode is a running keeper with its connection to the store.
 type testNode struct {
 	*Keeper
-	link   *storeLink
-	cancel context.CancelFunc
-	done   sync.WaitGroup
+	link      *storeLink
+	cancelRun context.CancelFunc
+	done      sync.WaitGroup
 }
 
-func startNode(s *fakeStore, name string, configure func(n *testNode)) *testNode {
+func startTestNode(s *fakeStore, name string, configure func(n *testNode)) *testNode {
 	n := &testNode{link: &storeLink{store: s, oneWayDelay: time.Millisecond}}
 	n.Keeper = &Keeper{
 		Store:       n.link,
@@ -35,7 +35,7 @@
 		configure(n)
 	}
 	ctx, cancel := context.WithCancel(context.Background())
-	n.cancel = cancel
+	n.cancelRun = cancel
 	n.done.Go(func() { _ = n.Run(ctx) })
 	synctest.Wait()
 	return n
@@ -43,7 +43,7 @@
 
 // crash stops the node without writing or handing over anything.
 func (n *testNode) crash() {
-	n.cancel()
+	n.cancelRun()
 	n.done.Wait()
 }
 
@@ -69,10 +69,10 @@
 	return Answer{Status: 200, ContentType: "application/json", Body: []byte(text), Outcome: jwrequest.Served, Region: "irbid-a"}
 }
 
-func TestOwnKeyRunsOnce(t *testing.T) {
+func TestCallerKeyRunsOnce(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
@@ -93,7 +93,7 @@
 func TestReleaseFreesTheKey(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
@@ -108,7 +108,7 @@
 func TestTicketRunsOnlyAtItsNode(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", nil), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		ticket, err := a.Mint()
@@ -128,7 +128,7 @@
 // a key that was never minted. No such call may run.
 func TestForgedTickets(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := startNode(newFakeStore(), "a", nil)
+		a := startTestNode(newFakeStore(), "a", nil)
 		defer a.crash()
 		ticket := mint(t, a)
 		for name, forged := range map[string]string{
@@ -153,7 +153,7 @@
 // written.
 func TestAskErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		a := startNode(newFakeStore(), "a", nil)
+		a := startTestNode(newFakeStore(), "a", nil)
 		defer a.crash()
 		for name, tc := range map[string]struct {
 			ask Ask
--- a/core/jwclaim/record.go
+++ b/core/jwclaim/record.go
@@ -96,7 +96,7 @@
 
 func (k *Keeper) answerRecord(c *Call) Record {
 	answer := c.answer
-	r := Record{Kind: AnswerRecord, Holder: k.self(), Body: c.bodyHash, UntilMillis: c.until.UnixMilli(), Answer: &answer}
+	r := Record{Kind: AnswerRecord, Holder: k.self(), Body: c.body, UntilMillis: c.until.UnixMilli(), Answer: &answer}
 	if c.ref.serial != 0 {
 		r.Holder.Incarnation = c.ref.incarnation
 		r.Serial = c.ref.serial
--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -14,7 +14,7 @@
 // A caller that still waits gets the right to run a moment later. If no caller
 // waits any more, the key must not stay claimed by a call that never ran, or
 // every retry would be answered as unknown.
-func TestWriteInDoubt(t *testing.T) {
+func TestUncertainWrite(t *testing.T) {
 	for name, fault := range map[string]func(l *storeLink){
 		"reply lost":          func(l *storeLink) { l.loseReplies = 1 },
 		"two replies lost":    func(l *storeLink) { l.loseReplies = 2 },
@@ -26,7 +26,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
 				oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
-				a, b := startNode(s, "a", oneSlot), startNode(s, "b", oneSlot)
+				a, b := startTestNode(s, "a", oneSlot), startTestNode(s, "b", oneSlot)
 				defer a.crash()
 				defer b.crash()
 				a.link.set(fault)
@@ -59,7 +59,7 @@
 func TestStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := startNode(s, "a", nil)
+		a := startTestNode(s, "a", nil)
 		defer a.crash()
 		a.link.set(func(l *storeLink) { l.down = true })
 		begun := time.Now()
@@ -92,7 +92,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 1, time.Minute }
-		a, b := startNode(s, "a", smallSlot), startNode(s, "b", smallSlot)
+		a, b := startTestNode(s, "a", smallSlot), startTestNode(s, "b", smallSlot)
 		// A paused process finds its timer and the reply together when it
 		// resumes.
 		a.ClaimTimeout = 2 * time.Hour
@@ -119,7 +119,7 @@
 		assert.Assert(t, (<-got).Verdict != Run)
 		time.Sleep(10 * time.Second)
 		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
-		c := startNode(s, "c", smallSlot)
+		c := startTestNode(s, "c", smallSlot)
 		defer c.crash()
 		assert.Equal(t, begin(t, c, newAsk("k", "deposit")).Verdict, Elsewhere)
 	})
@@ -130,7 +130,7 @@
 func TestSegmentsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 2, time.Minute })
+		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 2, time.Minute })
 		defer a.crash()
 		for i := range 40 {
 			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
@@ -157,7 +157,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
-				a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion = 1 })
+				a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion = 1 })
 				defer a.crash()
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 1), []byte(value), 0)
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 3), []byte(later), 0)
@@ -172,7 +172,7 @@
 func TestEvictedAnswerIsUnknown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a, b := startNode(s, "a", func(n *testNode) { n.MaxAnswerBytes = 2 * callOverhead }), startNode(s, "b", nil)
+		a, b := startTestNode(s, "a", func(n *testNode) { n.MaxAnswerBytes = 2 * callOverhead }), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
 		first := []string{"k", mint(t, a)}
@@ -196,7 +196,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		shortMemory := func(n *testNode) { n.Memory = time.Minute }
-		a, b := startNode(s, "a", shortMemory), startNode(s, "b", shortMemory)
+		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
@@ -212,7 +212,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		shortMemory := func(n *testNode) { n.Memory, n.SlotsPerRegion = time.Minute, 1 }
-		a, b := startNode(s, "a", shortMemory), startNode(s, "b", shortMemory)
+		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
@@ -224,7 +224,7 @@
 
 		// The same holds for a release that a successor writes for a process
 		// that is gone.
-		successor := startNode(s, "c", shortMemory)
+		successor := startTestNode(s, "c", shortMemory)
 		defer successor.crash()
 		_, err := successor.Adopt(func(yield func(Record, error) bool) {
 			_ = yield(Record{Kind: ReleaseRecord, Key: &c.ref.key, Claim: &c.claim, Slot: c.slot.prefix}, nil) &&
@@ -241,7 +241,7 @@
 func TestIdleSlotIsNotListedAgain(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := startNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows = 1, 2 })
+		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows = 1, 2 })
 		defer a.crash()
 		for i := range 5 {
 			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
@@ -265,7 +265,7 @@
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
 				smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, rows, time.Minute }
-				a, b := startNode(s, "a", func(n *testNode) { smallSlot(n); n.SweepInterval = 100 * time.Hour }), startNode(s, "b", smallSlot)
+				a, b := startTestNode(s, "a", func(n *testNode) { smallSlot(n); n.SweepInterval = 100 * time.Hour }), startTestNode(s, "b", smallSlot)
 				defer a.crash()
 				defer b.crash()
 				mustRun(t, a, newAsk("warm", "up"))
@@ -294,7 +294,7 @@
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
 		oneSlot := func(n *testNode) { n.SlotsPerRegion = 1 }
-		a, b := startNode(s, "a", oneSlot), startNode(s, "b", oneSlot)
+		a, b := startTestNode(s, "a", oneSlot), startTestNode(s, "b", oneSlot)
 		defer a.crash()
 		defer b.crash()
 		mustRun(t, a, newAsk("warm", "up")).Finish(servedAnswer("paid"))
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -58,6 +58,8 @@
 	dispatched bool
 }
 
+// simNode is a node of the simulation. Its generation counts the processes that
+// were started under its name.
 type simNode struct {
 	*testNode
 	name       string
@@ -111,11 +113,11 @@
 	}
 }
 
-func (sim *simulation) startNode(i, life int) *simNode {
-	n := &simNode{name: fmt.Sprintf("n%d", i), generation: life}
+func (sim *simulation) startNode(i, generation int) *simNode {
+	n := &simNode{name: fmt.Sprintf("n%d", i), generation: generation}
 	skew := time.Duration(i-1) * simClockSkew / 2
-	n.testNode = startNode(sim.store, n.name, func(nd *testNode) {
-		nd.Incarnation = fmt.Sprintf("%s-%d", n.name, life)
+	n.testNode = startTestNode(sim.store, n.name, func(nd *testNode) {
+		nd.Incarnation = fmt.Sprintf("%s-%d", n.name, generation)
 		nd.SlotsPerRegion = 1
 		nd.MaxSegmentRows = 4
 		nd.GroupWindow = 50 * time.Millisecond
@@ -274,7 +276,7 @@
 	sim.calls = slices.DeleteFunc(sim.calls, func(o *grantedCall) bool { return o == c })
 }
 
-func (sim *simulation) finish(t *rapid.T) {
+func (sim *simulation) finishRandom(t *rapid.T) {
 	sim.finishCall(sim.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.Served, jwrequest.NotRun, jwrequest.Unknown}).Draw(t, "outcome"))
 }
 
@@ -293,7 +295,7 @@
 	c.call.Finish(Answer{Status: 200, Body: []byte(c.key + c.body), Outcome: o})
 }
 
-func (sim *simulation) mint(t *rapid.T) {
+func (sim *simulation) mintRandom(t *rapid.T) {
 	if len(sim.keys) > 8 {
 		t.Skip("enough")
 	}
@@ -303,14 +305,15 @@
 	}
 }
 
-// kill stops a process without notice. Its writes in flight still take effect.
-func (sim *simulation) kill(t *rapid.T) {
+// killRandom stops a process without notice. Its writes in flight still take
+// effect.
+func (sim *simulation) killRandom(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	sim.replace(i, n)
 }
 
 func (sim *simulation) replace(i int, n *simNode) {
-	n.cancel()
+	n.cancelRun()
 	sim.dead = append(sim.dead, n)
 	next := sim.startNode(i, n.generation+1)
 	sim.mu.Lock()
@@ -320,7 +323,7 @@
 	sim.nodes[i] = next
 }
 
-func (sim *simulation) freeze(t *rapid.T) {
+func (sim *simulation) freezeRandom(t *rapid.T) {
 	_, n := sim.drawNode(t)
 	if n.frozen != nil {
 		t.Skip("frozen")
@@ -328,7 +331,7 @@
 	n.frozen = n.link.freeze()
 }
 
-func (sim *simulation) unfreeze(t *rapid.T) {
+func (sim *simulation) unfreezeRandom(t *rapid.T) {
 	_, n := sim.drawNode(t)
 	if n.frozen == nil {
 		t.Skip("not frozen")
@@ -345,7 +348,7 @@
 	}
 }
 
-func (sim *simulation) fault(t *rapid.T) {
+func (sim *simulation) addRandomFault(t *rapid.T) {
 	_, n := sim.drawNode(t)
 	kind := rapid.SampledFrom([]string{"lose", "lose", "late", "late", "down", "up"}).Draw(t, "fault")
 	by := time.Duration(rapid.IntRange(0, 2000).Draw(t, "by")) * time.Millisecond
@@ -371,9 +374,9 @@
 	synctest.Wait()
 }
 
-// drain is a planned stop up to the handover. The process runs on until a later
-// kill, because callers still know its address.
-func (sim *simulation) drain(t *rapid.T) {
+// drainRandom is a planned stop up to the handover. The process runs on until a
+// later kill, because callers still know its address.
+func (sim *simulation) drainRandom(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	if n.closed || n.frozen != nil {
 		t.Skip("closed or frozen")
@@ -381,8 +384,8 @@
 	sim.stopNode(t, i, n)
 }
 
-// restart is a planned stop, followed by the start of the next process.
-func (sim *simulation) restart(t *rapid.T) {
+// restartRandom is a planned stop, followed by the start of the next process.
+func (sim *simulation) restartRandom(t *rapid.T) {
 	i, n := sim.drawNode(t)
 	sim.stopNode(t, i, n)
 	if !n.handedOver {
@@ -501,7 +504,7 @@
 
 func (sim *simulation) end() {
 	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
-		n.cancel()
+		n.cancelRun()
 		n.unfreeze()
 	}
 	for _, n := range append(slices.Clone(sim.nodes), sim.dead...) {
@@ -515,7 +518,7 @@
 // twice within its memory, and no caller may be answered that a key did not run
 // if it had run before the call.
 func TestAtMostOnce(t *testing.T) {
-	told := map[Verdict]int{}
+	verdicts := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, rt, func() {
 			sim := newSimulation(rt, 3*callOverhead, false)
@@ -524,17 +527,17 @@
 			sim.removeFaults()
 			sim.check(rt)
 			for v, n := range sim.verdicts {
-				told[v] += n
+				verdicts[v] += n
 			}
 		})
 	})
-	t.Logf("presses answered: %v", told)
+	t.Logf("presses answered: %v", verdicts)
 }
 
 // Processes are replaced hundreds of times a day by planned stops. None of
 // these stops may leave a caller with the outcome unknown, wherever it retries.
 func TestPlannedStopsLeaveNoUnknown(t *testing.T) {
-	told := map[Verdict]int{}
+	verdicts := map[Verdict]int{}
 	rapid.Check(t, func(rt *rapid.T) {
 		inBubble(t, rt, func() {
 			sim := newSimulation(rt, 0, true)
@@ -544,27 +547,27 @@
 				"press2":   sim.beginRandom,
 				"dispatch": sim.dispatchRandom,
 				"finish":   sim.finishWithoutUnknown,
-				"mint":     sim.mint,
-				"restart":  sim.restart,
+				"mint":     sim.mintRandom,
+				"restart":  sim.restartRandom,
 				"sleep":    func(*rapid.T) { time.Sleep(200 * time.Millisecond) },
 				"":         sim.check,
 			})
 			sim.removeFaults()
 			sim.check(rt)
 			for v, n := range sim.verdicts {
-				told[v] += n
+				verdicts[v] += n
 			}
 		})
 	})
-	t.Logf("presses answered: %v", told)
+	t.Logf("presses answered: %v", verdicts)
 }
 
 func (sim *simulation) finishWithoutUnknown(t *rapid.T) {
 	sim.finishCall(sim.drawCall(t), rapid.SampledFrom([]jwrequest.Outcome{jwrequest.Served, jwrequest.NotRun}).Draw(t, "outcome"))
 }
 
-func newSimulation(rt *rapid.T, answerBytes int, calm bool) *simulation {
-	sim := &simulation{t: rt, answerBytes: answerBytes, noFaults: calm, store: newFakeStore(), keys: []string{"k0", "k1", "k2"}, bodies: map[string]map[string]bool{}}
+func newSimulation(rt *rapid.T, answerBytes int, noFaults bool) *simulation {
+	sim := &simulation{t: rt, answerBytes: answerBytes, noFaults: noFaults, store: newFakeStore(), keys: []string{"k0", "k1", "k2"}, bodies: map[string]map[string]bool{}}
 	sim.oracle.runs = map[string][]runRecord{}
 	sim.verdicts = map[Verdict]int{}
 	for i := range 3 {
@@ -579,14 +582,14 @@
 		"press2":   sim.beginRandom,
 		"press3":   sim.beginRandom,
 		"dispatch": sim.dispatchRandom,
-		"finish":   sim.finish,
-		"mint":     sim.mint,
-		"kill":     sim.kill,
-		"freeze":   sim.freeze,
-		"thaw":     sim.unfreeze,
-		"fault":    sim.fault,
+		"finish":   sim.finishRandom,
+		"mint":     sim.mintRandom,
+		"kill":     sim.killRandom,
+		"freeze":   sim.freezeRandom,
+		"thaw":     sim.unfreezeRandom,
+		"fault":    sim.addRandomFault,
 		"sleep":    sim.sleep,
-		"drain":    sim.drain,
+		"drain":    sim.drainRandom,
 		"":         sim.check,
 	}
 }
--- a/core/jwclaim/ticket.go
+++ b/core/jwclaim/ticket.go
@@ -100,7 +100,7 @@
 		return k.unknownDecision(), nil
 	}
 	s.markUsed(t.Serial)
-	c := &Call{k: k, ref: ref, bodyHash: hash, until: k.now().Add(keyMemory), done: make(chan struct{}), state: stateHeld}
+	c := &Call{k: k, ref: ref, body: hash, until: k.now().Add(keyMemory), done: make(chan struct{}), state: stateHeld}
 	k.unsettledCalls++
 	k.calls[ref] = c
 	k.counts.Tickets++
