--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -49,7 +49,7 @@
 		}
 		return k.adoptRecords(rs)
 	}
-	return Receipt{}, notAdoptedError(errors.New("records missing"), k.Node)
+	return Receipt{}, notAdoptedError(errors.New("stream of records is incomplete"), k.Node)
 }
 
 func notAdoptedError(cause error, node string) error {
@@ -62,11 +62,11 @@
 	// A successor that is stopping itself may already have handed over its own
 	// records.
 	if k.closed || !k.running {
-		return Receipt{}, notAdoptedError(errors.New("stopping"), k.Node)
+		return Receipt{}, notAdoptedError(errors.New("node is stopping or not running"), k.Node)
 	}
 	for _, r := range rs {
 		if r.Kind == IncarnationRecord && (r.Holder.Region != k.Region || r.Holder.Incarnation == k.Incarnation) {
-			return Receipt{}, notAdoptedError(errors.Errorf("from %s of %s", r.Holder.Node, r.Holder.Region), k.Node)
+			return Receipt{}, notAdoptedError(errors.Errorf("records from %s of region %s", r.Holder.Node, r.Holder.Region), k.Node)
 		}
 	}
 	for _, r := range rs {
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -199,7 +199,7 @@
 		t.Run(l.String(), func(t *testing.T) {
 			var res loadResult
 			synctest.Test(t, func(*testing.T) { res = l.run(seconds) })
-			t.Logf("writes/s %.1f lost/s %.1f reads/s %.1f KB/s %.0f largest %d turned %d p50 %v p99 %v",
+			t.Logf("writes/s %.1f lost/s %.1f reads/s %.1f KB/s %.0f largest %d rejected %d p50 %v p99 %v",
 				res.writes, res.lostSwaps, res.reads, res.bytes/1000, res.largest, res.rejected, res.p50, res.p99)
 			assert.Assert(t, res.largest < maxDocumentSize/8)
 			if l.preferred {
--- a/core/jwclaim/document.go
+++ b/core/jwclaim/document.go
@@ -81,11 +81,11 @@
 
 func decodeFixed(dst, text []byte) error {
 	if len(text) != base64.RawURLEncoding.EncodedLen(len(dst)) {
-		return errors.Wrapf(ErrDocument, "%d characters in place of %d bytes", len(text), len(dst))
+		return errors.Wrapf(ErrDocument, "%d characters are not the base64 of %d bytes", len(text), len(dst))
 	}
 	n, err := base64.RawURLEncoding.Strict().Decode(dst, text)
 	if err != nil || n != len(dst) {
-		return errors.Wrapf(ErrDocument, "%q in place of %d bytes", text, len(dst))
+		return errors.Wrapf(ErrDocument, "%q is not the base64 of %d bytes", text, len(dst))
 	}
 	return nil
 }
@@ -103,11 +103,11 @@
 		return document{}, errors.Wrapf(ErrDocument, "%v", err)
 	}
 	if d.Format != documentFormat {
-		return document{}, errors.Wrapf(ErrDocument, "format %d", d.Format)
+		return document{}, errors.Wrapf(ErrDocument, "unsupported format %d", d.Format)
 	}
 	for i, r := range d.Rows {
 		if !r.Release && (r.Holder < 0 || r.Holder >= len(d.Holders)) {
-			return document{}, errors.Wrapf(ErrDocument, "row %d names no holder", i)
+			return document{}, errors.Wrapf(ErrDocument, "row %d refers to a missing holder", i)
 		}
 		if r.ID == (claimID{}) {
 			return document{}, errors.Wrapf(ErrDocument, "row %d has no id", i)
@@ -147,11 +147,11 @@
 func segmentNumber(prefix, key string) (uint64, error) {
 	text, ok := strings.CutPrefix(key, prefix)
 	if !ok || len(text) != segmentDigits {
-		return 0, errors.Wrapf(ErrDocument, "key %q", key)
+		return 0, errors.Wrapf(ErrDocument, "invalid segment key %q", key)
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil || n == 0 {
-		return 0, errors.Wrapf(ErrDocument, "key %q", key)
+		return 0, errors.Wrapf(ErrDocument, "invalid segment key %q", key)
 	}
 	return n, nil
 }
--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -119,7 +119,7 @@
 	count := uint64(len(records) - 1)
 	receipt, err := s.Handover(ctx, slices.Values(records))
 	if err == nil && receipt.Kept != count {
-		err = errors.Errorf("kept %d of %d records", receipt.Kept, count)
+		err = errors.Errorf("successor kept %d of %d records", receipt.Kept, count)
 	}
 	k.endHandover(s, receipt, err)
 	return errors.Wrapf(err, "handover: %s", s.Holder().Node)
@@ -132,7 +132,7 @@
 		return nil, errors.Wrapf(ErrBusy, "handover: %s", k.Node)
 	}
 	if h := s.Holder(); h.Region != k.Region || h.Incarnation == k.Incarnation {
-		return nil, errors.Wrapf(ErrNotAdopted, "handover: %s is no successor of %s", h.Node, k.Node)
+		return nil, errors.Wrapf(ErrNotAdopted, "handover: %s cannot be a successor of %s", h.Node, k.Node)
 	}
 	k.handover.pending = make(chan struct{})
 	return k.records(), nil
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -92,7 +92,7 @@
 	}{
 		"clean":                   {used: Replay, unused: Run, atStopping: Elsewhere},
 		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
-		"first loses its word":    {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
+		"reply of first lost":     {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
 		"records lost on the way": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
 	} {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwclaim/record.go
+++ b/core/jwclaim/record.go
@@ -59,7 +59,7 @@
 		ok = true
 	}
 	if !ok {
-		return errors.Wrapf(ErrRecord, "kind %q", r.Kind)
+		return errors.Wrapf(ErrRecord, "unknown kind or invalid fields, kind %q", r.Kind)
 	}
 	return nil
 }
--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -18,7 +18,7 @@
 
 var (
 	errContended = errors.New("lost every swap to other nodes")
-	errStaleView = errors.New("view too old after the write")
+	errStaleView = errors.New("view of the log too old to trust the write")
 )
 
 // slot writes the log of one slot. At most one goroutine works on a slot at a
@@ -245,7 +245,7 @@
 		return false, errors.Wrapf(err, "encode claims: %s", s.prefix)
 	}
 	if len(b) > maxDocumentSize {
-		return false, errors.Errorf("claims of %s: %d bytes are more than the store takes", s.prefix, len(b))
+		return false, errors.Errorf("claims of %s: document of %d bytes exceeds the limit of the store", s.prefix, len(b))
 	}
 	limited, cancel := context.WithTimeout(ctx, s.k.StoreTimeout)
 	defer cancel()
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -212,12 +212,12 @@
 		// before the call began.
 		for _, r := range sim.oracle.remembered(key) {
 			if slices.Contains(ranBefore, r) {
-				sim.fail("%s: told not run, but it ran at %v", key, r.dispatchedAt)
+				sim.fail("%s: answered as not run, but it ran at %v", key, r.dispatchedAt)
 			}
 		}
 	case Replay:
 		if string(d.Answer.Body) != key+body {
-			sim.fail("%s: replay of %q", key, d.Answer.Body)
+			sim.fail("%s: replay of the wrong answer %q", key, d.Answer.Body)
 		}
 	case Mismatch:
 		if len(sim.bodies[key]) < 2 {
@@ -251,7 +251,7 @@
 func (sim *simulation) dispatchRandom(t *rapid.T) {
 	c := sim.drawCall(t)
 	if c.dispatched {
-		t.Skip("sent")
+		t.Skip("already dispatched")
 	}
 	sim.dispatchCall(c)
 }
@@ -297,7 +297,7 @@
 
 func (sim *simulation) mintRandom(t *rapid.T) {
 	if len(sim.keys) > 8 {
-		t.Skip("enough")
+		t.Skip("enough tickets")
 	}
 	_, n := sim.drawNode(t)
 	if ticket, err := n.Mint(); err == nil {
@@ -389,7 +389,7 @@
 	i, n := sim.drawNode(t)
 	sim.stopNode(t, i, n)
 	if !n.handedOver {
-		sim.failf("%s: nobody took over", n.Incarnation)
+		sim.failf("%s: no node took over", n.Incarnation)
 	}
 	time.Sleep(5 * time.Second) // a stopping process runs on until it has answered its callers
 	sim.replace(i, n)
@@ -495,7 +495,7 @@
 		}
 		d, err := n.Begin(context.Background(), newAsk(fmt.Sprintf("fresh%d", i), "x"))
 		if err != nil || d.Verdict != Run {
-			sim.failf("%s does not take a fresh key after all faults: %v %v", n.Incarnation, d.Verdict, err)
+			sim.failf("%s does not take a new key after the faults are removed: %v %v", n.Incarnation, d.Verdict, err)
 			continue
 		}
 		d.Call.Release()
@@ -531,7 +531,7 @@
 			}
 		})
 	})
-	t.Logf("presses answered: %v", verdicts)
+	t.Logf("calls by verdict: %v", verdicts)
 }
 
 // Processes are replaced hundreds of times a day by planned stops. None of
@@ -559,7 +559,7 @@
 			}
 		})
 	})
-	t.Logf("presses answered: %v", verdicts)
+	t.Logf("calls by verdict: %v", verdicts)
 }
 
 func (sim *simulation) finishWithoutUnknown(t *rapid.T) {
--- a/core/jwclaim/view.go
+++ b/core/jwclaim/view.go
@@ -124,7 +124,7 @@
 		// and their keys could run again.
 		if fresh.gapBefore(n) {
 			if !fresh.allExpired(start, skew) {
-				return errors.Wrapf(ErrDocument, "hole before %s", item.Key)
+				return errors.Wrapf(ErrDocument, "segment missing before %s", item.Key)
 			}
 			fresh = view{prefix: v.prefix, live: map[keyHash]liveClaim{}}
 		}
