--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -47,8 +47,7 @@
 		case Run:
 			return holder == "", in.node
 		case NotRun:
-			// The claim may be released here although other nodes still read
-			// it.
+			// The call may be released here while other nodes still read its claim.
 			return holder == "" || holder == in.node, holder
 		case Unread:
 			// No caller of this test gives up waiting, so its claim was never sent.
