--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -20,23 +20,23 @@
 	replyErr      error
 }
 
-func (h *faultySuccessor) Holder() Holder { return h.to.self() }
+func (s *faultySuccessor) Holder() Holder { return s.to.self() }
 
-func (h *faultySuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
+func (s *faultySuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
 	rs := slices.Collect(records)
-	if h.changeRecords != nil {
-		rs = h.changeRecords(rs)
+	if s.changeRecords != nil {
+		rs = s.changeRecords(rs)
 	}
 	time.Sleep(100 * time.Millisecond)
-	r, err := h.to.Adopt(func(yield func(Record, error) bool) {
+	r, err := s.to.Adopt(func(yield func(Record, error) bool) {
 		for _, rec := range rs {
 			if !yield(rec, nil) {
 				return
 			}
 		}
 	})
-	if h.replyErr != nil {
-		return Receipt{}, h.replyErr
+	if s.replyErr != nil {
+		return Receipt{}, s.replyErr
 	}
 	return r, err
 }
