--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -7,27 +7,28 @@
 	"github.com/pkg/errors"
 )
 
-// adoption is what this node answers for in the place of another process.
-type adoption struct {
+// adoptedProcess is a stopped process whose tickets and answers this node has
+// taken over.
+type adoptedProcess struct {
 	serials
 	holder Holder
 	until  time.Time
 }
 
-// move says where the keys of a process are now.
-type move struct {
+// movedProcess says which process answers for the keys of a stopped process.
+type movedProcess struct {
 	to    Holder
 	until time.Time
 }
 
-// Move says that the keys of a process that stopped are answered by another.
+// Move says that another process answers for the keys of a stopped process.
 type Move struct {
 	Incarnation string
 	To          Holder
 }
 
-// Adopt takes over from a stopping node of the same region; all of its records
-// or none. An error says that nothing was taken over.
+// Adopt takes over the records of a stopping node of the same region, either
+// all of them or none. If it returns an error, nothing was taken over.
 func (k *Keeper) Adopt(records iter.Seq2[Record, error]) (Receipt, error) {
 	var rs []Record
 	for r, err := range records {
@@ -35,74 +36,76 @@
 			err = r.check()
 		}
 		if err != nil {
-			return Receipt{}, notAdopted(err, k.Node)
+			return Receipt{}, notAdoptedError(err, k.Node)
 		}
 		if r.Kind != EndRecord {
 			rs = append(rs, r)
 			continue
 		}
-		// A stream that broke off would leave used tickets out, and they would
-		// run here a second time.
+		// A truncated stream would leave out used tickets, and they would run
+		// here a second time.
 		if r.Count != uint64(len(rs)) {
 			break
 		}
-		return k.install(rs)
+		return k.adoptRecords(rs)
 	}
-	return Receipt{}, notAdopted(errors.New("records missing"), k.Node)
+	return Receipt{}, notAdoptedError(errors.New("stream of records is incomplete"), k.Node)
 }
 
-func notAdopted(cause error, node string) error {
+func notAdoptedError(cause error, node string) error {
 	return errors.Wrapf(ErrNotAdopted, "adopt: %s: %v", node, cause)
 }
 
-func (k *Keeper) install(rs []Record) (Receipt, error) {
+func (k *Keeper) adoptRecords(rs []Record) (Receipt, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	// A successor that stops itself may already have handed its own table on.
+	// A successor that is stopping itself may already have handed over its own
+	// records.
 	if k.closed || !k.running {
-		return Receipt{}, notAdopted(errors.New("stopping"), k.Node)
+		return Receipt{}, notAdoptedError(errors.New("node is stopping or not running"), k.Node)
 	}
 	for _, r := range rs {
 		if r.Kind == IncarnationRecord && (r.Holder.Region != k.Region || r.Holder.Incarnation == k.Incarnation) {
-			return Receipt{}, notAdopted(errors.Errorf("from %s of %s", r.Holder.Node, r.Holder.Region), k.Node)
+			return Receipt{}, notAdoptedError(errors.Errorf("records from %s of region %s", r.Holder.Node, r.Holder.Region), k.Node)
 		}
 	}
 	for _, r := range rs {
-		k.installRecord(r)
+		k.adoptRecord(r)
 	}
-	k.readAgain()
+	k.requireNewReads()
 	return Receipt{Kept: uint64(len(rs)), Incarnation: k.Incarnation}, nil
 }
 
-// readAgain makes all who wait for a slot wait for a read that begins now. A
-// claim that the stopping node released just before its handover may still be
-// in a view of this node; taken for one of those handed over, it would have no
-// record, and its key be answered as unknown. k.mu is held.
-func (k *Keeper) readAgain() {
+// requireNewReads makes all queued items wait for a read of the store that
+// starts after this call. The view of this node may still show a claim that the
+// stopping node released just before its handover. That claim has no record
+// among those handed over, so its key would be answered as unknown. k.mu is
+// held.
+func (k *Keeper) requireNewReads() {
 	for _, s := range k.slots {
 		for _, it := range s.queue {
-			it.reads = s.started
+			it.queuedAtOp = s.opCount
 		}
 	}
 }
 
-func (k *Keeper) installRecord(r Record) {
+func (k *Keeper) adoptRecord(r Record) {
 	switch r.Kind {
 	case IncarnationRecord:
-		k.installSerials(r)
+		k.adoptSerials(r)
 	case AnswerRecord:
-		k.installAnswer(r)
+		k.adoptAnswer(r)
 	case ReleaseRecord:
-		k.slotAt(r.Slot).add(&item{kind: releaseItem, id: *r.Claim, key: *r.Key, force: true})
+		k.slotForPrefix(r.Slot).enqueue(&item{kind: releaseItem, id: *r.Claim, key: *r.Key, force: true})
 	}
 }
 
-// installSerials joins what is known already: a second handover of the same
-// process must not make a ticket that ran here look unused.
-func (k *Keeper) installSerials(r Record) {
+// adoptSerials merges r into what is already known: a second handover of the
+// same process must not make a ticket that ran here look unused.
+func (k *Keeper) adoptSerials(r Record) {
 	a := k.adopted[r.Holder.Incarnation]
 	if a == nil {
-		a = &adoption{holder: r.Holder}
+		a = &adoptedProcess{holder: r.Holder}
 		k.adopted[r.Holder.Incarnation] = a
 	}
 	a.until = k.now().Add(k.Memory)
@@ -116,15 +119,16 @@
 	}
 }
 
-func (k *Keeper) installAnswer(r Record) {
+func (k *Keeper) adoptAnswer(r Record) {
 	c := &Call{k: k, body: r.Body, until: time.UnixMilli(r.UntilMillis), done: make(chan struct{}), answer: *r.Answer}
 	c.ref = callRef{incarnation: r.Holder.Incarnation, serial: r.Serial}
 	if r.Key != nil {
 		c.ref = callRef{key: *r.Key}
 		c.claim = *r.Claim
 	}
-	// A press of the same own key may be under way here. Its claim will fail and
-	// lead to the one that is taken over, so the answer must be found by that.
+	// A call with the same caller key may be in progress here. Its claim will
+	// fail because of the claim that is taken over now, so the answer must be
+	// found by the id of that claim.
 	if k.calls[c.ref] == nil {
 		k.calls[c.ref] = c
 	} else if r.Key == nil || k.claims[c.claim] != nil {
@@ -133,34 +137,36 @@
 	if r.Key != nil {
 		k.claims[c.claim] = c
 	}
-	c.state = finished
+	c.state = stateFinished
 	close(c.done)
 	if a := k.adopted[r.Holder.Incarnation]; a != nil && a.until.Before(c.until) {
 		a.until = c.until
 	}
-	k.keep(c)
+	k.keepAnswer(c)
 }
 
-// Learn takes another node's report that it answers for a process that stopped.
+// Learn records the report of another node that it answers for a stopped
+// process.
 func (k *Keeper) Learn(m Move) {
-	k.once.Do(k.prepare)
+	k.initOnce.Do(k.initialize)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if m.Incarnation == k.Incarnation || m.To.Incarnation == k.Incarnation {
 		return
 	}
-	k.moved[m.Incarnation] = move{to: m.To, until: k.now().Add(k.Memory)}
+	k.moved[m.Incarnation] = movedProcess{to: m.To, until: k.now().Add(k.Memory)}
 }
 
-// Moves returns who answers for the processes that this node took over, and,
-// once it has handed its keys on, for itself; to be reported to all others.
+// Moves returns which process answers for those that this node took over and,
+// once its own handover is completed, for this process itself. The caller
+// reports them to all other nodes.
 func (k *Keeper) Moves() []Move {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	to := k.self()
 	ms := make([]Move, 0, len(k.adopted)+1)
-	if k.handing.handed {
-		to = k.handing.to
+	if k.handover.completed {
+		to = k.handover.successor
 		ms = append(ms, Move{Incarnation: k.Incarnation, To: to})
 	}
 	for incarnation := range k.adopted {
@@ -169,9 +175,11 @@
 	return ms
 }
 
-// elsewhere names the process that answers for a holder now; k.mu is held.
-func (k *Keeper) elsewhere(h Holder) Decision {
-	// Bounded, for two nodes' reports could name each other.
+// elsewhereDecision refers the caller to the process that now answers for h;
+// k.mu is held.
+func (k *Keeper) elsewhereDecision(h Holder) Decision {
+	// The loop is bounded because the reports of two nodes could name each
+	// other.
 	for range 8 {
 		m, ok := k.moved[h.Incarnation]
 		if !ok {
@@ -182,10 +190,10 @@
 	return Decision{Verdict: Elsewhere, Holder: h}
 }
 
-func (k *Keeper) unknownTicket() Decision {
+func (k *Keeper) unknownTicketDecision() Decision {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.unknown()
+	return k.unknownDecision()
 }
 
 func (k *Keeper) expireMoves(now time.Time) {
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -5,23 +5,23 @@
 	"time"
 )
 
-// Verdict is what to do with a call that has a key.
+// Verdict says what to do with a call that has a key.
 type Verdict string
 
-// The verdicts on a call.
+// The verdicts on a call with a key.
 const (
 	Run       Verdict = "run"       // this node alone may dispatch Decision.Call
 	Join      Verdict = "join"      // the key is in flight here: wait for Decision.Call
 	Replay    Verdict = "replay"    // Decision.Answer is the answer to the first call
-	Elsewhere Verdict = "elsewhere" // ask Decision.Holder; if it is gone, unknown
+	Elsewhere Verdict = "elsewhere" // ask the process Decision.Holder; if it is gone, the outcome is unknown
 	Mismatch  Verdict = "mismatch"  // the key came with another body before
-	Unknown   Verdict = "unknown"   // the key may have run and never runs again
+	Unknown   Verdict = "unknown"   // the call of the key may have run and is not run again
 	NotRun    Verdict = "notRun"    // neither this call nor an earlier one of the key ran
 	Unread    Verdict = "unread"    // this call was not run; an earlier one of the key may have
-	Refused   Verdict = "refused"   // a ticket that no node minted
+	Refused   Verdict = "refused"   // the key looks like a ticket, but no node minted it
 )
 
-// Ask is one call with a key.
+// Ask describes one call with a key.
 type Ask struct {
 	Workspace string
 	Region    string // home region of the workspace, where its keys are claimed
@@ -30,7 +30,7 @@
 	Memory    time.Duration // how long the key is remembered, 0 for Keeper.Memory
 }
 
-// Decision is the answer to an Ask.
+// Decision is the result of Begin for an Ask.
 type Decision struct {
 	Verdict    Verdict
 	Call       *Call  // for Run and Join
@@ -39,66 +39,69 @@
 	RetryAfter time.Duration
 }
 
-// outcome is the verdict of an item, resolved or given up; k.mu is held.
-func (k *Keeper) outcome(it *item, mark bodyMark) Decision {
+// decideItem returns the decision for a caller that waited for the item,
+// whether the item is resolved or the caller gave up waiting; k.mu is held.
+func (k *Keeper) decideItem(it *item, hash bodyHash) Decision {
 	switch it.result {
-	case won:
-		if it.taken || it.call.state != held {
-			return k.known(it.call, mark)
+	case resultWon:
+		if it.runGranted || it.call.state != stateHeld {
+			return k.decideByCall(it.call, hash)
 		}
-		it.taken = true
+		it.runGranted = true
 		return Decision{Verdict: Run, Call: it.call}
-	case occupied:
-		return k.byClaim(it.other, mark)
-	case free:
-		return k.notRun()
-	case unread:
-		return k.unread()
+	case resultOccupied:
+		return k.decideByClaim(it.otherClaim, hash)
+	case resultFree:
+		return k.notRunDecision()
+	case resultUnread:
+		return k.unreadDecision()
 	}
 	it.waiters--
-	return k.unread()
+	return k.unreadDecision()
 }
 
-// byClaim is the verdict on a key that another claim holds; k.mu is held.
-func (k *Keeper) byClaim(other claimed, mark bodyMark) Decision {
-	if other.body != mark {
+// decideByClaim returns the decision on a key that another claim holds; k.mu is
+// held.
+func (k *Keeper) decideByClaim(other liveClaim, hash bodyHash) Decision {
+	if other.body != hash {
 		return Decision{Verdict: Mismatch}
 	}
 	if c := k.claims[other.id]; c != nil {
-		return k.known(c, mark)
+		return k.decideByCall(c, hash)
 	}
 	if other.holder.Incarnation == k.Incarnation || k.adopted[other.holder.Incarnation] != nil {
-		return k.unknown()
+		return k.unknownDecision()
 	}
-	return k.elsewhere(*other.holder)
+	return k.elsewhereDecision(*other.holder)
 }
 
-// known is the verdict on a call that is in memory; k.mu is held.
-func (k *Keeper) known(c *Call, mark bodyMark) Decision {
-	if c.body != mark {
+// decideByCall returns the decision on a key whose call is in memory; k.mu is
+// held.
+func (k *Keeper) decideByCall(c *Call, hash bodyHash) Decision {
+	if c.body != hash {
 		return Decision{Verdict: Mismatch}
 	}
 	switch c.state {
-	case finished:
+	case stateFinished:
 		return Decision{Verdict: Replay, Answer: c.answer}
-	case claiming, held, dispatched:
+	case stateClaiming, stateHeld, stateDispatched:
 		return Decision{Verdict: Join, Call: c}
-	case released:
-		return k.notRun()
+	case stateReleased:
+		return k.notRunDecision()
 	}
-	return k.unknown()
+	return k.unknownDecision()
 }
 
-func (k *Keeper) notRun() Decision {
+func (k *Keeper) notRunDecision() Decision {
 	return Decision{Verdict: NotRun, RetryAfter: k.RetryAfter}
 }
 
-func (k *Keeper) unread() Decision {
+func (k *Keeper) unreadDecision() Decision {
 	k.counts.Unreads++
 	return Decision{Verdict: Unread, RetryAfter: k.RetryAfter}
 }
 
-func (k *Keeper) unknown() Decision {
+func (k *Keeper) unknownDecision() Decision {
 	k.counts.Unknowns++
 	return Decision{Verdict: Unknown}
 }
--- a/core/jwclaim/fuzz_test.go
+++ b/core/jwclaim/fuzz_test.go
@@ -9,25 +9,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// A ticket comes from any caller on the network. Whatever it holds, it must
-// not stop the node, and only the very text that was minted may be taken.
+// Any caller on the network can send a ticket. No ticket may crash the node,
+// and only the exact text that was minted may be accepted.
 func FuzzTicket(f *testing.F) {
 	secret := []byte("salt")
-	good := sealTicket(secret, Ticket{Holder: Holder{Node: "a", Region: "irbid-a", Incarnation: "a-1"}, Serial: 7})
+	good := signTicket(secret, Ticket{Holder: Holder{Node: "a", Region: "irbid-a", Incarnation: "a-1"}, Serial: 7})
 	for _, s := range []string{good, good[:len(good)-2], strings.ToUpper(good), "jt1.", "jt1.====", "order-17", ""} {
 		f.Add(s)
 	}
 	f.Fuzz(func(t *testing.T, key string) {
-		ticket, err := openTicket(secret, key)
+		ticket, err := verifyTicket(secret, key)
 		if err != nil {
 			assert.ErrorIs(t, err, ErrTicket)
 			return
 		}
-		assert.Equal(t, sealTicket(secret, ticket), key)
+		assert.Equal(t, signTicket(secret, ticket), key)
 	})
 }
 
-// The key header comes from any caller. Two callers, or two keys, must never
+// The key header comes from any caller. Two workspaces or two keys must never
 // share a hash because of where one field ends and the next begins.
 func FuzzKey(f *testing.F) {
 	f.Add("hall", "k", "hal", "lk")
@@ -37,15 +37,15 @@
 		k := &Keeper{Salt: []byte("salt")}
 		same := w1 == w2 && k1 == k2
 		assert.Equal(t, k.keyHash(Ask{Workspace: w1, Key: k1}) == k.keyHash(Ask{Workspace: w2, Key: k2}), same)
-		assert.Equal(t, k.bodyMark(Ask{Workspace: w1, Key: k1}) == k.bodyMark(Ask{Workspace: w2, Key: k2}), same)
+		assert.Equal(t, k.bodyHash(Ask{Workspace: w1, Key: k1}) == k.bodyHash(Ask{Workspace: w2, Key: k2}), same)
 	})
 }
 
-// A slot document that is read in part would let keys run again: it is read in
-// full, and so that writing it again loses nothing, or refused.
+// Reading a slot document in part would let keys run again. A document must be
+// rejected, or read in full so that encoding it again loses nothing.
 func FuzzDocument(f *testing.F) {
 	d := document{Until: 10, Sealed: true}
-	d.Rows = []row{{ID: claimID{1}, Key: keyHash{2}, Body: bodyMark{3}, Holder: d.holder(Holder{Node: "a"}), Until: 9}, {ID: claimID{1}, Key: keyHash{2}, Release: true}}
+	d.Rows = []row{{ID: claimID{1}, Key: keyHash{2}, Body: bodyHash{3}, Holder: d.holderIndex(Holder{Node: "a"}), Until: 9}, {ID: claimID{1}, Key: keyHash{2}, Release: true}}
 	good, err := encodeDocument(d)
 	assert.NilError(f, err)
 	for _, s := range []string{string(good), `{"format":1,"until":0}`, `{"format":2}`, `{"format":1,"rows":[{"id":"AA"}]}`, `null`, ``} {
@@ -63,15 +63,15 @@
 		assert.NilError(t, err)
 		assert.Equal(t, len(d2.Rows), len(d.Rows))
 		assert.Equal(t, d2.Sealed, d.Sealed)
-		v := view{prefix: "claims/x/000/", live: map[keyHash]claimed{}}
+		v := view{prefix: "claims/x/000/", live: map[keyHash]liveClaim{}}
 		v.addSegment(1, d, 1)
 		v.dropOldest()
 		assert.Equal(t, len(v.live), 0)
 	})
 }
 
-// Handover records come from another node, perhaps of another version. One
-// that is taken in part would leave a used ticket out, which then runs again.
+// Handover records come from another node, perhaps of another version. A record
+// that is read in part could miss a used ticket, which would then run again.
 func FuzzRecord(f *testing.F) {
 	key, claim := keyHash{1}, claimID{2}
 	for _, r := range []Record{
--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// The errors of a handover; compare with errors.Is.
+// Errors of a handover; compare with errors.Is.
 var (
 	// ErrNotAdopted says that the successor certainly took nothing over.
 	ErrNotAdopted = errors.New("handover not adopted")
@@ -18,9 +18,10 @@
 	ErrRecord = errors.New("unreadable handover record")
 )
 
-// Receipt is a successor's statement that it answers for what it was handed.
+// Receipt is a successor's confirmation that it answers for the records it was
+// sent.
 type Receipt struct {
-	Kept        uint64 // records taken over, the end record left out
+	Kept        uint64 // records taken over, without the end record
 	Incarnation string // of the successor
 }
 
@@ -32,48 +33,48 @@
 	Handover(ctx context.Context, records iter.Seq[Record]) (Receipt, error)
 }
 
-// handing is how far this node's own handover is.
-type handing struct {
-	offer  chan struct{} // open while a successor may be taking over
-	doubt  bool          // a successor may have taken over without a receipt
-	to     Holder
-	handed bool
+// handoverState is the progress of this node's own handover.
+type handoverState struct {
+	pending   chan struct{} // not nil during an attempt, closed at its end
+	uncertain bool          // a successor may have taken over without a receipt
+	successor Holder
+	completed bool
 }
 
-// Close ends the running of new calls: from now on Begin gives Run to none.
-// Those in flight go on, and what is known is still answered.
+// Close stops new calls: from now on Begin lets no call run. Calls in flight
+// continue, and keys that are known are still answered.
 func (k *Keeper) Close() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.closed = true
 }
 
-// Cut ends all calls in flight, for a stop that may wait no longer: those that
-// may have run become unknown, the others are released. It returns how many
-// became unknown.
+// Cut ends all calls that may run or are running, for a stop that can wait no
+// longer: those that may have run become unknown, the others are released. It
+// returns how many became unknown.
 func (k *Keeper) Cut() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	lostCalls := 0
+	unknownCalls := 0
 	for _, c := range k.calls {
 		switch c.state {
-		case dispatched:
-			lostCalls++
-			c.lose()
-		case held:
+		case stateDispatched:
+			unknownCalls++
+			c.settleAsLost()
+		case stateHeld:
 			c.answer = notRunAnswer()
-			c.settle(released)
-			k.giveBack(c)
+			c.settleAs(stateReleased)
+			k.releaseKey(c)
 		}
 	}
-	return lostCalls
+	return unknownCalls
 }
 
 // Flush returns once no call is in flight and no claim or release waits to be
-// written, or with an error when ctx ends before.
+// written, or with an error if ctx ends first.
 func (k *Keeper) Flush(ctx context.Context) error {
 	for {
-		wait := k.unsettled()
+		wait := k.nextUnsettled()
 		if wait == nil {
 			return nil
 		}
@@ -85,8 +86,9 @@
 	}
 }
 
-// unsettled returns what to wait for next, nil when all is settled.
-func (k *Keeper) unsettled() <-chan struct{} {
+// nextUnsettled returns a channel that is closed when the next unsettled call
+// or queued item ends, or nil if there is none.
+func (k *Keeper) nextUnsettled() <-chan struct{} {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	for _, c := range k.calls {
@@ -102,79 +104,80 @@
 	return nil
 }
 
-// Handover gives tickets, answers and unwritten releases to a successor. It
-// may be called again with another successor after an error. The order keeps
-// a key from running twice: the keeper is closed and nothing is in flight
-// before the first record leaves; until the successor's receipt is in, unused
-// tickets wait here; and once a successor may have taken over without a receipt,
-// no other one gets the right to run unused tickets, and here they are unknown.
+// Handover hands tickets, answers and unwritten releases over to a successor.
+// After an error it may be called again with another successor. Three rules
+// keep a key from running twice. No record is sent before the keeper is closed
+// and no call may run. Until the receipt of the successor arrives, unused
+// tickets wait here. Once a successor may have taken over without a receipt, no
+// other successor gets the right to run unused tickets, and here they are
+// answered as unknown.
 func (k *Keeper) Handover(ctx context.Context, s Successor) error {
-	records, err := k.offer(s)
+	records, err := k.beginHandover(s)
 	if err != nil {
 		return err
 	}
 	count := uint64(len(records) - 1)
 	receipt, err := s.Handover(ctx, slices.Values(records))
 	if err == nil && receipt.Kept != count {
-		err = errors.Errorf("kept %d of %d records", receipt.Kept, count)
+		err = errors.Errorf("successor kept %d of %d records", receipt.Kept, count)
 	}
-	k.endOffer(s, receipt, err)
+	k.endHandover(s, receipt, err)
 	return errors.Wrapf(err, "handover: %s", s.Holder().Node)
 }
 
-func (k *Keeper) offer(s Successor) ([]Record, error) {
+func (k *Keeper) beginHandover(s Successor) ([]Record, error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	if !k.closed || k.handing.offer != nil || k.mayRun() {
+	if !k.closed || k.handover.pending != nil || k.hasRunnableCalls() {
 		return nil, errors.Wrapf(ErrBusy, "handover: %s", k.Node)
 	}
 	if h := s.Holder(); h.Region != k.Region || h.Incarnation == k.Incarnation {
-		return nil, errors.Wrapf(ErrNotAdopted, "handover: %s is no successor of %s", h.Node, k.Node)
+		return nil, errors.Wrapf(ErrNotAdopted, "handover: %s cannot be a successor of %s", h.Node, k.Node)
 	}
-	k.handing.offer = make(chan struct{})
+	k.handover.pending = make(chan struct{})
 	return k.records(), nil
 }
 
-// mayRun reports whether a call is running here or may still start; k.mu is
-// held. A claim in doubt does not count: once the keeper is closed it is never
-// run, and the successor is given its release.
-func (k *Keeper) mayRun() bool {
+// hasRunnableCalls reports whether a call is running here or may still start;
+// k.mu is held. An uncertain claim does not count: a closed keeper never runs
+// it, and the successor is given its release.
+func (k *Keeper) hasRunnableCalls() bool {
 	for _, c := range k.calls {
-		if c.state == held || c.state == dispatched {
+		if c.state == stateHeld || c.state == stateDispatched {
 			return true
 		}
 	}
 	return false
 }
 
-func (k *Keeper) endOffer(s Successor, r Receipt, err error) {
+func (k *Keeper) endHandover(s Successor, r Receipt, err error) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	close(k.handing.offer)
-	k.handing.offer = nil
+	close(k.handover.pending)
+	k.handover.pending = nil
 	switch {
 	case err == nil:
-		k.handing.handed = true
-		k.handing.to = s.Holder()
+		k.handover.completed = true
+		k.handover.successor = s.Holder()
 		if r.Incarnation != "" {
-			k.handing.to.Incarnation = r.Incarnation
+			k.handover.successor.Incarnation = r.Incarnation
 		}
 	case !errors.Is(err, ErrNotAdopted):
-		k.handing.doubt = true
+		k.handover.uncertain = true
 	}
 }
 
-// closedTicket is the verdict on an unused ticket once the keeper is closed;
-// k.mu is held.
-func (k *Keeper) closedTicket(s *serials) (Decision, <-chan struct{}) {
+// decideClosedTicket decides on an unused ticket once the keeper is closed, or
+// returns a channel to wait on before the next attempt; k.mu is held.
+func (k *Keeper) decideClosedTicket(s *serials) (Decision, <-chan struct{}) {
 	switch {
-	case k.handing.offer != nil:
-		return Decision{}, k.handing.offer
-	case k.handing.doubt || !s.runnable:
-		return k.unknown(), nil
-	case k.handing.handed:
-		to := k.handing.to
+	case k.handover.pending != nil:
+		return Decision{}, k.handover.pending
+	case k.handover.uncertain || !s.runnable:
+		return k.unknownDecision(), nil
+	case k.handover.completed:
+		to := k.handover.successor
 		return Decision{Verdict: Elsewhere, Holder: to}, nil
 	}
-	return k.notRun(), nil
+	return k.notRunDecision(), nil
 }
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -15,14 +15,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// claimInput is an operation on one key: a press, or the release of a call.
+// claimInput is an operation on one key: a call of Begin, or the release of a
+// call.
 type claimInput struct {
 	key     string
 	release bool
 	node    string
 }
 
-// claimModel is a key that at most one node holds at a time.
+// claimModel models a key that at most one node holds at a time.
 var claimModel = porcupine.Model{
 	Partition: func(history []porcupine.Operation) [][]porcupine.Operation {
 		byKey := map[string][]porcupine.Operation{}
@@ -46,7 +47,7 @@
 		case Run:
 			return holder == "", in.node
 		case NotRun:
-			// Given back here, though others may still read the claim.
+			// The call may be released here while other nodes still read its claim.
 			return holder == "" || holder == in.node, holder
 		case Unread:
 			// No caller of this test gives up waiting, so its claim was never sent.
@@ -63,29 +64,30 @@
 	},
 }
 
-// historian writes down what several callers at several nodes saw.
-type historian struct {
+// historyRecorder records what several callers at several nodes observed.
+type historyRecorder struct {
 	mu    sync.Mutex
 	clock atomic.Int64
 	ops   []porcupine.Operation
 }
 
-func (h *historian) note(client int, in claimInput, out any, from int64) {
+func (h *historyRecorder) record(client int, in claimInput, out any, from int64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.ops = append(h.ops, porcupine.Operation{ClientId: client, Input: in, Output: out, Call: from, Return: h.clock.Add(1)})
 }
 
-// work presses keys at one node and gives back what it may run.
-func (h *historian) work(client int, n *node, r *rand.Rand) {
+// runCaller calls Begin with random keys at one node and releases the calls
+// that it may run.
+func (h *historyRecorder) runCaller(client int, n *testNode, r *rand.Rand) {
 	for range 30 {
 		in := claimInput{key: fmt.Sprint("k", r.Intn(3)), node: n.Node}
 		from := h.clock.Add(1)
-		d, err := n.Begin(context.Background(), own(in.key, "x"))
+		d, err := n.Begin(context.Background(), newAsk(in.key, "x"))
 		if err != nil {
 			return
 		}
-		h.note(client, in, d.Verdict, from)
+		h.record(client, in, d.Verdict, from)
 		time.Sleep(time.Duration(r.Intn(50)) * time.Millisecond)
 		if d.Verdict != Run {
 			continue
@@ -93,14 +95,14 @@
 		in.release = true
 		from = h.clock.Add(1)
 		d.Call.Release()
-		for n.releasing(d.Call.claim) {
+		for n.releaseQueued(d.Call.claim) {
 			time.Sleep(time.Millisecond)
 		}
-		h.note(client, in, nil, from)
+		h.record(client, in, nil, from)
 	}
 }
 
-func (n *node) releasing(id claimID) bool {
+func (n *testNode) releaseQueued(id claimID) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	for _, s := range n.slots {
@@ -111,34 +113,34 @@
 	return false
 }
 
-// Two callers press the same key at two nodes at the same time, while writes
-// are late and replies get lost. Whatever they are told has to fit one order in
-// which at most one of them holds the key; where it doesn't, both may be charged.
+// Callers use the same keys at several nodes at the same time, while writes are
+// late and replies are lost. Their answers must fit an order in which at most
+// one of them holds a key at a time; otherwise two calls of one key could run.
 func TestClaimHistoriesLinearizable(t *testing.T) {
 	for seed := range int64(30) {
 		synctest.Test(t, func(t *testing.T) {
-			s, h := newFakeStore(), &historian{}
+			s, h := newFakeStore(), &historyRecorder{}
 			var callers sync.WaitGroup
-			var nodes []*node
-			// One caller a node: two at one node share a claim, and the one that
-			// came second may get to run it.
+			var nodes []*testNode
+			// One caller per node: two callers at one node would share a claim,
+			// and the one that came second may get to run it.
 			for i := range 6 {
-				n := start(s, fmt.Sprint("n", i), func(n *node) {
-					n.Slots, n.SegmentRows = 1, 8
+				n := startTestNode(s, fmt.Sprint("n", i), func(n *testNode) {
+					n.SlotsPerRegion, n.MaxSegmentRows = 1, 8
 					n.GroupWindow = 5 * time.Millisecond
-					n.ClaimWait = time.Hour
+					n.ClaimTimeout = time.Hour
 				})
 				nodes = append(nodes, n)
-				defer n.end()
+				defer n.crash()
 				r := rand.New(rand.NewSource(seed*10 + int64(i)))
-				callers.Go(func() { h.work(i, n, r) })
+				callers.Go(func() { h.runCaller(i, n, r) })
 			}
 			r := rand.New(rand.NewSource(seed))
 			for range 40 {
 				time.Sleep(time.Duration(r.Intn(60)) * time.Millisecond)
-				nodes[r.Intn(len(nodes))].link.set(func(l *link) {
-					l.lose, l.late = r.Intn(2), r.Intn(3)
-					l.by = time.Duration(r.Intn(100)) * time.Millisecond
+				nodes[r.Intn(len(nodes))].link.set(func(l *storeLink) {
+					l.loseReplies, l.deferWrites = r.Intn(2), r.Intn(3)
+					l.deferBy = time.Duration(r.Intn(100)) * time.Millisecond
 				})
 			}
 			callers.Wait()
