--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -94,8 +94,8 @@
 	return h
 }
 
-// overloaded is the refusal of a request that may come back later.
-func overloaded(reason Reason, detail string, after time.Duration) Head {
+// unavailable is the refusal of a request that may come back later.
+func unavailable(reason Reason, detail string, after time.Duration) Head {
 	h := Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, reason, detail)
 	h.RetryAfter = after
 	return h
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -34,7 +34,7 @@
 	Departed func(jwpeer.Peer) bool
 	// Crashed is told of a target that crashed and of the fingerprints that this
 	// put in quarantine; may be nil.
-	Crashed func(target netip.AddrPort, barred []jwsuspect.Fingerprint)
+	Crashed func(target netip.AddrPort, quarantined []jwsuspect.Fingerprint)
 	Now     func() time.Time
 	Tracer  Tracer // may be nil
 	Counter Counter
@@ -68,25 +68,25 @@
 // job is one request while this node works on it.
 type job struct {
 	*Dispatcher
-	request    *jwrequest.Request
-	entry      *jwcatalogue.Entry
-	workspace  jwdirectory.Workspace
-	forwarded  bool
-	sink       *ending
-	prefix     uint64
-	mark       jwsuspect.Fingerprint // by way of fingerprint
-	tries      int
-	mayRun     bool // some try may have run it
-	turnedBack bool // another region has just refused it
-	query      jwrouter.Query
+	request         *jwrequest.Request
+	entry           *jwcatalogue.Entry
+	workspace       jwdirectory.Workspace
+	forwarded       bool
+	sink            *trackedSink
+	prefix          uint64
+	fp              jwsuspect.Fingerprint // by way of fingerprint
+	tries           int
+	mayHaveRun      bool // some try may have run it
+	refusedByRegion bool // another region has just refused it
+	query           jwrouter.Query
 }
 
 // Serve runs a request and gives its answer to the sink. When ctx ends, nobody
 // wants the answer any more.
 func (d *Dispatcher) Serve(ctx context.Context, r *jwrequest.Request, sink Sink) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
-	j.sink = &ending{Sink: sink, job: j, began: d.Now()}
-	defer j.sink.abandon()
+	j.sink = &trackedSink{Sink: sink, job: j, startedAt: d.Now()}
+	defer j.sink.recordAbandoned()
 	if refusal, refused := j.prepare(); refused {
 		j.sink.refuse(refusal)
 		return
@@ -104,9 +104,9 @@
 // is false when it may go on.
 func (d *Dispatcher) Check(r *jwrequest.Request) (refusal Head, refused bool) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
-	refusal, refused = j.look()
+	refusal, refused = j.checkHeaders()
 	if refused {
-		j.note(refusal.Outcome, refusal.Reason, "")
+		j.recordEnd(refusal.Outcome, refusal.Reason, "")
 	}
 	return refusal, refused
 }
@@ -124,8 +124,8 @@
 	return h, true
 }
 
-// note counts and traces the end of a request.
-func (j *job) note(outcome jwrequest.Outcome, reason Reason, servedBy string) {
+// recordEnd counts and traces the end of a request.
+func (j *job) recordEnd(outcome jwrequest.Outcome, reason Reason, servedBy string) {
 	entry := j.request.Entry
 	if j.entry == nil {
 		entry = "" // a name that isn't in the catalogue would make a counter of its own
@@ -148,7 +148,7 @@
 
 // prepare checks the request and fills in what the node knows of it.
 func (j *job) prepare() (Head, bool) {
-	if refusal, refused := j.look(); refused {
+	if refusal, refused := j.checkHeaders(); refused {
 		return refusal, true
 	}
 	r := j.request
@@ -158,28 +158,28 @@
 	}
 	if size := int64(len(r.Body)); j.entry.MaxBodySize > 0 && size > j.entry.MaxBodySize {
 		h := Refusal(http.StatusRequestEntityTooLarge, jwrequest.NotRun, ReasonBody, "body longer than the entry allows")
-		return j.unlooked(h), true
+		return j.withKeyUnchecked(h), true
 	}
 	r.Hops = r.Hops.With(j.Self)
 	j.prefix = jwrouter.PrefixOf(r.Workspace, r.Entry, r.Body)
 	return Head{}, false
 }
 
-// look checks everything that needs no body.
-func (j *job) look() (Head, bool) {
-	refusal, refused := j.examine()
-	return j.unlooked(refusal), refused
+// checkHeaders checks everything that needs no body.
+func (j *job) checkHeaders() (Head, bool) {
+	refusal, refused := j.validate()
+	return j.withKeyUnchecked(refusal), refused
 }
 
-// unlooked words a refusal that comes before the key is looked up.
-func (j *job) unlooked(refusal Head) Head {
+// withKeyUnchecked words a refusal that comes before the key is looked up.
+func (j *job) withKeyUnchecked(refusal Head) Head {
 	if j.entry != nil && j.entry.Idempotent {
 		return refusal
 	}
 	return refusal.ForKey(j.request.Key)
 }
 
-func (j *job) examine() (Head, bool) {
+func (j *job) validate() (Head, bool) {
 	r := j.request
 	e, _, known := j.Board.Catalogue.Current().Entry(r.Entry)
 	if !known {
@@ -187,7 +187,7 @@
 	}
 	j.entry = &e
 	if j.Board.Directory.Current() == nil {
-		return overloaded(ReasonDirectory, "this node has no client directory yet", time.Second), true
+		return unavailable(ReasonDirectory, "this node has no client directory yet", time.Second), true
 	}
 	w, known := j.Board.Directory.Lookup(r.Workspace)
 	if !known {
@@ -204,13 +204,13 @@
 	if !e.Idempotent && r.Key == "" {
 		return Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonKey, "the entry needs an Idempotency-Key"), true
 	}
-	return j.loops()
+	return j.checkLoop()
 }
 
-// loops refuses a request that was here before or has changed region twice,
+// checkLoop refuses a request that was here before or has changed region twice,
 // whatever else its hop record says: nodes that hold different revisions or
 // directories could each think the other's region right and send it to and fro.
-func (j *job) loops() (Head, bool) {
+func (j *job) checkLoop() (Head, bool) {
 	hops := j.request.Hops
 	if len(hops) == 0 {
 		return Head{}, false
@@ -234,7 +234,7 @@
 		Foreign: j.forwarded,
 		Bound:   j.request.Bound,
 		Left:    j.request.Deadline.Sub(now),
-		Work:    j.work(now),
+		Work:    j.expectedWork(now),
 		Away:    away,
 		Room:    room,
 		Now:     now,
--- a/core/jwdispatch/ending.go
+++ b/core/jwdispatch/ending.go
@@ -6,86 +6,86 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// ending passes an answer on and makes sure that it is begun and ended once.
-type ending struct {
+// trackedSink passes an answer on and makes sure that it is begun and ended once.
+type trackedSink struct {
 	Sink
-	job   *job
-	begun bool
-	ended bool
-	sent  int64
+	job       *job
+	headSent  bool
+	ended     bool
+	bytesSent int64
 
-	began    time.Time
-	first    time.Time // of the first byte of the body, zero before it
-	servedBy string
+	startedAt   time.Time
+	firstByteAt time.Time // of the first byte of the body, zero before it
+	servedBy    string
 }
 
 // Head passes the beginning on.
-func (e *ending) Head(h Head) error {
-	e.begun = true
+func (e *trackedSink) Head(h Head) error {
+	e.headSent = true
 	e.servedBy = h.ServedBy
 	return e.Sink.Head(h)
 }
 
 // Body passes a part on.
-func (e *ending) Body(p []byte) error {
-	if e.first.IsZero() {
-		e.first = e.job.Now()
+func (e *trackedSink) Body(p []byte) error {
+	if e.firstByteAt.IsZero() {
+		e.firstByteAt = e.job.Now()
 	}
-	e.sent += int64(len(p))
+	e.bytesSent += int64(len(p))
 	return e.Sink.Body(p)
 }
 
 // End passes the end on and counts the request.
-func (e *ending) End(end End) error {
+func (e *trackedSink) End(end End) error {
 	if e.ended {
 		return nil
 	}
 	e.ended = true
-	e.job.note(end.Outcome, end.Reason, e.servedBy)
+	e.job.recordEnd(end.Outcome, end.Reason, e.servedBy)
 	if end.Outcome == jwrequest.Served && !e.job.forwarded {
-		e.measure()
+		e.recordServed()
 	}
 	return e.Sink.End(end)
 }
 
-// abandon counts a request whose caller went away before the end of its answer.
+// recordAbandoned counts a request whose caller went away before the end of its answer.
 // Uncounted, it would be missing from the totals, and its trace, body and all,
 // would be held for ever.
-func (e *ending) abandon() {
+func (e *trackedSink) recordAbandoned() {
 	if e.ended {
 		return
 	}
 	e.ended = true
-	e.job.note(jwrequest.Unknown, ReasonCaller, e.servedBy)
+	e.job.recordEnd(jwrequest.Unknown, ReasonCaller, e.servedBy)
 }
 
-func (e *ending) measure() {
+func (e *trackedSink) recordServed() {
 	now := e.job.Now()
-	if e.first.IsZero() {
-		e.first = now // an answer without a body
+	if e.firstByteAt.IsZero() {
+		e.firstByteAt = now // an answer without a body
 	}
 	e.job.Counter.Seen(e.job.entry.Name, Seen{
-		First: e.first.Sub(e.began), Whole: now.Sub(e.began), ServedBy: e.servedBy,
-		Bytes: e.sent + int64(len(e.job.request.Body)),
+		First: e.firstByteAt.Sub(e.startedAt), Whole: now.Sub(e.startedAt), ServedBy: e.servedBy,
+		Bytes: e.bytesSent + int64(len(e.job.request.Body)),
 	})
 }
 
 // refuse ends the request with a refusal, also in the midst of a stream.
-func (e *ending) refuse(h Head) {
+func (e *trackedSink) refuse(h Head) {
 	if h.Outcome != jwrequest.Served {
-		e.job.step("refused", h.Detail)
+		e.job.trace("refused", h.Detail)
 	}
-	if !e.begun {
+	if !e.headSent {
 		h.Length = 0
 		if e.Head(h) != nil {
 			return
 		}
 	}
-	_ = e.End(End{Outcome: h.Outcome, Length: e.sent, Reason: h.Reason, Detail: h.Detail})
+	_ = e.End(End{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
 }
 
-// whole gives an answer that is all there.
-func (e *ending) whole(h Head, body []byte) {
+// sendWhole gives an answer that is all there.
+func (e *trackedSink) sendWhole(h Head, body []byte) {
 	h.Length = int64(len(body))
 	if h.Outcome == "" {
 		h.Outcome = jwrequest.Served
--- a/core/jwdispatch/ending_test.go
+++ b/core/jwdispatch/ending_test.go
@@ -11,74 +11,74 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// counted notes what a Counter and a Tracer are told.
-type counted struct {
+// recordingCounter notes what a Counter and a Tracer are told.
+type recordingCounter struct {
 	ended  []Reason
 	seen   []Seen
 	traced []string
 }
 
-func (c *counted) Ended(_ string, _ jwrequest.Outcome, reason Reason) {
+func (c *recordingCounter) Ended(_ string, _ jwrequest.Outcome, reason Reason) {
 	c.ended = append(c.ended, reason)
 }
-func (c *counted) Tried(string, string, bool)              {}
-func (c *counted) Seen(_ string, s Seen)                   { c.seen = append(c.seen, s) }
-func (c *counted) Step(*jwrequest.Request, string, string) {}
-func (c *counted) End(_ *jwrequest.Request, _ jwrequest.Outcome, _ Reason, by string) {
-	c.traced = append(c.traced, by)
+func (c *recordingCounter) Tried(string, string, bool)              {}
+func (c *recordingCounter) Seen(_ string, s Seen)                   { c.seen = append(c.seen, s) }
+func (c *recordingCounter) Step(*jwrequest.Request, string, string) {}
+func (c *recordingCounter) End(_ *jwrequest.Request, _ jwrequest.Outcome, _ Reason, servedBy string) {
+	c.traced = append(c.traced, servedBy)
 }
 
-// brokenSink is a caller that goes away at a point of its answer.
-type brokenSink struct{ head, body bool }
+// failingSink is a caller that goes away at a point of its answer.
+type failingSink struct{ head, body bool }
 
 var errGone = errors.New("gone")
 
-func (s brokenSink) Head(Head) error {
+func (s failingSink) Head(Head) error {
 	if s.head {
 		return errGone
 	}
 	return nil
 }
 
-func (s brokenSink) Body([]byte) error {
+func (s failingSink) Body([]byte) error {
 	if s.body {
 		return errGone
 	}
 	return nil
 }
 
-func (s brokenSink) End(End) error { return nil }
+func (s failingSink) End(End) error { return nil }
 
-func TestEnding(t *testing.T) {
+func TestTrackedSinkCountsRequestOnce(t *testing.T) {
 	// A caller closes its connection while its answer is on the way. The
 	// request must still be counted once, or its trace would be held for ever.
 	tests := map[string]struct {
-		sink      brokenSink
+		sink      failingSink
 		forwarded bool
-		run       func(*ending)
+		run       func(*trackedSink)
 		reason    Reason
 		seen      int
 	}{
-		"whole answer":      {brokenSink{}, false, whole, ReasonNone, 1},
-		"from another node": {brokenSink{}, true, whole, ReasonNone, 0},
-		"gone at the head":  {brokenSink{head: true}, false, whole, ReasonCaller, 0},
-		"gone in the body":  {brokenSink{body: true}, false, whole, ReasonCaller, 0},
-		"refused":           {brokenSink{}, false, refuse, ReasonLimit, 0},
-		"refused and gone":  {brokenSink{head: true}, false, refuse, ReasonCaller, 0},
-		"no answer at all":  {brokenSink{}, false, func(*ending) {}, ReasonCaller, 0},
+		"whole answer":      {failingSink{}, false, sendWhole, ReasonNone, 1},
+		"from another node": {failingSink{}, true, sendWhole, ReasonNone, 0},
+		"gone at the head":  {failingSink{head: true}, false, sendWhole, ReasonCaller, 0},
+		"gone in the body":  {failingSink{body: true}, false, sendWhole, ReasonCaller, 0},
+		"refused":           {failingSink{}, false, sendRefusal, ReasonLimit, 0},
+		"refused and gone":  {failingSink{head: true}, false, sendRefusal, ReasonCaller, 0},
+		"no answer at all":  {failingSink{}, false, func(*trackedSink) {}, ReasonCaller, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			c := &counted{}
+			c := &recordingCounter{}
 			now := time.Unix(1000, 0)
 			d := &Dispatcher{Counter: c, Tracer: c, Now: func() time.Time { now = now.Add(time.Second); return now }}
 			j := &job{
 				Dispatcher: d, request: &jwrequest.Request{Body: []byte("ask")},
 				entry: &jwcatalogue.Entry{Name: "menu"}, forwarded: tc.forwarded,
 			}
-			e := &ending{Sink: tc.sink, job: j, began: now}
+			e := &trackedSink{Sink: tc.sink, job: j, startedAt: now}
 			tc.run(e)
-			e.abandon()
+			e.recordAbandoned()
 			assert.DeepEqual(t, c.ended, []Reason{tc.reason})
 			assert.Equal(t, len(c.traced), 1)
 			assert.Equal(t, len(c.seen), tc.seen)
@@ -89,6 +89,6 @@
 	}
 }
 
-func whole(e *ending) { e.whole(Head{Status: 200, ServedBy: "east"}, []byte("hello")) }
+func sendWhole(e *trackedSink) { e.sendWhole(Head{Status: 200, ServedBy: "east"}, []byte("hello")) }
 
-func refuse(e *ending) { e.refuse(overloaded(ReasonLimit, "", time.Second)) }
+func sendRefusal(e *trackedSink) { e.refuse(unavailable(ReasonLimit, "", time.Second)) }
--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -23,15 +23,15 @@
 
 // failure words the last error for the caller.
 func (j *job) failure(ctx context.Context, err error) Head {
-	var place *noPlace
+	var place *noPlacementError
 	var failed *CallError
 	outcome := jwrequest.NotRun
-	if j.mayRun {
+	if j.mayHaveRun {
 		outcome = jwrequest.Unknown
 	}
 	switch {
 	case errors.As(err, &place):
-		h := overloaded(ReasonNoTarget, place.Error(), comeBack)
+		h := unavailable(ReasonNoTarget, place.Error(), defaultRetryAfter)
 		h.Outcome = outcome
 		return h
 	case errors.As(err, &failed):
@@ -45,11 +45,11 @@
 		if outcome == jwrequest.NotRun {
 			h.Status = http.StatusServiceUnavailable
 		}
-		h.RetryAfter = max(failed.RetryAfter, comeBack)
+		h.RetryAfter = max(failed.RetryAfter, defaultRetryAfter)
 		if failed.Crashed {
 			// All that was on the target hears this at once. Apart in time, they
 			// come to different targets, and the one that crashes them is found.
-			h.RetryAfter = crashBack + rand.N(crashBack)
+			h.RetryAfter = crashRetryAfter + rand.N(crashRetryAfter)
 		}
 		return h
 	}
--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -14,8 +14,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// mostHosts bounds the list that a caller is given.
-const mostHosts = 8
+// maxHosts bounds the list that a caller is given.
+const maxHosts = 8
 
 // Hosts returns the entry hosts that a workspace should use, best first: those
 // of its home region, then, if its data isn't bound, those of this region and
@@ -39,8 +39,8 @@
 			func(p jwpeer.Peer) bool { return p.Region != home && p.Region != d.Self.Region })
 	}
 	var out, silent []netip.AddrPort
-	for _, in := range groups {
-		fresh, rest := d.serving(workspace, in)
+	for _, accept := range groups {
+		fresh, rest := d.servingPeers(workspace, accept)
 		for _, p := range fresh {
 			out = append(out, p.Callers)
 		}
@@ -49,27 +49,27 @@
 		}
 	}
 	out = append(out, silent...)
-	return out[:min(len(out), mostHosts)]
+	return out[:min(len(out), maxHosts)]
 }
 
 // peersIn returns other serving nodes of a region, those that are silent last.
 func (d *Dispatcher) peersIn(region, workspace string) []jwpeer.Peer {
-	fresh, silent := d.serving(workspace, func(p jwpeer.Peer) bool { return p.Region == region && p.Name != d.Self.Node })
+	fresh, silent := d.servingPeers(workspace, func(p jwpeer.Peer) bool { return p.Region == region && p.Name != d.Self.Node })
 	return append(fresh, silent...)
 }
 
-// quiet is how long a node may say nothing before others are preferred.
-const quiet = 12 * time.Second
+// silenceThreshold is how long a node may say nothing before others are preferred.
+const silenceThreshold = 12 * time.Second
 
-// serving returns the serving nodes that in accepts, and apart those that are
+// servingPeers returns the servingPeers nodes that in accepts, and apart those that are
 // silent: they may be dead, or behind a cut that callers don't see.
 //
 // Each workspace has an order of its own, by rendezvous hashing. Its requests
 // then come to the same few nodes, which use the same few targets, where its
 // prompts are cached; without a workspace the order is random.
-func (d *Dispatcher) serving(workspace string, in func(jwpeer.Peer) bool) (fresh, silent []jwpeer.Peer) {
+func (d *Dispatcher) servingPeers(workspace string, accept func(jwpeer.Peer) bool) (fresh, silent []jwpeer.Peer) {
 	now := d.Now()
-	peers := d.Board.Peers.Select(func(p jwpeer.Peer) bool { return p.State == jwpeer.Serving && in(p) })
+	peers := d.Board.Peers.Select(func(p jwpeer.Peer) bool { return p.State == jwpeer.Serving && accept(p) })
 	if workspace == "" {
 		rand.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
 	} else {
@@ -82,7 +82,7 @@
 		case p.Name == d.Self.Node:
 			fresh = append(fresh, p)
 		case d.Departed != nil && d.Departed(p):
-		case d.Board.Peers.Silent(p.Name, now.Add(-quiet)):
+		case d.Board.Peers.Silent(p.Name, now.Add(-silenceThreshold)):
 			silent = append(silent, p)
 		default:
 			fresh = append(fresh, p)
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -23,21 +23,21 @@
 	ForwardWriter = "claimWriter"
 )
 
-// comeBack is when a caller may try again after a failure that has no better
+// defaultRetryAfter is when a caller may try again after a failure that has no better
 // estimate.
-const comeBack = time.Second
+const defaultRetryAfter = time.Second
 
-// crashBack is when the callers of what was on a crashed target may try again,
+// crashRetryAfter is when the callers of what was on a crashed target may try again,
 // spread over as long again.
-const crashBack = 2 * time.Second
+const crashRetryAfter = 2 * time.Second
 
 // serveIdempotent runs a request that may be run again after a failure.
 func (j *job) serveIdempotent(ctx context.Context) {
 	if j.quarantined() {
 		return
 	}
-	j.newQuery()
-	place, release, refusal, admitted := j.takeOn()
+	j.initQuery()
+	place, release, refusal, admitted := j.placeAndAdmit()
 	if !admitted {
 		j.sink.refuse(refusal)
 		return
@@ -51,13 +51,13 @@
 		if err == nil {
 			return
 		}
-		if !j.again(ctx, err) {
+		if !j.mayRetry(ctx, err) {
 			j.giveUp(ctx, err)
 			return
 		}
 		if place.Region != j.Self.Region {
 			release()
-			if release, refusal, admitted = j.takeBack(); !admitted {
+			if release, refusal, admitted = j.admitLocally(); !admitted {
 				j.sink.refuse(refusal)
 				return
 			}
@@ -68,25 +68,25 @@
 	}
 }
 
-// takeBack admits a request at home that another region did not serve. Only
+// admitLocally admits a request at home that another region did not serve. Only
 // the other region's room was asked for before; run here unasked, such requests
 // would lengthen the queue of a region that has refused others.
-func (j *job) takeBack() (release func(), refusal Head, admitted bool) {
+func (j *job) admitLocally() (release func(), refusal Head, admitted bool) {
 	j.query.Full = false
 	release, refused, admitted := j.admit(false)
 	if admitted {
 		return release, Head{}, true
 	}
-	refusal = overloaded(ReasonLimit, string(refused.Reason), refused.RetryAfter)
-	if j.mayRun {
+	refusal = unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter)
+	if j.mayHaveRun {
 		refusal.Outcome = jwrequest.Unknown
 	}
 	return func() {}, refusal, false
 }
 
-// takeOn finds a region that takes the request: the one that weighs least, and
+// placeAndAdmit finds a region that takes the request: the one that weighs least, and
 // where that is this one and it has no room, another that may have some.
-func (j *job) takeOn() (place jwrouter.Placement, release func(), refusal Head, admitted bool) {
+func (j *job) placeAndAdmit() (place jwrouter.Placement, release func(), refusal Head, admitted bool) {
 	place = j.Router.Place(&j.query)
 	away := place.Region != "" && place.Region != j.Self.Region
 	release, refused, admitted := j.admit(away)
@@ -103,11 +103,11 @@
 			}
 		}
 	}
-	return place, nil, overloaded(ReasonLimit, string(refused.Reason), refused.RetryAfter), false
+	return place, nil, unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter), false
 }
 
-// newQuery words the request for the router.
-func (j *job) newQuery() {
+// initQuery words the request for the router.
+func (j *job) initQuery() {
 	now := j.Now()
 	j.query = jwrouter.Query{
 		Entry:     j.entry,
@@ -116,15 +116,15 @@
 		Forwarded: j.forwarded,
 		Hops:      j.request.Hops[:len(j.request.Hops)-1],
 		Prefix:    j.prefix,
-		Work:      j.work(now),
+		Work:      j.expectedWork(now),
 		Deadline:  j.request.Deadline,
 		Now:       now,
 		Random:    rand.Uint64(),
 	}
 }
 
-// work is the usual time of a call of this entry.
-func (j *job) work(now time.Time) time.Duration {
+// expectedWork is the usual time of a call of this entry.
+func (j *job) expectedWork(now time.Time) time.Duration {
 	if known := j.Board.Targets.WorkOf(j.entry.Service, j.entry.Name); known > 0 {
 		return known
 	}
@@ -133,34 +133,34 @@
 
 // try makes one call and copies its answer; nil means that the request ended.
 func (j *job) try(ctx context.Context, rl *relay, place jwrouter.Placement) error {
-	j.step("place", string(place.Reason)+" "+place.Region)
+	j.trace("place", string(place.Reason)+" "+place.Region)
 	switch place.Region {
 	case "":
-		return &noPlace{reason: place.Reason}
+		return &noPlacementError{reason: place.Reason}
 	case j.Self.Region:
 		return j.tryTarget(ctx, rl)
 	}
 	return j.tryRegion(ctx, rl, place.Region)
 }
 
-// noPlace says that no region this node can reach may run the request.
-type noPlace struct{ reason jwrouter.PlaceReason }
+// noPlacementError says that no region this node can reach may run the request.
+type noPlacementError struct{ reason jwrouter.PlaceReason }
 
 // Error names the reason.
-func (e *noPlace) Error() string { return "no place: " + string(e.reason) }
+func (e *noPlacementError) Error() string { return "no place: " + string(e.reason) }
 
 // tryRegion sends the request to a node of another region.
 func (j *job) tryRegion(ctx context.Context, rl *relay, region string) error {
 	peers := j.peersIn(region, j.workspace.Name)
 	if len(peers) == 0 {
-		return &noPlace{reason: jwrouter.Nowhere}
+		return &noPlacementError{reason: jwrouter.Nowhere}
 	}
 	j.Board.Regions.Sent(region, j.entry.Service)
-	to, a, err := j.forwardToOne(ctx, peers)
+	to, a, err := j.forwardToFirst(ctx, peers)
 	if err == nil {
 		if a.Head.Outcome == jwrequest.NotRun {
 			_ = a.Body.Close()
-			j.turnedBack = true
+			j.refusedByRegion = true
 			err = &CallError{
 				Step: "forward to region " + region, Peer: to.Nodes, Fate: Refused,
 				RetryAfter: a.Head.RetryAfter, Err: errors.New(a.Head.Detail),
@@ -178,14 +178,14 @@
 	return err
 }
 
-// regionTries bounds the nodes of another region that are tried in turn.
-const regionTries = 3
+// maxRegionNodes bounds the nodes of another region that are tried in turn.
+const maxRegionNodes = 3
 
-// forwardToOne sends the request to the first of the nodes that takes it; one
+// forwardToFirst sends the request to the first of the nodes that takes it; one
 // that can't be reached is passed over.
-func (j *job) forwardToOne(ctx context.Context, peers []jwpeer.Peer) (to jwpeer.Peer, a *Answer, err error) {
-	for _, to = range peers[:min(len(peers), regionTries)] {
-		j.step("forward", to.Name)
+func (j *job) forwardToFirst(ctx context.Context, peers []jwpeer.Peer) (to jwpeer.Peer, a *Answer, err error) {
+	for _, to = range peers[:min(len(peers), maxRegionNodes)] {
+		j.trace("forward", to.Name)
 		a, err = j.Peers.Forward(ctx, to, j.request, ForwardRegion)
 		if err == nil || !notRun(err) {
 			break
@@ -194,14 +194,14 @@
 	return to, a, err
 }
 
-// again reports whether the request may be tried once more.
-func (j *job) again(ctx context.Context, err error) bool {
+// mayRetry reports whether the request may be tried once more.
+func (j *job) mayRetry(ctx context.Context, err error) bool {
 	var failed *CallError
 	if ctx.Err() != nil || !errors.As(err, &failed) {
 		return false
 	}
 	if !failed.NotRun() {
-		j.mayRun = true
+		j.mayHaveRun = true
 	}
 	// What ran on a target that crashed may have crashed it. Sending it on by
 	// itself would take the system from target to target.
@@ -210,14 +210,14 @@
 	}
 	// A region without room ran nothing. Home is asked for room once more, which
 	// needs no place in the budget of retries: that is for failures.
-	if j.turnedBack {
-		j.turnedBack = false
+	if j.refusedByRegion {
+		j.refusedByRegion = false
 		return true
 	}
 	return j.tries < maxTries && j.Board.Budget.Retry(j.entry.Name)
 }
 
-func (j *job) step(step, detail string) {
+func (j *job) trace(step, detail string) {
 	if j.Tracer != nil {
 		j.Tracer.Step(j.request, step, detail)
 	}
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -34,10 +34,10 @@
 		Memory:    j.entry.KeyMemory,
 	}
 	if j.workspace.Region != j.Self.Region {
-		j.sendHome(ctx, ask)
+		j.forwardToHome(ctx, ask)
 		return
 	}
-	if j.sendToWriter(ctx, ask) {
+	if j.forwardToPreferred(ctx, ask) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), j.request.Deadline)
@@ -47,8 +47,8 @@
 		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonKey, err.Error()))
 		return
 	}
-	j.step("claim", string(decision.Verdict))
-	j.follow(ctx, decision)
+	j.trace("claim", string(decision.Verdict))
+	j.applyDecision(ctx, decision)
 }
 
 // bodyHash covers the entry too: the same key and body sent to another entry
@@ -61,8 +61,8 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// follow does what the claim says.
-func (j *job) follow(ctx context.Context, d jwclaim.Decision) {
+// applyDecision does what the claim says.
+func (j *job) applyDecision(ctx context.Context, d jwclaim.Decision) {
 	switch d.Verdict {
 	case jwclaim.Run:
 		j.runOnce(ctx, d.Call)
@@ -76,16 +76,16 @@
 	case jwclaim.Replay:
 		j.replay(d.Answer)
 	case jwclaim.Elsewhere:
-		j.askHolder(ctx, d.Holder)
+		j.forwardToHolder(ctx, d.Holder)
 	case jwclaim.Mismatch:
 		// Nothing ran for this body, but the key names another request that did.
 		j.sink.refuse(Refusal(http.StatusConflict, jwrequest.NotRun, ReasonKeyMismatch, "the key came with another body before"))
 	case jwclaim.Refused:
 		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
 	case jwclaim.NotRun:
-		j.sink.refuse(overloaded(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
+		j.sink.refuse(unavailable(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
 	case jwclaim.Unread:
-		h := overloaded(ReasonClaim, "this try ran nothing, but whether an earlier one with this key did can't be read now; send the same key again, or use a ticket for a new order", d.RetryAfter)
+		h := unavailable(ReasonClaim, "this try ran nothing, but whether an earlier one with this key did can't be read now; send the same key again, or use a ticket for a new order", d.RetryAfter)
 		h.Outcome = jwrequest.Unknown
 		j.sink.refuse(h)
 	default:
@@ -97,9 +97,9 @@
 func (j *job) replay(a jwclaim.Answer) {
 	switch a.Outcome {
 	case jwrequest.Served:
-		j.sink.whole(Head{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
+		j.sink.sendWhole(Head{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
 	case jwrequest.NotRun:
-		j.sink.refuse(overloaded(ReasonTarget, "the try that this one waited for was not run", comeBack))
+		j.sink.refuse(unavailable(ReasonTarget, "the try that this one waited for was not run", defaultRetryAfter))
 	default:
 		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonTarget, "the one run of this key broke off"))
 	}
@@ -121,7 +121,7 @@
 	release, refused, admitted := j.admit(false)
 	if !admitted {
 		call.Release()
-		j.sink.refuse(overloaded(ReasonLimit, string(refused.Reason), refused.RetryAfter))
+		j.sink.refuse(unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter))
 		return
 	}
 	defer release()
@@ -129,7 +129,7 @@
 		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, err.Error()))
 		return
 	}
-	j.newQuery()
+	j.initQuery()
 	j.Board.Budget.Try(j.entry.Name)
 	for {
 		j.tries++
@@ -139,16 +139,16 @@
 				Status: head.Status, ContentType: head.ContentType, Body: body,
 				Outcome: jwrequest.Served, Region: j.Self.Region,
 			})
-			j.sink.whole(head, body)
+			j.sink.sendWhole(head, body)
 			return
 		}
 		if !notRun(err) {
 			call.Lost()
-			j.mayRun = true
+			j.mayHaveRun = true
 			j.sink.refuse(j.failure(ctx, err))
 			return
 		}
-		if ctx.Err() != nil || isNoPlace(err) || j.tries >= maxTries || !j.Board.Budget.Retry(j.entry.Name) {
+		if ctx.Err() != nil || isNoPlacement(err) || j.tries >= maxTries || !j.Board.Budget.Retry(j.entry.Name) {
 			call.Release()
 			j.sink.refuse(j.failure(ctx, err))
 			return
@@ -165,8 +165,8 @@
 		return Head{}, nil, err
 	}
 	defer func() { _ = a.Body.Close() }()
-	body, err := io.ReadAll(io.LimitReader(a.Body, bufferLimit+1))
-	if err == nil && len(body) > bufferLimit {
+	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswer+1))
+	if err == nil && len(body) > maxBufferedAnswer {
 		err = &CallError{Step: "read answer", Fate: Broken, Err: errors.New("answer too long to keep")}
 	}
 	t.end(ctx, err)
@@ -179,35 +179,35 @@
 	if errors.As(err, &failed) {
 		return failed.NotRun()
 	}
-	return isNoPlace(err)
+	return isNoPlacement(err)
 }
 
-func isNoPlace(err error) bool {
-	var place *noPlace
+func isNoPlacement(err error) bool {
+	var place *noPlacementError
 	return errors.As(err, &place)
 }
 
-// sendHome sends a request to the home region of its workspace, where its keys
+// forwardToHome sends a request to the home region of its workspace, where its keys
 // are claimed.
-func (j *job) sendHome(ctx context.Context, ask jwclaim.Ask) {
+func (j *job) forwardToHome(ctx context.Context, ask jwclaim.Ask) {
 	if j.forwarded {
-		j.sink.refuse(j.unchecked("the home region has changed on the way"))
+		j.sink.refuse(j.keyUncheckedRefusal("the home region has changed on the way"))
 		return
 	}
 	peers := j.peersIn(j.workspace.Region, j.workspace.Name)
-	j.putFirst(peers, ask)
+	j.movePreferredToFront(peers, ask)
 	if len(peers) > 0 {
-		_, a, err := j.forwardToOne(ctx, peers)
-		if j.passOn(a, err) {
+		_, a, err := j.forwardToFirst(ctx, peers)
+		if j.relayAnswer(a, err) {
 			return
 		}
 	}
-	j.sink.refuse(j.unchecked("no node of the home region can be reached"))
+	j.sink.refuse(j.keyUncheckedRefusal("no node of the home region can be reached"))
 }
 
-// putFirst moves the node that writes the claims of the key to the front.
-func (j *job) putFirst(peers []jwpeer.Peer, ask jwclaim.Ask) {
-	name := j.writer(ask)
+// movePreferredToFront moves the node that writes the claims of the key to the front.
+func (j *job) movePreferredToFront(peers []jwpeer.Peer, ask jwclaim.Ask) {
+	name := j.preferredNode(ask)
 	i := slices.IndexFunc(peers, func(p jwpeer.Peer) bool { return p.Name == name })
 	if i > 0 {
 		writer := peers[i]
@@ -216,68 +216,68 @@
 	}
 }
 
-// sendToWriter passes a request with a key of its caller's own to the node of
+// forwardToPreferred passes a request with a key of its caller's own to the node of
 // this region that writes the claims of the key's slot. Without it all nodes
 // of a region write the same few documents: they lose each other's swaps, and
 // in a large region most calls get no claim in time. It is false if the request
 // is to be claimed here: it is here already, it has been passed on before, or
 // the other node certainly did not take it.
-func (j *job) sendToWriter(ctx context.Context, ask jwclaim.Ask) bool {
+func (j *job) forwardToPreferred(ctx context.Context, ask jwclaim.Ask) bool {
 	if j.forwarded {
 		return false
 	}
-	name := j.writer(ask)
+	name := j.preferredNode(ask)
 	p, known := j.Board.Peers.Get(name)
 	if !known || name == j.Self.Node || p.State != jwpeer.Serving {
 		return false
 	}
-	j.step("forward", p.Name)
+	j.trace("forward", p.Name)
 	a, err := j.Peers.Forward(ctx, p, j.request, ForwardWriter)
 	j.Counter.Tried(j.entry.Name, ForwardWriter, err == nil)
-	return j.passOn(a, err)
+	return j.relayAnswer(a, err)
 }
 
-// writer names the node that writes the claims of an own key; a ticket has none.
-func (j *job) writer(ask jwclaim.Ask) string {
+// preferredNode names the node that writes the claims of an own key; a ticket has none.
+func (j *job) preferredNode(ask jwclaim.Ask) string {
 	if jwclaim.IsTicket(ask.Key) {
 		return ""
 	}
 	return j.Claims.Preferred(ask)
 }
 
-// unchecked refuses a request whose key could not be looked up.
-func (j *job) unchecked(detail string) Head {
-	h := overloaded(ReasonPeer, detail, comeBack).ForKey(j.request.Key)
+// keyUncheckedRefusal refuses a request whose key could not be looked up.
+func (j *job) keyUncheckedRefusal(detail string) Head {
+	h := unavailable(ReasonPeer, detail, defaultRetryAfter).ForKey(j.request.Key)
 	h.Hosts = j.Hosts(j.request.Workspace)
 	return h
 }
 
-// askHolder asks the node that holds the claim of a key.
-func (j *job) askHolder(ctx context.Context, holder jwclaim.Holder) {
+// forwardToHolder asks the node that holds the claim of a key.
+func (j *job) forwardToHolder(ctx context.Context, holder jwclaim.Holder) {
 	p, known := j.Board.Peers.Get(holder.Node)
 	if !known || p.Incarnation != holder.Incarnation || p.State == jwpeer.Gone || len(j.request.Hops) >= MaxHops || holder.Region != j.Self.Region {
 		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, "the node that took this key is gone; it may have run"))
 		return
 	}
-	there := jwrequest.Hop{Node: p.Name, Region: p.Region, DataCentre: p.DataCentre}
-	if j.request.Hops.With(there).Returns() {
+	holderHop := jwrequest.Hop{Node: p.Name, Region: p.Region, DataCentre: p.DataCentre}
+	if j.request.Hops.With(holderHop).Returns() {
 		// The request would go back to a data centre that it came from. The
 		// caller can ask that node itself.
 		h := Refusal(http.StatusServiceUnavailable, jwrequest.Unknown, ReasonClaim, "another host took this key; send it there")
-		h.RetryAfter, h.Hosts = comeBack, []netip.AddrPort{p.Callers}
+		h.RetryAfter, h.Hosts = defaultRetryAfter, []netip.AddrPort{p.Callers}
 		j.sink.refuse(h)
 		return
 	}
-	j.step("forward", p.Name)
+	j.trace("forward", p.Name)
 	a, err := j.Peers.Forward(ctx, p, j.request, ForwardHolder)
-	if !j.passOn(a, err) {
+	if !j.relayAnswer(a, err) {
 		j.sink.refuse(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, "the node that took this key can't be reached; it may have run"))
 	}
 }
 
-// passOn copies another node's answer to the caller; false means that the node
+// relayAnswer copies another node's answer to the caller; false means that the node
 // did not take the request, so that another may be asked.
-func (j *job) passOn(a *Answer, err error) bool {
+func (j *job) relayAnswer(a *Answer, err error) bool {
 	if err != nil {
 		if notRun(err) {
 			return false
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -11,15 +11,15 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// bufferLimit is how much of an answer that is no stream is held back until it
+// maxBufferedAnswer is how much of an answer that is no stream is held back until it
 // is whole; a longer one goes out as it comes.
-const bufferLimit = 4 << 20
+const maxBufferedAnswer = 4 << 20
 
 // How much is read from a target at once. A token is about a hundred bytes, and
 // a node holds the buffers of all its streams for as long as they run.
 const (
-	chunkSize  = 32 << 10
-	streamSize = 4 << 10
+	plainBufferSize  = 32 << 10
+	streamBufferSize = 4 << 10
 )
 
 var (
@@ -39,11 +39,11 @@
 // same. Without the comparison a model that answers differently each time would
 // give the caller two halves of two answers, passed off as one.
 type relay struct {
-	sink   *ending
-	head   Head // as sent, once a part was
-	sent   int64
-	sum    xxhash.Digest
-	events events
+	sink      *trackedSink
+	head      Head // as sent, once a part was
+	bytesSent int64
+	sentHash  xxhash.Digest
+	events    eventTracker
 }
 
 // copy sends the answer; nil means that it is whole and its end was sent.
@@ -53,26 +53,26 @@
 		rl.sink.refuse(a.Head)
 		return nil
 	}
-	if rl.sink.begun || a.Head.Length > bufferLimit || a.Head.Length < 0 && stream(a.Head) {
-		return rl.flow(a)
+	if rl.sink.headSent || a.Head.Length > maxBufferedAnswer || a.Head.Length < 0 && isEventStream(a.Head) {
+		return rl.copyAsReceived(a)
 	}
-	return rl.whole(a)
+	return rl.copyWhole(a)
 }
 
-func stream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
+func isEventStream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
 
-// whole reads the answer to its end before the first byte goes out, so that a
+// copyWhole reads the answer to its end before the first byte goes out, so that a
 // broken one can be tried again unseen.
-func (rl *relay) whole(a *Answer) error {
-	body, err := readWhole(io.LimitReader(a.Body, bufferLimit+1), a.Head.Length)
+func (rl *relay) copyWhole(a *Answer) error {
+	body, err := readWhole(io.LimitReader(a.Body, maxBufferedAnswer+1), a.Head.Length)
 	if err != nil {
 		return err
 	}
-	if len(body) > bufferLimit {
-		a.Body = &prefixed{head: body, ReadCloser: a.Body}
-		return rl.flow(a)
+	if len(body) > maxBufferedAnswer {
+		a.Body = &prefixedBody{prefix: body, ReadCloser: a.Body}
+		return rl.copyAsReceived(a)
 	}
-	rl.sink.whole(a.Head, body)
+	rl.sink.sendWhole(a.Head, body)
 	return nil
 }
 
@@ -80,7 +80,7 @@
 // if one was; growing a buffer step by step costs several times the memory. The
 // length is not trusted further than that.
 func readWhole(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > bufferLimit {
+	if length < 0 || length > maxBufferedAnswer {
 		return io.ReadAll(r)
 	}
 	// ReadFrom grows the buffer unless there is room for one more read.
@@ -89,59 +89,59 @@
 	return buf.Bytes(), err
 }
 
-// prefixed is a body with some bytes already read.
-type prefixed struct {
+// prefixedBody is a body with some bytes already read.
+type prefixedBody struct {
 	io.ReadCloser
-	head []byte
+	prefix []byte
 }
 
 // Read gives the bytes already read first.
-func (p *prefixed) Read(b []byte) (int, error) {
-	if len(p.head) > 0 {
-		n := copy(b, p.head)
-		p.head = p.head[n:]
+func (p *prefixedBody) Read(b []byte) (int, error) {
+	if len(p.prefix) > 0 {
+		n := copy(b, p.prefix)
+		p.prefix = p.prefix[n:]
 		return n, nil
 	}
 	return p.ReadCloser.Read(b)
 }
 
-// flow sends the answer as it comes.
-func (rl *relay) flow(a *Answer) error {
-	if err := rl.begin(a.Head); err != nil {
+// copyAsReceived sends the answer as it comes.
+func (rl *relay) copyAsReceived(a *Answer) error {
+	if err := rl.sendHead(a.Head); err != nil {
 		return err
 	}
-	skip := newSkipper(rl.sent, rl.sum.Sum64())
-	streams := stream(a.Head)
+	skip := newSkipper(rl.bytesSent, rl.sentHash.Sum64())
+	isStream := isEventStream(a.Head)
 	rl.events.restart()
-	buf := make([]byte, bufferSize(streams))
+	buf := make([]byte, readBufferSize(isStream))
 	for {
 		n, err := a.Body.Read(buf)
 		part := buf[:n]
-		if streams {
-			part = rl.events.whole(part, err == io.EOF)
-			if skip.left > 0 && rl.events.resumed() {
-				skip.left = 0
+		if isStream {
+			part = rl.events.takeComplete(part, err == io.EOF)
+			if skip.remaining > 0 && rl.events.resumed() {
+				skip.remaining = 0
 			}
 		}
-		fresh, same := skip.take(part)
+		fresh, same := skip.newBytes(part)
 		if !same {
 			return errDiverged
 		}
 		if len(fresh) > 0 {
-			_, _ = rl.sum.Write(fresh)
-			rl.sent += int64(len(fresh))
-			if streams {
-				rl.events.sent(fresh)
+			_, _ = rl.sentHash.Write(fresh)
+			rl.bytesSent += int64(len(fresh))
+			if isStream {
+				rl.events.recordSent(fresh)
 			}
 			if rl.sink.Body(fresh) != nil {
 				return errCallerGone
 			}
 		}
 		if err == io.EOF {
-			if skip.left > 0 {
+			if skip.remaining > 0 {
 				return errDiverged
 			}
-			if rl.sink.End(End{Outcome: jwrequest.Served, Length: rl.sent}) != nil {
+			if rl.sink.End(End{Outcome: jwrequest.Served, Length: rl.bytesSent}) != nil {
 				return errCallerGone
 			}
 			return nil
@@ -152,25 +152,25 @@
 	}
 }
 
-func bufferSize(streams bool) int {
-	if streams {
-		return streamSize
+func readBufferSize(isStream bool) int {
+	if isStream {
+		return streamBufferSize
 	}
-	return chunkSize
+	return plainBufferSize
 }
 
-// begin sends the head of the first try. The head of a later one must be the
+// sendHead sends the head of the first try. The head of a later one must be the
 // same: an error page in place of a stream whose head is out would reach the
 // caller as the stream itself, ended well.
-func (rl *relay) begin(h Head) error {
+func (rl *relay) sendHead(h Head) error {
 	h.Outcome = ""
-	if rl.sink.begun {
+	if rl.sink.headSent {
 		if h.Status != rl.head.Status || h.ContentType != rl.head.ContentType {
 			return errDiverged
 		}
 		return nil
 	}
-	rl.sum.Reset()
+	rl.sentHash.Reset()
 	rl.head = h
 	if rl.sink.Head(h) != nil {
 		return errCallerGone
@@ -181,28 +181,28 @@
 // skipper drops the part of a repeated answer that was sent before, if it is
 // the same.
 type skipper struct {
-	left int64
-	want uint64
-	sum  xxhash.Digest
+	remaining int64
+	wantHash  uint64
+	hash      xxhash.Digest
 }
 
 func newSkipper(sent int64, want uint64) *skipper {
-	s := &skipper{left: sent, want: want}
-	s.sum.Reset()
+	s := &skipper{remaining: sent, wantHash: want}
+	s.hash.Reset()
 	return s
 }
 
-// take returns what of p is new; same is false when the part sent before
+// newBytes returns what of p is new; same is false when the part sent before
 // differs.
-func (s *skipper) take(p []byte) (fresh []byte, same bool) {
-	if s.left == 0 {
+func (s *skipper) newBytes(p []byte) (fresh []byte, same bool) {
+	if s.remaining == 0 {
 		return p, true
 	}
-	n := min(int64(len(p)), s.left)
-	_, _ = s.sum.Write(p[:n])
-	s.left -= n
-	if s.left > 0 {
+	n := min(int64(len(p)), s.remaining)
+	_, _ = s.hash.Write(p[:n])
+	s.remaining -= n
+	if s.remaining > 0 {
 		return nil, true
 	}
-	return p[n:], s.sum.Sum64() == s.want
+	return p[n:], s.hash.Sum64() == s.wantHash
 }
--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -32,22 +32,22 @@
 	return nil
 }
 
-type noCounter struct{}
+type discardCounter struct{}
 
-func (noCounter) Ended(string, jwrequest.Outcome, Reason) {}
-func (noCounter) Seen(string, Seen)                       {}
-func (noCounter) Tried(string, string, bool)              {}
+func (discardCounter) Ended(string, jwrequest.Outcome, Reason) {}
+func (discardCounter) Seen(string, Seen)                       {}
+func (discardCounter) Tried(string, string, bool)              {}
 
 func newRelay() (*relay, *recorder) {
 	r := &recorder{}
-	d := &Dispatcher{Counter: noCounter{}, Now: time.Now}
+	d := &Dispatcher{Counter: discardCounter{}, Now: time.Now}
 	j := &job{Dispatcher: d, request: &jwrequest.Request{}, entry: &jwcatalogue.Entry{}}
-	j.sink = &ending{Sink: r, job: j}
+	j.sink = &trackedSink{Sink: r, job: j}
 	return &relay{sink: j.sink}, r
 }
 
 // events from, to as a model engine streams them.
-func sse(from, to int, text string) string {
+func numberedEvents(from, to int, text string) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: %s %d\n\n", i, text, i)
@@ -55,7 +55,7 @@
 	return b.String()
 }
 
-func streamed(body string, end error) *Answer {
+func oneByteStream(body string, end error) *Answer {
 	parts := []io.Reader{iotest.OneByteReader(strings.NewReader(body))}
 	if end != nil {
 		parts = append(parts, iotest.ErrReader(end))
@@ -69,7 +69,7 @@
 // A stream breaks in the midst of an event and is tried again. The caller must
 // see each byte once and in order, or be told that the answer is not whole;
 // half of one draft joined to half of another would go out as a price sheet.
-func TestRelayOverTries(t *testing.T) {
+func TestRelayResumesStream(t *testing.T) {
 	broken := &CallError{Fate: Broken, Err: errors.New("cut")}
 	done := "data: [DONE]\n\n"
 	tests := map[string]struct {
@@ -78,46 +78,46 @@
 		err   error // of the last try
 	}{
 		"whole at once": {
-			tries: []*Answer{streamed(sse(1, 5, "a")+done, nil)},
-			want:  sse(1, 5, "a") + done,
+			tries: []*Answer{oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
+			want:  numberedEvents(1, 5, "a") + done,
 		},
 		"goes on where it stopped": {
-			tries: []*Answer{streamed(sse(1, 3, "a")+"id: 4\nda", broken), streamed(sse(4, 5, "a")+done, nil)},
-			want:  sse(1, 5, "a") + done,
+			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a")+"id: 4\nda", broken), oneByteStream(numberedEvents(4, 5, "a")+done, nil)},
+			want:  numberedEvents(1, 5, "a") + done,
 		},
 		"begun again with the same text": {
-			tries: []*Answer{streamed(sse(1, 3, "a")+"id: 4\nda", broken), streamed(sse(1, 5, "a")+done, nil)},
-			want:  sse(1, 5, "a") + done,
+			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a")+"id: 4\nda", broken), oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
+			want:  numberedEvents(1, 5, "a") + done,
 		},
 		"begun again with another text": {
-			tries: []*Answer{streamed(sse(1, 3, "a"), broken), streamed(sse(1, 5, "b")+done, nil)},
-			want:  sse(1, 3, "a"),
+			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(1, 5, "b")+done, nil)},
+			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
 		},
 		"begun again and shorter": {
-			tries: []*Answer{streamed(sse(1, 3, "a"), broken), streamed(sse(1, 2, "a"), nil)},
-			want:  sse(1, 3, "a"),
+			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(1, 2, "a"), nil)},
+			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
 		},
 		"goes on after a gap": {
-			tries: []*Answer{streamed(sse(1, 3, "a"), broken), streamed(sse(5, 6, "a")+done, nil)},
-			want:  sse(1, 3, "a"),
+			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(5, 6, "a")+done, nil)},
+			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
 		},
 		"broken before the first event": {
-			tries: []*Answer{streamed("id: 1\nda", broken), streamed(sse(1, 2, "a")+done, nil)},
-			want:  sse(1, 2, "a") + done,
+			tries: []*Answer{oneByteStream("id: 1\nda", broken), oneByteStream(numberedEvents(1, 2, "a")+done, nil)},
+			want:  numberedEvents(1, 2, "a") + done,
 		},
 		"events that end in CRLF": {
-			tries: []*Answer{streamed("id: 1\r\ndata: a\r\n\r\nid: 2\r\nda", broken), streamed("id: 2\r\ndata: b\r\n\r\n"+done, nil)},
+			tries: []*Answer{oneByteStream("id: 1\r\ndata: a\r\n\r\nid: 2\r\nda", broken), oneByteStream("id: 2\r\ndata: b\r\n\r\n"+done, nil)},
 			want:  "id: 1\r\ndata: a\r\n\r\nid: 2\r\ndata: b\r\n\r\n" + done,
 		},
 		"broken three times": {
 			tries: []*Answer{
-				streamed(sse(1, 1, "a"), broken), streamed(sse(2, 2, "a")+"id", broken),
-				streamed(sse(1, 3, "a")+"id: 4", broken), streamed(sse(4, 5, "a")+done, nil),
+				oneByteStream(numberedEvents(1, 1, "a"), broken), oneByteStream(numberedEvents(2, 2, "a")+"id", broken),
+				oneByteStream(numberedEvents(1, 3, "a")+"id: 4", broken), oneByteStream(numberedEvents(4, 5, "a")+done, nil),
 			},
-			want: sse(1, 5, "a") + done,
+			want: numberedEvents(1, 5, "a") + done,
 		},
 	}
 	for name, test := range tests {
@@ -148,13 +148,13 @@
 func FuzzRelay(f *testing.F) {
 	f.Add(uint16(0), uint16(9), true, false)
 	f.Add(uint16(30), uint16(31), false, true)
-	whole := sse(1, 8, "text") + "data: [DONE]\n\n"
+	whole := numberedEvents(1, 8, "text") + "data: [DONE]\n\n"
 	broken := &CallError{Fate: Broken, Err: errors.New("cut")}
 	f.Fuzz(func(t *testing.T, first, second uint16, resumeFirst, resumeSecond bool) {
 		rl, caller := newRelay()
 		next := func(resume bool) string {
-			if resume && rl.events.after() != "" {
-				return whole[rl.sent:]
+			if resume && rl.events.lastEventID() != "" {
+				return whole[rl.bytesSent:]
 			}
 			return whole
 		}
@@ -167,10 +167,10 @@
 			if at >= len(rest) {
 				continue
 			}
-			assert.ErrorIs(t, rl.copy(streamed(rest[:at], broken)), broken)
+			assert.ErrorIs(t, rl.copy(oneByteStream(rest[:at], broken)), broken)
 			rest = next(cut.resume)
 		}
-		assert.NilError(t, rl.copy(streamed(rest, nil)))
+		assert.NilError(t, rl.copy(oneByteStream(rest, nil)))
 		assert.Equal(t, caller.body.String(), whole)
 	})
 }
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -25,27 +25,27 @@
 
 // fingerprint is the same for each try of one request, whoever sends it again.
 func (j *job) fingerprint() jwsuspect.Fingerprint {
-	if j.mark == (jwsuspect.Fingerprint{}) {
-		j.mark = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
+	if j.fp == (jwsuspect.Fingerprint{}) {
+		j.fp = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
 	}
-	return j.mark
+	return j.fp
 }
 
-// noteCrash raises suspicion against all that ran on a target that crashed.
-func (j *job) noteCrash(err error) {
+// recordCrash raises suspicion against all that ran on a target that crashed.
+func (j *job) recordCrash(err error) {
 	var failed *CallError
 	if !errors.As(err, &failed) || !failed.Crashed {
 		return
 	}
-	barred := j.Board.Suspects.Crashed(failed.Peer, j.Now())
+	quarantined := j.Board.Suspects.Crashed(failed.Peer, j.Now())
 	if j.Crashed != nil {
-		j.Crashed(failed.Peer, barred)
+		j.Crashed(failed.Peer, quarantined)
 	}
 }
 
 // callerHash is the same for each try of one request by one caller, also when
 // each has a request id of its own.
 func (j *job) callerHash() uint64 {
-	mark := j.fingerprint()
-	return jwtarget.Mix(xxhash.Sum64String(j.request.Workspace), xxhash.Sum64(mark[:]))
+	fp := j.fingerprint()
+	return jwtarget.Mix(xxhash.Sum64String(j.request.Workspace), xxhash.Sum64(fp[:]))
 }
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -28,23 +28,23 @@
 // resume asks the target of a stream that broke in its midst to go on where it
 // stopped, over a new connection. It works where only the connection was lost:
 // a target whose process died refuses, and the break counts as a crash.
-func (j *job) resume(ctx context.Context, rl *relay, t *targetTry, broken error) bool {
+func (j *job) resume(ctx context.Context, rl *relay, t *targetAttempt, cause error) bool {
 	var failed *CallError
 	for range maxResumes {
-		if ctx.Err() != nil || rl.events.after() == "" || !errors.As(broken, &failed) || failed.NotRun() {
+		if ctx.Err() != nil || rl.events.lastEventID() == "" || !errors.As(cause, &failed) || failed.NotRun() {
 			return false
 		}
 		if !j.Board.Budget.Retry(j.entry.Name) {
 			return false
 		}
-		j.step("resume", t.address.String())
+		j.trace("resume", t.address.String())
 		call := t.call
-		call.After = rl.events.after()
+		call.After = rl.events.lastEventID()
 		a, err := j.Targets.Call(ctx, t.address, call)
 		if err != nil {
 			return false
 		}
-		if broken = rl.copy(a); broken == nil {
+		if cause = rl.copy(a); cause == nil {
 			return true
 		}
 	}
@@ -54,31 +54,31 @@
 // maxResumes bounds how often one target is asked to go on with a stream.
 const maxResumes = 3
 
-// targetTry is one call of a target.
-type targetTry struct {
-	job     *job
-	address netip.AddrPort
-	mark    jwsuspect.Fingerprint
-	begun   jwtarget.Call
-	call    TargetCall
+// targetAttempt is one call of a target.
+type targetAttempt struct {
+	job      *job
+	address  netip.AddrPort
+	fp       jwsuspect.Fingerprint
+	inFlight jwtarget.Call
+	call     TargetCall
 }
 
 // callTarget picks a target of this region and calls it. After an answer has
 // begun, end must be called once with how it ended.
-func (j *job) callTarget(ctx context.Context, idempotent bool) (*targetTry, *Answer, error) {
-	mark := j.fingerprint()
-	choice, found := j.pick(mark)
+func (j *job) callTarget(ctx context.Context, idempotent bool) (*targetAttempt, *Answer, error) {
+	fp := j.fingerprint()
+	choice, found := j.pick(fp)
 	if !found {
-		return nil, nil, &noPlace{reason: jwrouter.Nowhere}
+		return nil, nil, &noPlacementError{reason: jwrouter.Nowhere}
 	}
-	j.step("target", string(choice.Reason)+" "+choice.Address.String())
-	t := &targetTry{job: j, address: choice.Address, mark: mark, call: TargetCall{
+	j.trace("target", string(choice.Reason)+" "+choice.Address.String())
+	t := &targetAttempt{job: j, address: choice.Address, fp: fp, call: TargetCall{
 		Request: j.request, Path: j.entry.Path, Idempotent: idempotent,
 		Progress: j.entry.Progress, Urgency: urgency(j.entry.Class),
 	}}
-	t.begun = j.Board.Targets.Begin(choice.Address, j.query.Work, j.Now())
-	t.begun.Kind = j.entry.Name
-	j.Board.Suspects.Begin(mark, choice.Address, j.request.Bound)
+	t.inFlight = j.Board.Targets.Begin(choice.Address, j.query.Work, j.Now())
+	t.inFlight.Kind = j.entry.Name
+	j.Board.Suspects.Begin(fp, choice.Address, j.request.Bound)
 	a, err := j.Targets.Call(ctx, choice.Address, t.call)
 	if err != nil {
 		t.end(ctx, err)
@@ -89,31 +89,31 @@
 }
 
 // pick chooses a target; a suspect keeps away from some.
-func (j *job) pick(mark jwsuspect.Fingerprint) (jwrouter.Choice, bool) {
+func (j *job) pick(fp jwsuspect.Fingerprint) (jwrouter.Choice, bool) {
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
-	if state, _ := j.Board.Suspects.Check(mark, j.Now()); state == jwsuspect.Suspected {
-		apart := j.Board.Suspects.Apart(mark, j.usable(), j.Now())
+	if state, _ := j.Board.Suspects.Check(fp, j.Now()); state == jwsuspect.Suspected {
+		apart := j.Board.Suspects.Apart(fp, j.usableTargets(), j.Now())
 		j.query.Exclude = append(tried[:len(tried):len(tried)], apart...)
 	}
 	return j.Router.Pick(&j.query)
 }
 
 // end takes the call out of the tables.
-func (t *targetTry) end(ctx context.Context, err error) {
+func (t *targetAttempt) end(ctx context.Context, err error) {
 	j := t.job
 	now := j.Now()
-	j.noteCrash(err)
-	j.Board.Suspects.End(t.mark, t.address, err == nil, now)
-	j.Board.Targets.End(t.begun, result(ctx, err), now)
+	j.recordCrash(err)
+	j.Board.Suspects.End(t.fp, t.address, err == nil, now)
+	j.Board.Targets.End(t.inFlight, callResult(ctx, err), now)
 	j.Counter.Tried(j.entry.Name, "target", err == nil)
 	if err != nil {
 		j.query.Exclude = append(j.query.Exclude, t.address)
 	}
 }
 
-// usable are the targets of the entry's service that this node uses.
-func (j *job) usable() []netip.AddrPort {
+// usableTargets are the targets of the entry's service that this node uses.
+func (j *job) usableTargets() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, t := range j.Board.Targets.Used() {
 		if t.Service == j.entry.Service {
@@ -123,8 +123,8 @@
 	return out
 }
 
-// result tells the target table how a call ended.
-func result(ctx context.Context, err error) jwtarget.Result {
+// callResult tells the target table how a call ended.
+func callResult(ctx context.Context, err error) jwtarget.Result {
 	var failed *CallError
 	switch {
 	case err == nil:
