--- a/core/jwrouter/bench_test.go
+++ b/core/jwrouter/bench_test.go
@@ -8,14 +8,14 @@
 	"jujubewheel/core/jwtarget"
 )
 
-var sizes = []int{12, 250, 3200}
+var targetCounts = []int{12, 250, 3200}
 
 func BenchmarkPick(b *testing.B) {
 	for _, subset := range []int{jwtarget.DefaultSubset, -1} {
-		for _, n := range sizes {
+		for _, n := range targetCounts {
 			b.Run(fmt.Sprintf("targets=%d/subset=%d", n, subset), func(b *testing.B) {
-				r := router(n, subset, func(i int) jwtarget.Load { return jwtarget.Load{Running: i % 9, Slots: 8} })
-				q := query()
+				r := newRouter(n, subset, func(i int) jwtarget.Load { return jwtarget.Load{Running: i % 9, Slots: 8} })
+				q := newQuery()
 				q.Prefill = time.Second
 				b.ReportAllocs()
 				for i := 0; b.Loop(); i++ {
@@ -29,13 +29,13 @@
 }
 
 func BenchmarkPlace(b *testing.B) {
-	for _, n := range sizes {
+	for _, n := range targetCounts {
 		b.Run(fmt.Sprintf("targets=%d/regions=13", n), func(b *testing.B) {
-			r := router(n, jwtarget.DefaultSubset, busy)
+			r := newRouter(n, jwtarget.DefaultSubset, busy)
 			for i := range 13 {
 				r.Regions.Merge(Load{Region: fmt.Sprintf("o%d", i), Service: "s", Slots: 64, Targets: 8, Taken: start})
 			}
-			q := query()
+			q := newQuery()
 			b.ReportAllocs()
 			for b.Loop() {
 				r.Place(q)
--- a/core/jwrouter/pick.go
+++ b/core/jwrouter/pick.go
@@ -27,15 +27,15 @@
 	Expect  time.Duration // expected time to the end of the call, with its wait
 }
 
-// prefixBytes is how much of a body decides which requests share a prefix.
-const prefixBytes = 256
+// prefixLength is how much of a body decides which requests share a prefix.
+const prefixLength = 256
 
 // PrefixOf returns the key under which requests of one workspace and entry
 // with the same beginning of the body are kept together.
 func PrefixOf(workspace, entry string, body []byte) uint64 {
 	h := xxhash.Sum64String(workspace)
 	h = jwtarget.Mix(h, xxhash.Sum64String(entry))
-	return jwtarget.Mix(h, xxhash.Sum64(body[:min(len(body), prefixBytes)]))
+	return jwtarget.Mix(h, xxhash.Sum64(body[:min(len(body), prefixLength)]))
 }
 
 // Pick chooses the target of this region for a request; found is false when no
@@ -47,12 +47,12 @@
 	}
 	defer r.scratch.Put(buf)
 	*buf = r.Targets.Candidates(q.Entry.Service, q.Now, (*buf)[:0])
-	usable := exclude(*buf, q)
+	usable := filterCandidates(*buf, q)
 	if len(usable) == 0 {
 		return Choice{}, false
 	}
-	best := r.lightest(q, usable)
-	choice = Choice{Address: best.Address, Reason: Lightest, Expect: r.expect(q, best)}
+	best := r.leastExpected(q, usable)
+	choice = Choice{Address: best.Address, Reason: Lightest, Expect: r.expectedTime(q, best)}
 	if best.Probe {
 		choice.Reason = Probe
 		return choice, true
@@ -60,19 +60,19 @@
 	if q.Prefix == 0 || r.Policy.NoAffinity {
 		return choice, true
 	}
-	if kept := r.keeper(q, usable); kept != nil {
-		expect := r.expect(q, kept) - q.Prefill
+	if cached := r.affinityTarget(q, usable); cached != nil {
+		expect := r.expectedTime(q, cached) - q.Prefill
 		if expect <= choice.Expect {
-			return Choice{Address: kept.Address, Reason: Cached, Expect: max(expect, 0)}, true
+			return Choice{Address: cached.Address, Reason: Cached, Expect: max(expect, 0)}, true
 		}
 	}
 	return choice, true
 }
 
-// exclude drops the targets that must not get the request. A target that is
+// filterCandidates drops the targets that must not get the request. A target that is
 // tried again after failures gets only calls that may be repeated, unless
 // there is no other.
-func exclude(list []jwtarget.Candidate, q *Query) []jwtarget.Candidate {
+func filterCandidates(list []jwtarget.Candidate, q *Query) []jwtarget.Candidate {
 	kept := list[:0]
 	for _, c := range list {
 		if !slices.Contains(q.Exclude, c.Address) {
@@ -82,71 +82,71 @@
 	if q.Entry.Idempotent {
 		return kept
 	}
-	proven := 0
+	healthy := 0
 	for i := range kept {
 		if !kept[i].Probe {
-			kept[proven], kept[i] = kept[i], kept[proven]
-			proven++
+			kept[healthy], kept[i] = kept[i], kept[healthy]
+			healthy++
 		}
 	}
-	if proven == 0 {
+	if healthy == 0 {
 		return kept
 	}
-	return kept[:proven]
+	return kept[:healthy]
 }
 
-// lightest returns the target with the least expected time. It starts at a
+// leastExpected returns the target with the least expected time. It starts at a
 // random place so that nodes with the same reports do not all prefer the same
 // one of several equal targets.
-func (r *Router) lightest(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
+func (r *Router) leastExpected(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
 	n := len(list)
 	start := int(q.Random % uint64(n))
 	best := &list[start]
-	least := r.expect(q, best)
+	lowest := r.expectedTime(q, best)
 	for i := 1; i < n; i++ {
 		c := &list[(start+i)%n]
-		if e := r.expect(q, c); e < least {
-			best, least = c, e
+		if e := r.expectedTime(q, c); e < lowest {
+			best, lowest = c, e
 		}
 	}
 	return best
 }
 
-// keeper returns the target that keeps the request's prefix: the first by
+// affinityTarget returns the target that keeps the request's prefix: the first by
 // rendezvous hashing whose load stays within Spread of the mean, so that a
 // busy prefix spreads to further targets and does not overload the first. It
 // returns nil when all are above, as a whole region is when its queues are long.
-func (r *Router) keeper(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
+func (r *Router) affinityTarget(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
 	outstanding, slots := 0, 0
 	for i := range list {
 		outstanding += list[i].Outstanding
 		slots += list[i].Slots
 	}
 	mean := float64(outstanding+1) / float64(slots)
-	var kept *jwtarget.Candidate
+	var best *jwtarget.Candidate
 	highest := uint64(0)
 	for i := range list {
 		c := &list[i]
 		if c.Probe || float64(c.Outstanding) > r.Policy.spread()*mean*float64(c.Slots) {
 			continue
 		}
-		if key := jwtarget.Mix(q.Prefix, c.Key); kept == nil || key > highest {
-			kept, highest = c, key
+		if key := jwtarget.Mix(q.Prefix, c.Key); best == nil || key > highest {
+			best, highest = c, key
 		}
 	}
-	return kept
+	return best
 }
 
-// fullBatch is how much longer a call takes in a full batch than alone.
-const fullBatch = 0.5
+// fullBatchSlowdown is how much longer a call takes in a full batch than alone.
+const fullBatchSlowdown = 0.5
 
-// expect estimates the time to the end of a call on a target: the wait for a
+// expectedTime estimates the time to the end of a call on a target: the wait for a
 // slot, then the call itself, which a fuller batch makes longer.
-func (r *Router) expect(q *Query, c *jwtarget.Candidate) time.Duration {
+func (r *Router) expectedTime(q *Query, c *jwtarget.Candidate) time.Duration {
 	slots := float64(c.Slots)
 	queued := float64(max(c.Outstanding+1-c.Slots, 0))
 	filled := min(float64(c.Outstanding)/slots, 1)
-	times := queued/slots + 1 + fullBatch*filled
+	times := queued/slots + 1 + fullBatchSlowdown*filled
 	if !r.Policy.NoPace {
 		times *= c.Pace
 	}
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -40,7 +40,7 @@
 	if room.Targets == 0 || q.Full {
 		here = Placement{Reason: Nowhere}
 	}
-	if reason, fixed := r.stays(q); fixed {
+	if reason, fixed := r.mustStay(q); fixed {
 		if here.Region != "" {
 			here.Reason = reason
 		}
@@ -52,8 +52,8 @@
 	return r.cheapest(q, here)
 }
 
-// stays reports whether a request must not be sent to another region.
-func (r *Router) stays(q *Query) (PlaceReason, bool) {
+// mustStay reports whether a request must not be sent to another region.
+func (r *Router) mustStay(q *Query) (PlaceReason, bool) {
 	switch {
 	case q.bound():
 		return Bound, true
@@ -68,12 +68,12 @@
 // cheapest weighs the other regions against this one.
 func (r *Router) cheapest(q *Query, here Placement) Placement {
 	best := here
-	least := r.cost(q, r.Region, here.Wait)
+	lowest := r.cost(q, r.Region, here.Wait)
 	if here.Region != "" {
 		best.Reason = CheaperHere
-		least -= q.Entry.Weights.Tail * r.Policy.margin().Seconds()
+		lowest -= q.Entry.Weights.Tail * r.Policy.margin().Seconds()
 	}
-	var buf [usualRegions]Load
+	var buf [typicalRegions]Load
 	loads := r.Regions.loads(q.Entry.Service, q.Now, buf[:0])
 	for i := range loads {
 		l := &loads[i]
@@ -85,9 +85,9 @@
 			continue
 		}
 		cost := r.cost(q, l.Region, wait)
-		if best.Region == "" || cost < least {
+		if best.Region == "" || cost < lowest {
 			best = Placement{Region: l.Region, Reason: Away, Wait: wait}
-			least = cost
+			lowest = cost
 		}
 	}
 	if here.Region == "" && best.Region != "" {
@@ -96,8 +96,8 @@
 	return best
 }
 
-// usualRegions is how many regions are weighed without allocating.
-const usualRegions = 16
+// typicalRegions is how many regions are weighed without allocating.
+const typicalRegions = 16
 
 // allowed reports whether the entry lets a request run in a region; the home of
 // its workspace is always allowed.
@@ -129,11 +129,11 @@
 		cost += w.SentAway
 	}
 	if q.late(wait) {
-		cost += missedCost
+		cost += missedDeadlineCost
 	}
 	return cost
 }
 
-// missedCost is what an answer that misses its deadline costs, against which
+// missedDeadlineCost is what an answer that misses its deadline costs, against which
 // the price of a link and a share sent away hardly count.
-const missedCost = 10
+const missedDeadlineCost = 10
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -46,7 +46,7 @@
 			Now:   start,
 		}
 		at := rapid.SampledFrom(regions).Draw(t, "entryRegion")
-		way := []string{at}
+		path := []string{at}
 		for range 4 {
 			p := routers[at].Place(q)
 			if p.Region != "" && (q.Bound || entry.Bound) && p.Region != q.Home {
@@ -59,12 +59,12 @@
 				t.Fatalf("%s is not allowed", p.Region)
 			}
 			at = p.Region
-			way = append(way, at)
+			path = append(path, at)
 			q.Forwarded = true // set by the receiver, not taken from the message
 			q.Hops = drawHops(t, regions)
 		}
-		if len(way) > 2 {
-			t.Fatalf("went %v", way)
+		if len(path) > 2 {
+			t.Fatalf("went %v", path)
 		}
 	})
 }
@@ -72,7 +72,7 @@
 // drawRouter makes a router with any load and any belief about the others.
 func drawRouter(t *rapid.T, name string, regions []string) *Router {
 	n := rapid.IntRange(0, 2).Draw(t, "targets")
-	r := router(n, -1, func(int) jwtarget.Load {
+	r := newRouter(n, -1, func(int) jwtarget.Load {
 		return jwtarget.Load{Running: rapid.IntRange(0, 50).Draw(t, "running"), Slots: 8}
 	})
 	r.Region = name
--- a/core/jwrouter/regions.go
+++ b/core/jwrouter/regions.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// DefaultLoadFor is how long a region's word about its load is believed.
-const DefaultLoadFor = 10 * time.Second
+// DefaultMaxLoadAge is how long a region's word about its load is believed.
+const DefaultMaxLoadAge = 10 * time.Second
 
 // Load is what a region says of one of its services; it lags behind.
 type Load struct {
@@ -19,7 +19,7 @@
 	Targets int
 	Taken   time.Time // when the region measured it
 
-	sent int // calls this node sent there since
+	sentSince int // calls this node sent there since
 }
 
 // wait adds the calls sent since the report to the wait it told of.
@@ -27,7 +27,7 @@
 	if l.Slots == 0 {
 		return l.Wait
 	}
-	queued := float64(l.sent) - l.Free*float64(l.Slots)
+	queued := float64(l.sentSince) - l.Free*float64(l.Slots)
 	if queued <= 0 {
 		return l.Wait
 	}
@@ -44,22 +44,22 @@
 // no other lock is taken under it. A region that was not heard of for LoadFor
 // is taken for cut off: nothing is sent there until it speaks again.
 type Regions struct {
-	Links   map[string]Link
-	LoadFor time.Duration
+	Links      map[string]Link
+	MaxLoadAge time.Duration
 
-	mu    sync.Mutex
-	nodes int               // of this region, which send away as this one does
-	told  map[string][]Load // by service
+	mu         sync.Mutex
+	localNodes int               // of this region, which send away as this one does
+	reports    map[string][]Load // by service
 }
 
 // Merge takes over a region's report unless a newer one is known.
 func (t *Regions) Merge(load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if t.told == nil {
-		t.told = make(map[string][]Load)
+	if t.reports == nil {
+		t.reports = make(map[string][]Load)
 	}
-	list := t.told[load.Service]
+	list := t.reports[load.Service]
 	for i := range list {
 		if list[i].Region != load.Region {
 			continue
@@ -69,7 +69,7 @@
 		}
 		return
 	}
-	t.told[load.Service] = append(list, load)
+	t.reports[load.Service] = append(list, load)
 }
 
 // SetNodes takes over how many nodes of this region send requests away; each
@@ -77,7 +77,7 @@
 func (t *Regions) SetNodes(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.nodes = n
+	t.localNodes = n
 }
 
 // Sent notes a request sent away. Without it, every request of the time
@@ -85,10 +85,10 @@
 func (t *Regions) Sent(region, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	list := t.told[service]
+	list := t.reports[service]
 	for i := range list {
 		if list[i].Region == region {
-			list[i].sent += max(t.nodes, 1)
+			list[i].sentSince += max(t.localNodes, 1)
 		}
 	}
 }
@@ -100,8 +100,8 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	for _, l := range t.told[service] {
-		if now.Sub(l.Taken) <= orDefault(t.LoadFor, DefaultLoadFor) {
+	for _, l := range t.reports[service] {
+		if now.Sub(l.Taken) <= orDefault(t.MaxLoadAge, DefaultMaxLoadAge) {
 			out = append(out, l)
 		}
 	}
--- a/core/jwrouter/router.go
+++ b/core/jwrouter/router.go
@@ -75,9 +75,9 @@
 func (p Policy) crossing() time.Duration { return orDefault(p.Crossing, DefaultCrossing) }
 func (p Policy) margin() time.Duration   { return orDefault(p.Margin, DefaultMargin) }
 
-func orDefault(d, standard time.Duration) time.Duration {
+func orDefault(d, fallback time.Duration) time.Duration {
 	if d <= 0 {
-		return standard
+		return fallback
 	}
 	return d
 }
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -19,9 +19,9 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 8000)
 }
 
-// router returns a router of region r in data centre r0 with n targets, of
+// newRouter returns a newRouter of region r in data centre r0 with n targets, of
 // which each has the load that the function gives.
-func router(n, subset int, load func(i int) jwtarget.Load) *Router {
+func newRouter(n, subset int, load func(i int) jwtarget.Load) *Router {
 	table := &jwtarget.Table{Node: "n", Region: "r", Subset: subset}
 	var list []jwtarget.Target
 	for i := range n {
@@ -42,15 +42,15 @@
 
 func busy(int) jwtarget.Load { return jwtarget.Load{Running: 8, Waiting: 24, Slots: 8} }
 
-func draft() *jwcatalogue.Entry {
+func draftEntry() *jwcatalogue.Entry {
 	return &jwcatalogue.Entry{
 		Name: "draft", Class: jwcatalogue.Draft, Service: "s", Idempotent: true, Regions: []string{"*"},
 		Weights: jwcatalogue.Weights{Cost: 0.1, Tail: 1, SentAway: 0.1},
 	}
 }
 
-func query() *Query {
-	return &Query{Entry: draft(), Home: "r", Work: time.Second, Now: start, Random: 7}
+func newQuery() *Query {
+	return &Query{Entry: draftEntry(), Home: "r", Work: time.Second, Now: start, Random: 7}
 }
 
 func TestPick(t *testing.T) {
@@ -61,33 +61,33 @@
 		reason PickReason
 	}{
 		"least outstanding": {
-			router(4, -1, func(i int) jwtarget.Load { return jwtarget.Load{Running: 8 - i, Slots: 8} }),
+			newRouter(4, -1, func(i int) jwtarget.Load { return jwtarget.Load{Running: 8 - i, Slots: 8} }),
 			nil, 3, Lightest,
 		},
-		"same data centre first": {router(2, -1, idle), nil, 0, Lightest},
+		"same data centre first": {newRouter(2, -1, idle), nil, 0, Lightest},
 		"excluded": {
-			router(2, -1, idle),
+			newRouter(2, -1, idle),
 			func(q *Query, _ *Router) { q.Exclude = []netip.AddrPort{address(0)} }, 1, Lightest,
 		},
 		"all excluded": {
-			router(1, -1, idle),
+			newRouter(1, -1, idle),
 			func(q *Query, _ *Router) { q.Exclude = []netip.AddrPort{address(0)} }, -1, "",
 		},
 		"a slow one is avoided": {
-			router(3, -1, func(i int) jwtarget.Load {
+			newRouter(3, -1, func(i int) jwtarget.Load {
 				return jwtarget.Load{Slots: 8, Token: time.Duration(100-30*i) * time.Millisecond}
 			}),
 			nil, 2, Lightest,
 		},
 		"what may not be repeated never goes to a probe": {
-			router(2, -1, busy),
+			newRouter(2, -1, busy),
 			func(q *Query, r *Router) {
 				q.Entry.Idempotent = false
 				r.Targets.Failed(address(0), start.Add(-time.Hour))
 			}, 1, Lightest,
 		},
 		"unless there is no other": {
-			router(1, -1, idle),
+			newRouter(1, -1, idle),
 			func(q *Query, r *Router) {
 				q.Entry.Idempotent = false
 				r.Targets.Failed(address(0), start.Add(-time.Hour))
@@ -96,7 +96,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			q := query()
+			q := newQuery()
 			if test.change != nil {
 				test.change(q, test.router)
 			}
@@ -112,10 +112,10 @@
 
 // A prefix that everybody asks for would pile up on the one target that keeps
 // it, and its callers would wait beside idle targets.
-func TestBusyPrefixSpreads(t *testing.T) {
-	r := router(8, -1, idle)
+func TestBusyPrefixUsesSeveralTargets(t *testing.T) {
+	r := newRouter(8, -1, idle)
 	r.Policy.Spread = 1.25
-	q := query()
+	q := newQuery()
 	q.Prefix, q.Prefill = 42, 10*time.Second
 	count := make(map[netip.AddrPort]int)
 	const calls = 64
@@ -132,9 +132,9 @@
 
 // Requests with the same beginning should meet the cache that the first one
 // filled, or every one of them computes its whole prompt anew.
-func TestQuietPrefixStays(t *testing.T) {
-	r := router(8, -1, idle)
-	q := query()
+func TestIdlePrefixKeepsItsTarget(t *testing.T) {
+	r := newRouter(8, -1, idle)
+	q := newQuery()
 	q.Prefix, q.Prefill = PrefixOf("w", "e", []byte("long prompt")), 300*time.Millisecond
 	first, _ := r.Pick(q)
 	assert.Equal(t, first.Reason, Cached)
@@ -153,42 +153,42 @@
 		region string
 		reason PlaceReason
 	}{
-		"home with room":   {router(2, -1, idle), nil, "r", AtHome},
-		"home is busy":     {router(2, -1, busy), nil, "o", Away},
-		"home has none":    {router(0, -1, idle), nil, "o", NoRoom},
-		"nobody has any":   {router(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
-		"bound workspace":  {router(2, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "r", Bound},
-		"bound entry":      {router(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
-		"bound, no target": {router(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
-		"bound elsewhere":  {router(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
-		"full":             {router(2, -1, busy), func(q *Query, _ *Router) { q.Full = true }, "o", NoRoom},
-		"full and bound":   {router(2, -1, busy), func(q *Query, _ *Router) { q.Full, q.Bound = true, true }, "", Nowhere},
-		"full everywhere": {router(2, -1, busy), func(q *Query, r *Router) {
+		"home with room":   {newRouter(2, -1, idle), nil, "r", AtHome},
+		"home is busy":     {newRouter(2, -1, busy), nil, "o", Away},
+		"home has none":    {newRouter(0, -1, idle), nil, "o", NoRoom},
+		"nobody has any":   {newRouter(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
+		"bound workspace":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "r", Bound},
+		"bound entry":      {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
+		"bound, no target": {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
+		"bound elsewhere":  {newRouter(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
+		"full":             {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full = true }, "o", NoRoom},
+		"full and bound":   {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full, q.Bound = true, true }, "", Nowhere},
+		"full everywhere": {newRouter(2, -1, busy), func(q *Query, r *Router) {
 			q.Full = true
 			for range 100 {
 				r.Regions.Sent("o", "s")
 			}
 		}, "", Nowhere},
-		"late at home": {router(2, -1, busy), func(q *Query, _ *Router) {
+		"late at home": {newRouter(2, -1, busy), func(q *Query, _ *Router) {
 			q.Entry.Weights, q.Deadline = jwcatalogue.Weights{SentAway: 5}, start.Add(2*time.Second)
 		}, "o", Away},
-		"forwarded":         {router(2, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "r", AlreadyMoved},
-		"forwarded, none":   {router(0, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "", Nowhere},
-		"hop":               {router(2, -1, busy), func(q *Query, _ *Router) { q.Hops = jwrequest.Hops{{Node: "x", Region: "r"}} }, "r", AlreadyMoved},
-		"entry stays home":  {router(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = nil }, "r", NotAllowed},
-		"entry names other": {router(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = []string{"x"} }, "r", CheaperHere},
-		"word is too old":   {router(2, -1, busy), func(q *Query, _ *Router) { q.Now = start.Add(DefaultLoadFor + 1) }, "r", CheaperHere},
-		"link is too dear":  {router(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Weights.Cost = 100 }, "r", CheaperHere},
-		"guest goes home": {router(2, -1, idle), func(q *Query, _ *Router) {
+		"forwarded":         {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "r", AlreadyMoved},
+		"forwarded, none":   {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "", Nowhere},
+		"hop":               {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Hops = jwrequest.Hops{{Node: "x", Region: "r"}} }, "r", AlreadyMoved},
+		"entry stays home":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = nil }, "r", NotAllowed},
+		"entry names other": {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = []string{"x"} }, "r", CheaperHere},
+		"word is too old":   {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Now = start.Add(DefaultMaxLoadAge + 1) }, "r", CheaperHere},
+		"link is too dear":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Weights.Cost = 100 }, "r", CheaperHere},
+		"guest goes home": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
 			q.Home, q.Entry.Weights.SentAway = "o", 10
 		}, "o", Away},
-		"guest of an entry that stays home": {router(2, -1, idle), func(q *Query, _ *Router) {
+		"guest of an entry that stays home": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
 			q.Home, q.Entry.Weights.SentAway, q.Entry.Regions = "o", 10, nil
 		}, "o", Away},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			q := query()
+			q := newQuery()
 			test.router.Regions.Merge(other)
 			if test.change != nil {
 				test.change(q, test.router)
@@ -204,11 +204,11 @@
 // count, a whole peak would go to the region that last looked idle, and its
 // own callers would queue behind it.
 func TestSentAwayCountsUntilNextReport(t *testing.T) {
-	r := router(2, -1, busy)
+	r := newRouter(2, -1, busy)
 	r.Regions.Merge(Load{Region: "o", Service: "s", Free: 0.5, Slots: 16, Targets: 2, Work: time.Second, Taken: start})
 	sent := 0
 	for range 1000 {
-		if r.Place(query()).Reason == Away {
+		if r.Place(newQuery()).Reason == Away {
 			r.Regions.Sent("o", "s")
 			sent++
 		}
