--- a/core/jwlimit/budget.go
+++ b/core/jwlimit/budget.go
@@ -16,9 +16,9 @@
 	Share float64 // retries for each first try
 	Saved float64 // retries that may be saved up, also the number free at first
 
-	mu    sync.Mutex
-	saved map[string]float64
-	count BudgetCounts
+	mu       sync.Mutex
+	balances map[string]float64
+	count    BudgetCounts
 }
 
 // BudgetCounts counts what went through a Budget.
@@ -40,14 +40,14 @@
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.count.Tries++
-	b.set(entry, min(b.get(entry)+b.share(), b.most()))
+	b.set(entry, min(b.available(entry)+b.retryShare(), b.maxSaved()))
 }
 
 // Retry reports whether an entry may retry once more, and counts it if so.
 func (b *Budget) Retry(entry string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	n := b.get(entry)
+	n := b.available(entry)
 	if n < 1 {
 		b.count.Refused++
 		return false
@@ -57,28 +57,28 @@
 	return true
 }
 
-func (b *Budget) get(entry string) float64 {
-	if n, known := b.saved[entry]; known {
+func (b *Budget) available(entry string) float64 {
+	if n, known := b.balances[entry]; known {
 		return n
 	}
-	return b.most()
+	return b.maxSaved()
 }
 
 func (b *Budget) set(entry string, n float64) {
-	if b.saved == nil {
-		b.saved = make(map[string]float64)
+	if b.balances == nil {
+		b.balances = make(map[string]float64)
 	}
-	b.saved[entry] = n
+	b.balances[entry] = n
 }
 
-func (b *Budget) share() float64 {
+func (b *Budget) retryShare() float64 {
 	if b.Share <= 0 {
 		return DefaultRetryShare
 	}
 	return b.Share
 }
 
-func (b *Budget) most() float64 {
+func (b *Budget) maxSaved() float64 {
 	if b.Saved <= 0 {
 		return DefaultRetrySaved
 	}
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -64,12 +64,12 @@
 	Running int    // requests that this node runs at once, 0 for no limit
 	Policy  Policy
 
-	mu      sync.Mutex
-	running int
-	members []string // live nodes of the region, this one included
-	entries map[string]*meter
-	pools   map[poolKey]*pool
-	load    map[string]*pool // by service, over all owners
+	mu       sync.Mutex
+	running  int
+	members  []string // live nodes of the region, this one included
+	entries  map[string]*meter
+	pools    map[poolKey]*pool
+	services map[string]*pool // by service, over all owners
 }
 
 // Policy switches parts of the admission off, for measuring what each earns.
@@ -85,12 +85,12 @@
 
 // pool counts requests of one service on this node.
 type pool struct {
-	running int
-	urgent  int       // those of the classes confirmation and lookup
-	asked   time.Time // when a request last came
-	owners  int       // that run or asked, counted at the time below; of a whole service only
-	counted time.Time
-	back    time.Time // when the last of those refused for want of room is to come back
+	running         int
+	urgent          int       // those of the classes confirmation and lookup
+	lastRequest     time.Time // when a request last came
+	owners          int       // that run or asked, counted at the time below; of a whole service only
+	ownersCountedAt time.Time
+	lastRetryAt     time.Time // when the last of those refused for want of room is to come back
 }
 
 // Admit takes a request on or refuses it. A request taken on must be released.
@@ -99,23 +99,23 @@
 	defer l.mu.Unlock()
 	key := poolKey{service: q.Entry.Service, owner: q.Owner}
 	a := admission{
-		Query:   q,
-		limiter: l,
-		entry:   l.entry(q.Entry.Name),
-		owner:   l.pool(key),
-		service: l.service(q.Entry.Service),
+		Query:      q,
+		limiter:    l,
+		entryMeter: l.meterFor(q.Entry.Name),
+		owner:      l.ownerPool(key),
+		service:    l.servicePool(q.Entry.Service),
 	}
-	a.owner.asked = q.Now
+	a.owner.lastRequest = q.Now
 	if !q.Foreign {
-		a.entry.asked(q.Now)
+		a.entryMeter.recordRequest(q.Now)
 	}
-	if refusal, refused := a.refuse(); refused {
+	if refusal, refused := a.check(); refused {
 		return Token{}, refusal, false
 	}
 	t = Token{entry: q.Entry.Name, pool: key, class: q.Entry.Class, foreign: q.Foreign}
-	l.count(t, 1)
+	l.adjust(t, 1)
 	if !q.Foreign {
-		a.entry.tokens--
+		a.entryMeter.tokens--
 	}
 	return t, Refusal{}, true
 }
@@ -124,16 +124,16 @@
 func (l *Limiter) Release(t Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.count(t, -1)
+	l.adjust(t, -1)
 }
 
-// count adds n to all the counts that a request belongs to.
-func (l *Limiter) count(t Token, n int) {
+// adjust adds n to all the counts that a request belongs to.
+func (l *Limiter) adjust(t Token, n int) {
 	l.running += n
 	if !t.foreign {
-		l.entry(t.entry).running += n
+		l.meterFor(t.entry).running += n
 	}
-	for _, p := range [...]*pool{l.pool(t.pool), l.service(t.pool.service)} {
+	for _, p := range [...]*pool{l.ownerPool(t.pool), l.servicePool(t.pool.service)} {
 		p.running += n
 		if t.class != jwcatalogue.Draft {
 			p.urgent += n
@@ -141,7 +141,7 @@
 	}
 }
 
-func (l *Limiter) entry(name string) *meter {
+func (l *Limiter) meterFor(name string) *meter {
 	m := l.entries[name]
 	if m == nil {
 		if l.entries == nil {
@@ -153,7 +153,7 @@
 	return m
 }
 
-func (l *Limiter) pool(key poolKey) *pool {
+func (l *Limiter) ownerPool(key poolKey) *pool {
 	p := l.pools[key]
 	if p == nil {
 		if l.pools == nil {
@@ -165,20 +165,20 @@
 	return p
 }
 
-func (l *Limiter) service(name string) *pool {
-	p := l.load[name]
+func (l *Limiter) servicePool(name string) *pool {
+	p := l.services[name]
 	if p == nil {
-		if l.load == nil {
-			l.load = make(map[string]*pool)
+		if l.services == nil {
+			l.services = make(map[string]*pool)
 		}
 		p = &pool{}
-		l.load[name] = p
+		l.services[name] = p
 	}
 	return p
 }
 
-// idleFor is how long an owner that asks nothing is kept in memory.
-const idleFor = time.Minute
+// ownerIdleTimeout is how long an owner that asks nothing is kept in memory.
+const ownerIdleTimeout = time.Minute
 
 // Forget drops owners that run nothing and have not asked for a while; without
 // it the table would grow with every owner ever seen. It is called now and
@@ -187,7 +187,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for key, p := range l.pools {
-		if p.running == 0 && now.Sub(p.asked) > idleFor {
+		if p.running == 0 && now.Sub(p.lastRequest) > ownerIdleTimeout {
 			delete(l.pools, key)
 		}
 	}
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -93,7 +93,7 @@
 // One owner sends far more than the service can run while others send little.
 // Without shares the others find every slot taken and are refused for as long
 // as the burst lasts.
-func TestBurstOfOneOwnerLeavesOthersTheirShare(t *testing.T) {
+func TestBurstOfOneOwnerDoesNotDisplaceOthers(t *testing.T) {
 	served := func(p Policy) int {
 		l := &Limiter{Node: "n", Policy: p}
 		running, quiet := 0, 0
@@ -124,18 +124,18 @@
 // Callers above an entry's rate are told when to come back. If new callers
 // could take the places in the meantime, those who did as told would be refused
 // again and again; if all were told the same time, they would come together.
-func TestCallersWhoComeBackAsToldGetIn(t *testing.T) {
-	returned, refusedAgain, together := comeBack(Policy{})
+func TestCallersRetryingOnTimeAreAdmitted(t *testing.T) {
+	returned, refusedAgain, together := simulateRetries(Policy{})
 	assert.Assert(t, returned > 50, "%d came back", returned)
 	assert.Equal(t, refusedAgain, 0)
 	assert.Assert(t, together <= 2, "%d come back together", together)
-	_, refusedAgain, _ = comeBack(Policy{NoBooking: true})
+	_, refusedAgain, _ = simulateRetries(Policy{NoBooking: true})
 	assert.Assert(t, refusedAgain > 0)
 }
 
-// comeBack asks for more than an entry's rate for ten seconds; the refused
+// simulateRetries asks for more than an entry's rate for ten seconds; the refused
 // callers come back as they were told.
-func comeBack(p Policy) (returned, refusedAgain, together int) {
+func simulateRetries(p Policy) (returned, refusedAgain, together int) {
 	l := &Limiter{Node: "n", Policy: p}
 	entry := &jwcatalogue.Entry{Name: "e", Class: jwcatalogue.Draft, Service: "s", Limits: jwcatalogue.Limits{Rate: 10, Burst: 1}}
 	due := make(map[int][]uint64) // callers by the millisecond at which they come back
@@ -167,22 +167,22 @@
 // The nodes of a region share an entry's limit without a word for each
 // request. Parts that did not add up would let a region run more than its
 // owner allowed, or less than was free.
-func TestPartsAddUpToTheLimit(t *testing.T) {
+func TestSharesAddUpToLimit(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 9, 75} {
 		for _, limit := range []int{1, 4, 100} {
 			t.Run(fmt.Sprintf("%d nodes, limit %d", nodes, limit), func(t *testing.T) {
 				r := newRegion(nodes, limit)
 				for range limit + 3 {
 					for i := range r.nodes {
-						r.ask(i)
+						r.admit(i)
 					}
-					r.now = r.now.Add(shareFor)
-					r.tell()
+					r.now = r.now.Add(shareTTL)
+					r.exchangeReports()
 				}
 				assert.Equal(t, r.running(), limit)
 				rate := 0.0
 				for _, l := range r.nodes {
-					rate += l.share("e", l.entry("e"), limit, r.now).fraction
+					rate += l.share("e", l.meterFor("e"), limit, r.now).fraction
 				}
 				assert.Assert(t, rate > 0.99 && rate < 1.01, "%v", rate)
 			})
@@ -192,7 +192,7 @@
 
 // A request from another region was counted where it came from. Counted here
 // as well, a peak there would use up what this region's callers may ask.
-func TestForeignRequestsLeaveTheEntryAlone(t *testing.T) {
+func TestForeignRequestsDoNotCountAgainstEntry(t *testing.T) {
 	l := &Limiter{Node: "n"}
 	q := query(jwcatalogue.Draft, 0)
 	q.Entry.Limits = jwcatalogue.Limits{Rate: 0.001, Concurrent: 1}
@@ -225,35 +225,35 @@
 // A burst reaches all nodes of a region at once while their words are a second
 // old. The limit may be passed for a moment by what the words did not tell yet;
 // this bounds by how much.
-func TestConcurrentLimitUnderLaggingWords(t *testing.T) {
+func TestConcurrentLimitUnderLaggingReports(t *testing.T) {
 	const nodes, limit, step = 9, 90, 20 * time.Millisecond
 	r := newRegion(nodes, limit)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	most, sum, steps := 0, 0, 0
+	peak, sum, steps := 0, 0, 0
 	for i := range 3000 {
 		if i%50 == 0 {
-			r.tell()
+			r.exchangeReports()
 		}
-		hot := i / 500 % nodes // the node most callers come to changes every ten seconds
+		busiest := i / 500 % nodes // the node most callers come to changes every ten seconds
 		for range 8 {
-			r.ask(hot)
-			r.ask(rnd.IntN(nodes))
+			r.admit(busiest)
+			r.admit(rnd.IntN(nodes))
 		}
-		for n := range r.held {
-			for range len(r.held[n]) {
-				if len(r.held[n]) > 0 && rnd.Float64() < 0.02 { // calls take a second
-					r.nodes[n].Release(r.held[n][0])
-					r.held[n] = r.held[n][1:]
+		for n := range r.heldTokens {
+			for range len(r.heldTokens[n]) {
+				if len(r.heldTokens[n]) > 0 && rnd.Float64() < 0.02 { // calls take a second
+					r.nodes[n].Release(r.heldTokens[n][0])
+					r.heldTokens[n] = r.heldTokens[n][1:]
 				}
 			}
 		}
 		r.now = r.now.Add(step)
-		most = max(most, r.running())
+		peak = max(peak, r.running())
 		sum += r.running()
 		steps++
 	}
-	t.Logf("limit %d, at most %d, on average %d", limit, most, sum/steps)
-	assert.Assert(t, most <= limit*11/10, "%d of %d", most, limit)
+	t.Logf("limit %d, at most %d, on average %d", limit, peak, sum/steps)
+	assert.Assert(t, peak <= limit*11/10, "%d of %d", peak, limit)
 	assert.Assert(t, sum/steps >= limit*9/10, "%d of %d", sum/steps, limit)
 }
 
@@ -262,7 +262,7 @@
 		for _, owners := range []int{10, 500} {
 			b.Run(fmt.Sprintf("nodes=%d/owners=%d", nodes, owners), func(b *testing.B) {
 				r := newRegion(nodes, 1000)
-				r.tell()
+				r.exchangeReports()
 				l := r.nodes[0]
 				q := query(jwcatalogue.Draft, 25)
 				q.Entry.Limits = jwcatalogue.Limits{Rate: 1e6, Burst: 1e6, Concurrent: 1000}
@@ -286,24 +286,24 @@
 // In an overload that lasts, more callers are refused than there is room for
 // later. Told to come back at once, they would all be back within a second, take
 // the places of new callers and be refused again, and every answer would be late.
-func TestRefusedForWantOfRoomComeBackInTurn(t *testing.T) {
+func TestCapacityRefusalsSpreadRetries(t *testing.T) {
 	l := &Limiter{}
-	var told []time.Duration
+	var retryAfters []time.Duration
 	for range 40 {
 		_, refusal, admitted := l.Admit(query(jwcatalogue.Draft, 32))
 		assert.Assert(t, !admitted && refusal.Reason == Crowded)
-		told = append(told, refusal.RetryAfter)
+		retryAfters = append(retryAfters, refusal.RetryAfter)
 	}
 	// Sixteen calls of a second finish in one second: a quarter of them, four,
 	// is left to those who come back.
-	early := 0
-	for _, d := range told {
+	soon := 0
+	for _, d := range retryAfters {
 		assert.Assert(t, d <= maxRetryAfter)
 		if d <= 5*time.Second {
-			early++
+			soon++
 		}
 	}
-	assert.Assert(t, early <= 20, "%d of 40 are back within five seconds", early)
+	assert.Assert(t, soon <= 20, "%d of 40 are back within five seconds", soon)
 
 	q := query(jwcatalogue.Draft, 32)
 	q.Now = at(time.Minute)
--- a/core/jwlimit/rapid_test.go
+++ b/core/jwlimit/rapid_test.go
@@ -15,16 +15,16 @@
 
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
-// region is the limiters of one region's nodes with one entry.
-type region struct {
-	nodes []*Limiter
-	entry *jwcatalogue.Entry
-	held  [][]Token
-	now   time.Time
+// testRegion is the limiters of one testRegion's nodes with one entry.
+type testRegion struct {
+	nodes      []*Limiter
+	entry      *jwcatalogue.Entry
+	heldTokens [][]Token
+	now        time.Time
 }
 
-func newRegion(nodes, concurrent int) *region {
-	r := &region{now: start, held: make([][]Token, nodes)}
+func newRegion(nodes, concurrent int) *testRegion {
+	r := &testRegion{now: start, heldTokens: make([][]Token, nodes)}
 	r.entry = &jwcatalogue.Entry{
 		Name: "e", Class: jwcatalogue.Lookup, Service: "s",
 		Limits: jwcatalogue.Limits{Concurrent: concurrent},
@@ -40,18 +40,18 @@
 	return r
 }
 
-func (r *region) ask(i int) bool {
+func (r *testRegion) admit(i int) bool {
 	q := query(jwcatalogue.Lookup, 0)
 	q.Entry, q.Now = r.entry, r.now
 	token, _, ok := r.nodes[i].Admit(q)
 	if ok {
-		r.held[i] = append(r.held[i], token)
+		r.heldTokens[i] = append(r.heldTokens[i], token)
 	}
 	return ok
 }
 
-// tell lets every node hear of every other.
-func (r *region) tell() {
+// exchangeReports lets every node hear of every other.
+func (r *testRegion) exchangeReports() {
 	for _, from := range r.nodes {
 		for _, to := range r.nodes {
 			if from != to {
@@ -61,9 +61,9 @@
 	}
 }
 
-func (r *region) running() int {
+func (r *testRegion) running() int {
 	n := 0
-	for _, tokens := range r.held {
+	for _, tokens := range r.heldTokens {
 		n += len(tokens)
 	}
 	return n
@@ -81,35 +81,35 @@
 		node := rapid.IntRange(0, n-1)
 		t.Repeat(map[string]func(*rapid.T){
 			"ask": func(t *rapid.T) {
-				r.ask(node.Draw(t, "node"))
+				r.admit(node.Draw(t, "node"))
 			},
 			"end": func(t *rapid.T) {
 				i := node.Draw(t, "node")
-				if len(r.held[i]) == 0 {
+				if len(r.heldTokens[i]) == 0 {
 					t.Skip("nothing runs")
 				}
-				r.nodes[i].Release(r.held[i][0])
-				r.held[i] = r.held[i][1:]
+				r.nodes[i].Release(r.heldTokens[i][0])
+				r.heldTokens[i] = r.heldTokens[i][1:]
 			},
-			"tell": func(*rapid.T) { r.tell() },
+			"tell": func(*rapid.T) { r.exchangeReports() },
 			"pass": func(t *rapid.T) {
 				r.now = r.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
 			"": func(t *rapid.T) {
 				if fresh {
-					r.now = r.now.Add(shareFor)
-					r.tell()
+					r.now = r.now.Add(shareTTL)
+					r.exchangeReports()
 				}
-				for i := range r.held {
-					if len(r.held[i]) > limit {
-						t.Fatalf("node %d runs %d of %d", i, len(r.held[i]), limit)
+				for i := range r.heldTokens {
+					if len(r.heldTokens[i]) > limit {
+						t.Fatalf("node %d runs %d of %d", i, len(r.heldTokens[i]), limit)
 					}
 				}
-				most := 2 * limit * max(n-1, 1)
+				allowed := 2 * limit * max(n-1, 1)
 				if fresh {
-					most = limit
+					allowed = limit
 				}
-				if r.running() > most {
+				if r.running() > allowed {
 					t.Fatalf("region runs %d of %d", r.running(), limit)
 				}
 			},
@@ -119,7 +119,7 @@
 
 // Retries never exceed their share of first tries plus what may be saved up,
 // in whatever order they come.
-func TestBudgetHoldsItsShare(t *testing.T) {
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{
 			Share: rapid.Float64Range(0.01, 1).Draw(t, "share"),
@@ -134,8 +134,8 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if most := b.Saved + b.Share*float64(tries); float64(retries) > most+1e-6 {
-					t.Fatalf("%d retries, %v allowed", retries, most)
+				if allowed := b.Saved + b.Share*float64(tries); float64(retries) > allowed+1e-6 {
+					t.Fatalf("%d retries, %v allowed", retries, allowed)
 				}
 			},
 		})
--- a/core/jwlimit/share.go
+++ b/core/jwlimit/share.go
@@ -11,10 +11,10 @@
 
 // How the nodes of a region share an entry's limits.
 const (
-	evenPart  = 0.5                    // part of a limit split evenly; the rest goes by demand
-	reportAge = 5 * time.Second        // how long a node's report of its demand counts
-	shareFor  = 200 * time.Millisecond // how long a computed share stands
-	rateAfter = time.Second            // time over which demand is averaged
+	evenFraction = 0.5                    // part of a limit split evenly; the rest goes by demand
+	maxReportAge = 5 * time.Second        // how long a node's report of its demand counts
+	shareTTL     = 200 * time.Millisecond // how long a computed share stands
+	rateWindow   = time.Second            // time over which demand is averaged
 )
 
 // Usage is what a node reports to the others of one entry.
@@ -33,16 +33,16 @@
 
 // meter counts the requests of one entry on this node.
 type meter struct {
-	running  int
-	rate     float64 // requests that asked, a second, averaged
-	counted  time.Time
-	tokens   float64
-	refilled time.Time
-	book     book
-	reported map[string]usageReport // by node
-	own      float64                // rate that this node last reported
-	share    share
-	shared   time.Time // when share was computed
+	running         int
+	rate            float64 // requests that asked, a second, averaged
+	rateUpdatedAt   time.Time
+	tokens          float64
+	refilled        time.Time
+	reservations    reservationQueue
+	reported        map[string]usageReport // by node
+	ownReported     float64                // rate that this node last reported
+	share           share
+	shareComputedAt time.Time // when share was computed
 }
 
 // share is this node's part of an entry's limits.
@@ -51,33 +51,33 @@
 	concurrent int
 }
 
-// asked takes one request into the average rate.
-func (m *meter) asked(now time.Time) {
-	m.rate = m.rateAt(now) + 1/rateAfter.Seconds()
-	m.counted = now
+// recordRequest takes one request into the average rate.
+func (m *meter) recordRequest(now time.Time) {
+	m.rate = m.rateAt(now) + 1/rateWindow.Seconds()
+	m.rateUpdatedAt = now
 }
 
 // rateAt returns the average rate as it has sunk until now.
 func (m *meter) rateAt(now time.Time) float64 {
-	passed := now.Sub(m.counted)
-	if passed <= 0 {
+	elapsed := now.Sub(m.rateUpdatedAt)
+	if elapsed <= 0 {
 		return m.rate
 	}
-	if passed > 10*rateAfter {
+	if elapsed > 10*rateWindow {
 		return 0
 	}
-	left := 1 / (1 + passed.Seconds()/rateAfter.Seconds())
-	return m.rate * left
+	decay := 1 / (1 + elapsed.Seconds()/rateWindow.Seconds())
+	return m.rate * decay
 }
 
 // refill adds the tokens of the time passed to the bucket.
 func (m *meter) refill(limits jwcatalogue.Limits, s share, now time.Time) {
-	most := max(float64(limits.Burst)*s.fraction, 1)
+	capacity := max(float64(limits.Burst)*s.fraction, 1)
 	if m.refilled.IsZero() {
-		m.tokens = most
+		m.tokens = capacity
 	}
-	passed := max(now.Sub(m.refilled), 0)
-	m.tokens = min(m.tokens+limits.Rate*s.fraction*passed.Seconds(), most)
+	elapsed := max(now.Sub(m.refilled), 0)
+	m.tokens = min(m.tokens+limits.Rate*s.fraction*elapsed.Seconds(), capacity)
 	m.tokens = max(m.tokens, 0)
 	m.refilled = now
 }
@@ -89,7 +89,7 @@
 	l.members = slices.Clone(nodes)
 	slices.Sort(l.members)
 	for _, m := range l.entries {
-		m.shared = time.Time{}
+		m.shareComputedAt = time.Time{}
 		maps.DeleteFunc(m.reported, func(node string, _ usageReport) bool {
 			return !slices.Contains(l.members, node)
 		})
@@ -101,7 +101,7 @@
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range usages {
-		m := l.entry(u.Name)
+		m := l.meterFor(u.Name)
 		if m.reported == nil {
 			m.reported = make(map[string]usageReport)
 		}
@@ -116,7 +116,7 @@
 	var out []Usage
 	for name, m := range l.entries {
 		rate := m.rateAt(now)
-		m.own = rate
+		m.ownReported = rate
 		if rate > 0 || m.running > 0 {
 			out = append(out, Usage{Name: name, Rate: rate, Running: m.running})
 		}
@@ -135,18 +135,18 @@
 // parts add up to the limit and no request needs a call or a write of its own.
 // Where they have not, the even part bounds what a node can take too much.
 func (l *Limiter) share(name string, m *meter, concurrent int, now time.Time) share {
-	if !m.shared.IsZero() && now.Sub(m.shared) < shareFor {
+	if !m.shareComputedAt.IsZero() && now.Sub(m.shareComputedAt) < shareTTL {
 		return m.share
 	}
-	m.shared = now
+	m.shareComputedAt = now
 	if len(l.members) < 2 {
 		m.share = share{fraction: 1, concurrent: concurrent}
 		return m.share
 	}
-	parts := make([]part, len(l.members))
+	parts := make([]nodeShare, len(l.members))
 	total := 0.0
 	for i, node := range l.members {
-		parts[i] = part{node: node, demand: l.demand(node, m, now)}
+		parts[i] = nodeShare{node: node, demand: l.demand(node, m, now)}
 		total += parts[i].demand
 	}
 	split(parts, total, name, concurrent)
@@ -156,18 +156,18 @@
 			m.share = share{fraction: p.fraction, concurrent: p.concurrent}
 		}
 	}
-	m.share.concurrent = min(m.share.concurrent, max(concurrent-l.elsewhere(m, now), 0))
+	m.share.concurrent = min(m.share.concurrent, max(concurrent-l.runningElsewhere(m, now), 0))
 	return m.share
 }
 
-// elsewhere counts the requests of an entry that other nodes run, as far as
+// runningElsewhere counts the requests of an entry that other nodes run, as far as
 // they reported. A part that has just grown is thus not filled before the node
 // whose part shrank has finished what it had above.
-func (l *Limiter) elsewhere(m *meter, now time.Time) int {
+func (l *Limiter) runningElsewhere(m *meter, now time.Time) int {
 	n := 0
-	for node, w := range m.reported {
-		if node != l.Node && now.Sub(w.at) <= reportAge {
-			n += w.running
+	for node, report := range m.reported {
+		if node != l.Node && now.Sub(report.at) <= maxReportAge {
+			n += report.running
 		}
 	}
 	return n
@@ -179,56 +179,56 @@
 // asks, and together they would run several times the limit.
 func (l *Limiter) demand(node string, m *meter, now time.Time) float64 {
 	if node == l.Node {
-		return m.own
+		return m.ownReported
 	}
-	w, known := m.reported[node]
-	if !known || now.Sub(w.at) > reportAge {
+	report, known := m.reported[node]
+	if !known || now.Sub(report.at) > maxReportAge {
 		return 0
 	}
-	return w.rate
+	return report.rate
 }
 
-// part is one node's part of a limit.
-type part struct {
+// nodeShare is one node's nodeShare of a limit.
+type nodeShare struct {
 	node       string
 	demand     float64
 	fraction   float64
 	concurrent int
-	rest       float64 // what whole numbers left of the part
-	order      uint64  // breaks ties, other for each entry
+	remainder  float64 // what whole numbers left of the part
+	tieBreak   uint64  // breaks ties, other for each entry
 }
 
 // split divides a limit over the nodes; the whole numbers add up to it.
-func split(parts []part, total float64, name string, concurrent int) {
+func split(parts []nodeShare, total float64, name string, concurrent int) {
 	even := 1 / float64(len(parts))
-	left := concurrent
+	remaining := concurrent
 	entry := jwtarget.NameKey(name)
 	for i := range parts {
 		p := &parts[i]
 		p.fraction = even
 		if total > 0 {
-			p.fraction = evenPart*even + (1-evenPart)*p.demand/total
+			p.fraction = evenFraction*even + (1-evenFraction)*p.demand/total
 		}
 		exact := p.fraction * float64(concurrent)
 		p.concurrent = int(exact)
-		p.rest = exact - float64(p.concurrent)
-		p.order = jwtarget.Mix(entry, jwtarget.NameKey(p.node))
-		left -= p.concurrent
+		p.remainder = exact - float64(p.concurrent)
+		p.tieBreak = jwtarget.Mix(entry, jwtarget.NameKey(p.node))
+		remaining -= p.concurrent
 	}
-	slices.SortFunc(parts, byRest)
-	for i := 0; i < left; i++ {
+	slices.SortFunc(parts, byRemainder)
+	for i := 0; i < remaining; i++ {
 		parts[i%len(parts)].concurrent++
 	}
 }
 
-// byRest sorts the parts with the largest rest first.
-func byRest(a, b part) int {
+// byRemainder sorts the parts with the largest rest first.
+func byRemainder(a, b nodeShare) int {
 	switch {
-	case a.rest > b.rest:
+	case a.remainder > b.remainder:
 		return -1
-	case a.rest < b.rest:
+	case a.remainder < b.remainder:
 		return 1
-	case a.order < b.order:
+	case a.tieBreak < b.tieBreak:
 		return -1
 	}
 	return 1
