--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -9,11 +9,11 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// Reason names why a request was refused or failed; it is for programs, Detail
-// is for people.
+// Reason states why a request was refused or failed. It is meant for programs,
+// and Detail for people.
 type Reason string
 
-// The reasons a caller can be told.
+// The reasons that a caller can be given.
 const (
 	ReasonNone        Reason = ""
 	ReasonEntry       Reason = "unknownEntry"
@@ -34,26 +34,27 @@
 	ReasonLeaving     Reason = "leaving"
 	ReasonBody        Reason = "body"
 	ReasonHeader      Reason = "header"
-	ReasonCaller      Reason = "callerGone" // only for counters and traces
+	ReasonCaller      Reason = "callerGone" // used only in counters and traces
 )
 
-// UnknownLength marks an answer whose length is known only at its end.
+// UnknownLength is the Length of an answer whose length is known only at its
+// end.
 const UnknownLength = -1
 
-// Head is the beginning of an answer.
+// Head holds what is known of an answer before its body.
 type Head struct {
 	Status      int // HTTP status for the caller
 	ContentType string
-	Outcome     jwrequest.Outcome // empty while the answer still runs
+	Outcome     jwrequest.Outcome // empty while the request still runs
 	Length      int64             // bytes of the body, or UnknownLength
-	RetryAfter  time.Duration     // when to come back, for refusals
+	RetryAfter  time.Duration     // for refusals: when the caller may retry
 	Reason      Reason
 	Detail      string
 	ServedBy    string           // region of the target
-	Hosts       []netip.AddrPort // where else to go, for refusals
+	Hosts       []netip.AddrPort // for refusals: other hosts that the caller may try
 }
 
-// End is the end of an answer; an answer without it is not whole.
+// End marks the end of an answer; an answer without it is not complete.
 type End struct {
 	Outcome jwrequest.Outcome
 	Length  int64
@@ -61,30 +62,30 @@
 	Detail  string
 }
 
-// Sink takes one answer on its way to the caller: one Head, any number of
-// Body, one End. An error means that nobody wants the answer any more.
+// Sink receives one answer for the caller: one Head, any number of Body calls,
+// one End. An error means that nobody waits for the answer any more.
 type Sink interface {
 	Head(Head) error
 	Body([]byte) error
 	End(End) error
 }
 
-// Answer is an answer as a target or another node gives it. Body returns
-// io.EOF only when the answer is whole, and a *CallError when it broke off.
+// Answer is the answer of a target or another node. Reading Body returns io.EOF
+// only when the answer is complete, and a *CallError when it broke off.
 type Answer struct {
 	Head Head
 	Body io.ReadCloser
 }
 
-// Refusal is a final answer that nobody ran the request, or that this can't be
-// known.
+// Refusal returns the head of a final answer for a request that did not run, or
+// of which it is not known whether it ran.
 func Refusal(status int, outcome jwrequest.Outcome, reason Reason, detail string) Head {
 	return Head{Status: status, Outcome: outcome, Reason: reason, Detail: detail}
 }
 
-// ForKey is the refusal as it must be told for a key that was not looked up:
-// this try ran nothing, but an earlier one with the key may have, and a caller
-// that is told otherwise would order anew under another key.
+// ForKey adapts the refusal for a key that was not looked up. This try ran
+// nothing, but an earlier one with the same key may have; a caller that is told
+// otherwise would send the order again under another key.
 func (h Head) ForKey(key string) Head {
 	if key == "" || h.Outcome != jwrequest.NotRun {
 		return h
@@ -94,7 +95,7 @@
 	return h
 }
 
-// unavailable is the refusal of a request that may come back later.
+// unavailable refuses a request that may be retried later.
 func unavailable(reason Reason, detail string, after time.Duration) Head {
 	h := Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, reason, detail)
 	h.RetryAfter = after
--- a/core/jwdispatch/callerror.go
+++ b/core/jwdispatch/callerror.go
@@ -6,28 +6,29 @@
 	"time"
 )
 
-// Fate tells how far a failed call got.
+// Fate states how far a failed call got, and so whether the request may have
+// run.
 type Fate string
 
-// The fates of a failed call.
+// The possible fates of a failed call.
 const (
 	Unsent  Fate = "unsent"  // no byte of the request left this node
-	Refused Fate = "refused" // the target said that it did not run it
-	Broken  Fate = "broken"  // it may have run
-	Silent  Fate = "silent"  // it may have run, and the connection says nothing
+	Refused Fate = "refused" // the target reported that it did not run the request
+	Broken  Fate = "broken"  // the call broke off, and the request may have run
+	Silent  Fate = "silent"  // the request may have run, and the connection gave no data for too long
 )
 
-// CallError is a failed call of a target or a node.
+// CallError is the error of a failed call of a target or another node.
 type CallError struct {
 	Step       string
 	Peer       netip.AddrPort
 	Fate       Fate
-	RetryAfter time.Duration // as the refusing side asked
-	Crashed    bool          // the connection ended as it does when a process dies
+	RetryAfter time.Duration // as requested by the side that refused
+	Crashed    bool          // the connection ended the way it does when a process dies
 	Err        error
 }
 
-// Error names the step, the peer and the cause.
+// Error returns the step, the peer, the fate and the cause.
 func (e *CallError) Error() string {
 	return fmt.Sprintf("%s: %s: %s: %v", e.Step, e.Peer, e.Fate, e.Err)
 }
@@ -35,5 +36,5 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// NotRun reports whether the request certainly was not run.
+// NotRun reports whether the request certainly did not run.
 func (e *CallError) NotRun() bool { return e.Fate == Unsent || e.Fate == Refused }
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -17,12 +17,12 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// MaxHops bounds the nodes that one request passes: where its caller came, one
-// change of region, and the holder of its key.
+// MaxHops is the maximum number of nodes that one request passes: the node that
+// its caller sent it to, one in another region, and the holder of its key.
 const MaxHops = 3
 
-// Dispatcher serves the requests of one node; its fields are set before use,
-// and it may be used by many goroutines at once.
+// Dispatcher serves the requests that reach one node. Its fields are set before
+// use, and it is safe for concurrent use.
 type Dispatcher struct {
 	Self    jwrequest.Hop
 	Board   *jwboard.Board
@@ -30,42 +30,43 @@
 	Targets Targets
 	Peers   Peers
 	Claims  Claims
-	// Departed reports whether the platform has given a host up; may be nil.
+	// Departed reports whether the platform has given a host up; it may be
+	// nil.
 	Departed func(jwpeer.Peer) bool
-	// Crashed is told of a target that crashed and of the fingerprints that this
-	// put in quarantine; may be nil.
+	// Crashed is called with a target that crashed and the fingerprints that
+	// were quarantined because of it; it may be nil.
 	Crashed func(target netip.AddrPort, quarantined []jwsuspect.Fingerprint)
 	Now     func() time.Time
 	Tracer  Tracer // may be nil
 	Counter Counter
 }
 
-// Counter counts what happened to requests.
+// Counter counts the results of requests and calls.
 type Counter interface {
 	// Ended counts one request that ended at this node.
 	Ended(entry string, outcome jwrequest.Outcome, reason Reason)
-	// Tried counts one call of a target or node.
+	// Tried counts one call of a target or another node.
 	Tried(entry, kind string, ok bool)
-	// Seen measures one served request that a caller sent to this node;
-	// requests that came from another node are measured there.
+	// Seen measures one served request that a caller sent to this node; a
+	// forwarded request is measured at the node that its caller sent it to.
 	Seen(entry string, s Seen)
 }
 
-// Seen is what a caller saw of a served request.
+// Seen holds what a caller observed of a served request.
 type Seen struct {
-	First    time.Duration // from the request's arrival to the first byte of the answer's body
-	Whole    time.Duration // to its end
+	First    time.Duration // from the arrival of the request to the first byte of the answer's body
+	Whole    time.Duration // from the arrival of the request to the end of the answer
 	ServedBy string        // region of the target
-	Bytes    int64         // of both bodies
+	Bytes    int64         // total length of the request's and the answer's body
 }
 
-// Tracer keeps why a request went where it went; it never sees a body.
+// Tracer records why a request was routed as it was; it must not record bodies.
 type Tracer interface {
 	Step(r *jwrequest.Request, step, detail string)
 	End(r *jwrequest.Request, outcome jwrequest.Outcome, reason Reason, served string)
 }
 
-// job is one request while this node works on it.
+// job is the state of one request while this node handles it.
 type job struct {
 	*Dispatcher
 	request         *jwrequest.Request
@@ -74,15 +75,15 @@
 	forwarded       bool
 	sink            *trackedSink
 	prefix          uint64
-	fp              jwsuspect.Fingerprint // by way of fingerprint
+	fp              jwsuspect.Fingerprint // cached result of the method fingerprint
 	tries           int
-	mayHaveRun      bool // some try may have run it
-	refusedByRegion bool // another region has just refused it
+	mayHaveRun      bool // some try may have run the request
+	refusedByRegion bool // the last try was refused by another region
 	query           jwrouter.Query
 }
 
-// Serve runs a request and gives its answer to the sink. When ctx ends, nobody
-// wants the answer any more.
+// Serve runs a request and writes its answer to the sink. When ctx ends, nobody
+// waits for the answer any more.
 func (d *Dispatcher) Serve(ctx context.Context, r *jwrequest.Request, sink Sink) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
 	j.sink = &trackedSink{Sink: sink, job: j, startedAt: d.Now()}
@@ -100,8 +101,8 @@
 	j.serveIdempotent(ctx)
 }
 
-// Check judges a request by its headers alone, before its body is read; refused
-// is false when it may go on.
+// Check validates a request by its headers alone, before its body is read;
+// refused is false when the request may proceed.
 func (d *Dispatcher) Check(r *jwrequest.Request) (refusal Head, refused bool) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
 	refusal, refused = j.checkHeaders()
@@ -111,9 +112,10 @@
 	return refusal, refused
 }
 
-// CheckTicket refuses a ticket for a workspace at home in another region: it is
-// run by the node that mints it, and confirmations run at home. An empty
-// workspace is taken for one of this region.
+// CheckTicket refuses a ticket for a workspace whose home is another region: a
+// ticket is run by the node that minted it, and confirmations run in the home
+// region. An unknown workspace, such as an empty one, is treated as one of this
+// region.
 func (d *Dispatcher) CheckTicket(workspace string) (refusal Head, refused bool) {
 	w, known := d.Board.Directory.Lookup(workspace)
 	if !known || w.Region == d.Self.Region {
@@ -128,7 +130,7 @@
 func (j *job) recordEnd(outcome jwrequest.Outcome, reason Reason, servedBy string) {
 	entry := j.request.Entry
 	if j.entry == nil {
-		entry = "" // a name that isn't in the catalogue would make a counter of its own
+		entry = "" // a name that is not in the catalogue would create a counter of its own
 	}
 	j.Counter.Ended(entry, outcome, reason)
 	if j.Tracer != nil {
@@ -136,8 +138,8 @@
 	}
 }
 
-// MaxBody returns how many bytes the body of a request for an entry may have,
-// 0 for an unknown entry.
+// MaxBody returns the maximum size in bytes of the body of a request for an
+// entry, 0 for an unknown entry.
 func (d *Dispatcher) MaxBody(entry string) int64 {
 	e, _, known := d.Board.Catalogue.Current().Entry(entry)
 	if !known {
@@ -146,7 +148,8 @@
 	return e.MaxBodySize
 }
 
-// prepare checks the request and fills in what the node knows of it.
+// prepare validates the request and fills in the fields that depend on the
+// catalogue and the client directory.
 func (j *job) prepare() (Head, bool) {
 	if refusal, refused := j.checkHeaders(); refused {
 		return refusal, true
@@ -165,13 +168,13 @@
 	return Head{}, false
 }
 
-// checkHeaders checks everything that needs no body.
+// checkHeaders checks everything that does not depend on the body.
 func (j *job) checkHeaders() (Head, bool) {
 	refusal, refused := j.validate()
 	return j.withKeyUnchecked(refusal), refused
 }
 
-// withKeyUnchecked words a refusal that comes before the key is looked up.
+// withKeyUnchecked adapts a refusal that is made before the key is looked up.
 func (j *job) withKeyUnchecked(refusal Head) Head {
 	if j.entry != nil && j.entry.Idempotent {
 		return refusal
@@ -179,6 +182,8 @@
 	return refusal.ForKey(j.request.Key)
 }
 
+// validate checks the entry, the workspace, the region and the key of the
+// request, and its record of hops.
 func (j *job) validate() (Head, bool) {
 	r := j.request
 	e, _, known := j.Board.Catalogue.Current().Entry(r.Entry)
@@ -207,9 +212,10 @@
 	return j.checkLoop()
 }
 
-// checkLoop refuses a request that was here before or has changed region twice,
-// whatever else its hop record says: nodes that hold different revisions or
-// directories could each think the other's region right and send it to and fro.
+// checkLoop refuses a request that has been at this node before or has changed
+// region twice, whatever else its record of hops says. Nodes with different
+// catalogue revisions or client directories could each take the other's region
+// for the right one and forward the request back and forth.
 func (j *job) checkLoop() (Head, bool) {
 	hops := j.request.Hops
 	if len(hops) == 0 {
@@ -222,8 +228,8 @@
 	return Head{}, false
 }
 
-// admit asks the limiter; away tells that another region is to run the request.
-// The release must be called when the request ended.
+// admit asks the limiter for admission; away means that another region is to
+// run the request. The caller must call release when the request has ended.
 func (j *job) admit(away bool) (release func(), refused jwlimit.Refusal, admitted bool) {
 	now := j.Now()
 	room := j.Board.Targets.Room(j.entry.Service, now)
--- a/core/jwdispatch/ending.go
+++ b/core/jwdispatch/ending.go
@@ -6,7 +6,8 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// trackedSink passes an answer on and makes sure that it is begun and ended once.
+// trackedSink passes an answer to a Sink and records its progress, so that each
+// request is counted exactly once.
 type trackedSink struct {
 	Sink
 	job       *job
@@ -15,18 +16,18 @@
 	bytesSent int64
 
 	startedAt   time.Time
-	firstByteAt time.Time // of the first byte of the body, zero before it
+	firstByteAt time.Time // when the first byte of the body was sent, zero before that
 	servedBy    string
 }
 
-// Head passes the beginning on.
+// Head passes the head of the answer to the Sink.
 func (e *trackedSink) Head(h Head) error {
 	e.headSent = true
 	e.servedBy = h.ServedBy
 	return e.Sink.Head(h)
 }
 
-// Body passes a part on.
+// Body passes a part of the body to the Sink.
 func (e *trackedSink) Body(p []byte) error {
 	if e.firstByteAt.IsZero() {
 		e.firstByteAt = e.job.Now()
@@ -35,7 +36,7 @@
 	return e.Sink.Body(p)
 }
 
-// End passes the end on and counts the request.
+// End passes the end of the answer to the Sink and counts the request.
 func (e *trackedSink) End(end End) error {
 	if e.ended {
 		return nil
@@ -48,9 +49,9 @@
 	return e.Sink.End(end)
 }
 
-// recordAbandoned counts a request whose caller went away before the end of its answer.
-// Uncounted, it would be missing from the totals, and its trace, body and all,
-// would be held for ever.
+// recordAbandoned counts a request whose caller disconnected before the end of
+// its answer. If it were not counted, it would be missing from the totals, and
+// its trace and body would stay in memory forever.
 func (e *trackedSink) recordAbandoned() {
 	if e.ended {
 		return
@@ -59,10 +60,11 @@
 	e.job.recordEnd(jwrequest.Unknown, ReasonCaller, e.servedBy)
 }
 
+// recordServed measures a served request.
 func (e *trackedSink) recordServed() {
 	now := e.job.Now()
 	if e.firstByteAt.IsZero() {
-		e.firstByteAt = now // an answer without a body
+		e.firstByteAt = now // the answer had no body
 	}
 	e.job.Counter.Seen(e.job.entry.Name, Seen{
 		First: e.firstByteAt.Sub(e.startedAt), Whole: now.Sub(e.startedAt), ServedBy: e.servedBy,
@@ -70,7 +72,8 @@
 	})
 }
 
-// refuse ends the request with a refusal, also in the midst of a stream.
+// refuse ends the request with a refusal, even if part of the answer was
+// already sent.
 func (e *trackedSink) refuse(h Head) {
 	if h.Outcome != jwrequest.Served {
 		e.job.trace("refused", h.Detail)
@@ -84,7 +87,7 @@
 	_ = e.End(End{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
 }
 
-// sendWhole gives an answer that is all there.
+// sendWhole sends an answer whose whole body is available.
 func (e *trackedSink) sendWhole(h Head, body []byte) {
 	h.Length = int64(len(body))
 	if h.Outcome == "" {
--- a/core/jwdispatch/events.go
+++ b/core/jwdispatch/events.go
@@ -5,13 +5,13 @@
 	"strconv"
 )
 
-// eventTracker follows a text/event-stream over several tries: it holds back what is
-// no whole event yet, and knows the last event that went out.
+// eventTracker tracks a text/event-stream over several tries. It holds back
+// incomplete events and remembers the last event that was sent to the caller.
 type eventTracker struct {
 	partial        []byte
-	lastSent       uint64 // id of the last event sent, 0 for none
-	firstOfTry     uint64 // id of the first event of this try, 0 before it
-	startsWithDone bool   // this try began with the end mark
+	lastSent       uint64 // id of the last event sent to the caller, 0 for none
+	firstOfTry     uint64 // id of the first event of this try, 0 before it arrives or if it has no number
+	startsWithDone bool   // this try began with the mark that ends a stream
 }
 
 var (
@@ -21,19 +21,21 @@
 	doneEvent          = []byte("data: [DONE]")
 )
 
-// maxHeldBytes bounds what is held back of an event, so that a stream without
-// events, or with endless ones, still flows.
+// maxHeldBytes is how much of an incomplete event is held back at most, so that
+// a stream without event separators, or with very long events, is still passed
+// on.
 const maxHeldBytes = 64 << 10
 
-// restart begins a new try; what the last one left half said is dropped.
+// restart begins a new try and drops the incomplete event of the last one.
 func (e *eventTracker) restart() {
 	e.partial = e.partial[:0]
 	e.firstOfTry = 0
 	e.startsWithDone = false
 }
 
-// takeComplete returns the takeComplete events in what was held back and p; at the end of the
-// stream it returns everything. The result is good until the next call.
+// takeComplete returns the complete events in p and the bytes held back before
+// it. At the end of the stream it returns everything. The result is valid until
+// the next call.
 func (e *eventTracker) takeComplete(p []byte, end bool) []byte {
 	held := len(e.partial)
 	if held == 0 && (end || bytes.HasSuffix(p, eventSeparator)) {
@@ -55,7 +57,8 @@
 	return out
 }
 
-// completeLength returns the length of the whole events that p begins with.
+// completeLength returns the length of the complete events at the beginning of
+// p.
 func completeLength(p []byte) int {
 	end := 0
 	for _, mark := range [][]byte{eventSeparator, eventSeparatorCRLF} {
@@ -66,7 +69,7 @@
 	return end
 }
 
-// recordFirst notes the id of the first event of a try.
+// recordFirst records the id of the first event of a try.
 func (e *eventTracker) recordFirst(p []byte) {
 	if e.firstOfTry == 0 && !e.startsWithDone && len(p) > 0 {
 		e.firstOfTry = firstID(p)
@@ -74,22 +77,23 @@
 	}
 }
 
-// resumed reports whether this try goes on after the last event sent, and not
-// from the beginning. A stream whose events have ids begins with one, so an end
-// mark in its place is all that was left of it.
+// resumed reports whether this try continues after the last event sent and did
+// not start from the beginning. A stream whose events have ids starts with an
+// event with an id, so a try that starts with the end mark had nothing else
+// left to send.
 func (e *eventTracker) resumed() bool {
 	return e.lastSent > 0 && (e.firstOfTry == e.lastSent+1 || e.startsWithDone)
 }
 
-// recordSent notes events that went out.
+// recordSent records events that were sent to the caller.
 func (e *eventTracker) recordSent(p []byte) {
 	if id := lastID(p); id > 0 {
 		e.lastSent = id
 	}
 }
 
-// lastEventID is the id of the last event sent, as the header Last-Event-ID has it;
-// empty when there is none.
+// lastEventID returns the id of the last event sent, as used in the
+// Last-Event-ID header, or an empty string if there is none.
 func (e *eventTracker) lastEventID() string {
 	if e.lastSent == 0 {
 		return ""
@@ -97,14 +101,15 @@
 	return strconv.FormatUint(e.lastSent, 10)
 }
 
-// firstID returns the id of the first event in p, 0 if it has none or one that
-// is no number.
+// firstID returns the id of the first event in p, or 0 if that event has no id
+// or one that is not a number.
 func firstID(p []byte) uint64 {
 	event, _, _ := bytes.Cut(p, eventSeparator)
 	return parseID(event)
 }
 
-// lastID returns the highest-placed id in p.
+// lastID returns the id that stands last in p, or 0 if there is none or it is
+// not a number.
 func lastID(p []byte) uint64 {
 	for len(p) > 0 {
 		i := bytes.LastIndex(p, idField)
@@ -119,7 +124,8 @@
 	return 0
 }
 
-// parseID returns the number of the id field that a line of the event has.
+// parseID returns the number in the first id field of the event, or 0 if there
+// is none.
 func parseID(event []byte) uint64 {
 	for line := range bytes.SplitSeq(event, []byte("\n")) {
 		value, found := bytes.CutPrefix(line, idField)
--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -10,18 +10,18 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// giveUp ends the request with what is known of it.
+// giveUp ends the request after its last try failed with err.
 func (j *job) giveUp(ctx context.Context, err error) {
 	if errors.Is(err, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
-		// An end without a head would be an empty answer of status 200 to one
-		// who is still there, as when the server cancels its calls.
+		// Without a head, a caller that is still connected would see an empty
+		// answer with status 200, as when the server cancels its calls.
 		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonCaller, "caller gone"))
 		return
 	}
 	j.sink.refuse(j.failure(ctx, err))
 }
 
-// failure words the last error for the caller.
+// failure converts the last error into the refusal that the caller gets.
 func (j *job) failure(ctx context.Context, err error) Head {
 	var place *noPlacementError
 	var failed *CallError
@@ -47,8 +47,10 @@
 		}
 		h.RetryAfter = max(failed.RetryAfter, defaultRetryAfter)
 		if failed.Crashed {
-			// All that was on the target hears this at once. Apart in time, they
-			// come to different targets, and the one that crashes them is found.
+			// All callers with requests on the crashed target get this
+			// refusal at the same time. Spread over time, their retries
+			// reach different targets, so that the request that causes the
+			// crashes can be identified.
 			h.RetryAfter = crashRetryAfter + rand.N(crashRetryAfter)
 		}
 		return h
--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -14,12 +14,12 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// maxHosts bounds the list that a caller is given.
+// maxHosts is the maximum number of hosts in the list that a caller is given.
 const maxHosts = 8
 
-// Hosts returns the entry hosts that a workspace should use, best first: those
-// of its home region, then, if its data isn't bound, those of this region and
-// of others. Hosts that are leaving are never among them.
+// Hosts returns the entry hosts that a workspace should use, the best first:
+// those of its home region and then, if its data is not bound to it, those of
+// this region and of other regions. Hosts that are leaving are not included.
 func (d *Dispatcher) Hosts(workspace string) []netip.AddrPort {
 	w, known := d.Board.Directory.Lookup(workspace)
 	home := d.Self.Region
@@ -29,8 +29,8 @@
 	return d.hosts(workspace, home, w.Bound)
 }
 
-// hosts returns those of the home region, and the others as well if the data
-// isn't bound to it.
+// hosts returns the hosts of the home region and, if the data is not bound to
+// it, those of other regions as well. Silent ones come last.
 func (d *Dispatcher) hosts(workspace, home string, bound bool) []netip.AddrPort {
 	groups := []func(jwpeer.Peer) bool{func(p jwpeer.Peer) bool { return p.Region == home }}
 	if !bound {
@@ -52,21 +52,24 @@
 	return out[:min(len(out), maxHosts)]
 }
 
-// peersIn returns other serving nodes of a region, those that are silent last.
+// peersIn returns the serving nodes of a region without this node, silent ones
+// last.
 func (d *Dispatcher) peersIn(region, workspace string) []jwpeer.Peer {
 	fresh, silent := d.servingPeers(workspace, func(p jwpeer.Peer) bool { return p.Region == region && p.Name != d.Self.Node })
 	return append(fresh, silent...)
 }
 
-// silenceThreshold is how long a node may say nothing before others are preferred.
+// silenceThreshold is how long a node may send no news before others are
+// preferred to it.
 const silenceThreshold = 12 * time.Second
 
-// servingPeers returns the servingPeers nodes that in accepts, and apart those that are
-// silent: they may be dead, or behind a cut that callers don't see.
+// servingPeers returns the serving nodes that accept selects, and separately
+// those that are silent: they may have died, or be cut off by a network
+// partition that callers do not notice.
 //
-// Each workspace has an order of its own, by rendezvous hashing. Its requests
-// then come to the same few nodes, which use the same few targets, where its
-// prompts are cached; without a workspace the order is random.
+// Each workspace has its own order, by rendezvous hashing. Its requests then
+// reach the same few nodes, which use the same few targets, where its prompts
+// are cached. Without a workspace the order is random.
 func (d *Dispatcher) servingPeers(workspace string, accept func(jwpeer.Peer) bool) (fresh, silent []jwpeer.Peer) {
 	now := d.Now()
 	peers := d.Board.Peers.Select(func(p jwpeer.Peer) bool { return p.State == jwpeer.Serving && accept(p) })
@@ -91,11 +94,13 @@
 	return fresh, silent
 }
 
+// rank returns the rendezvous hash of a workspace and a node; the node with the
+// highest one comes first.
 func rank(workspace, node string) uint64 {
 	return jwtarget.Mix(xxhash.Sum64String(workspace), xxhash.Sum64String(node))
 }
 
-// urgency is the RFC 9218 urgency of a class, 0 being most urgent.
+// urgency returns the RFC 9218 urgency of a class, 0 being the most urgent.
 func urgency(c jwcatalogue.Class) int {
 	switch c {
 	case jwcatalogue.Confirmation:
