--- a/core/jwdispatch/callerror.go
+++ b/core/jwdispatch/callerror.go
@@ -15,7 +15,7 @@
 	Unsent  Fate = "unsent"  // no byte of the request left this node
 	Refused Fate = "refused" // the target reported that it did not run the request
 	Broken  Fate = "broken"  // the call broke off, and the request may have run
-	Silent  Fate = "silent"  // the request may have run, and the connection gave no data for too long
+	Silent  Fate = "silent"  // the request may have run, and its connection is open but made no progress
 )
 
 // CallError is the error of a failed call of a target or another node.
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -60,7 +60,7 @@
 	Bytes    int64         // total length of the request's and the answer's body
 }
 
-// Tracer records why a request was routed as it was; it must not record bodies.
+// Tracer records why a request was routed as it was; it does not record bodies.
 type Tracer interface {
 	Step(r *jwrequest.Request, step, detail string)
 	End(r *jwrequest.Request, outcome jwrequest.Outcome, reason Reason, served string)
--- a/core/jwdispatch/ending_test.go
+++ b/core/jwdispatch/ending_test.go
@@ -11,7 +11,7 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// recordingCounter notes what a Counter and a Tracer are told.
+// recordingCounter is a Counter and a Tracer that records its calls.
 type recordingCounter struct {
 	ended  []Reason
 	seen   []Seen
@@ -28,7 +28,8 @@
 	c.traced = append(c.traced, servedBy)
 }
 
-// failingSink is a caller that goes away at a point of its answer.
+// failingSink is a caller that disconnects at the head or in the body of its
+// answer.
 type failingSink struct{ head, body bool }
 
 var errGone = errors.New("gone")
@@ -50,8 +51,8 @@
 func (s failingSink) End(End) error { return nil }
 
 func TestTrackedSinkCountsRequestOnce(t *testing.T) {
-	// A caller closes its connection while its answer is on the way. The
-	// request must still be counted once, or its trace would be held for ever.
+	// A caller disconnects while its answer is being sent. The request must
+	// still be counted once, or its trace would stay in memory forever.
 	tests := map[string]struct {
 		sink      failingSink
 		forwarded bool
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -13,22 +13,23 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// maxTries bounds the calls made for one request, the first included.
+// maxTries is the maximum number of calls made for one request, including the
+// first.
 const maxTries = 4
 
-// The reasons told to a node that a request is forwarded to.
+// The reasons that are sent along with a forwarded request.
 const (
 	ForwardRegion = "region"
 	ForwardHolder = "claimHolder"
 	ForwardWriter = "claimWriter"
 )
 
-// defaultRetryAfter is when a caller may try again after a failure that has no better
-// estimate.
+// defaultRetryAfter is when a caller may retry after a failure that gives no
+// better estimate.
 const defaultRetryAfter = time.Second
 
-// crashRetryAfter is when the callers of what was on a crashed target may try again,
-// spread over as long again.
+// crashRetryAfter is when the callers of requests that ran on a crashed target
+// may retry. A random time of up to the same length is added to it.
 const crashRetryAfter = 2 * time.Second
 
 // serveIdempotent runs a request that may be run again after a failure.
@@ -68,9 +69,10 @@
 	}
 }
 
-// admitLocally admits a request at home that another region did not serve. Only
-// the other region's room was asked for before; run here unasked, such requests
-// would lengthen the queue of a region that has refused others.
+// admitLocally admits in this region a request that another region did not
+// serve. It has only been admitted for the other region so far; if such
+// requests ran here without a check, they would lengthen the queue of a region
+// that has refused others.
 func (j *job) admitLocally() (release func(), refusal Head, admitted bool) {
 	j.query.Full = false
 	release, refused, admitted := j.admit(false)
@@ -84,8 +86,9 @@
 	return func() {}, refusal, false
 }
 
-// placeAndAdmit finds a region that takes the request: the one that weighs least, and
-// where that is this one and it has no room, another that may have some.
+// placeAndAdmit chooses a region and asks for admission there. The first choice
+// is the region with the lowest cost. If that is this region and it has no
+// capacity, it tries another region that may have some.
 func (j *job) placeAndAdmit() (place jwrouter.Placement, release func(), refusal Head, admitted bool) {
 	place = j.Router.Place(&j.query)
 	away := place.Region != "" && place.Region != j.Self.Region
@@ -106,7 +109,7 @@
 	return place, nil, unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter), false
 }
 
-// initQuery words the request for the router.
+// initQuery fills in the query for the router.
 func (j *job) initQuery() {
 	now := j.Now()
 	j.query = jwrouter.Query{
@@ -123,7 +126,7 @@
 	}
 }
 
-// expectedWork is the usual time of a call of this entry.
+// expectedWork returns the usual duration of a call of this entry.
 func (j *job) expectedWork(now time.Time) time.Duration {
 	if known := j.Board.Targets.WorkOf(j.entry.Service, j.entry.Name); known > 0 {
 		return known
@@ -131,7 +134,8 @@
 	return j.Board.Targets.Room(j.entry.Service, now).Work
 }
 
-// try makes one call and copies its answer; nil means that the request ended.
+// try makes one call and copies its answer; nil means that the request has
+// ended.
 func (j *job) try(ctx context.Context, rl *relay, place jwrouter.Placement) error {
 	j.trace("place", string(place.Reason)+" "+place.Region)
 	switch place.Region {
@@ -143,13 +147,14 @@
 	return j.tryRegion(ctx, rl, place.Region)
 }
 
-// noPlacementError says that no region this node can reach may run the request.
+// noPlacementError reports that no region that this node can reach may run the
+// request.
 type noPlacementError struct{ reason jwrouter.PlaceReason }
 
-// Error names the reason.
+// Error returns the reason given by the router.
 func (e *noPlacementError) Error() string { return "no place: " + string(e.reason) }
 
-// tryRegion sends the request to a node of another region.
+// tryRegion forwards the request to a node of another region.
 func (j *job) tryRegion(ctx context.Context, rl *relay, region string) error {
 	peers := j.peersIn(region, j.workspace.Name)
 	if len(peers) == 0 {
@@ -171,18 +176,20 @@
 	}
 	j.Counter.Tried(j.entry.Name, "region", err == nil)
 	if err != nil {
-		// The next try stays here, or goes nowhere: one change of region is
-		// all a request may make, and this one may have begun to run there.
+		// The next try stays in this region or is not made at all: a request
+		// may change region only once, and it may have begun to run in the
+		// other region.
 		j.query.Forwarded = true
 	}
 	return err
 }
 
-// maxRegionNodes bounds the nodes of another region that are tried in turn.
+// maxRegionNodes is the maximum number of nodes of another region that are
+// tried one after the other.
 const maxRegionNodes = 3
 
-// forwardToFirst sends the request to the first of the nodes that takes it; one
-// that can't be reached is passed over.
+// forwardToFirst forwards the request to the first node that accepts it and
+// skips nodes that can't be reached or did not run it.
 func (j *job) forwardToFirst(ctx context.Context, peers []jwpeer.Peer) (to jwpeer.Peer, a *Answer, err error) {
 	for _, to = range peers[:min(len(peers), maxRegionNodes)] {
 		j.trace("forward", to.Name)
@@ -194,7 +201,7 @@
 	return to, a, err
 }
 
-// mayRetry reports whether the request may be tried once more.
+// mayRetry reports whether the request may be tried again after err.
 func (j *job) mayRetry(ctx context.Context, err error) bool {
 	var failed *CallError
 	if ctx.Err() != nil || !errors.As(err, &failed) {
@@ -203,13 +210,14 @@
 	if !failed.NotRun() {
 		j.mayHaveRun = true
 	}
-	// What ran on a target that crashed may have crashed it. Sending it on by
-	// itself would take the system from target to target.
+	// A request that ran on a crashed target may have caused the crash. If it
+	// were retried automatically, it could crash one target after the other.
 	if state, _ := j.Board.Suspects.Check(j.fingerprint(), j.Now()); state != jwsuspect.Clear {
 		return false
 	}
-	// A region without room ran nothing. Home is asked for room once more, which
-	// needs no place in the budget of retries: that is for failures.
+	// A region without capacity ran nothing, so the request is tried in this
+	// region. That does not count against the retry budget, which is for
+	// failures.
 	if j.refusedByRegion {
 		j.refusedByRegion = false
 		return true
@@ -217,6 +225,7 @@
 	return j.tries < maxTries && j.Board.Budget.Retry(j.entry.Name)
 }
 
+// trace passes a step of the request to the Tracer, if there is one.
 func (j *job) trace(step, detail string) {
 	if j.Tracer != nil {
 		j.Tracer.Step(j.request, step, detail)
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -15,16 +15,17 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// Claims decides which calls with a key may run.
+// Claims decides which requests with an idempotency key may run.
 type Claims interface {
+	// Begin claims the key or reports what is known of an earlier claim.
 	Begin(ctx context.Context, a jwclaim.Ask) (jwclaim.Decision, error)
-	// Preferred names the node of the home region that writes the claims of a
-	// key's slot, empty for none.
+	// Preferred returns the node of the home region that writes the claims of
+	// the key's slot, or an empty string if there is none.
 	Preferred(a jwclaim.Ask) string
 }
 
-// serveOnce runs a request at most once for its key. It goes on when its caller
-// goes away: the answer is kept for the caller's next try.
+// serveOnce runs a request at most once for its key. It continues when its
+// caller disconnects: the answer is kept for the caller's next try.
 func (j *job) serveOnce(ctx context.Context) {
 	ask := jwclaim.Ask{
 		Workspace: j.request.Workspace,
@@ -51,8 +52,8 @@
 	j.applyDecision(ctx, decision)
 }
 
-// bodyHash covers the entry too: the same key and body sent to another entry
-// are another request, and must not get the first one's answer.
+// bodyHash hashes the entry and the body. The same key and body sent to another
+// entry are another request, which must not get the answer of the first one.
 func (j *job) bodyHash() [sha256.Size]byte {
 	h := sha256.New()
 	h.Write([]byte(j.request.Entry))
@@ -61,7 +62,7 @@
 	return [sha256.Size]byte(h.Sum(nil))
 }
 
-// applyDecision does what the claim says.
+// applyDecision acts on the decision about the claim.
 func (j *job) applyDecision(ctx context.Context, d jwclaim.Decision) {
 	switch d.Verdict {
 	case jwclaim.Run:
@@ -78,7 +79,8 @@
 	case jwclaim.Elsewhere:
 		j.forwardToHolder(ctx, d.Holder)
 	case jwclaim.Mismatch:
-		// Nothing ran for this body, but the key names another request that did.
+		// This body did not run, but the key belongs to another request that
+		// did.
 		j.sink.refuse(Refusal(http.StatusConflict, jwrequest.NotRun, ReasonKeyMismatch, "the key came with another body before"))
 	case jwclaim.Refused:
 		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
@@ -93,7 +95,7 @@
 	}
 }
 
-// replay gives the answer of the one run of a key.
+// replay sends the kept answer of the one run of a key.
 func (j *job) replay(a jwclaim.Answer) {
 	switch a.Outcome {
 	case jwrequest.Served:
@@ -105,11 +107,12 @@
 	}
 }
 
-// runOnce dispatches a claimed call. Every way out settles the claim: finished
-// with the answer, released when it certainly did not run, else lost.
+// runOnce calls a target for a claimed key. Each return settles the claim: it
+// is finished with the answer, released if the request certainly did not run,
+// and otherwise lost.
 func (j *job) runOnce(ctx context.Context, call *jwclaim.Call) {
-	// Without this a panic would leave the key in flight for ever, and all who
-	// press again would wait for it. It does nothing to a settled call.
+	// Without this a panic would leave the key in flight forever, and all
+	// later tries with it would wait. It has no effect on a settled call.
 	defer call.Lost()
 	if state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now()); state == jwsuspect.Quarantined {
 		call.Release()
@@ -156,7 +159,7 @@
 	}
 }
 
-// callOnce makes one call of a target of this region and reads its whole
+// callOnce makes one call of a target of this region and reads the whole
 // answer.
 func (j *job) callOnce(ctx context.Context) (Head, []byte, error) {
 	j.query.Now = j.Now()
@@ -173,7 +176,7 @@
 	return a.Head, body, err
 }
 
-// notRun reports whether an error says that nothing ran.
+// notRun reports whether an error means that nothing ran.
 func notRun(err error) bool {
 	var failed *CallError
 	if errors.As(err, &failed) {
@@ -182,13 +185,14 @@
 	return isNoPlacement(err)
 }
 
+// isNoPlacement reports whether an error is a noPlacementError.
 func isNoPlacement(err error) bool {
 	var place *noPlacementError
 	return errors.As(err, &place)
 }
 
-// forwardToHome sends a request to the home region of its workspace, where its keys
-// are claimed.
+// forwardToHome forwards a request to the home region of its workspace, where
+// its keys are claimed.
 func (j *job) forwardToHome(ctx context.Context, ask jwclaim.Ask) {
 	if j.forwarded {
 		j.sink.refuse(j.keyUncheckedRefusal("the home region has changed on the way"))
@@ -205,7 +209,8 @@
 	j.sink.refuse(j.keyUncheckedRefusal("no node of the home region can be reached"))
 }
 
-// movePreferredToFront moves the node that writes the claims of the key to the front.
+// movePreferredToFront moves the node that writes the claims of the key to the
+// front.
 func (j *job) movePreferredToFront(peers []jwpeer.Peer, ask jwclaim.Ask) {
 	name := j.preferredNode(ask)
 	i := slices.IndexFunc(peers, func(p jwpeer.Peer) bool { return p.Name == name })
@@ -216,12 +221,13 @@
 	}
 }
 
-// forwardToPreferred passes a request with a key of its caller's own to the node of
-// this region that writes the claims of the key's slot. Without it all nodes
-// of a region write the same few documents: they lose each other's swaps, and
-// in a large region most calls get no claim in time. It is false if the request
-// is to be claimed here: it is here already, it has been passed on before, or
-// the other node certainly did not take it.
+// forwardToPreferred forwards a request whose key was chosen by its caller to
+// the node of this region that writes the claims of the key's slot. Otherwise
+// all nodes of a region would write the same few documents: their
+// compare-and-swap writes would fail because of each other, and in a large
+// region most calls would get no claim in time. It returns false if the request
+// is to be claimed here: because this is the node, because the request was
+// forwarded before, or because the other node certainly did not accept it.
 func (j *job) forwardToPreferred(ctx context.Context, ask jwclaim.Ask) bool {
 	if j.forwarded {
 		return false
@@ -237,7 +243,8 @@
 	return j.relayAnswer(a, err)
 }
 
-// preferredNode names the node that writes the claims of an own key; a ticket has none.
+// preferredNode returns the node that writes the claims of a key chosen by a
+// caller, and an empty string for a ticket, which has none.
 func (j *job) preferredNode(ask jwclaim.Ask) string {
 	if jwclaim.IsTicket(ask.Key) {
 		return ""
@@ -245,14 +252,16 @@
 	return j.Claims.Preferred(ask)
 }
 
-// keyUncheckedRefusal refuses a request whose key could not be looked up.
+// keyUncheckedRefusal returns the refusal of a request whose key could not be
+// looked up.
 func (j *job) keyUncheckedRefusal(detail string) Head {
 	h := unavailable(ReasonPeer, detail, defaultRetryAfter).ForKey(j.request.Key)
 	h.Hosts = j.Hosts(j.request.Workspace)
 	return h
 }
 
-// forwardToHolder asks the node that holds the claim of a key.
+// forwardToHolder forwards the request to the node that holds the claim of its
+// key.
 func (j *job) forwardToHolder(ctx context.Context, holder jwclaim.Holder) {
 	p, known := j.Board.Peers.Get(holder.Node)
 	if !known || p.Incarnation != holder.Incarnation || p.State == jwpeer.Gone || len(j.request.Hops) >= MaxHops || holder.Region != j.Self.Region {
@@ -261,8 +270,8 @@
 	}
 	holderHop := jwrequest.Hop{Node: p.Name, Region: p.Region, DataCentre: p.DataCentre}
 	if j.request.Hops.With(holderHop).Returns() {
-		// The request would go back to a data centre that it came from. The
-		// caller can ask that node itself.
+		// The request would return to a data centre that it has passed
+		// before. The caller can send it to that node directly.
 		h := Refusal(http.StatusServiceUnavailable, jwrequest.Unknown, ReasonClaim, "another host took this key; send it there")
 		h.RetryAfter, h.Hosts = defaultRetryAfter, []netip.AddrPort{p.Callers}
 		j.sink.refuse(h)
@@ -275,8 +284,8 @@
 	}
 }
 
-// relayAnswer copies another node's answer to the caller; false means that the node
-// did not take the request, so that another may be asked.
+// relayAnswer copies the answer of another node to the caller. It returns false
+// if that node did not accept the request, so that another may be tried.
 func (j *job) relayAnswer(a *Answer, err error) bool {
 	if err != nil {
 		if notRun(err) {
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -11,42 +11,46 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// maxBufferedAnswer is how much of an answer that is no stream is held back until it
-// is whole; a longer one goes out as it comes.
+// maxBufferedAnswer is the maximum length in bytes of an answer that is read
+// whole before it is sent on. A longer one that is not a stream is sent as it
+// arrives.
 const maxBufferedAnswer = 4 << 20
 
-// How much is read from a target at once. A token is about a hundred bytes, and
-// a node holds the buffers of all its streams for as long as they run.
+// Sizes in bytes of the buffer for reading from a target. A token takes about a
+// hundred bytes, and a node holds the buffers of all its streams for as long as
+// they run, so streams get a smaller one.
 const (
 	plainBufferSize  = 32 << 10
 	streamBufferSize = 4 << 10
 )
 
 var (
-	// errCallerGone says that nobody wants the answer any more.
+	// errCallerGone reports that nobody waits for the answer any more.
 	errCallerGone = errors.New("caller gone")
-	// errDiverged says that a repeated answer differs from the part already
+	// errDiverged reports that a repeated answer differs from the part already
 	// sent, so that the two can't be joined.
 	errDiverged = errors.New("repeated answer differs from what was sent")
 )
 
-// relay copies one answer to the caller, over several tries if need be.
+// relay copies one answer to the caller, over several tries if needed.
 //
-// Of a stream only whole events go out. When it breaks, a target that still
-// has it goes on after the last of them. Any other try starts it again from its
-// first byte. The bytes that the caller has are not sent twice: they are
-// compared with what was sent, and the stream goes on only if they are the
-// same. Without the comparison a model that answers differently each time would
-// give the caller two halves of two answers, passed off as one.
+// Of a stream only complete events are sent. When the stream breaks, a target
+// that still has it continues after the last event sent. Any other try starts
+// the answer again from its first byte. The bytes that the caller already has
+// are not sent again: they are compared with what was sent, and the stream
+// continues only if they are equal. Without the comparison, a model whose
+// answers differ each time would give the caller parts of two different answers
+// joined as one.
 type relay struct {
 	sink      *trackedSink
-	head      Head // as sent, once a part was
-	bytesSent int64
-	sentHash  xxhash.Digest
+	head      Head          // as sent to the caller
+	bytesSent int64         // of the body
+	sentHash  xxhash.Digest // hash of the bytes sent
 	events    eventTracker
 }
 
-// copy sends the answer; nil means that it is whole and its end was sent.
+// copy sends the answer to the caller; nil means that it is complete and its
+// end was sent.
 func (rl *relay) copy(a *Answer) error {
 	defer func() { _ = a.Body.Close() }()
 	if a.Head.Outcome != "" && a.Head.Outcome != jwrequest.Served {
@@ -59,10 +63,12 @@
 	return rl.copyWhole(a)
 }
 
+// isEventStream reports whether the answer is a text/event-stream.
 func isEventStream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
 
-// copyWhole reads the answer to its end before the first byte goes out, so that a
-// broken one can be tried again unseen.
+// copyWhole reads the whole answer before it sends the first byte, so that the
+// caller does not notice when a broken answer is tried again. An answer longer
+// than maxBufferedAnswer is sent as it arrives.
 func (rl *relay) copyWhole(a *Answer) error {
 	body, err := readWhole(io.LimitReader(a.Body, maxBufferedAnswer+1), a.Head.Length)
 	if err != nil {
@@ -76,26 +82,26 @@
 	return nil
 }
 
-// readWhole reads to the end, into a buffer of the length that was announced,
-// if one was; growing a buffer step by step costs several times the memory. The
-// length is not trusted further than that.
+// readWhole reads to the end, into a buffer of the announced length if there is
+// one: growing a buffer step by step costs several times the memory. The
+// announced length is used for nothing else, and may be wrong.
 func readWhole(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > maxBufferedAnswer {
 		return io.ReadAll(r)
 	}
-	// ReadFrom grows the buffer unless there is room for one more read.
+	// ReadFrom grows the buffer unless it has space for one more read.
 	buf := bytes.NewBuffer(make([]byte, 0, length+bytes.MinRead))
 	_, err := buf.ReadFrom(r)
 	return buf.Bytes(), err
 }
 
-// prefixedBody is a body with some bytes already read.
+// prefixedBody is a body of which some bytes were already read.
 type prefixedBody struct {
 	io.ReadCloser
 	prefix []byte
 }
 
-// Read gives the bytes already read first.
+// Read returns the bytes already read first.
 func (p *prefixedBody) Read(b []byte) (int, error) {
 	if len(p.prefix) > 0 {
 		n := copy(b, p.prefix)
@@ -105,7 +111,8 @@
 	return p.ReadCloser.Read(b)
 }
 
-// copyAsReceived sends the answer as it comes.
+// copyAsReceived sends the answer as it arrives and skips the part that was
+// sent in earlier tries.
 func (rl *relay) copyAsReceived(a *Answer) error {
 	if err := rl.sendHead(a.Head); err != nil {
 		return err
@@ -152,6 +159,8 @@
 	}
 }
 
+// readBufferSize returns the size in bytes of the buffer for reading from a
+// target.
 func readBufferSize(isStream bool) int {
 	if isStream {
 		return streamBufferSize
@@ -159,9 +168,9 @@
 	return plainBufferSize
 }
 
-// sendHead sends the head of the first try. The head of a later one must be the
-// same: an error page in place of a stream whose head is out would reach the
-// caller as the stream itself, ended well.
+// sendHead sends the head of the first try. The head of a later try must be
+// equal to it: an error page after the head of a stream would reach the caller
+// as the content of the stream, and would look complete.
 func (rl *relay) sendHead(h Head) error {
 	h.Outcome = ""
 	if rl.sink.headSent {
@@ -178,12 +187,12 @@
 	return nil
 }
 
-// skipper drops the part of a repeated answer that was sent before, if it is
-// the same.
+// skipper skips the part of a repeated answer that was already sent and checks
+// that it is equal to what was sent.
 type skipper struct {
-	remaining int64
-	wantHash  uint64
-	hash      xxhash.Digest
+	remaining int64         // bytes still to be skipped
+	wantHash  uint64        // hash of what was sent
+	hash      xxhash.Digest // hash of what was skipped so far
 }
 
 func newSkipper(sent int64, want uint64) *skipper {
@@ -192,8 +201,8 @@
 	return s
 }
 
-// newBytes returns what of p is new; same is false when the part sent before
-// differs.
+// newBytes returns the part of p that was not sent before; same is false if the
+// part sent before differs.
 func (s *skipper) newBytes(p []byte) (fresh []byte, same bool) {
 	if s.remaining == 0 {
 		return p, true
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -14,7 +14,7 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// lettersAsEvents makes each letter an event of a stream.
+// lettersAsEvents returns a stream with one event for each letter.
 func lettersAsEvents(letters string) string {
 	var b strings.Builder
 	for _, l := range letters {
@@ -23,7 +23,7 @@
 	return b.String()
 }
 
-// recordingSink is a caller that keeps what it is given.
+// recordingSink is a caller that records what it receives.
 type recordingSink struct {
 	heads []Head
 	body  strings.Builder
@@ -47,13 +47,13 @@
 
 var errBroken = &CallError{Step: "read answer", Fate: Broken, Err: errors.New("cut")}
 
-// brokenReader is a body that breaks off after the text.
+// brokenReader returns a body that breaks off after the text.
 func brokenReader(text string) io.Reader {
 	return io.MultiReader(strings.NewReader(text), iotest.ErrReader(errBroken))
 }
 
-// letterStream is a stream of one event for each letter; cut tells that it breaks
-// off after them.
+// letterStream returns a stream with one event for each letter; if broken is
+// set, it breaks off after them.
 func letterStream(status int, letters string, broken bool) *Answer {
 	var r io.Reader = strings.NewReader(lettersAsEvents(letters))
 	if broken {
@@ -69,16 +69,16 @@
 
 func newAnswer(h Head, r io.Reader) *Answer { return &Answer{Head: h, Body: io.NopCloser(r)} }
 
-// A target goes down while its answer is on the way, and the request is tried
+// A target fails while its answer is being sent, and the request is tried
 // again. The caller must get each byte once and the end of the same answer, or
-// be told that the answer broke off; two halves of two answers, or an error
-// page in place of the rest, would pass for the draft that was asked for.
+// be told that the answer broke off. Parts of two answers, or an error page in
+// place of the rest, would look to the caller like the draft it asked for.
 func TestRelayRetriesAnswer(t *testing.T) {
 	page := Head{Status: 500, ContentType: "text/plain", Length: 5}
 	tests := map[string]struct {
 		tries  []*Answer
 		body   string
-		served bool // else the last try ends in an error
+		served bool // if false, the last try ends in an error
 	}{
 		"first try whole":              {[]*Answer{letterStream(200, "abc", false)}, "abc", true},
 		"same again":                   {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abcdef", false)}, "abcdef", true},
--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -15,7 +15,7 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// recorder is a caller that keeps what it gets.
+// recorder is a caller that records what it receives.
 type recorder struct {
 	body strings.Builder
 	end  *End
@@ -46,7 +46,8 @@
 	return &relay{sink: j.sink}, r
 }
 
-// events from, to as a model engine streams them.
+// numberedEvents returns the events with the ids from..to in the format of a
+// model engine.
 func numberedEvents(from, to int, text string) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
@@ -55,6 +56,8 @@
 	return b.String()
 }
 
+// oneByteStream returns a stream that is read one byte at a time and ends with
+// the error end, if it is not nil.
 func oneByteStream(body string, end error) *Answer {
 	parts := []io.Reader{iotest.OneByteReader(strings.NewReader(body))}
 	if end != nil {
@@ -66,16 +69,17 @@
 	}
 }
 
-// A stream breaks in the midst of an event and is tried again. The caller must
-// see each byte once and in order, or be told that the answer is not whole;
-// half of one draft joined to half of another would go out as a price sheet.
+// A stream breaks off inside an event and is tried again. The caller must get
+// each byte once and in order, or be told that the answer is not complete.
+// Otherwise halves of two different drafts could be sent to customers as one
+// price sheet.
 func TestRelayResumesStream(t *testing.T) {
 	broken := &CallError{Fate: Broken, Err: errors.New("cut")}
 	done := "data: [DONE]\n\n"
 	tests := map[string]struct {
 		tries []*Answer
 		want  string
-		err   error // of the last try
+		err   error // expected of the last try
 	}{
 		"whole at once": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
@@ -143,8 +147,8 @@
 	}
 }
 
-// FuzzRelay cuts a stream in two places and tries it again each time, by going
-// on or from the beginning.
+// FuzzRelay breaks a stream in two places and retries it each time, either by
+// resuming it or by starting it again.
 func FuzzRelay(f *testing.F) {
 	f.Add(uint16(0), uint16(9), true, false)
 	f.Add(uint16(30), uint16(31), false, true)
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -11,7 +11,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// quarantined ends the request if requests like it crashed targets.
+// quarantined refuses the request and returns true if requests like it crashed
+// targets.
 func (j *job) quarantined() bool {
 	state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now())
 	if state != jwsuspect.Quarantined {
@@ -23,7 +24,8 @@
 	return true
 }
 
-// fingerprint is the same for each try of one request, whoever sends it again.
+// fingerprint returns the fingerprint of entry and body. It is equal for all
+// tries of one request, whoever sends them.
 func (j *job) fingerprint() jwsuspect.Fingerprint {
 	if j.fp == (jwsuspect.Fingerprint{}) {
 		j.fp = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
@@ -31,7 +33,7 @@
 	return j.fp
 }
 
-// recordCrash raises suspicion against all that ran on a target that crashed.
+// recordCrash marks all requests that ran on a crashed target as suspects.
 func (j *job) recordCrash(err error) {
 	var failed *CallError
 	if !errors.As(err, &failed) || !failed.Crashed {
@@ -43,8 +45,8 @@
 	}
 }
 
-// callerHash is the same for each try of one request by one caller, also when
-// each has a request id of its own.
+// callerHash returns a hash that is equal for all tries of one request by one
+// workspace, even if each try has its own request id.
 func (j *job) callerHash() uint64 {
 	fp := j.fingerprint()
 	return jwtarget.Mix(xxhash.Sum64String(j.request.Workspace), xxhash.Sum64(fp[:]))
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -11,7 +11,7 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// tryTarget calls a target of this region and copies its answer.
+// tryTarget calls a target of this region and copies its answer to the caller.
 func (j *job) tryTarget(ctx context.Context, rl *relay) error {
 	t, a, err := j.callTarget(ctx, true)
 	if err != nil {
@@ -25,9 +25,9 @@
 	return err
 }
 
-// resume asks the target of a stream that broke in its midst to go on where it
-// stopped, over a new connection. It works where only the connection was lost:
-// a target whose process died refuses, and the break counts as a crash.
+// resume asks the target of a broken stream to continue after the last event
+// sent, over a new connection. It succeeds only where just the connection was
+// lost: a target whose process died refuses, and the break counts as a crash.
 func (j *job) resume(ctx context.Context, rl *relay, t *targetAttempt, cause error) bool {
 	var failed *CallError
 	for range maxResumes {
@@ -51,10 +51,11 @@
 	return false
 }
 
-// maxResumes bounds how often one target is asked to go on with a stream.
+// maxResumes is the maximum number of times that one target is asked to
+// continue a stream.
 const maxResumes = 3
 
-// targetAttempt is one call of a target.
+// targetAttempt is the state of one call of a target.
 type targetAttempt struct {
 	job      *job
 	address  netip.AddrPort
@@ -63,8 +64,8 @@
 	call     TargetCall
 }
 
-// callTarget picks a target of this region and calls it. After an answer has
-// begun, end must be called once with how it ended.
+// callTarget chooses a target of this region and calls it. If it returns an
+// answer, the method end must be called once with the result of copying it.
 func (j *job) callTarget(ctx context.Context, idempotent bool) (*targetAttempt, *Answer, error) {
 	fp := j.fingerprint()
 	choice, found := j.pick(fp)
@@ -88,7 +89,8 @@
 	return t, a, nil
 }
 
-// pick chooses a target; a suspect keeps away from some.
+// pick chooses a target. A suspected request avoids the targets that jwsuspect
+// keeps it apart from.
 func (j *job) pick(fp jwsuspect.Fingerprint) (jwrouter.Choice, bool) {
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
@@ -99,7 +101,8 @@
 	return j.Router.Pick(&j.query)
 }
 
-// end takes the call out of the tables.
+// end records the result of the call and removes it from the tables of calls in
+// flight.
 func (t *targetAttempt) end(ctx context.Context, err error) {
 	j := t.job
 	now := j.Now()
@@ -112,7 +115,7 @@
 	}
 }
 
-// usableTargets are the targets of the entry's service that this node uses.
+// usableTargets returns the targets of the entry's service that this node uses.
 func (j *job) usableTargets() []netip.AddrPort {
 	var out []netip.AddrPort
 	for _, t := range j.Board.Targets.Used() {
@@ -123,7 +126,7 @@
 	return out
 }
 
-// callResult tells the target table how a call ended.
+// callResult converts the error of a call into a result for the target table.
 func callResult(ctx context.Context, err error) jwtarget.Result {
 	var failed *CallError
 	switch {
