--- a/core/jwrouter/doc.go
+++ b/core/jwrouter/doc.go
@@ -1,4 +1,4 @@
-// Package jwrouter decides where a request runs: in which region, and there on
-// which target. Its decisions are pure but for the tables they read; time and
-// randomness come with each query.
+// Package jwrouter decides where a request runs: in which region, and on which
+// target of that region. Its decisions depend only on the query and on the
+// tables that they read; time and randomness are part of each query.
 package jwrouter
--- a/core/jwrouter/pick.go
+++ b/core/jwrouter/pick.go
@@ -10,35 +10,37 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// PickReason tells why a target was chosen.
+// PickReason states why a target was chosen.
 type PickReason string
 
-// The reasons for a target.
+// The reasons for the choice of a target.
 const (
-	Cached   PickReason = "cached"   // the prefix is kept there and its load allows it
-	Lightest PickReason = "lightest" // least expected time
-	Probe    PickReason = "probe"    // tried again after failures
+	Cached   PickReason = "cached"   // the target has the prefix in its cache, and its load allows the call
+	Lightest PickReason = "lightest" // least expected time to the end of the call
+	Probe    PickReason = "probe"    // the target is probed again after failures
 )
 
-// Choice is the target for one call.
+// Choice is the target chosen for one call.
 type Choice struct {
 	Address netip.AddrPort
 	Reason  PickReason
-	Expect  time.Duration // expected time to the end of the call, with its wait
+	Expect  time.Duration // expected time to the end of the call, including the wait for a slot
 }
 
-// prefixLength is how much of a body decides which requests share a prefix.
+// prefixLength is how many bytes at the beginning of a body decide which
+// requests share a prefix.
 const prefixLength = 256
 
-// PrefixOf returns the key under which requests of one workspace and entry
-// with the same beginning of the body are kept together.
+// PrefixOf returns a key that is equal for requests of one workspace and entry
+// whose bodies begin in the same way. Requests with the same key are kept on
+// the same target.
 func PrefixOf(workspace, entry string, body []byte) uint64 {
 	h := xxhash.Sum64String(workspace)
 	h = jwtarget.Mix(h, xxhash.Sum64String(entry))
 	return jwtarget.Mix(h, xxhash.Sum64(body[:min(len(body), prefixLength)]))
 }
 
-// Pick chooses the target of this region for a request; found is false when no
+// Pick chooses a target of this region for a request; found is false if no
 // target may get it.
 func (r *Router) Pick(q *Query) (choice Choice, found bool) {
 	buf, _ := r.scratch.Get().(*[]jwtarget.Candidate)
@@ -69,9 +71,9 @@
 	return choice, true
 }
 
-// filterCandidates drops the targets that must not get the request. A target that is
-// tried again after failures gets only calls that may be repeated, unless
-// there is no other.
+// filterCandidates removes the targets that must not get the request. A target
+// that is probed after failures gets only calls that may be repeated, unless
+// there is no other target.
 func filterCandidates(list []jwtarget.Candidate, q *Query) []jwtarget.Candidate {
 	kept := list[:0]
 	for _, c := range list {
@@ -96,8 +98,8 @@
 }
 
 // leastExpected returns the target with the least expected time. It starts at a
-// random place so that nodes with the same reports do not all prefer the same
-// one of several equal targets.
+// random position in the list, so that nodes with the same reports do not all
+// choose the same one of several equal targets.
 func (r *Router) leastExpected(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
 	n := len(list)
 	start := int(q.Random % uint64(n))
@@ -112,10 +114,11 @@
 	return best
 }
 
-// affinityTarget returns the target that keeps the request's prefix: the first by
-// rendezvous hashing whose load stays within Spread of the mean, so that a
-// busy prefix spreads to further targets and does not overload the first. It
-// returns nil when all are above, as a whole region is when its queues are long.
+// affinityTarget returns the target that keeps the request's prefix: the first
+// one by rendezvous hashing whose load is at most Spread times the mean. A busy
+// prefix is thus distributed to further targets and does not overload the
+// first. It returns nil if all targets are above that load, as in a region
+// whose queues are long.
 func (r *Router) affinityTarget(q *Query, list []jwtarget.Candidate) *jwtarget.Candidate {
 	outstanding, slots := 0, 0
 	for i := range list {
@@ -137,11 +140,12 @@
 	return best
 }
 
-// fullBatchSlowdown is how much longer a call takes in a full batch than alone.
+// fullBatchSlowdown is how much longer a call takes in a full batch than alone,
+// as a fraction of its duration alone.
 const fullBatchSlowdown = 0.5
 
-// expectedTime estimates the time to the end of a call on a target: the wait for a
-// slot, then the call itself, which a fuller batch makes longer.
+// expectedTime estimates the time to the end of a call on a target: the wait
+// for a slot and the call itself, which takes longer in a fuller batch.
 func (r *Router) expectedTime(q *Query, c *jwtarget.Candidate) time.Duration {
 	slots := float64(c.Slots)
 	queued := float64(max(c.Outstanding+1-c.Slots, 0))
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -4,33 +4,33 @@
 	"time"
 )
 
-// PlaceReason tells why a request runs where it does, or why nowhere.
+// PlaceReason states why a request runs in a region, or why in none.
 type PlaceReason string
 
-// The reasons for a place.
+// The reasons for a placement.
 const (
-	AtHome       PlaceReason = "home"         // the region serves its own
-	CheaperHere  PlaceReason = "cheaperHere"  // waiting here costs less than any other region
-	AlreadyMoved PlaceReason = "alreadyMoved" // another node sent it here: never sent on
+	AtHome       PlaceReason = "home"         // the home region runs the request
+	CheaperHere  PlaceReason = "cheaperHere"  // running here costs less than in any other region, including the wait
+	AlreadyMoved PlaceReason = "alreadyMoved" // another node forwarded it here, so it is not forwarded again
 	Bound        PlaceReason = "bound"        // its data must not leave this region
 	NotAllowed   PlaceReason = "notAllowed"   // the entry names no other region
 	Away         PlaceReason = "away"         // another region costs less
-	NoRoom       PlaceReason = "noRoom"       // this region cannot take it, but another can
-	WrongRegion  PlaceReason = "wrongRegion"  // bound to another region: not run here and not passed on
-	Nowhere      PlaceReason = "nowhere"      // no region known to have a target
+	NoRoom       PlaceReason = "noRoom"       // this region cannot run it, but another can
+	WrongRegion  PlaceReason = "wrongRegion"  // its data is bound to another region, so it is neither run nor forwarded here
+	Nowhere      PlaceReason = "nowhere"      // no region is known to have a target
 )
 
-// Placement is the region for a request; an empty Region says that it must not
-// run anywhere this node could reach.
+// Placement is the region chosen for a request. An empty Region means that the
+// request must not run in any region that this node can reach.
 type Placement struct {
 	Region string
 	Reason PlaceReason
-	Wait   time.Duration // expected wait for a slot there
+	Wait   time.Duration // expected time that the request waits for a slot there
 }
 
-// Place chooses the region of a request. A request changes region at most once
-// because a node passes on only what came straight from a caller: neither a
-// forged nor a lost hop record can make it loop.
+// Place chooses the region of a request. A request changes region at most once,
+// because a node forwards only requests that came directly from a caller.
+// Neither a forged nor a lost record of hops can make it loop.
 func (r *Router) Place(q *Query) Placement {
 	if q.bound() && q.Home != r.Region {
 		return Placement{Reason: WrongRegion}
@@ -52,7 +52,8 @@
 	return r.cheapest(q, here)
 }
 
-// mustStay reports whether a request must not be sent to another region.
+// mustStay reports whether a request must not be sent to another region, and
+// why.
 func (r *Router) mustStay(q *Query) (PlaceReason, bool) {
 	switch {
 	case q.bound():
@@ -65,7 +66,8 @@
 	return "", false
 }
 
-// cheapest weighs the other regions against this one.
+// cheapest returns the placement with the lowest cost, among this region and
+// the others.
 func (r *Router) cheapest(q *Query, here Placement) Placement {
 	best := here
 	lowest := r.cost(q, r.Region, here.Wait)
@@ -96,11 +98,12 @@
 	return best
 }
 
-// typicalRegions is how many regions are weighed without allocating.
+// typicalRegions is the number of regions that are compared without allocating
+// memory.
 const typicalRegions = 16
 
-// allowed reports whether the entry lets a request run in a region; the home of
-// its workspace is always allowed.
+// allowed reports whether the entry allows a request to run in a region. The
+// home region of the workspace is always allowed.
 func allowed(q *Query, region string) bool {
 	if region == q.Home {
 		return true
@@ -113,11 +116,12 @@
 	return false
 }
 
-// anyRegion in an entry's list of regions allows all of them.
+// anyRegion in an entry's list of regions allows all regions.
 const anyRegion = "*"
 
-// cost weighs the wait, the way there and back, the price of the link and the
-// share sent away by the entry's weights.
+// cost returns the cost of running a request in a region: the sum of the wait,
+// the round trip, the price of the link and the cost of leaving home, each with
+// its weight from the entry.
 func (r *Router) cost(q *Query, region string, wait time.Duration) float64 {
 	w := q.Entry.Weights
 	cost := w.Tail * wait.Seconds()
@@ -134,6 +138,7 @@
 	return cost
 }
 
-// missedDeadlineCost is what an answer that misses its deadline costs, against which
-// the price of a link and a share sent away hardly count.
+// missedDeadlineCost is the cost of an answer that misses its deadline. It is
+// so high that the price of a link and the cost of leaving home hardly matter
+// beside it.
 const missedDeadlineCost = 10
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -17,10 +17,10 @@
 
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
-// Nodes have old views of each other's load, and a hop record may be lost or
-// forged on the way. Were it trusted, two regions that each believe the other
-// idle would pass a request back and forth until its deadline. And a request
-// bound to its home must never be passed on, nor run elsewhere.
+// Nodes have outdated load reports of each other, and a record of hops may be
+// lost or forged. If it were trusted, two regions that each take the other for
+// idle would forward a request back and forth until its deadline. A request
+// bound to its home region must never be forwarded, nor run in another region.
 func TestPlaceNeverLoopsNorMovesBoundData(t *testing.T) {
 	regions := []string{"a", "b", "c"}
 	rapid.Check(t, func(t *rapid.T) {
@@ -60,7 +60,7 @@
 			}
 			at = p.Region
 			path = append(path, at)
-			q.Forwarded = true // set by the receiver, not taken from the message
+			q.Forwarded = true // set by the receiving node, not taken from the message
 			q.Hops = drawHops(t, regions)
 		}
 		if len(path) > 2 {
@@ -69,7 +69,8 @@
 	})
 }
 
-// drawRouter makes a router with any load and any belief about the others.
+// drawRouter returns a router with a random load and random reports about the
+// other regions.
 func drawRouter(t *rapid.T, name string, regions []string) *Router {
 	n := rapid.IntRange(0, 2).Draw(t, "targets")
 	r := newRouter(n, -1, func(int) jwtarget.Load {
@@ -86,7 +87,8 @@
 	return r
 }
 
-// drawHops makes a record that may have nothing to do with the way taken.
+// drawHops returns a random record of hops, which need not match the path
+// taken.
 func drawHops(t *rapid.T, regions []string) jwrequest.Hops {
 	var hops jwrequest.Hops
 	for range rapid.IntRange(0, 3).Draw(t, "hops") {
--- a/core/jwrouter/regions.go
+++ b/core/jwrouter/regions.go
@@ -5,24 +5,26 @@
 	"time"
 )
 
-// DefaultMaxLoadAge is how long a region's word about its load is believed.
+// DefaultMaxLoadAge is how long the report of a region about its load is used.
 const DefaultMaxLoadAge = 10 * time.Second
 
-// Load is what a region says of one of its services; it lags behind.
+// Load is the report of a region about one of its services. It is always
+// somewhat out of date.
 type Load struct {
 	Region  string
 	Service string
-	Wait    time.Duration // expected wait of a new call for a slot
-	Work    time.Duration // usual time of a call
-	Free    float64       // share of slots free
-	Slots   int           // calls that the region runs at once
+	Wait    time.Duration // expected time that a new call waits for a slot
+	Work    time.Duration // usual duration of a call
+	Free    float64       // fraction of the slots that are free
+	Slots   int           // number of calls that the region runs at the same time
 	Targets int
 	Taken   time.Time // when the region measured it
 
-	sentSince int // calls this node sent there since
+	sentSince int // calls sent there since the report, by this node and, as estimated, by the other nodes of its region
 }
 
-// wait adds the calls sent since the report to the wait it told of.
+// wait returns the reported wait, increased by the calls sent there since the
+// report.
 func (l *Load) wait() time.Duration {
 	if l.Slots == 0 {
 		return l.Wait
@@ -34,25 +36,26 @@
 	return l.Wait + time.Duration(queued/float64(l.Slots)*float64(l.Work))
 }
 
-// Link is the way between this region and another.
+// Link describes the network link between this region and another.
 type Link struct {
 	Delay time.Duration // one way
 	Price float64       // of one request, in the unit of the entries' cost weight
 }
 
-// Regions holds what other regions say of their load. One mutex guards it, and
-// no other lock is taken under it. A region that was not heard of for LoadFor
-// is taken for cut off: nothing is sent there until it speaks again.
+// Regions holds the load reports of other regions. One mutex guards it, and no
+// other lock is taken while it is held. A region without a report for
+// MaxLoadAge is considered unreachable: nothing is sent there until it reports
+// again.
 type Regions struct {
 	Links      map[string]Link
 	MaxLoadAge time.Duration
 
 	mu         sync.Mutex
-	localNodes int               // of this region, which send away as this one does
+	localNodes int               // nodes of this region, assumed to send as many requests as this one
 	reports    map[string][]Load // by service
 }
 
-// Merge takes over a region's report unless a newer one is known.
+// Merge stores the report of a region unless a newer one is stored.
 func (t *Regions) Merge(load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -72,16 +75,17 @@
 	t.reports[load.Service] = append(list, load)
 }
 
-// SetNodes takes over how many nodes of this region send requests away; each
-// takes the others to send as many as it does itself.
+// SetNodes sets how many nodes of this region send requests to other regions.
+// Each node assumes that the others send as many as it does itself.
 func (t *Regions) SetNodes(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.localNodes = n
 }
 
-// Sent notes a request sent away. Without it, every request of the time
-// between two reports would go to the region that last said it was idle.
+// Sent counts a request that was sent to another region. Without it, all
+// requests between two reports would go to the region that last reported that
+// it was idle.
 func (t *Regions) Sent(region, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +97,7 @@
 	}
 }
 
-// loads appends the words about a service that are still believed to out.
+// loads appends the reports about a service that are not too old to out.
 func (t *Regions) loads(service string, now time.Time, out []Load) []Load {
 	if t == nil {
 		return out
@@ -108,12 +112,12 @@
 	return out
 }
 
-// Loads returns the words about a service that are still believed.
+// Loads returns the reports about a service that are not older than MaxLoadAge.
 func (t *Regions) Loads(service string, now time.Time) []Load {
 	return t.loads(service, now, nil)
 }
 
-// link returns the way to a region; an unknown one is taken for long.
+// link returns the link to a region; an unknown one is assumed to be long.
 func (t *Regions) link(region string) Link {
 	if t == nil {
 		return defaultLink
--- a/core/jwrouter/router.go
+++ b/core/jwrouter/router.go
@@ -10,8 +10,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Router decides for one node. Its fields are set before use; it may be used
-// by many goroutines at the same time.
+// Router makes the decisions of one node. Its fields are set before use, and it
+// is safe for concurrent use.
 type Router struct {
 	Region     string // region of this node
 	DataCentre string // data centre of this node
@@ -22,43 +22,44 @@
 	scratch sync.Pool // of *[]jwtarget.Candidate
 }
 
-// Query is one request as far as its place matters.
+// Query holds what the router needs to know of one request.
 type Query struct {
 	Entry     *jwcatalogue.Entry
 	Home      string           // home region of the workspace
-	Bound     bool             // the workspace's data never leaves Home
-	Forwarded bool             // came from another node, whatever its hops say
-	Full      bool             // this region has refused it for want of room
-	Hops      jwrequest.Hops   // the nodes it passed before this one
-	Prefix    uint64           // from PrefixOf, 0 when prompts share nothing
+	Bound     bool             // the data of the workspace must not leave Home
+	Forwarded bool             // the request came from another node, whatever Hops says
+	Full      bool             // this region has refused the request for lack of capacity
+	Hops      jwrequest.Hops   // the nodes that the request passed before this one
+	Prefix    uint64           // result of PrefixOf, 0 if the prompt shares nothing with others
 	Prefill   time.Duration    // time that a cached prefix saves
-	Work      time.Duration    // expected time on a usual target
+	Work      time.Duration    // expected duration of the call on a typical target
 	Deadline  time.Time        // zero for none
-	Exclude   []netip.AddrPort // targets that must not get it
+	Exclude   []netip.AddrPort // targets that must not get the request
 	Now       time.Time
-	Random    uint64 // evenly spread
+	Random    uint64 // uniformly distributed
 }
 
 // bound reports whether the request must stay in its home region.
 func (q *Query) bound() bool { return q.Bound || q.Entry.Bound }
 
-// late reports whether the request cannot end in time after a wait.
+// late reports whether the request would miss its deadline after the given
+// wait.
 func (q *Query) late(wait time.Duration) bool {
 	return !q.Deadline.IsZero() && q.Now.Add(wait+q.Work).After(q.Deadline)
 }
 
-// Policy holds the constants of the decisions; the zero value takes the
-// defaults, which docs/DECISIONS.md explains.
+// Policy holds the parameters of the decisions. Zero fields take the defaults,
+// which docs/DECISIONS.md explains.
 type Policy struct {
-	Spread     float64       // how far above the mean load a target keeps its prefixes
-	Crossing   time.Duration // delay of a call to another data centre of the region
-	Margin     time.Duration // waiting that must be saved before a request goes away
-	NoAffinity bool          // prefixes are not kept together
-	NoPace     bool          // slow targets are not avoided
-	HomeOnly   bool          // nothing is sent away
+	Spread     float64       // how many times the mean load a target may have and still keep its prefixes
+	Crossing   time.Duration // one-way delay of a call to another data centre of the region
+	Margin     time.Duration // waiting time that must be saved before a request is sent to another region
+	NoAffinity bool          // requests with the same prefix are not kept on one target
+	NoPace     bool          // the speed of targets is ignored
+	HomeOnly   bool          // no request is sent to another region
 }
 
-// The values that a Policy takes where its fields are zero.
+// Defaults for the fields of Policy that are zero.
 const (
 	DefaultSpread   = 2
 	DefaultCrossing = 5 * time.Millisecond
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -19,8 +19,8 @@
 	return netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, 0, byte(n >> 8), byte(n)}), 8000)
 }
 
-// newRouter returns a newRouter of region r in data centre r0 with n targets, of
-// which each has the load that the function gives.
+// newRouter returns a router of region r in data centre r0 with n targets; load
+// returns the load of each.
 func newRouter(n, subset int, load func(i int) jwtarget.Load) *Router {
 	table := &jwtarget.Table{Node: "n", Region: "r", Subset: subset}
 	var list []jwtarget.Target
@@ -110,8 +110,9 @@
 	}
 }
 
-// A prefix that everybody asks for would pile up on the one target that keeps
-// it, and its callers would wait beside idle targets.
+// Without a bound, all requests with a popular prefix would go to the one
+// target that keeps it, and their callers would wait while other targets are
+// idle.
 func TestBusyPrefixUsesSeveralTargets(t *testing.T) {
 	r := newRouter(8, -1, idle)
 	r.Policy.Spread = 1.25
@@ -124,14 +125,14 @@
 		r.Targets.Begin(c.Address, q.Work, start)
 		count[c.Address]++
 	}
-	assert.Assert(t, len(count) >= 6, "spread over %d", len(count)) // 64 calls, at most 11 on each
+	assert.Assert(t, len(count) >= 6, "spread over %d", len(count)) // 64 calls, at most 11 on each target
 	for addr, n := range count {
 		assert.Assert(t, float64(n) <= r.Policy.Spread*calls/8+1, "%v has %d", addr, n)
 	}
 }
 
-// Requests with the same beginning should meet the cache that the first one
-// filled, or every one of them computes its whole prompt anew.
+// Requests with the same beginning should go to the target whose cache the
+// first one filled. Otherwise each of them computes its whole prompt again.
 func TestIdlePrefixKeepsItsTarget(t *testing.T) {
 	r := newRouter(8, -1, idle)
 	q := newQuery()
@@ -200,9 +201,9 @@
 	}
 }
 
-// Reports of other regions come late. If the requests sent there since did not
-// count, a whole peak would go to the region that last looked idle, and its
-// own callers would queue behind it.
+// Reports of other regions arrive late. If requests sent there since the last
+// report did not count, a whole peak would go to the region that last reported
+// that it was idle, and that region's own callers would queue behind it.
 func TestSentAwayCountsUntilNextReport(t *testing.T) {
 	r := newRouter(2, -1, busy)
 	r.Regions.Merge(Load{Region: "o", Service: "s", Free: 0.5, Slots: 16, Targets: 2, Work: time.Second, Taken: start})
