--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -6,7 +6,7 @@
 	"jujubewheel/core/jwcatalogue"
 )
 
-// admission is one request while it is decided on.
+// admission is the state of the decision on one request.
 type admission struct {
 	*Query
 	limiter    *Limiter
@@ -15,11 +15,12 @@
 	service    *pool
 }
 
-// classLimit says how far a class may fill what it shares with others: more
-// urgent classes reach further, so drafts never leave them without a place.
+// classLimit limits how much of a shared resource a class may use. More urgent
+// classes have higher limits, so that drafts always leave some capacity to
+// them.
 type classLimit struct {
-	node        float64 // share of the node's own limit
-	outstanding float64 // requests outstanding for each slot of the service
+	node        float64 // fraction of the node's limit of concurrent requests
+	outstanding float64 // outstanding requests per slot of the service
 }
 
 var classLimits = map[jwcatalogue.Class]classLimit{
@@ -28,12 +29,14 @@
 	jwcatalogue.Confirmation: {node: 1, outstanding: 5},
 }
 
-// maxForeignUse is the share of slots up to which a region takes requests of
-// other regions, so that its own callers find the rest.
+// maxForeignUse is the fraction of the slots in use up to which a region
+// accepts requests of other regions, so that the rest is free for its own
+// callers.
 const maxForeignUse = 0.9
 
-// check goes through the tests in turn, the cheapest for the caller last: a
-// limit of the entry is named as such even when the service is full as well.
+// check makes the checks one after the other and returns the first refusal. The
+// entry's limits come before the capacity of the service, so a request above
+// them is refused for that reason even when the service is full as well.
 func (a *admission) check() (Refusal, bool) {
 	if a.Room.Targets == 0 && !a.Away {
 		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
@@ -53,16 +56,18 @@
 	return a.checkCapacity()
 }
 
-// noTargetRetryAfter is when to come back while no target may get the request.
+// noTargetRetryAfter is the retry time while no target may get the request;
+// jitter is added to it.
 const noTargetRetryAfter = 2 * time.Second
 
+// nodeFull reports whether this node runs as many requests as the class allows.
 func (a *admission) nodeFull() bool {
 	maxRunning := a.limiter.Running
 	return maxRunning > 0 && float64(a.limiter.running) >= a.classLimit().node*float64(maxRunning)
 }
 
-// checkEntryLimits tests the entry's own limits, of which this node has a share.
-// A request sent here by another region was counted there.
+// checkEntryLimits checks this node's share of the entry's limits. A request
+// from another region was already counted there.
 func (a *admission) checkEntryLimits() (Refusal, bool) {
 	if a.Foreign {
 		return Refusal{}, false
@@ -83,10 +88,11 @@
 	return a.refuseWithReservation(EntryRate, &a.entryMeter.reservations, interval), true
 }
 
-// mayTakeToken reports whether a request may take one of the free places: a caller that
-// retries at the time it was given does if there is one, others only what is
-// not kept for such callers. Without this, new callers take the places first,
-// and one who did so is refused time and again.
+// mayTakeToken reports whether a request may take one of the free tokens. A
+// caller that retries at its reserved time may take any of them; others may
+// take only tokens that are not reserved. Otherwise new callers would take the
+// tokens first, and callers that retry at the given time would be refused again
+// and again.
 func (a *admission) mayTakeToken(q *reservationQueue, free float64, interval time.Duration) bool {
 	if a.limiter.Policy.NoBooking {
 		return free >= 1
@@ -97,7 +103,7 @@
 	return free-float64(q.pending(a.Now, interval)) >= 1
 }
 
-// checkCapacity tests what the service can still take.
+// checkCapacity checks whether the service can accept the request.
 func (a *admission) checkCapacity() (Refusal, bool) {
 	if a.Room.Wait == 0 {
 		return Refusal{}, false
@@ -115,13 +121,15 @@
 	return Refusal{}, false
 }
 
-// outstandingPerSlot returns the requests outstanding for each slot of the service.
+// outstandingPerSlot returns the number of outstanding requests per slot of the
+// service.
 func (a *admission) outstandingPerSlot() float64 {
 	return float64(a.Room.Outstanding) / float64(max(a.Room.Slots, 1))
 }
 
-// lateness returns how far past its deadline the request would end, or past the
-// time for the first token that its entry asks for it would begin.
+// lateness returns how far past its deadline the request would end, or how far
+// past the time that its entry allows for the first token it would begin,
+// whichever is more, but at most the expected wait.
 func (a *admission) lateness() time.Duration {
 	wait := a.expectedWait()
 	late := time.Duration(0)
@@ -134,8 +142,9 @@
 	return min(late, wait)
 }
 
-// expectedWait is the expected expectedWait of the request's class. The targets honour
-// priorities, so an urgent request waits for the urgent ones alone.
+// expectedWait returns how long a request of this class is expected to wait.
+// The targets respect priorities, so an urgent request waits only for other
+// urgent ones.
 func (a *admission) expectedWait() time.Duration {
 	if a.Query.Entry.Class == jwcatalogue.Draft || a.limiter.Policy.NoClasses {
 		return a.Room.Wait
@@ -146,18 +155,19 @@
 	return time.Duration(float64(a.Room.Wait) * float64(a.service.urgent) / float64(a.service.running))
 }
 
-// ownerQueueShare is the part of a class's queue that an owner above its share may
-// fill. The rest is for the other owners of the class, so that a burst takes
-// nothing from them, nor from a more urgent class.
+// ownerQueueShare is the fraction of a class's queue that an owner above its
+// share may use. The rest is kept for the other owners of the class, so that a
+// burst displaces neither them nor a more urgent class.
 const ownerQueueShare = 0.7
 
-// boundQueueFactor is how much further requests may queue that are bound to this
-// region. The others have other regions to go to; were all treated alike, the
-// bound ones would be refused while the others wait in the places they need.
+// boundQueueFactor is how much longer the queue may be for requests that are
+// bound to this region. Other requests may run in other regions. If all had the
+// same limit, bound requests would be refused while the others fill the queue
+// that they need.
 const boundQueueFactor = 1.4
 
-// maxOutstandingPerSlot returns the requests outstanding for each slot of the service from
-// which the request is refused.
+// maxOutstandingPerSlot returns the number of outstanding requests per slot
+// from which the request is refused.
 func (a *admission) maxOutstandingPerSlot() float64 {
 	if a.Bound {
 		return boundQueueFactor * a.classLimit().outstanding
@@ -165,9 +175,9 @@
 	return a.classLimit().outstanding
 }
 
-// ownerOverShare reports whether an owner holds more than its share of a service. Its
-// share is what this node may hope to run and queue, divided by the owners
-// that ask.
+// ownerOverShare reports whether an owner has more requests than its share of a
+// service. Its share is what this node can expect to run and queue, divided by
+// the number of active owners.
 func (a *admission) ownerOverShare() bool {
 	if a.limiter.Policy.NoOwners || a.Query.Entry.Class == jwcatalogue.Confirmation {
 		return false
@@ -178,11 +188,13 @@
 	return float64(a.owner.running) >= max(fairShare, 1)
 }
 
-// ownerActiveFor is how long after its last request an owner counts for the shares.
+// ownerActiveFor is how long after its last request an owner still counts as
+// active.
 const ownerActiveFor = 5 * time.Second
 
-// activeOwners returns how many activeOwners run or ask for something of a service. It
-// counts anew after shareFor, since there may be hundreds.
+// activeOwners returns the number of owners that have running or recent
+// requests to a service. The count is kept for shareTTL, since there may be
+// hundreds of owners.
 func (l *Limiter) activeOwners(name string, service *pool, now time.Time) int {
 	if service.owners > 0 && now.Sub(service.ownersCountedAt) < shareTTL {
 		return service.owners
@@ -198,6 +210,8 @@
 	return service.owners
 }
 
+// classLimit returns the limits of the request's class, or those of drafts for
+// an unknown class.
 func (a *admission) classLimit() classLimit {
 	if c, known := classLimits[a.Query.Entry.Class]; known && !a.limiter.Policy.NoClasses {
 		return c
@@ -205,14 +219,16 @@
 	return classLimits[jwcatalogue.Draft]
 }
 
-// slotInterval is the time in which the service frees one slot for this node.
+// slotInterval returns the average time between two slots of the service that
+// become free for this node.
 func (a *admission) slotInterval() time.Duration {
 	slots := max(a.Room.Slots, 1)
 	nodes := max(len(a.limiter.members), 1)
 	return a.Room.Work * time.Duration(nodes) / time.Duration(slots)
 }
 
-// refuseWithReservation refuses with the next free turn of a book.
+// refuseWithReservation refuses the request and reserves the next free place in
+// a queue for its caller.
 func (a *admission) refuseWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Refusal {
 	if a.limiter.Policy.NoBooking {
 		return Refusal{Reason: reason, RetryAfter: a.withJitter(interval)}
@@ -224,21 +240,22 @@
 	return Refusal{Reason: reason, RetryAfter: at.Sub(a.Now)}
 }
 
-// Bounds of the Retry-After that a caller gets.
+// Bounds of the Retry-After that a caller is given.
 const (
 	minRetryAfter = 100 * time.Millisecond
 	maxRetryAfter = 30 * time.Second
 )
 
-// retryCapacityShare is the part of what a service finishes that is left to callers who
-// come back.
+// retryCapacityShare is the fraction of a service's throughput that is planned
+// for callers that retry.
 const retryCapacityShare = 0.25
 
-// staggeredRetryAfter returns when a caller who is refused for want of room is to retry: after
-// the others who were given a time, at a pace that leaves most of the room to those
-// who come for the first time. Were all to retry soon, they would come
-// in the midst of an overload again and again, new callers would be refused in
-// their favour, and everyone would be served only after several tries: late.
+// staggeredRetryAfter returns when a caller that was refused for lack of
+// capacity should retry: after the others that were given a time, at a rate
+// that leaves most of the capacity to new callers. If all retried soon, they
+// would return during the overload again and again, new callers would be
+// refused in their favour, and everyone would be served late, after several
+// tries.
 func (a *admission) staggeredRetryAfter(p *pool, minWait time.Duration) time.Duration {
 	pace := time.Duration(float64(a.slotInterval()) / retryCapacityShare)
 	p.lastRetryAt = p.lastRetryAt.Add(pace)
@@ -251,8 +268,9 @@
 	return a.withJitter(p.lastRetryAt.Sub(a.Now))
 }
 
-// withJitter returns a time between d and twice that, so that callers refused
-// together do not come back together.
+// withJitter returns a random time between d and 2*d, with d limited to the
+// bounds of a Retry-After, so that callers that were refused together do not
+// retry together.
 func (a *admission) withJitter(d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter/2)
 	return d + time.Duration(a.Random*float64(d))
--- a/core/jwlimit/book.go
+++ b/core/jwlimit/book.go
@@ -2,28 +2,31 @@
 
 import "time"
 
-// Limits of a book of turns.
+// Limits of a reservationQueue.
 const (
-	maxReservations  = 4096                   // callers that a turn is kept for
-	reservationGrace = 2 * time.Second        // how long a turn is kept; callers get whole seconds, rounded up
-	earlyTolerance   = 100 * time.Millisecond // how much too early a caller may come
+	maxReservations  = 4096                   // maximum number of reservations
+	reservationGrace = 2 * time.Second        // how long a reservation is kept past its time; callers are given whole seconds, rounded up
+	earlyTolerance   = 100 * time.Millisecond // how much before its reserved time a caller may return
 )
 
-// reservationQueue keeps turns for refused callers, one after the other. The zero value is
-// empty; the lock of its limiter guards it.
+// reservationQueue reserves retry times for refused callers, one after the
+// other. The zero value is empty; the lock of the Limiter guards it.
 type reservationQueue struct {
-	queue    []reservation // by time
+	queue    []reservation // ordered by time
 	byCaller map[uint64]time.Time
-	nextFree time.Time // when the next free turn is
+	nextFree time.Time // next time that can be reserved
 }
 
+// reservation is the retry time of one caller.
 type reservation struct {
 	caller uint64
 	at     time.Time
 }
 
-// reserve returns the turn of a caller: the one it has, or the next free one. When
-// that is too far off none is kept, and the caller must try its luck.
+// reserve returns the reserved time of a caller: the one it already has, or the
+// next free one. If that is too far in the future, if the queue is full or if
+// the caller is unknown, nothing is reserved and the caller competes with new
+// ones.
 func (q *reservationQueue) reserve(caller uint64, now time.Time, interval time.Duration) (at time.Time, kept bool) {
 	q.prune(now)
 	if at, found := q.byCaller[caller]; found && at.After(now) {
@@ -45,7 +48,8 @@
 	return at, true
 }
 
-// claim uses the turn of a caller, if its time has come and not passed.
+// claim uses up the reservation of a caller and returns true if its time has
+// come and is not over.
 func (q *reservationQueue) claim(caller uint64, now time.Time) bool {
 	q.prune(now)
 	at, found := q.byCaller[caller]
@@ -56,8 +60,8 @@
 	return true
 }
 
-// pending counts the turns that nobody has used yet and whose time has come, or
-// comes before a place taken now is free again.
+// pending counts the unused reservations whose time has come, or comes before a
+// token taken now is available again.
 func (q *reservationQueue) pending(now time.Time, interval time.Duration) int {
 	q.prune(now)
 	n := 0
@@ -72,7 +76,7 @@
 	return n
 }
 
-// prune forgets turns whose callers did not come.
+// prune removes reservations whose callers did not return.
 func (q *reservationQueue) prune(now time.Time) {
 	n := 0
 	for n < len(q.queue) && now.Sub(q.queue[n].at) > reservationGrace {
--- a/core/jwlimit/budget.go
+++ b/core/jwlimit/budget.go
@@ -2,40 +2,40 @@
 
 import "sync"
 
-// The values that a Budget takes where its own fields are zero.
+// Defaults for the fields of Budget that are zero.
 const (
 	DefaultRetryShare = 0.1
 	DefaultRetrySaved = 10
 )
 
-// Budget bounds the retries of each entry to a share of its first tries. In an
-// outage every try fails, and retries without a bound would multiply the load
-// just when the least can be served. The zero value uses the defaults; one
-// mutex guards it.
+// Budget limits the retries of each entry to a fraction of its first tries. In
+// an outage every try fails, and unlimited retries would multiply the load just
+// when the least can be served. The zero value uses the defaults; one mutex
+// guards it.
 type Budget struct {
-	Share float64 // retries for each first try
-	Saved float64 // retries that may be saved up, also the number free at first
+	Share float64 // retries allowed per first try
+	Saved float64 // maximum number of retries that can be saved up; also the initial number
 
 	mu       sync.Mutex
 	balances map[string]float64
 	count    BudgetCounts
 }
 
-// BudgetCounts counts what went through a Budget.
+// BudgetCounts counts the tries and retries that a Budget has seen.
 type BudgetCounts struct {
 	Tries   uint64 // first tries
 	Retries uint64
 	Refused uint64 // retries that the budget did not allow
 }
 
-// Counts returns the counts so far.
+// Counts returns the counts since the Budget was created.
 func (b *Budget) Counts() BudgetCounts {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.count
 }
 
-// Try notes a first try of an entry.
+// Try counts a first try of an entry.
 func (b *Budget) Try(entry string) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -43,7 +43,8 @@
 	b.set(entry, min(b.available(entry)+b.retryShare(), b.maxSaved()))
 }
 
-// Retry reports whether an entry may retry once more, and counts it if so.
+// Retry reports whether a request of an entry may be retried, and counts the
+// retry if so.
 func (b *Budget) Retry(entry string) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
@@ -57,6 +58,7 @@
 	return true
 }
 
+// available returns the number of retries that an entry may make now.
 func (b *Budget) available(entry string) float64 {
 	if n, known := b.balances[entry]; known {
 		return n
--- a/core/jwlimit/doc.go
+++ b/core/jwlimit/doc.go
@@ -1,4 +1,5 @@
-// Package jwlimit decides which requests are taken on: by class, by the limits
-// of entries and owners that a region's nodes share, and by whether the answer
-// can come in time. What is refused gets a Retry-After.
+// Package jwlimit decides which requests are admitted: by their class, by the
+// limits of entries and owners, which the nodes of a region share, and by
+// whether the answer can be given before the deadline. Refused requests get a
+// Retry-After.
 package jwlimit
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -8,60 +8,60 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Reason is why a request was refused.
+// Reason states why a request was refused.
 type Reason string
 
 // The reasons for a refusal.
 const (
-	EntryRate       Reason = "entryRate"       // the entry's requests a second
-	EntryConcurrent Reason = "entryConcurrent" // the entry's requests running
-	OwnerShare      Reason = "ownerShare"      // the owner runs more than its share while others wait
-	TooLate         Reason = "tooLate"         // it cannot end before its deadline
-	Crowded         Reason = "crowded"         // the class gives way to more urgent ones
-	NodeFull        Reason = "nodeFull"        // this node runs all that it can
-	NoTarget        Reason = "noTarget"        // no target may get it
+	EntryRate       Reason = "entryRate"       // the entry's limit on requests per second
+	EntryConcurrent Reason = "entryConcurrent" // the entry's limit on concurrent requests
+	OwnerShare      Reason = "ownerShare"      // the owner has more requests than its share, and the service is busy
+	TooLate         Reason = "tooLate"         // the request cannot end before its deadline, or begin in the time that its entry allows for the first token
+	Crowded         Reason = "crowded"         // the queue is too long for the request's class, or the region too busy for other regions' requests
+	NodeFull        Reason = "nodeFull"        // this node runs as many requests as it can
+	NoTarget        Reason = "noTarget"        // no target may get the request
 )
 
-// Room reports whether a refusal is for want of room in this region, so that
-// another region may yet take the request.
+// Room reports whether the request was refused for lack of capacity in this
+// region, so that another region may still take it.
 func (r Reason) Room() bool {
 	return r == OwnerShare || r == TooLate || r == Crowded || r == NoTarget
 }
 
-// Refusal says that a request was not taken on and when to come back.
+// Refusal states why a request was not admitted and when to retry it.
 type Refusal struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
 
-// Query is one request as far as its admission matters.
+// Query holds what the limiter needs to know of one request.
 type Query struct {
 	Entry   *jwcatalogue.Entry
-	Owner   string        // of the workspace
-	Caller  uint64        // the same for each try of one request, 0 for unknown
-	Foreign bool          // sent here by another region
-	Bound   bool          // cannot run in another region
-	Away    bool          // about to be sent to another region: Room is not of this one
-	Left    time.Duration // time to the deadline, 0 for none
-	Work    time.Duration // expected time of the call
-	Room    jwtarget.Room // of the service in the region that is to run it
+	Owner   string        // owner of the workspace
+	Caller  uint64        // equal for all tries of one request, 0 if unknown
+	Foreign bool          // the request was sent here by another region
+	Bound   bool          // the request cannot run in another region
+	Away    bool          // the request is to be sent to another region; Room is then not used
+	Left    time.Duration // time until the deadline, 0 for none
+	Work    time.Duration // expected duration of the call
+	Room    jwtarget.Room // capacity and load of the service in this region
 	Now     time.Time
 	Random  float64 // in [0, 1)
 }
 
-// Token is one request taken on; Release takes it back.
+// Token stands for one admitted request; Release returns it.
 type Token struct {
 	entry   string
 	pool    poolKey
 	class   jwcatalogue.Class
-	foreign bool // counted against the entry's limits where it came from
+	foreign bool // admitted for another region, which counted it against the entry's limits
 }
 
-// Limiter admits requests on one node. Its fields are set before use. One
-// mutex guards it, and no other lock is taken under it.
+// Limiter admits requests on one node. Its fields are set before use. One mutex
+// guards it, and no other lock is taken while it is held.
 type Limiter struct {
 	Node    string // name of this node
-	Running int    // requests that this node runs at once, 0 for no limit
+	Running int    // maximum number of concurrent requests on this node, 0 for no limit
 	Policy  Policy
 
 	mu       sync.Mutex
@@ -69,31 +69,32 @@
 	members  []string // live nodes of the region, this one included
 	entries  map[string]*meter
 	pools    map[poolKey]*pool
-	services map[string]*pool // by service, over all owners
+	services map[string]*pool // by service, all owners together
 }
 
-// Policy switches parts of the admission off, for measuring what each earns.
+// Policy disables parts of the admission, to measure the effect of each.
 type Policy struct {
-	NoDeadline bool // what cannot be in time is taken on all the same
-	NoClasses  bool // all classes are treated alike
-	NoOwners   bool // owners may displace each other
-	NoBooking  bool // refused callers get no turn kept
+	NoDeadline bool // requests that would miss their deadline are admitted too
+	NoClasses  bool // all classes are treated as drafts
+	NoOwners   bool // owners have no shares and may displace each other
+	NoBooking  bool // no places are reserved for refused callers
 }
 
-// poolKey names what one owner runs on one service.
+// poolKey identifies the requests of one owner to one service.
 type poolKey struct{ service, owner string }
 
-// pool counts requests of one service on this node.
+// pool counts the requests to one service on this node, of one owner or of all.
 type pool struct {
 	running         int
-	urgent          int       // those of the classes confirmation and lookup
-	lastRequest     time.Time // when a request last came
-	owners          int       // that run or asked, counted at the time below; of a whole service only
+	urgent          int       // running requests of the classes confirmation and lookup
+	lastRequest     time.Time // when the last request arrived
+	owners          int       // number of active owners as of ownersCountedAt; only for a pool of all owners
 	ownersCountedAt time.Time
-	lastRetryAt     time.Time // when the last of those refused for want of room is to come back
+	lastRetryAt     time.Time // latest retry time given to a caller that was refused for lack of capacity
 }
 
-// Admit takes a request on or refuses it. A request taken on must be released.
+// Admit admits a request or refuses it. The Token of an admitted request must
+// be released.
 func (l *Limiter) Admit(q *Query) (t Token, refusal Refusal, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -120,14 +121,14 @@
 	return t, Refusal{}, true
 }
 
-// Release takes back a request that has ended.
+// Release returns the Token of a request that has ended.
 func (l *Limiter) Release(t Token) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.adjust(t, -1)
 }
 
-// adjust adds n to all the counts that a request belongs to.
+// adjust adds n to all counts that include the request.
 func (l *Limiter) adjust(t Token, n int) {
 	l.running += n
 	if !t.foreign {
@@ -141,6 +142,7 @@
 	}
 }
 
+// meterFor returns the meter of an entry and creates it if needed.
 func (l *Limiter) meterFor(name string) *meter {
 	m := l.entries[name]
 	if m == nil {
@@ -153,6 +155,8 @@
 	return m
 }
 
+// ownerPool returns the pool of an owner's requests to a service and creates it
+// if needed.
 func (l *Limiter) ownerPool(key poolKey) *pool {
 	p := l.pools[key]
 	if p == nil {
@@ -165,6 +169,8 @@
 	return p
 }
 
+// servicePool returns the pool of all requests to a service and creates it if
+// needed.
 func (l *Limiter) servicePool(name string) *pool {
 	p := l.services[name]
 	if p == nil {
@@ -177,12 +183,12 @@
 	return p
 }
 
-// ownerIdleTimeout is how long an owner that asks nothing is kept in memory.
+// ownerIdleTimeout is how long an owner without requests is kept in memory.
 const ownerIdleTimeout = time.Minute
 
-// Forget drops owners that run nothing and have not asked for a while; without
-// it the table would grow with every owner ever seen. It is called now and
-// then, about once a minute.
+// Forget removes owners that run nothing and have sent no request for a while;
+// otherwise the table would grow with every owner ever seen. It is called about
+// once a minute.
 func (l *Limiter) Forget(now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -16,7 +16,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// room returns the room of a service with 16 slots and calls of a second.
+// room returns the load of a service with 16 slots and calls of one second.
 func room(outstanding int) jwtarget.Room {
 	r := jwtarget.Room{Targets: 2, Slots: 16, Outstanding: outstanding, Work: time.Second}
 	r.Wait = time.Duration(max(outstanding+1-16, 0)) * time.Second / 16
@@ -91,8 +91,8 @@
 }
 
 // One owner sends far more than the service can run while others send little.
-// Without shares the others find every slot taken and are refused for as long
-// as the burst lasts.
+// Without shares the others find all slots in use and are refused as long as
+// the burst lasts.
 func TestBurstOfOneOwnerDoesNotDisplaceOthers(t *testing.T) {
 	served := func(p Policy) int {
 		l := &Limiter{Node: "n", Policy: p}
@@ -121,9 +121,10 @@
 	assert.Equal(t, served(Policy{NoOwners: true}), 0)
 }
 
-// Callers above an entry's rate are told when to come back. If new callers
-// could take the places in the meantime, those who did as told would be refused
-// again and again; if all were told the same time, they would come together.
+// Callers above an entry's rate are told when to retry. If new callers could
+// take their places in the meantime, callers that retry on time would be
+// refused again and again. If all were given the same time, they would retry
+// together.
 func TestCallersRetryingOnTimeAreAdmitted(t *testing.T) {
 	returned, refusedAgain, together := simulateRetries(Policy{})
 	assert.Assert(t, returned > 50, "%d came back", returned)
@@ -133,12 +134,12 @@
 	assert.Assert(t, refusedAgain > 0)
 }
 
-// simulateRetries asks for more than an entry's rate for ten seconds; the refused
-// callers come back as they were told.
+// simulateRetries sends more requests than an entry's rate for ten seconds; the
+// refused callers retry when they were told to.
 func simulateRetries(p Policy) (returned, refusedAgain, together int) {
 	l := &Limiter{Node: "n", Policy: p}
 	entry := &jwcatalogue.Entry{Name: "e", Class: jwcatalogue.Draft, Service: "s", Limits: jwcatalogue.Limits{Rate: 10, Burst: 1}}
-	due := make(map[int][]uint64) // callers by the millisecond at which they come back
+	due := make(map[int][]uint64) // callers by the millisecond at which they retry
 	caller := uint64(0)
 	for ms := range 10000 {
 		q := query(jwcatalogue.Draft, 0)
@@ -149,7 +150,7 @@
 				refusedAgain++
 			}
 		}
-		if ms%70 == 0 { // more than the rate, all the time
+		if ms%70 == 0 { // always more than the rate
 			caller++
 			q.Caller = caller
 			if _, refusal, ok := l.Admit(q); !ok {
@@ -164,9 +165,9 @@
 	return returned, refusedAgain, together
 }
 
-// The nodes of a region share an entry's limit without a word for each
-// request. Parts that did not add up would let a region run more than its
-// owner allowed, or less than was free.
+// The nodes of a region share an entry's limit without a message for each
+// request. If their shares did not add up to the limit, a region would run more
+// requests than its owner allowed, or fewer than it could.
 func TestSharesAddUpToLimit(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 9, 75} {
 		for _, limit := range []int{1, 4, 100} {
@@ -190,8 +191,8 @@
 	}
 }
 
-// A request from another region was counted where it came from. Counted here
-// as well, a peak there would use up what this region's callers may ask.
+// A request from another region was counted there. If it were counted here as
+// well, a peak in that region would use up the limit of this region's callers.
 func TestForeignRequestsDoNotCountAgainstEntry(t *testing.T) {
 	l := &Limiter{Node: "n"}
 	q := query(jwcatalogue.Draft, 0)
@@ -222,9 +223,9 @@
 	assert.Assert(t, b.Retry("other"))
 }
 
-// A burst reaches all nodes of a region at once while their words are a second
-// old. The limit may be passed for a moment by what the words did not tell yet;
-// this bounds by how much.
+// A burst reaches all nodes of a region while their reports are a second old.
+// The limit may be exceeded for a moment, by what the reports do not include
+// yet; this test bounds by how much.
 func TestConcurrentLimitUnderLaggingReports(t *testing.T) {
 	const nodes, limit, step = 9, 90, 20 * time.Millisecond
 	r := newRegion(nodes, limit)
@@ -234,14 +235,14 @@
 		if i%50 == 0 {
 			r.exchangeReports()
 		}
-		busiest := i / 500 % nodes // the node most callers come to changes every ten seconds
+		busiest := i / 500 % nodes // the node that gets most requests changes every ten seconds
 		for range 8 {
 			r.admit(busiest)
 			r.admit(rnd.IntN(nodes))
 		}
 		for n := range r.heldTokens {
 			for range len(r.heldTokens[n]) {
-				if len(r.heldTokens[n]) > 0 && rnd.Float64() < 0.02 { // calls take a second
+				if len(r.heldTokens[n]) > 0 && rnd.Float64() < 0.02 { // calls take one second on average
 					r.nodes[n].Release(r.heldTokens[n][0])
 					r.heldTokens[n] = r.heldTokens[n][1:]
 				}
@@ -283,9 +284,9 @@
 	}
 }
 
-// In an overload that lasts, more callers are refused than there is room for
-// later. Told to come back at once, they would all be back within a second, take
-// the places of new callers and be refused again, and every answer would be late.
+// In a lasting overload, more callers are refused than can be served later. If
+// all were told to retry at once, they would return within a second, take the
+// places of new callers and be refused again, and every answer would be late.
 func TestCapacityRefusalsSpreadRetries(t *testing.T) {
 	l := &Limiter{}
 	var retryAfters []time.Duration
@@ -294,8 +295,8 @@
 		assert.Assert(t, !admitted && refusal.Reason == Crowded)
 		retryAfters = append(retryAfters, refusal.RetryAfter)
 	}
-	// Sixteen calls of a second finish in one second: a quarter of them, four,
-	// is left to those who come back.
+	// Sixteen calls of one second each finish per second. A quarter of them,
+	// four, is planned for callers that retry.
 	soon := 0
 	for _, d := range retryAfters {
 		assert.Assert(t, d <= maxRetryAfter)
--- a/core/jwlimit/rapid_test.go
+++ b/core/jwlimit/rapid_test.go
@@ -15,7 +15,7 @@
 
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
-// testRegion is the limiters of one testRegion's nodes with one entry.
+// testRegion holds the limiters of the nodes of one region, with one entry.
 type testRegion struct {
 	nodes      []*Limiter
 	entry      *jwcatalogue.Entry
@@ -50,7 +50,7 @@
 	return ok
 }
 
-// exchangeReports lets every node hear of every other.
+// exchangeReports sends the usage of every node to every other node.
 func (r *testRegion) exchangeReports() {
 	for _, from := range r.nodes {
 		for _, to := range r.nodes {
@@ -69,9 +69,10 @@
 	return n
 }
 
-// Requests come and end on any node, and words between nodes are late or
-// missing. A node must never run more than the whole limit, and the region no
-// more than what the evenly split half allows on top of it while words lag.
+// Requests arrive and end on any node, and reports between nodes are late or
+// lost. A node must never run more than the whole limit, and the region no more
+// than what the evenly split half allows on top of it while reports are
+// outdated.
 func TestLimiterHoldsConcurrentLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "nodes")
@@ -117,8 +118,8 @@
 	})
 }
 
-// Retries never exceed their share of first tries plus what may be saved up,
-// in whatever order they come.
+// Retries never exceed their fraction of the first tries plus what may be saved
+// up, in any order of calls.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{
--- a/core/jwlimit/share.go
+++ b/core/jwlimit/share.go
@@ -9,18 +9,19 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// How the nodes of a region share an entry's limits.
+// Parameters for sharing an entry's limits between the nodes of a region.
 const (
-	evenFraction = 0.5                    // part of a limit split evenly; the rest goes by demand
-	maxReportAge = 5 * time.Second        // how long a node's report of its demand counts
-	shareTTL     = 200 * time.Millisecond // how long a computed share stands
+	evenFraction = 0.5                    // fraction of a limit that is split evenly; the rest is split by demand
+	maxReportAge = 5 * time.Second        // how long a node's report of its demand is used
+	shareTTL     = 200 * time.Millisecond // how long a computed share is used
 	rateWindow   = time.Second            // time over which demand is averaged
 )
 
-// Usage is what a node reports to the others of one entry.
+// Usage is what a node reports to the other nodes of its region about one
+// entry.
 type Usage struct {
-	Name    string  // of the entry
-	Rate    float64 // requests that asked, a second
+	Name    string  // name of the entry
+	Rate    float64 // requests per second that asked for admission
 	Running int
 }
 
@@ -34,30 +35,30 @@
 // meter counts the requests of one entry on this node.
 type meter struct {
 	running         int
-	rate            float64 // requests that asked, a second, averaged
+	rate            float64 // average number of requests per second that asked for admission
 	rateUpdatedAt   time.Time
 	tokens          float64
 	refilled        time.Time
 	reservations    reservationQueue
 	reported        map[string]usageReport // by node
-	ownReported     float64                // rate that this node last reported
+	ownReported     float64                // rate that this node reported last
 	share           share
 	shareComputedAt time.Time // when share was computed
 }
 
 // share is this node's part of an entry's limits.
 type share struct {
-	fraction   float64 // of the rate
+	fraction   float64 // fraction of the rate and of the burst
 	concurrent int
 }
 
-// recordRequest takes one request into the average rate.
+// recordRequest includes one request in the average rate.
 func (m *meter) recordRequest(now time.Time) {
 	m.rate = m.rateAt(now) + 1/rateWindow.Seconds()
 	m.rateUpdatedAt = now
 }
 
-// rateAt returns the average rate as it has sunk until now.
+// rateAt returns the average rate, reduced by the time since the last request.
 func (m *meter) rateAt(now time.Time) float64 {
 	elapsed := now.Sub(m.rateUpdatedAt)
 	if elapsed <= 0 {
@@ -70,7 +71,7 @@
 	return m.rate * decay
 }
 
-// refill adds the tokens of the time passed to the bucket.
+// refill adds the tokens for the time since the last refill.
 func (m *meter) refill(limits jwcatalogue.Limits, s share, now time.Time) {
 	capacity := max(float64(limits.Burst)*s.fraction, 1)
 	if m.refilled.IsZero() {
@@ -82,7 +83,7 @@
 	m.refilled = now
 }
 
-// SetMembers takes over the live nodes of the region, this one included.
+// SetMembers sets the live nodes of the region, including this one.
 func (l *Limiter) SetMembers(nodes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -96,7 +97,7 @@
 	}
 }
 
-// Merge takes over what another node of the region uses.
+// Merge stores the usage reported by another node of the region.
 func (l *Limiter) Merge(node string, usages []Usage, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,7 +110,8 @@
 	}
 }
 
-// Usages returns what this node uses, for telling the other nodes of the region.
+// Usages returns the usage of this node, to be reported to the other nodes of
+// the region.
 func (l *Limiter) Usages(now time.Time) []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -131,9 +133,10 @@
 }
 
 // share returns this node's part of an entry's limits. Every node computes the
-// parts of all from the same reports, so where they have merged the same, the
-// parts add up to the limit and no request needs a call or a write of its own.
-// Where they have not, the even part bounds what a node can take too much.
+// shares of all nodes from the same reports. If all nodes have merged the same
+// reports, the shares add up to the limit, and no request needs a remote call
+// or write of its own. If they have not, the evenly split part limits how far a
+// node can exceed its share.
 func (l *Limiter) share(name string, m *meter, concurrent int, now time.Time) share {
 	if !m.shareComputedAt.IsZero() && now.Sub(m.shareComputedAt) < shareTTL {
 		return m.share
@@ -160,9 +163,9 @@
 	return m.share
 }
 
-// runningElsewhere counts the requests of an entry that other nodes run, as far as
-// they reported. A part that has just grown is thus not filled before the node
-// whose part shrank has finished what it had above.
+// runningElsewhere returns the number of requests of an entry that other nodes
+// reported as running. A share that has just grown is thus not used up before
+// the node whose share shrank has finished the requests above it.
 func (l *Limiter) runningElsewhere(m *meter, now time.Time) int {
 	n := 0
 	for node, report := range m.reported {
@@ -173,10 +176,10 @@
 	return n
 }
 
-// demand returns what a node asks of an entry, by the last report. This node's
-// own demand counts as it was reported as well: were it counted at once, each of
-// many nodes hit by the same burst would take itself for the only one that
-// asks, and together they would run several times the limit.
+// demand returns the demand of a node for an entry, as last reported. For this
+// node, too, the reported value is used: with the current one, each of many
+// nodes that get the same burst would assume that it alone has demand, and
+// together they would run several times the limit.
 func (l *Limiter) demand(node string, m *meter, now time.Time) float64 {
 	if node == l.Node {
 		return m.ownReported
@@ -188,17 +191,17 @@
 	return report.rate
 }
 
-// nodeShare is one node's nodeShare of a limit.
+// nodeShare is one node's share of a limit.
 type nodeShare struct {
 	node       string
 	demand     float64
 	fraction   float64
 	concurrent int
-	remainder  float64 // what whole numbers left of the part
-	tieBreak   uint64  // breaks ties, other for each entry
+	remainder  float64 // fractional part of the share of the concurrent requests
+	tieBreak   uint64  // breaks ties, different for each entry
 }
 
-// split divides a limit over the nodes; the whole numbers add up to it.
+// split divides a limit among the nodes; the whole numbers add up to it.
 func split(parts []nodeShare, total float64, name string, concurrent int) {
 	even := 1 / float64(len(parts))
 	remaining := concurrent
@@ -221,7 +224,7 @@
 	}
 }
 
-// byRemainder sorts the parts with the largest rest first.
+// byRemainder sorts the shares with the largest remainder first.
 func byRemainder(a, b nodeShare) int {
 	switch {
 	case a.remainder > b.remainder:
