--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -175,6 +175,7 @@
 }
 
 // withKeyUnchecked adapts a refusal that is made before the key is looked up.
+// Only entries that are not idempotent claim keys.
 func (j *job) withKeyUnchecked(refusal Head) Head {
 	if j.entry != nil && j.entry.Idempotent {
 		return refusal
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -268,9 +268,9 @@
 	return a.withJitter(p.lastRetryAt.Sub(a.Now))
 }
 
-// withJitter returns a random time between d and 2*d, with d limited to the
-// bounds of a Retry-After, so that callers that were refused together do not
-// retry together.
+// withJitter returns a random time between d and 2*d, so that callers that were
+// refused together do not retry together. It first limits d so that the result
+// is within the bounds of a Retry-After.
 func (a *admission) withJitter(d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter/2)
 	return d + time.Duration(a.Random*float64(d))
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -41,7 +41,7 @@
 	Caller  uint64        // equal for all tries of one request, 0 if unknown
 	Foreign bool          // the request was sent here by another region
 	Bound   bool          // the request cannot run in another region
-	Away    bool          // the request is to be sent to another region; Room is then not used
+	Away    bool // the request is to be sent to another region, so Room does not limit it
 	Left    time.Duration // time until the deadline, 0 for none
 	Work    time.Duration // expected duration of the call
 	Room    jwtarget.Room // capacity and load of the service in this region
@@ -75,7 +75,7 @@
 // Policy disables parts of the admission, to measure the effect of each.
 type Policy struct {
 	NoDeadline bool // requests that would miss their deadline are admitted too
-	NoClasses  bool // all classes are treated as drafts
+	NoClasses  bool // all classes have the limits and the expected wait of drafts
 	NoOwners   bool // owners have no shares and may displace each other
 	NoBooking  bool // no places are reserved for refused callers
 }
