--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -35,8 +35,8 @@
 const maxForeignUse = 0.9
 
 // check makes the checks one after the other and returns the first refusal. The
-// entry's limits come before the capacity of the service, so a request above
-// them is refused for that reason even when the service is full as well.
+// refusals that cost the caller least come last: a request above a limit of the
+// entry is refused for that reason even when the service is full as well.
 func (a *admission) check() (Refusal, bool) {
 	if a.Room.Targets == 0 && !a.Away {
 		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
