--- a/core/jwdispatch/ending_test.go
+++ b/core/jwdispatch/ending_test.go
@@ -32,7 +32,7 @@
 // answer.
 type failingSink struct{ head, body bool }
 
-var errGone = errors.New("gone")
+var errGone = errors.New("caller disconnected")
 
 func (s failingSink) Head(Head) error {
 	if s.head {
@@ -60,13 +60,13 @@
 		reason    Reason
 		seen      int
 	}{
-		"whole answer":      {failingSink{}, false, sendWhole, ReasonNone, 1},
-		"from another node": {failingSink{}, true, sendWhole, ReasonNone, 0},
-		"gone at the head":  {failingSink{head: true}, false, sendWhole, ReasonCaller, 0},
-		"gone in the body":  {failingSink{body: true}, false, sendWhole, ReasonCaller, 0},
-		"refused":           {failingSink{}, false, sendRefusal, ReasonLimit, 0},
-		"refused and gone":  {failingSink{head: true}, false, sendRefusal, ReasonCaller, 0},
-		"no answer at all":  {failingSink{}, false, func(*trackedSink) {}, ReasonCaller, 0},
+		"whole answer":             {failingSink{}, false, sendWhole, ReasonNone, 1},
+		"from another node":        {failingSink{}, true, sendWhole, ReasonNone, 0},
+		"disconnects at the head":  {failingSink{head: true}, false, sendWhole, ReasonCaller, 0},
+		"disconnects in the body":  {failingSink{body: true}, false, sendWhole, ReasonCaller, 0},
+		"refused":                  {failingSink{}, false, sendRefusal, ReasonLimit, 0},
+		"refused and disconnected": {failingSink{head: true}, false, sendRefusal, ReasonCaller, 0},
+		"no answer at all":         {failingSink{}, false, func(*trackedSink) {}, ReasonCaller, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -85,25 +85,25 @@
 			tries: []*Answer{oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
 			want:  numberedEvents(1, 5, "a") + done,
 		},
-		"goes on where it stopped": {
+		"resumed after the last event": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a")+"id: 4\nda", broken), oneByteStream(numberedEvents(4, 5, "a")+done, nil)},
 			want:  numberedEvents(1, 5, "a") + done,
 		},
-		"begun again with the same text": {
+		"restarted with the same text": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a")+"id: 4\nda", broken), oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
 			want:  numberedEvents(1, 5, "a") + done,
 		},
-		"begun again with another text": {
+		"restarted with another text": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(1, 5, "b")+done, nil)},
 			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
 		},
-		"begun again and shorter": {
+		"restarted and shorter": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(1, 2, "a"), nil)},
 			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
 		},
-		"goes on after a gap": {
+		"resumed after a gap": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 3, "a"), broken), oneByteStream(numberedEvents(5, 6, "a")+done, nil)},
 			want:  numberedEvents(1, 3, "a"),
 			err:   errDiverged,
@@ -139,7 +139,7 @@
 				}
 			}
 			assert.Equal(t, caller.body.String(), test.want)
-			assert.Equal(t, caller.end != nil, test.err == nil, "an end without the whole answer")
+			assert.Equal(t, caller.end != nil, test.err == nil, "the end must be sent only after the whole answer")
 			if caller.end != nil {
 				assert.Equal(t, caller.end.Length, int64(len(test.want)))
 			}
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -41,7 +41,7 @@
 	Caller  uint64        // equal for all tries of one request, 0 if unknown
 	Foreign bool          // the request was sent here by another region
 	Bound   bool          // the request cannot run in another region
-	Away    bool // the request is to be sent to another region, so Room does not limit it
+	Away    bool          // the request is to be sent to another region, so Room does not limit it
 	Left    time.Duration // time until the deadline, 0 for none
 	Work    time.Duration // expected duration of the call
 	Room    jwtarget.Room // capacity and load of the service in this region
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -38,37 +38,37 @@
 		change      func(*Query, *Limiter)
 		want        Reason // empty for admitted
 	}{
-		"free slots":         {jwcatalogue.Draft, 3, nil, ""},
-		"short queue":        {jwcatalogue.Draft, 20, nil, ""},
-		"no target":          {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Room = jwtarget.Room{} }, NoTarget},
-		"sent away":          {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Room = true, jwtarget.Room{} }, ""},
-		"too late":           {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Left = 1500 * time.Millisecond }, TooLate},
-		"late first byte":    {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
-		"draft gives way":    {jwcatalogue.Draft, 32, nil, Crowded},
-		"lookup does not":    {jwcatalogue.Lookup, 32, nil, ""},
-		"nor a confirmation": {jwcatalogue.Confirmation, 64, nil, ""},
-		"foreign with room":  {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
-		"foreign without":    {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, Crowded},
+		"free slots":                            {jwcatalogue.Draft, 3, nil, ""},
+		"short queue":                           {jwcatalogue.Draft, 20, nil, ""},
+		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Room = jwtarget.Room{} }, NoTarget},
+		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Room = true, jwtarget.Room{} }, ""},
+		"too late":                              {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Left = 1500 * time.Millisecond }, TooLate},
+		"first token too late":                  {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
+		"queue too long for a draft":            {jwcatalogue.Draft, 32, nil, Crowded},
+		"queue short enough for a lookup":       {jwcatalogue.Lookup, 32, nil, ""},
+		"queue short enough for a confirmation": {jwcatalogue.Confirmation, 64, nil, ""},
+		"foreign with free slots":               {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
+		"foreign without free slots":            {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, Crowded},
 		"owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
 			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
 			for range 10 {
 				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
 			}
 		}, OwnerShare},
-		"its bound data reaches further": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
+		"bound request of an owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
 			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
 			for range 10 {
 				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
 			}
 			q.Bound = true
 		}, ""},
-		"node full for drafts": {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, NodeFull},
-		"not for lookups":      {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, ""},
-		"entry is full": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
+		"node full for drafts":      {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, NodeFull},
+		"node not full for lookups": {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, ""},
+		"entry at its concurrent limit": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
 			q.Entry.Limits.Concurrent = 1
 			l.Admit(q)
 		}, EntryConcurrent},
-		"entry is too fast": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
+		"entry above its rate": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
 			q.Entry.Limits.Rate = 1
 			l.Admit(q)
 		}, EntryRate},
@@ -127,9 +127,9 @@
 // together.
 func TestCallersRetryingOnTimeAreAdmitted(t *testing.T) {
 	returned, refusedAgain, together := simulateRetries(Policy{})
-	assert.Assert(t, returned > 50, "%d came back", returned)
+	assert.Assert(t, returned > 50, "%d callers retried", returned)
 	assert.Equal(t, refusedAgain, 0)
-	assert.Assert(t, together <= 2, "%d come back together", together)
+	assert.Assert(t, together <= 2, "%d callers retry at the same time", together)
 	_, refusedAgain, _ = simulateRetries(Policy{NoBooking: true})
 	assert.Assert(t, refusedAgain > 0)
 }
@@ -254,8 +254,8 @@
 		steps++
 	}
 	t.Logf("limit %d, at most %d, on average %d", limit, peak, sum/steps)
-	assert.Assert(t, peak <= limit*11/10, "%d of %d", peak, limit)
-	assert.Assert(t, sum/steps >= limit*9/10, "%d of %d", sum/steps, limit)
+	assert.Assert(t, peak <= limit*11/10, "peak of %d at a limit of %d", peak, limit)
+	assert.Assert(t, sum/steps >= limit*9/10, "average of %d at a limit of %d", sum/steps, limit)
 }
 
 func BenchmarkAdmit(b *testing.B) {
@@ -304,10 +304,10 @@
 			soon++
 		}
 	}
-	assert.Assert(t, soon <= 20, "%d of 40 are back within five seconds", soon)
+	assert.Assert(t, soon <= 20, "%d of 40 callers retry within five seconds", soon)
 
 	q := query(jwcatalogue.Draft, 32)
 	q.Now = at(time.Minute)
 	_, refusal, _ := l.Admit(q)
-	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Room.Wait, "the turns of long ago are over")
+	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Room.Wait, "earlier retry times must not count a minute later")
 }
--- a/core/jwlimit/rapid_test.go
+++ b/core/jwlimit/rapid_test.go
@@ -77,7 +77,7 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "nodes")
 		limit := rapid.IntRange(1, 30).Draw(t, "limit")
-		fresh := rapid.Bool().Draw(t, "wordsComeAtOnce")
+		fresh := rapid.Bool().Draw(t, "reportsAreImmediate")
 		r := newRegion(n, limit)
 		node := rapid.IntRange(0, n-1)
 		t.Repeat(map[string]func(*rapid.T){
@@ -103,7 +103,7 @@
 				}
 				for i := range r.heldTokens {
 					if len(r.heldTokens[i]) > limit {
-						t.Fatalf("node %d runs %d of %d", i, len(r.heldTokens[i]), limit)
+						t.Fatalf("node %d runs %d requests at a limit of %d", i, len(r.heldTokens[i]), limit)
 					}
 				}
 				allowed := 2 * limit * max(n-1, 1)
@@ -111,7 +111,7 @@
 					allowed = limit
 				}
 				if r.running() > allowed {
-					t.Fatalf("region runs %d of %d", r.running(), limit)
+					t.Fatalf("region runs %d requests at a limit of %d", r.running(), limit)
 				}
 			},
 		})
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -56,7 +56,7 @@
 				break
 			}
 			if p.Region != q.Home && !slices.Contains(entry.Regions, p.Region) && !slices.Contains(entry.Regions, "*") {
-				t.Fatalf("%s is not allowed", p.Region)
+				t.Fatalf("placed in %s, which the entry does not allow", p.Region)
 			}
 			at = p.Region
 			path = append(path, at)
@@ -64,7 +64,7 @@
 			q.Hops = drawHops(t, regions)
 		}
 		if len(path) > 2 {
-			t.Fatalf("went %v", path)
+			t.Fatalf("changed region more than once: %v", path)
 		}
 	})
 }
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -73,20 +73,20 @@
 			newRouter(1, -1, idle),
 			func(q *Query, _ *Router) { q.Exclude = []netip.AddrPort{address(0)} }, -1, "",
 		},
-		"a slow one is avoided": {
+		"slow target is avoided": {
 			newRouter(3, -1, func(i int) jwtarget.Load {
 				return jwtarget.Load{Slots: 8, Token: time.Duration(100-30*i) * time.Millisecond}
 			}),
 			nil, 2, Lightest,
 		},
-		"what may not be repeated never goes to a probe": {
+		"not idempotent avoids a probe": {
 			newRouter(2, -1, busy),
 			func(q *Query, r *Router) {
 				q.Entry.Idempotent = false
 				r.Targets.Failed(address(0), start.Add(-time.Hour))
 			}, 1, Lightest,
 		},
-		"unless there is no other": {
+		"not idempotent with only a probe": {
 			newRouter(1, -1, idle),
 			func(q *Query, r *Router) {
 				q.Entry.Idempotent = false
@@ -125,9 +125,9 @@
 		r.Targets.Begin(c.Address, q.Work, start)
 		count[c.Address]++
 	}
-	assert.Assert(t, len(count) >= 6, "spread over %d", len(count)) // 64 calls, at most 11 on each target
+	assert.Assert(t, len(count) >= 6, "only %d targets used", len(count)) // 64 calls, at most 11 on each target
 	for addr, n := range count {
-		assert.Assert(t, float64(n) <= r.Policy.Spread*calls/8+1, "%v has %d", addr, n)
+		assert.Assert(t, float64(n) <= r.Policy.Spread*calls/8+1, "%v has %d calls", addr, n)
 	}
 }
 
@@ -154,16 +154,16 @@
 		region string
 		reason PlaceReason
 	}{
-		"home with room":   {newRouter(2, -1, idle), nil, "r", AtHome},
-		"home is busy":     {newRouter(2, -1, busy), nil, "o", Away},
-		"home has none":    {newRouter(0, -1, idle), nil, "o", NoRoom},
-		"nobody has any":   {newRouter(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
-		"bound workspace":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "r", Bound},
-		"bound entry":      {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
-		"bound, no target": {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
-		"bound elsewhere":  {newRouter(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
-		"full":             {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full = true }, "o", NoRoom},
-		"full and bound":   {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full, q.Bound = true, true }, "", Nowhere},
+		"home with room":          {newRouter(2, -1, idle), nil, "r", AtHome},
+		"home is busy":            {newRouter(2, -1, busy), nil, "o", Away},
+		"home has no target":      {newRouter(0, -1, idle), nil, "o", NoRoom},
+		"no region has a target":  {newRouter(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
+		"bound workspace":         {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "r", Bound},
+		"bound entry":             {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
+		"bound, no target":        {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
+		"bound to another region": {newRouter(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
+		"full":                    {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full = true }, "o", NoRoom},
+		"full and bound":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full, q.Bound = true, true }, "", Nowhere},
 		"full everywhere": {newRouter(2, -1, busy), func(q *Query, r *Router) {
 			q.Full = true
 			for range 100 {
@@ -173,17 +173,17 @@
 		"late at home": {newRouter(2, -1, busy), func(q *Query, _ *Router) {
 			q.Entry.Weights, q.Deadline = jwcatalogue.Weights{SentAway: 5}, start.Add(2*time.Second)
 		}, "o", Away},
-		"forwarded":         {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "r", AlreadyMoved},
-		"forwarded, none":   {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "", Nowhere},
-		"hop":               {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Hops = jwrequest.Hops{{Node: "x", Region: "r"}} }, "r", AlreadyMoved},
-		"entry stays home":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = nil }, "r", NotAllowed},
-		"entry names other": {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = []string{"x"} }, "r", CheaperHere},
-		"word is too old":   {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Now = start.Add(DefaultMaxLoadAge + 1) }, "r", CheaperHere},
-		"link is too dear":  {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Weights.Cost = 100 }, "r", CheaperHere},
-		"guest goes home": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
+		"forwarded":                      {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "r", AlreadyMoved},
+		"forwarded, no target":           {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Forwarded = true }, "", Nowhere},
+		"has passed another node":        {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Hops = jwrequest.Hops{{Node: "x", Region: "r"}} }, "r", AlreadyMoved},
+		"entry allows no other region":   {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = nil }, "r", NotAllowed},
+		"entry allows an unknown region": {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Regions = []string{"x"} }, "r", CheaperHere},
+		"report is too old":              {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Now = start.Add(DefaultMaxLoadAge + 1) }, "r", CheaperHere},
+		"link is too expensive":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Weights.Cost = 100 }, "r", CheaperHere},
+		"workspace of another region": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
 			q.Home, q.Entry.Weights.SentAway = "o", 10
 		}, "o", Away},
-		"guest of an entry that stays home": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
+		"workspace of another region, entry allows no other": {newRouter(2, -1, idle), func(q *Query, _ *Router) {
 			q.Home, q.Entry.Weights.SentAway, q.Entry.Regions = "o", 10, nil
 		}, "o", Away},
 	}
@@ -214,5 +214,5 @@
 			sent++
 		}
 	}
-	assert.Assert(t, sent > 8 && sent < 60, "sent %d", sent)
+	assert.Assert(t, sent > 8 && sent < 60, "sent %d requests away", sent)
 }
