--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -59,7 +59,7 @@
 	return append(fresh, silent...)
 }
 
-// silenceThreshold is how long a node may send no news before others are
+// silenceThreshold is how long a node may send nothing before others are
 // preferred to it.
 const silenceThreshold = 12 * time.Second
 
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -226,7 +226,7 @@
 // all nodes of a region would write the same few documents: their
 // compare-and-swap writes would fail because of each other, and in a large
 // region most calls would get no claim in time. It returns false if the request
-// is to be claimed here: because this is the node, because the request was
+// is to be claimed here: because this is that node, because the request was
 // forwarded before, or because the other node certainly did not accept it.
 func (j *job) forwardToPreferred(ctx context.Context, ask jwclaim.Ask) bool {
 	if j.forwarded {
