--- a/core/jwrouter/regions.go
+++ b/core/jwrouter/regions.go
@@ -47,8 +47,8 @@
 // MaxLoadAge is considered unreachable: nothing is sent there until it reports
 // again.
 type Regions struct {
-	Links      map[string]Link
-	MaxLoadAge time.Duration
+	Links      map[string]Link // by region
+	MaxLoadAge time.Duration   // DefaultMaxLoadAge if 0
 
 	mu         sync.Mutex
 	localNodes int               // nodes of this region, assumed to send as many requests as this one
