--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -40,8 +40,8 @@
 	}
 	var out, silent []netip.AddrPort
 	for _, accept := range groups {
-		fresh, rest := d.servingPeers(workspace, accept)
-		for _, p := range fresh {
+		responsive, rest := d.servingPeers(workspace, accept)
+		for _, p := range responsive {
 			out = append(out, p.Callers)
 		}
 		for _, p := range rest {
@@ -55,8 +55,8 @@
 // peersIn returns the serving nodes of a region without this node, silent ones
 // last.
 func (d *Dispatcher) peersIn(region, workspace string) []jwpeer.Peer {
-	fresh, silent := d.servingPeers(workspace, func(p jwpeer.Peer) bool { return p.Region == region && p.Name != d.Self.Node })
-	return append(fresh, silent...)
+	responsive, silent := d.servingPeers(workspace, func(p jwpeer.Peer) bool { return p.Region == region && p.Name != d.Self.Node })
+	return append(responsive, silent...)
 }
 
 // silenceThreshold is how long a node may send nothing before others are
@@ -70,7 +70,7 @@
 // Each workspace has its own order, by rendezvous hashing. Its requests then
 // reach the same few nodes, which use the same few targets, where its prompts
 // are cached. Without a workspace the order is random.
-func (d *Dispatcher) servingPeers(workspace string, accept func(jwpeer.Peer) bool) (fresh, silent []jwpeer.Peer) {
+func (d *Dispatcher) servingPeers(workspace string, accept func(jwpeer.Peer) bool) (responsive, silent []jwpeer.Peer) {
 	now := d.Now()
 	peers := d.Board.Peers.Select(func(p jwpeer.Peer) bool { return p.State == jwpeer.Serving && accept(p) })
 	if workspace == "" {
@@ -83,15 +83,15 @@
 	for _, p := range peers {
 		switch {
 		case p.Name == d.Self.Node:
-			fresh = append(fresh, p)
+			responsive = append(responsive, p)
 		case d.Departed != nil && d.Departed(p):
 		case d.Board.Peers.Silent(p.Name, now.Add(-silenceThreshold)):
 			silent = append(silent, p)
 		default:
-			fresh = append(fresh, p)
+			responsive = append(responsive, p)
 		}
 	}
-	return fresh, silent
+	return responsive, silent
 }
 
 // rank returns the rendezvous hash of a workspace and a node; the node with the
