--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -139,7 +139,7 @@
 				}
 			}
 			assert.Equal(t, caller.body.String(), test.want)
-			assert.Equal(t, caller.end != nil, test.err == nil, "the end must be sent only after the whole answer")
+			assert.Equal(t, caller.end != nil, test.err == nil, "the end must be sent exactly when the answer is complete")
 			if caller.end != nil {
 				assert.Equal(t, caller.end.Length, int64(len(test.want)))
 			}
