--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -11,137 +11,144 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// bufferLimit is how much of an answer that is no stream is held back until it
-// is whole; a longer one goes out as it comes.
-const bufferLimit = 4 << 20
-
-// How much is read from a target at once. A token is about a hundred bytes, and
-// a node holds the buffers of all its streams for as long as they run.
+// maxBufferedAnswer is the maximum length in bytes of an answer that is read
+// whole before it is sent on. A longer one that is not a stream is sent as it
+// arrives.
+const maxBufferedAnswer = 4 << 20
+
+// Sizes in bytes of the buffer for reading from a target. A token takes about a
+// hundred bytes, and a node holds the buffers of all its streams for as long as
+// they run, so streams get a smaller one.
 const (
-	chunkSize  = 32 << 10
-	streamSize = 4 << 10
+	plainBufferSize  = 32 << 10
+	streamBufferSize = 4 << 10
 )
 
 var (
-	// errCallerGone says that nobody wants the answer any more.
+	// errCallerGone reports that nobody waits for the answer any more.
 	errCallerGone = errors.New("caller gone")
-	// errDiverged says that a repeated answer differs from the part already
+	// errDiverged reports that a repeated answer differs from the part already
 	// sent, so that the two can't be joined.
 	errDiverged = errors.New("repeated answer differs from what was sent")
 )
 
-// relay copies one answer to the caller, over several tries if need be.
+// relay copies one answer to the caller, over several tries if needed.
 //
-// Of a stream only whole events go out. When it breaks, a target that still
-// has it goes on after the last of them. Any other try starts it again from its
-// first byte. The bytes that the caller has are not sent twice: they are
-// compared with what was sent, and the stream goes on only if they are the
-// same. Without the comparison a model that answers differently each time would
-// give the caller two halves of two answers, passed off as one.
+// Of a stream only complete events are sent. When the stream breaks, a target
+// that still has it continues after the last event sent. Any other try starts
+// the answer again from its first byte. The bytes that the caller already has
+// are not sent again: they are compared with what was sent, and the stream
+// continues only if they are equal. Without the comparison, a model whose
+// answers differ each time would give the caller parts of two different answers
+// joined as one.
 type relay struct {
-	sink   *ending
-	head   Head // as sent, once a part was
-	sent   int64
-	sum    xxhash.Digest
-	events events
+	sink      *trackedSink
+	head      Head          // as sent to the caller
+	bytesSent int64         // of the body
+	sentHash  xxhash.Digest // hash of the bytes sent
+	events    eventTracker
 }
 
-// copy sends the answer; nil means that it is whole and its end was sent.
+// copy sends the answer to the caller; nil means that it is complete and its
+// end was sent.
 func (rl *relay) copy(a *Answer) error {
 	defer func() { _ = a.Body.Close() }()
 	if a.Head.Outcome != "" && a.Head.Outcome != jwrequest.Served {
 		rl.sink.refuse(a.Head)
 		return nil
 	}
-	if rl.sink.begun || a.Head.Length > bufferLimit || a.Head.Length < 0 && stream(a.Head) {
-		return rl.flow(a)
+	if rl.sink.headSent || a.Head.Length > maxBufferedAnswer || a.Head.Length < 0 && isEventStream(a.Head) {
+		return rl.copyAsReceived(a)
 	}
-	return rl.whole(a)
+	return rl.copyWhole(a)
 }
 
-func stream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
+// isEventStream reports whether the answer is a text/event-stream.
+func isEventStream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
 
-// whole reads the answer to its end before the first byte goes out, so that a
-// broken one can be tried again unseen.
-func (rl *relay) whole(a *Answer) error {
-	body, err := readWhole(io.LimitReader(a.Body, bufferLimit+1), a.Head.Length)
+// copyWhole reads the whole answer before it sends the first byte, so that the
+// caller does not notice when a broken answer is tried again. An answer longer
+// than maxBufferedAnswer is sent as it arrives.
+func (rl *relay) copyWhole(a *Answer) error {
+	body, err := readWhole(io.LimitReader(a.Body, maxBufferedAnswer+1), a.Head.Length)
 	if err != nil {
 		return err
 	}
-	if len(body) > bufferLimit {
-		a.Body = &prefixed{head: body, ReadCloser: a.Body}
-		return rl.flow(a)
+	if len(body) > maxBufferedAnswer {
+		a.Body = &prefixedBody{prefix: body, ReadCloser: a.Body}
+		return rl.copyAsReceived(a)
 	}
-	rl.sink.whole(a.Head, body)
+	rl.sink.sendWhole(a.Head, body)
 	return nil
 }
 
-// readWhole reads to the end, into a buffer of the length that was announced,
-// if one was; growing a buffer step by step costs several times the memory. The
-// length is not trusted further than that.
+// readWhole reads to the end, into a buffer of the announced length if there is
+// one: growing a buffer step by step costs several times the memory. The
+// announced length is used for nothing else, and may be wrong.
 func readWhole(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > bufferLimit {
+	if length < 0 || length > maxBufferedAnswer {
 		return io.ReadAll(r)
 	}
-	// ReadFrom grows the buffer unless there is room for one more read.
+	// ReadFrom grows the buffer unless it has space for one more read.
 	buf := bytes.NewBuffer(make([]byte, 0, length+bytes.MinRead))
 	_, err := buf.ReadFrom(r)
 	return buf.Bytes(), err
 }
 
-// prefixed is a body with some bytes already read.
-type prefixed struct {
+// prefixedBody is a body of which some bytes were already read.
+type prefixedBody struct {
 	io.ReadCloser
-	head []byte
+	prefix []byte
 }
 
-// Read gives the bytes already read first.
-func (p *prefixed) Read(b []byte) (int, error) {
-	if len(p.head) > 0 {
-		n := copy(b, p.head)
-		p.head = p.head[n:]
+// Read returns the bytes already read first.
+func (p *prefixedBody) Read(b []byte) (int, error) {
+	if len(p.prefix) > 0 {
+		n := copy(b, p.prefix)
+		p.prefix = p.prefix[n:]
 		return n, nil
 	}
 	return p.ReadCloser.Read(b)
 }
 
-// flow sends the answer as it comes.
-func (rl *relay) flow(a *Answer) error {
-	if err := rl.begin(a.Head); err != nil {
+// copyAsReceived sends the answer as it arrives and skips the part that was
+// sent in earlier tries.
+func (rl *relay) copyAsReceived(a *Answer) error {
+	if err := rl.sendHead(a.Head); err != nil {
 		return err
 	}
-	skip := newSkipper(rl.sent, rl.sum.Sum64())
-	streams := stream(a.Head)
+	skip := newSkipper(rl.bytesSent, rl.sentHash.Sum64())
+	isStream := isEventStream(a.Head)
 	rl.events.restart()
-	buf := make([]byte, bufferSize(streams))
+	buf := make([]byte, readBufferSize(isStream))
 	for {
 		n, err := a.Body.Read(buf)
 		part := buf[:n]
-		if streams {
-			part = rl.events.whole(part, err == io.EOF)
-			if skip.left > 0 && rl.events.resumed() {
-				skip.left = 0
+		if isStream {
+			part = rl.events.takeComplete(part, err == io.EOF)
+			if skip.remaining > 0 && rl.events.resumed() {
+				skip.remaining = 0
 			}
 		}
-		fresh, same := skip.take(part)
+		fresh, same := skip.newBytes(part)
 		if !same {
 			return errDiverged
 		}
 		if len(fresh) > 0 {
-			_, _ = rl.sum.Write(fresh)
-			rl.sent += int64(len(fresh))
-			if streams {
-				rl.events.sent(fresh)
+			_, _ = rl.sentHash.Write(fresh)
+			rl.bytesSent += int64(len(fresh))
+			if isStream {
+				rl.events.recordSent(fresh)
 			}
 			if rl.sink.Body(fresh) != nil {
 				return errCallerGone
 			}
 		}
 		if err == io.EOF {
-			if skip.left > 0 {
+			if skip.remaining > 0 {
 				return errDiverged
 			}
-			if rl.sink.End(End{Outcome: jwrequest.Served, Length: rl.sent}) != nil {
+			if rl.sink.End(End{Outcome: jwrequest.Served, Length: rl.bytesSent}) != nil {
 				return errCallerGone
 			}
 			return nil
@@ -152,25 +159,27 @@
 	}
 }
 
-func bufferSize(streams bool) int {
-	if streams {
-		return streamSize
+// readBufferSize returns the size in bytes of the buffer for reading from a
+// target.
+func readBufferSize(isStream bool) int {
+	if isStream {
+		return streamBufferSize
 	}
-	return chunkSize
+	return plainBufferSize
 }
 
-// begin sends the head of the first try. The head of a later one must be the
-// same: an error page in place of a stream whose head is out would reach the
-// caller as the stream itself, ended well.
-func (rl *relay) begin(h Head) error {
+// sendHead sends the head of the first try. The head of a later try must be
+// equal to it: an error page after the head of a stream would reach the caller
+// as the content of the stream, and would look complete.
+func (rl *relay) sendHead(h Head) error {
 	h.Outcome = ""
-	if rl.sink.begun {
+	if rl.sink.headSent {
 		if h.Status != rl.head.Status || h.ContentType != rl.head.ContentType {
 			return errDiverged
 		}
 		return nil
 	}
-	rl.sum.Reset()
+	rl.sentHash.Reset()
 	rl.head = h
 	if rl.sink.Head(h) != nil {
 		return errCallerGone
@@ -178,31 +187,31 @@
 	return nil
 }
 
-// skipper drops the part of a repeated answer that was sent before, if it is
-// the same.
+// skipper skips the part of a repeated answer that was already sent and checks
+// that it is equal to what was sent.
 type skipper struct {
-	left int64
-	want uint64
-	sum  xxhash.Digest
+	remaining int64         // bytes still to be skipped
+	wantHash  uint64        // hash of what was sent
+	hash      xxhash.Digest // hash of what was skipped so far
 }
 
 func newSkipper(sent int64, want uint64) *skipper {
-	s := &skipper{left: sent, want: want}
-	s.sum.Reset()
+	s := &skipper{remaining: sent, wantHash: want}
+	s.hash.Reset()
 	return s
 }
 
-// take returns what of p is new; same is false when the part sent before
-// differs.
-func (s *skipper) take(p []byte) (fresh []byte, same bool) {
-	if s.left == 0 {
+// newBytes returns the part of p that was not sent before; same is false if the
+// part sent before differs.
+func (s *skipper) newBytes(p []byte) (fresh []byte, same bool) {
+	if s.remaining == 0 {
 		return p, true
 	}
-	n := min(int64(len(p)), s.left)
-	_, _ = s.sum.Write(p[:n])
-	s.left -= n
-	if s.left > 0 {
+	n := min(int64(len(p)), s.remaining)
+	_, _ = s.hash.Write(p[:n])
+	s.remaining -= n
+	if s.remaining > 0 {
 		return nil, true
 	}
-	return p[n:], s.sum.Sum64() == s.want
+	return p[n:], s.hash.Sum64() == s.wantHash
 }
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -11,7 +11,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// quarantined ends the request if requests like it crashed targets.
+// quarantined refuses the request and returns true if requests like it crashed
+// targets.
 func (j *job) quarantined() bool {
 	state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now())
 	if state != jwsuspect.Quarantined {
@@ -23,29 +24,30 @@
 	return true
 }
 
-// fingerprint is the same for each try of one request, whoever sends it again.
+// fingerprint returns the fingerprint of entry and body. It is equal for all
+// tries of one request, whoever sends them.
 func (j *job) fingerprint() jwsuspect.Fingerprint {
-	if j.mark == (jwsuspect.Fingerprint{}) {
-		j.mark = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
+	if j.fp == (jwsuspect.Fingerprint{}) {
+		j.fp = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
 	}
-	return j.mark
+	return j.fp
 }
 
-// noteCrash raises suspicion against all that ran on a target that crashed.
-func (j *job) noteCrash(err error) {
+// recordCrash marks all requests that ran on a crashed target as suspects.
+func (j *job) recordCrash(err error) {
 	var failed *CallError
 	if !errors.As(err, &failed) || !failed.Crashed {
 		return
 	}
-	barred := j.Board.Suspects.Crashed(failed.Peer, j.Now())
+	quarantined := j.Board.Suspects.Crashed(failed.Peer, j.Now())
 	if j.Crashed != nil {
-		j.Crashed(failed.Peer, barred)
+		j.Crashed(failed.Peer, quarantined)
 	}
 }
 
-// callerHash is the same for each try of one request by one caller, also when
-// each has a request id of its own.
+// callerHash returns a hash that is equal for all tries of one request by one
+// workspace, even if each try has its own request id.
 func (j *job) callerHash() uint64 {
-	mark := j.fingerprint()
-	return jwtarget.Mix(xxhash.Sum64String(j.request.Workspace), xxhash.Sum64(mark[:]))
+	fp := j.fingerprint()
+	return jwtarget.Mix(xxhash.Sum64String(j.request.Workspace), xxhash.Sum64(fp[:]))
 }
--- a/core/jwlimit/book.go
+++ b/core/jwlimit/book.go
@@ -2,84 +2,88 @@
 
 import "time"
 
-// Limits of a book of turns.
+// Limits of a reservationQueue.
 const (
-	maxTurns  = 4096                   // callers that a turn is kept for
-	turnGrace = 2 * time.Second        // how long a turn is kept; callers get whole seconds, rounded up
-	turnEarly = 100 * time.Millisecond // how much too early a caller may come
+	maxReservations  = 4096                   // maximum number of reservations
+	reservationGrace = 2 * time.Second        // how long a reservation is kept past its time; callers are given whole seconds, rounded up
+	earlyTolerance   = 100 * time.Millisecond // how much before its reserved time a caller may return
 )
 
-// book keeps turns for refused callers, one after the other. The zero value is
-// empty; the lock of its limiter guards it.
-type book struct {
-	turns  []turn // by time
-	caller map[uint64]time.Time
-	next   time.Time // when the next free turn is
+// reservationQueue reserves retry times for refused callers, one after the
+// other. The zero value is empty; the lock of the Limiter guards it.
+type reservationQueue struct {
+	queue    []reservation // ordered by time
+	byCaller map[uint64]time.Time
+	nextFree time.Time // next time that can be reserved
 }
 
-type turn struct {
+// reservation is the retry time of one caller.
+type reservation struct {
 	caller uint64
 	at     time.Time
 }
 
-// add returns the turn of a caller: the one it has, or the next free one. When
-// that is too far off none is kept, and the caller must try its luck.
-func (b *book) add(caller uint64, now time.Time, gap time.Duration) (at time.Time, kept bool) {
-	b.prune(now)
-	if at, has := b.caller[caller]; has && at.After(now) {
+// reserve returns the reserved time of a caller: the one it already has, or the
+// next free one. If that is too far in the future, if the queue is full or if
+// the caller is unknown, nothing is reserved and the caller competes with new
+// ones.
+func (q *reservationQueue) reserve(caller uint64, now time.Time, interval time.Duration) (at time.Time, kept bool) {
+	q.prune(now)
+	if at, found := q.byCaller[caller]; found && at.After(now) {
 		return at, true
 	}
-	at = b.next
-	if earliest := now.Add(max(gap, minRetryAfter)); at.Before(earliest) {
+	at = q.nextFree
+	if earliest := now.Add(max(interval, minRetryAfter)); at.Before(earliest) {
 		at = earliest
 	}
-	if caller == 0 || at.Sub(now) > maxRetryAfter || len(b.turns) >= maxTurns {
+	if caller == 0 || at.Sub(now) > maxRetryAfter || len(q.queue) >= maxReservations {
 		return time.Time{}, false
 	}
-	if b.caller == nil {
-		b.caller = make(map[uint64]time.Time)
+	if q.byCaller == nil {
+		q.byCaller = make(map[uint64]time.Time)
 	}
-	b.caller[caller] = at
-	b.turns = append(b.turns, turn{caller: caller, at: at})
-	b.next = at.Add(gap)
+	q.byCaller[caller] = at
+	q.queue = append(q.queue, reservation{caller: caller, at: at})
+	q.nextFree = at.Add(interval)
 	return at, true
 }
 
-// take uses the turn of a caller, if its time has come and not passed.
-func (b *book) take(caller uint64, now time.Time) bool {
-	b.prune(now)
-	at, has := b.caller[caller]
-	if !has || now.Add(turnEarly).Before(at) {
+// claim uses up the reservation of a caller and returns true if its time has
+// come and is not over.
+func (q *reservationQueue) claim(caller uint64, now time.Time) bool {
+	q.prune(now)
+	at, found := q.byCaller[caller]
+	if !found || now.Add(earlyTolerance).Before(at) {
 		return false
 	}
-	delete(b.caller, caller)
+	delete(q.byCaller, caller)
 	return true
 }
 
-// due counts the turns that nobody has used yet and whose time has come, or
-// comes before a place taken now is free again.
-func (b *book) due(now time.Time, gap time.Duration) int {
-	b.prune(now)
+// pending counts the unused reservations whose time has come, or comes before a
+// token taken now is available again.
+func (q *reservationQueue) pending(now time.Time, interval time.Duration) int {
+	q.prune(now)
 	n := 0
-	for _, t := range b.turns {
-		if t.at.After(now.Add(gap)) {
+	for _, t := range q.queue {
+		if t.at.After(now.Add(interval)) {
 			break
 		}
-		if at, has := b.caller[t.caller]; has && at.Equal(t.at) {
+		if at, found := q.byCaller[t.caller]; found && at.Equal(t.at) {
 			n++
 		}
 	}
 	return n
 }
 
-// prune forgets turns whose callers did not come.
-func (b *book) prune(now time.Time) {
+// prune removes reservations whose callers did not return.
+func (q *reservationQueue) prune(now time.Time) {
 	n := 0
-	for n < len(b.turns) && now.Sub(b.turns[n].at) > turnGrace {
-		if at, has := b.caller[b.turns[n].caller]; has && at.Equal(b.turns[n].at) {
-			delete(b.caller, b.turns[n].caller)
+	for n < len(q.queue) && now.Sub(q.queue[n].at) > reservationGrace {
+		if at, found := q.byCaller[q.queue[n].caller]; found && at.Equal(q.queue[n].at) {
+			delete(q.byCaller, q.queue[n].caller)
 		}
 		n++
 	}
-	b.turns = b.turns[n:]
+	q.queue = q.queue[n:]
 }
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -16,7 +16,7 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// room returns the room of a service with 16 slots and calls of a second.
+// room returns the load of a service with 16 slots and calls of one second.
 func room(outstanding int) jwtarget.Room {
 	r := jwtarget.Room{Targets: 2, Slots: 16, Outstanding: outstanding, Work: time.Second}
 	r.Wait = time.Duration(max(outstanding+1-16, 0)) * time.Second / 16
@@ -38,37 +38,37 @@
 		change      func(*Query, *Limiter)
 		want        Reason // empty for admitted
 	}{
-		"free slots":         {jwcatalogue.Draft, 3, nil, ""},
-		"short queue":        {jwcatalogue.Draft, 20, nil, ""},
-		"no target":          {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Room = jwtarget.Room{} }, NoTarget},
-		"sent away":          {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Room = true, jwtarget.Room{} }, ""},
-		"too late":           {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Left = 1500 * time.Millisecond }, TooLate},
-		"late first byte":    {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
-		"draft gives way":    {jwcatalogue.Draft, 32, nil, Crowded},
-		"lookup does not":    {jwcatalogue.Lookup, 32, nil, ""},
-		"nor a confirmation": {jwcatalogue.Confirmation, 64, nil, ""},
-		"foreign with room":  {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
-		"foreign without":    {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, Crowded},
+		"free slots":                            {jwcatalogue.Draft, 3, nil, ""},
+		"short queue":                           {jwcatalogue.Draft, 20, nil, ""},
+		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Room = jwtarget.Room{} }, NoTarget},
+		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Room = true, jwtarget.Room{} }, ""},
+		"too late":                              {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Left = 1500 * time.Millisecond }, TooLate},
+		"first token too late":                  {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
+		"queue too long for a draft":            {jwcatalogue.Draft, 32, nil, Crowded},
+		"queue short enough for a lookup":       {jwcatalogue.Lookup, 32, nil, ""},
+		"queue short enough for a confirmation": {jwcatalogue.Confirmation, 64, nil, ""},
+		"foreign with free slots":               {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
+		"foreign without free slots":            {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, Crowded},
 		"owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
 			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
 			for range 10 {
 				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
 			}
 		}, OwnerShare},
-		"its bound data reaches further": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
+		"bound request of an owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
 			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
 			for range 10 {
 				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
 			}
 			q.Bound = true
 		}, ""},
-		"node full for drafts": {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, NodeFull},
-		"not for lookups":      {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, ""},
-		"entry is full": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
+		"node full for drafts":      {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, NodeFull},
+		"node not full for lookups": {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, ""},
+		"entry at its concurrent limit": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
 			q.Entry.Limits.Concurrent = 1
 			l.Admit(q)
 		}, EntryConcurrent},
-		"entry is too fast": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
+		"entry above its rate": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
 			q.Entry.Limits.Rate = 1
 			l.Admit(q)
 		}, EntryRate},
@@ -91,9 +91,9 @@
 }
 
 // One owner sends far more than the service can run while others send little.
-// Without shares the others find every slot taken and are refused for as long
-// as the burst lasts.
-func TestBurstOfOneOwnerLeavesOthersTheirShare(t *testing.T) {
+// Without shares the others find all slots in use and are refused as long as
+// the burst lasts.
+func TestBurstOfOneOwnerDoesNotDisplaceOthers(t *testing.T) {
 	served := func(p Policy) int {
 		l := &Limiter{Node: "n", Policy: p}
 		running, quiet := 0, 0
@@ -121,24 +121,25 @@
 	assert.Equal(t, served(Policy{NoOwners: true}), 0)
 }
 
-// Callers above an entry's rate are told when to come back. If new callers
-// could take the places in the meantime, those who did as told would be refused
-// again and again; if all were told the same time, they would come together.
-func TestCallersWhoComeBackAsToldGetIn(t *testing.T) {
-	returned, refusedAgain, together := comeBack(Policy{})
-	assert.Assert(t, returned > 50, "%d came back", returned)
+// Callers above an entry's rate are told when to retry. If new callers could
+// take their places in the meantime, callers that retry on time would be
+// refused again and again. If all were given the same time, they would retry
+// together.
+func TestCallersRetryingOnTimeAreAdmitted(t *testing.T) {
+	returned, refusedAgain, together := simulateRetries(Policy{})
+	assert.Assert(t, returned > 50, "%d callers retried", returned)
 	assert.Equal(t, refusedAgain, 0)
-	assert.Assert(t, together <= 2, "%d come back together", together)
-	_, refusedAgain, _ = comeBack(Policy{NoBooking: true})
+	assert.Assert(t, together <= 2, "%d callers retry at the same time", together)
+	_, refusedAgain, _ = simulateRetries(Policy{NoBooking: true})
 	assert.Assert(t, refusedAgain > 0)
 }
 
-// comeBack asks for more than an entry's rate for ten seconds; the refused
-// callers come back as they were told.
-func comeBack(p Policy) (returned, refusedAgain, together int) {
+// simulateRetries sends more requests than an entry's rate for ten seconds; the
+// refused callers retry when they were told to.
+func simulateRetries(p Policy) (returned, refusedAgain, together int) {
 	l := &Limiter{Node: "n", Policy: p}
 	entry := &jwcatalogue.Entry{Name: "e", Class: jwcatalogue.Draft, Service: "s", Limits: jwcatalogue.Limits{Rate: 10, Burst: 1}}
-	due := make(map[int][]uint64) // callers by the millisecond at which they come back
+	due := make(map[int][]uint64) // callers by the millisecond at which they retry
 	caller := uint64(0)
 	for ms := range 10000 {
 		q := query(jwcatalogue.Draft, 0)
@@ -149,7 +150,7 @@
 				refusedAgain++
 			}
 		}
-		if ms%70 == 0 { // more than the rate, all the time
+		if ms%70 == 0 { // always more than the rate
 			caller++
 			q.Caller = caller
 			if _, refusal, ok := l.Admit(q); !ok {
@@ -164,25 +165,25 @@
 	return returned, refusedAgain, together
 }
 
-// The nodes of a region share an entry's limit without a word for each
-// request. Parts that did not add up would let a region run more than its
-// owner allowed, or less than was free.
-func TestPartsAddUpToTheLimit(t *testing.T) {
+// The nodes of a region share an entry's limit without a message for each
+// request. If their shares did not add up to the limit, a region would run more
+// requests than its owner allowed, or fewer than it could.
+func TestSharesAddUpToLimit(t *testing.T) {
 	for _, nodes := range []int{1, 2, 3, 9, 75} {
 		for _, limit := range []int{1, 4, 100} {
 			t.Run(fmt.Sprintf("%d nodes, limit %d", nodes, limit), func(t *testing.T) {
 				r := newRegion(nodes, limit)
 				for range limit + 3 {
 					for i := range r.nodes {
-						r.ask(i)
+						r.admit(i)
 					}
-					r.now = r.now.Add(shareFor)
-					r.tell()
+					r.now = r.now.Add(shareTTL)
+					r.exchangeReports()
 				}
 				assert.Equal(t, r.running(), limit)
 				rate := 0.0
 				for _, l := range r.nodes {
-					rate += l.share("e", l.entry("e"), limit, r.now).fraction
+					rate += l.share("e", l.meterFor("e"), limit, r.now).fraction
 				}
 				assert.Assert(t, rate > 0.99 && rate < 1.01, "%v", rate)
 			})
@@ -190,9 +191,9 @@
 	}
 }
 
-// A request from another region was counted where it came from. Counted here
-// as well, a peak there would use up what this region's callers may ask.
-func TestForeignRequestsLeaveTheEntryAlone(t *testing.T) {
+// A request from another region was counted there. If it were counted here as
+// well, a peak in that region would use up the limit of this region's callers.
+func TestForeignRequestsDoNotCountAgainstEntry(t *testing.T) {
 	l := &Limiter{Node: "n"}
 	q := query(jwcatalogue.Draft, 0)
 	q.Entry.Limits = jwcatalogue.Limits{Rate: 0.001, Concurrent: 1}
@@ -222,39 +223,39 @@
 	assert.Assert(t, b.Retry("other"))
 }
 
-// A burst reaches all nodes of a region at once while their words are a second
-// old. The limit may be passed for a moment by what the words did not tell yet;
-// this bounds by how much.
-func TestConcurrentLimitUnderLaggingWords(t *testing.T) {
+// A burst reaches all nodes of a region while their reports are a second old.
+// The limit may be exceeded for a moment, by what the reports do not include
+// yet; this test bounds by how much.
+func TestConcurrentLimitUnderLaggingReports(t *testing.T) {
 	const nodes, limit, step = 9, 90, 20 * time.Millisecond
 	r := newRegion(nodes, limit)
 	rnd := rand.New(rand.NewPCG(1, 1))
-	most, sum, steps := 0, 0, 0
+	peak, sum, steps := 0, 0, 0
 	for i := range 3000 {
 		if i%50 == 0 {
-			r.tell()
+			r.exchangeReports()
 		}
-		hot := i / 500 % nodes // the node most callers come to changes every ten seconds
+		busiest := i / 500 % nodes // the node that gets most requests changes every ten seconds
 		for range 8 {
-			r.ask(hot)
-			r.ask(rnd.IntN(nodes))
+			r.admit(busiest)
+			r.admit(rnd.IntN(nodes))
 		}
-		for n := range r.held {
-			for range len(r.held[n]) {
-				if len(r.held[n]) > 0 && rnd.Float64() < 0.02 { // calls take a second
-					r.nodes[n].Release(r.held[n][0])
-					r.held[n] = r.held[n][1:]
+		for n := range r.heldTokens {
+			for range len(r.heldTokens[n]) {
+				if len(r.heldTokens[n]) > 0 && rnd.Float64() < 0.02 { // calls take one second on average
+					r.nodes[n].Release(r.heldTokens[n][0])
+					r.heldTokens[n] = r.heldTokens[n][1:]
 				}
 			}
 		}
 		r.now = r.now.Add(step)
-		most = max(most, r.running())
+		peak = max(peak, r.running())
 		sum += r.running()
 		steps++
 	}
-	t.Logf("limit %d, at most %d, on average %d", limit, most, sum/steps)
-	assert.Assert(t, most <= limit*11/10, "%d of %d", most, limit)
-	assert.Assert(t, sum/steps >= limit*9/10, "%d of %d", sum/steps, limit)
+	t.Logf("limit %d, at most %d, on average %d", limit, peak, sum/steps)
+	assert.Assert(t, peak <= limit*11/10, "peak of %d at a limit of %d", peak, limit)
+	assert.Assert(t, sum/steps >= limit*9/10, "average of %d at a limit of %d", sum/steps, limit)
 }
 
 func BenchmarkAdmit(b *testing.B) {
@@ -262,7 +263,7 @@
 		for _, owners := range []int{10, 500} {
 			b.Run(fmt.Sprintf("nodes=%d/owners=%d", nodes, owners), func(b *testing.B) {
 				r := newRegion(nodes, 1000)
-				r.tell()
+				r.exchangeReports()
 				l := r.nodes[0]
 				q := query(jwcatalogue.Draft, 25)
 				q.Entry.Limits = jwcatalogue.Limits{Rate: 1e6, Burst: 1e6, Concurrent: 1000}
@@ -283,30 +284,30 @@
 	}
 }
 
-// In an overload that lasts, more callers are refused than there is room for
-// later. Told to come back at once, they would all be back within a second, take
-// the places of new callers and be refused again, and every answer would be late.
-func TestRefusedForWantOfRoomComeBackInTurn(t *testing.T) {
+// In a lasting overload, more callers are refused than can be served later. If
+// all were told to retry at once, they would return within a second, take the
+// places of new callers and be refused again, and every answer would be late.
+func TestCapacityRefusalsSpreadRetries(t *testing.T) {
 	l := &Limiter{}
-	var told []time.Duration
+	var retryAfters []time.Duration
 	for range 40 {
 		_, refusal, admitted := l.Admit(query(jwcatalogue.Draft, 32))
 		assert.Assert(t, !admitted && refusal.Reason == Crowded)
-		told = append(told, refusal.RetryAfter)
+		retryAfters = append(retryAfters, refusal.RetryAfter)
 	}
-	// Sixteen calls of a second finish in one second: a quarter of them, four,
-	// is left to those who come back.
-	early := 0
-	for _, d := range told {
+	// Sixteen calls of one second each finish per second. A quarter of them,
+	// four, is planned for callers that retry.
+	soon := 0
+	for _, d := range retryAfters {
 		assert.Assert(t, d <= maxRetryAfter)
 		if d <= 5*time.Second {
-			early++
+			soon++
 		}
 	}
-	assert.Assert(t, early <= 20, "%d of 40 are back within five seconds", early)
+	assert.Assert(t, soon <= 20, "%d of 40 callers retry within five seconds", soon)
 
 	q := query(jwcatalogue.Draft, 32)
 	q.Now = at(time.Minute)
 	_, refusal, _ := l.Admit(q)
-	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Room.Wait, "the turns of long ago are over")
+	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Room.Wait, "earlier retry times must not count a minute later")
 }
--- a/core/jwlimit/share.go
+++ b/core/jwlimit/share.go
@@ -9,18 +9,19 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// How the nodes of a region share an entry's limits.
+// Parameters for sharing an entry's limits between the nodes of a region.
 const (
-	evenPart  = 0.5                    // part of a limit split evenly; the rest goes by demand
-	reportAge = 5 * time.Second        // how long a node's report of its demand counts
-	shareFor  = 200 * time.Millisecond // how long a computed share stands
-	rateAfter = time.Second            // time over which demand is averaged
+	evenFraction = 0.5                    // fraction of a limit that is split evenly; the rest is split by demand
+	maxReportAge = 5 * time.Second        // how long a node's report of its demand is used
+	shareTTL     = 200 * time.Millisecond // how long a computed share is used
+	rateWindow   = time.Second            // time over which demand is averaged
 )
 
-// Usage is what a node reports to the others of one entry.
+// Usage is what a node reports to the other nodes of its region about one
+// entry.
 type Usage struct {
-	Name    string  // of the entry
-	Rate    float64 // requests that asked, a second
+	Name    string  // name of the entry
+	Rate    float64 // requests per second that asked for admission
 	Running int
 }
 
@@ -33,75 +34,75 @@
 
 // meter counts the requests of one entry on this node.
 type meter struct {
-	running  int
-	rate     float64 // requests that asked, a second, averaged
-	counted  time.Time
-	tokens   float64
-	refilled time.Time
-	book     book
-	reported map[string]usageReport // by node
-	own      float64                // rate that this node last reported
-	share    share
-	shared   time.Time // when share was computed
+	running         int
+	rate            float64 // average number of requests per second that asked for admission
+	rateUpdatedAt   time.Time
+	tokens          float64
+	refilled        time.Time
+	reservations    reservationQueue
+	reported        map[string]usageReport // by node
+	ownReported     float64                // rate that this node reported last
+	share           share
+	shareComputedAt time.Time // when share was computed
 }
 
 // share is this node's part of an entry's limits.
 type share struct {
-	fraction   float64 // of the rate
+	fraction   float64 // fraction of the rate and of the burst
 	concurrent int
 }
 
-// asked takes one request into the average rate.
-func (m *meter) asked(now time.Time) {
-	m.rate = m.rateAt(now) + 1/rateAfter.Seconds()
-	m.counted = now
+// recordRequest includes one request in the average rate.
+func (m *meter) recordRequest(now time.Time) {
+	m.rate = m.rateAt(now) + 1/rateWindow.Seconds()
+	m.rateUpdatedAt = now
 }
 
-// rateAt returns the average rate as it has sunk until now.
+// rateAt returns the average rate, reduced by the time since the last request.
 func (m *meter) rateAt(now time.Time) float64 {
-	passed := now.Sub(m.counted)
-	if passed <= 0 {
+	elapsed := now.Sub(m.rateUpdatedAt)
+	if elapsed <= 0 {
 		return m.rate
 	}
-	if passed > 10*rateAfter {
+	if elapsed > 10*rateWindow {
 		return 0
 	}
-	left := 1 / (1 + passed.Seconds()/rateAfter.Seconds())
-	return m.rate * left
+	decay := 1 / (1 + elapsed.Seconds()/rateWindow.Seconds())
+	return m.rate * decay
 }
 
-// refill adds the tokens of the time passed to the bucket.
+// refill adds the tokens for the time since the last refill.
 func (m *meter) refill(limits jwcatalogue.Limits, s share, now time.Time) {
-	most := max(float64(limits.Burst)*s.fraction, 1)
+	capacity := max(float64(limits.Burst)*s.fraction, 1)
 	if m.refilled.IsZero() {
-		m.tokens = most
+		m.tokens = capacity
 	}
-	passed := max(now.Sub(m.refilled), 0)
-	m.tokens = min(m.tokens+limits.Rate*s.fraction*passed.Seconds(), most)
+	elapsed := max(now.Sub(m.refilled), 0)
+	m.tokens = min(m.tokens+limits.Rate*s.fraction*elapsed.Seconds(), capacity)
 	m.tokens = max(m.tokens, 0)
 	m.refilled = now
 }
 
-// SetMembers takes over the live nodes of the region, this one included.
+// SetMembers sets the live nodes of the region, including this one.
 func (l *Limiter) SetMembers(nodes []string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.members = slices.Clone(nodes)
 	slices.Sort(l.members)
 	for _, m := range l.entries {
-		m.shared = time.Time{}
+		m.shareComputedAt = time.Time{}
 		maps.DeleteFunc(m.reported, func(node string, _ usageReport) bool {
 			return !slices.Contains(l.members, node)
 		})
 	}
 }
 
-// Merge takes over what another node of the region uses.
+// Merge stores the usage reported by another node of the region.
 func (l *Limiter) Merge(node string, usages []Usage, now time.Time) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, u := range usages {
-		m := l.entry(u.Name)
+		m := l.meterFor(u.Name)
 		if m.reported == nil {
 			m.reported = make(map[string]usageReport)
 		}
@@ -109,14 +110,15 @@
 	}
 }
 
-// Usages returns what this node uses, for telling the other nodes of the region.
+// Usages returns the usage of this node, to be reported to the other nodes of
+// the region.
 func (l *Limiter) Usages(now time.Time) []Usage {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	var out []Usage
 	for name, m := range l.entries {
 		rate := m.rateAt(now)
-		m.own = rate
+		m.ownReported = rate
 		if rate > 0 || m.running > 0 {
 			out = append(out, Usage{Name: name, Rate: rate, Running: m.running})
 		}
@@ -131,22 +133,23 @@
 }
 
 // share returns this node's part of an entry's limits. Every node computes the
-// parts of all from the same reports, so where they have merged the same, the
-// parts add up to the limit and no request needs a call or a write of its own.
-// Where they have not, the even part bounds what a node can take too much.
+// shares of all nodes from the same reports. If all nodes have merged the same
+// reports, the shares add up to the limit, and no request needs a remote call
+// or write of its own. If they have not, the evenly split part limits how far a
+// node can exceed its share.
 func (l *Limiter) share(name string, m *meter, concurrent int, now time.Time) share {
-	if !m.shared.IsZero() && now.Sub(m.shared) < shareFor {
+	if !m.shareComputedAt.IsZero() && now.Sub(m.shareComputedAt) < shareTTL {
 		return m.share
 	}
-	m.shared = now
+	m.shareComputedAt = now
 	if len(l.members) < 2 {
 		m.share = share{fraction: 1, concurrent: concurrent}
 		return m.share
 	}
-	parts := make([]part, len(l.members))
+	parts := make([]nodeShare, len(l.members))
 	total := 0.0
 	for i, node := range l.members {
-		parts[i] = part{node: node, demand: l.demand(node, m, now)}
+		parts[i] = nodeShare{node: node, demand: l.demand(node, m, now)}
 		total += parts[i].demand
 	}
 	split(parts, total, name, concurrent)
@@ -156,79 +159,79 @@
 			m.share = share{fraction: p.fraction, concurrent: p.concurrent}
 		}
 	}
-	m.share.concurrent = min(m.share.concurrent, max(concurrent-l.elsewhere(m, now), 0))
+	m.share.concurrent = min(m.share.concurrent, max(concurrent-l.runningElsewhere(m, now), 0))
 	return m.share
 }
 
-// elsewhere counts the requests of an entry that other nodes run, as far as
-// they reported. A part that has just grown is thus not filled before the node
-// whose part shrank has finished what it had above.
-func (l *Limiter) elsewhere(m *meter, now time.Time) int {
+// runningElsewhere returns the number of requests of an entry that other nodes
+// reported as running. A share that has just grown is thus not used up before
+// the node whose share shrank has finished the requests above it.
+func (l *Limiter) runningElsewhere(m *meter, now time.Time) int {
 	n := 0
-	for node, w := range m.reported {
-		if node != l.Node && now.Sub(w.at) <= reportAge {
-			n += w.running
+	for node, report := range m.reported {
+		if node != l.Node && now.Sub(report.at) <= maxReportAge {
+			n += report.running
 		}
 	}
 	return n
 }
 
-// demand returns what a node asks of an entry, by the last report. This node's
-// own demand counts as it was reported as well: were it counted at once, each of
-// many nodes hit by the same burst would take itself for the only one that
-// asks, and together they would run several times the limit.
+// demand returns the demand of a node for an entry, as last reported. For this
+// node, too, the reported value is used: with the current one, each of many
+// nodes that get the same burst would assume that it alone has demand, and
+// together they would run several times the limit.
 func (l *Limiter) demand(node string, m *meter, now time.Time) float64 {
 	if node == l.Node {
-		return m.own
+		return m.ownReported
 	}
-	w, known := m.reported[node]
-	if !known || now.Sub(w.at) > reportAge {
+	report, known := m.reported[node]
+	if !known || now.Sub(report.at) > maxReportAge {
 		return 0
 	}
-	return w.rate
+	return report.rate
 }
 
-// part is one node's part of a limit.
-type part struct {
+// nodeShare is one node's share of a limit.
+type nodeShare struct {
 	node       string
 	demand     float64
 	fraction   float64
 	concurrent int
-	rest       float64 // what whole numbers left of the part
-	order      uint64  // breaks ties, other for each entry
+	remainder  float64 // fractional part of the share of the concurrent requests
+	tieBreak   uint64  // breaks ties, different for each entry
 }
 
-// split divides a limit over the nodes; the whole numbers add up to it.
-func split(parts []part, total float64, name string, concurrent int) {
+// split divides a limit among the nodes; the whole numbers add up to it.
+func split(parts []nodeShare, total float64, name string, concurrent int) {
 	even := 1 / float64(len(parts))
-	left := concurrent
+	remaining := concurrent
 	entry := jwtarget.NameKey(name)
 	for i := range parts {
 		p := &parts[i]
 		p.fraction = even
 		if total > 0 {
-			p.fraction = evenPart*even + (1-evenPart)*p.demand/total
+			p.fraction = evenFraction*even + (1-evenFraction)*p.demand/total
 		}
 		exact := p.fraction * float64(concurrent)
 		p.concurrent = int(exact)
-		p.rest = exact - float64(p.concurrent)
-		p.order = jwtarget.Mix(entry, jwtarget.NameKey(p.node))
-		left -= p.concurrent
+		p.remainder = exact - float64(p.concurrent)
+		p.tieBreak = jwtarget.Mix(entry, jwtarget.NameKey(p.node))
+		remaining -= p.concurrent
 	}
-	slices.SortFunc(parts, byRest)
-	for i := 0; i < left; i++ {
+	slices.SortFunc(parts, byRemainder)
+	for i := 0; i < remaining; i++ {
 		parts[i%len(parts)].concurrent++
 	}
 }
 
-// byRest sorts the parts with the largest rest first.
-func byRest(a, b part) int {
+// byRemainder sorts the shares with the largest remainder first.
+func byRemainder(a, b nodeShare) int {
 	switch {
-	case a.rest > b.rest:
+	case a.remainder > b.remainder:
 		return -1
-	case a.rest < b.rest:
+	case a.remainder < b.remainder:
 		return 1
-	case a.order < b.order:
+	case a.tieBreak < b.tieBreak:
 		return -1
 	}
 	return 1
