--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -37,27 +37,27 @@
 func (r *Reporter) Report(to jwpeer.Peer) jwpeer.News {
 	now := r.Now()
 	self := r.Board.Peers.Self()
-	every := reportEvery(r.Board.Peers.Len())
+	every := loadInterval(r.Board.Peers.Len())
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := r.partner(to.Name, now)
 	n := jwpeer.News{Suspects: r.suspects(to.Region, now, t)}
-	due := t.due(now, every)
+	due := t.loadsDue(now, every)
 	if to.Region != self.Region {
 		if due {
-			n.Loads = r.own(self.Region, now)
+			n.Loads = r.ownLoads(self.Region, now)
 		}
 		return n
 	}
 	for _, d := range r.Board.Targets.Leaving() {
-		if t.first("leaving "+d.Address.String(), now) {
+		if t.markSent("leaving "+d.Address.String(), now) {
 			n.Leaving = append(n.Leaving, jwpeer.LeavingTarget{Target: d.Address, Age: now.Sub(d.Since)})
 		}
 	}
 	n.Moves = r.moves(t, now)
 	if due {
 		n.Usages = r.usages(self.Name, now)
-		n.Loads = r.others(self.Region, now)
+		n.Loads = r.otherRegionLoads(self.Region, now)
 	}
 	return n
 }
@@ -81,7 +81,7 @@
 	var out []jwpeer.Suspect
 	for _, s := range r.Board.Suspects.Notices(region, now) {
 		key := "suspect " + string(s.Fingerprint[:]) + s.Target.String() + string(s.State)
-		if !t.first(key, now) {
+		if !t.markSent(key, now) {
 			continue
 		}
 		out = append(out, jwpeer.Suspect{
@@ -92,8 +92,8 @@
 	return out
 }
 
-// own is the load of this region's services as this node sees it.
-func (r *Reporter) own(region string, now time.Time) []jwpeer.RegionLoad {
+// ownLoads is the load of this region's services as this node sees it.
+func (r *Reporter) ownLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
 		room := r.Board.Targets.Room(service, now)
@@ -105,21 +105,21 @@
 	return out
 }
 
-// reportedRegions is how many other regions a node reports of for each service. A
+// maxReportedRegions is how many other regions a node reports of for each service. A
 // request goes to one region, so that words about all of many would be mostly
 // wasted on the nodes that don't talk to those regions.
-const reportedRegions = 5
+const maxReportedRegions = 5
 
-// others are the loads of the other regions that would serve a service
+// otherRegionLoads are the loads of the other regions that would serve a service
 // soonest, for the nodes of this one that don't talk to them.
-func (r *Reporter) others(region string, now time.Time) []jwpeer.RegionLoad {
+func (r *Reporter) otherRegionLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
 		loads := slices.DeleteFunc(r.Board.Regions.Loads(service, now), func(l jwrouter.Load) bool { return l.Region == region })
 		slices.SortStableFunc(loads, func(a, b jwrouter.Load) int {
-			return cmp.Or(cmp.Compare(r.soonest(a), r.soonest(b)), cmp.Compare(b.Free*float64(b.Slots), a.Free*float64(a.Slots)))
+			return cmp.Or(cmp.Compare(r.earliestStart(a), r.earliestStart(b)), cmp.Compare(b.Free*float64(b.Slots), a.Free*float64(a.Slots)))
 		})
-		for _, l := range loads[:min(len(loads), reportedRegions)] {
+		for _, l := range loads[:min(len(loads), maxReportedRegions)] {
 			out = append(out, jwpeer.RegionLoad{
 				Region: l.Region, Service: l.Service, Wait: l.Wait, Work: l.Work,
 				Free: l.Free, Slots: l.Slots, Targets: l.Targets, Age: now.Sub(l.Taken),
@@ -129,8 +129,8 @@
 	return out
 }
 
-// soonest is the least time after which a region could begin a request.
-func (r *Reporter) soonest(l jwrouter.Load) time.Duration {
+// earliestStart is the least time after which a region could begin a request.
+func (r *Reporter) earliestStart(l jwrouter.Load) time.Duration {
 	return l.Wait + 2*r.Board.Regions.Links[l.Region].Delay
 }
 
@@ -154,7 +154,7 @@
 	}
 	var out []jwpeer.Move
 	for _, m := range r.Moves.Moves() {
-		if !t.first("move "+m.Incarnation+m.To.Incarnation, now) {
+		if !t.markSent("move "+m.Incarnation+m.To.Incarnation, now) {
 			continue
 		}
 		out = append(out, jwpeer.Move{
@@ -164,7 +164,7 @@
 	return out
 }
 
-func (r *Reporter) hearMoves(moves []jwpeer.Move) {
+func (r *Reporter) mergeMoves(moves []jwpeer.Move) {
 	if r.Moves == nil {
 		return
 	}
@@ -179,9 +179,9 @@
 	now := r.Now()
 	self := r.Board.Peers.Self()
 	if from.Region == self.Region {
-		r.hearLeaving(n.Leaving, now)
-		r.hearUsages(n.Usages, now)
-		r.hearMoves(n.Moves)
+		r.mergeLeaving(n.Leaving, now)
+		r.mergeUsages(n.Usages, now)
+		r.mergeMoves(n.Moves)
 	}
 	for _, l := range n.Loads {
 		if l.Region == self.Region {
@@ -192,12 +192,12 @@
 			Free: l.Free, Slots: l.Slots, Targets: l.Targets, Taken: now.Add(-l.Age),
 		})
 	}
-	r.hearSuspects(self.Region, n.Suspects, now)
+	r.mergeSuspects(self.Region, n.Suspects, now)
 }
 
-// hearLeaving passes a departure on at once: a target that leaves may get no
+// mergeLeaving passes a departure on at once: a target that leaves may get no
 // new work from any node after a few seconds.
-func (r *Reporter) hearLeaving(leaving []jwpeer.LeavingTarget, now time.Time) {
+func (r *Reporter) mergeLeaving(leaving []jwpeer.LeavingTarget, now time.Time) {
 	before := len(r.Board.Targets.Leaving())
 	for _, l := range leaving {
 		r.Board.Targets.MarkLeaving(l.Target, now.Add(-l.Age), now)
@@ -207,7 +207,7 @@
 	}
 }
 
-func (r *Reporter) hearUsages(usages []jwpeer.Usage, now time.Time) {
+func (r *Reporter) mergeUsages(usages []jwpeer.Usage, now time.Time) {
 	byNode := make(map[string][]jwlimit.Usage)
 	for _, u := range usages {
 		byNode[u.Node] = append(byNode[u.Node], jwlimit.Usage{Name: u.Name, Rate: u.Rate, Running: u.Running})
@@ -217,7 +217,7 @@
 	}
 }
 
-func (r *Reporter) hearSuspects(region string, suspects []jwpeer.Suspect, now time.Time) {
+func (r *Reporter) mergeSuspects(region string, suspects []jwpeer.Suspect, now time.Time) {
 	var notices []jwsuspect.Notice
 	for _, s := range suspects {
 		if s.Region != "" && s.Region != region {
--- a/core/jwboard/reporter_test.go
+++ b/core/jwboard/reporter_test.go
@@ -29,7 +29,7 @@
 
 // It was reported to a partner that a target leaves, and the answer was lost on the way.
 // Unless that is sent again it goes on sending work there.
-func TestTellOnceAndAgain(t *testing.T) {
+func TestReportOnceAndAgainAfterForget(t *testing.T) {
 	now := time.Now()
 	r := newReporter(t, &now)
 	leaving := netip.MustParseAddrPort("10.0.0.1:80")
@@ -44,7 +44,7 @@
 	assert.Equal(t, len(r.Report(to).Leaving), 1)
 }
 
-func TestTellNearestRegions(t *testing.T) {
+func TestReportNearestRegions(t *testing.T) {
 	now := time.Now()
 	r := newReporter(t, &now)
 	for i := range 12 {
@@ -53,7 +53,7 @@
 		})
 	}
 	loads := r.Report(jwpeer.Peer{Name: "n1", Region: "north"}).Loads
-	assert.Equal(t, len(loads), reportedRegions)
+	assert.Equal(t, len(loads), maxReportedRegions)
 	assert.Equal(t, loads[0].Region, "region-11")
 	assert.Equal(t, len(r.Report(jwpeer.Peer{Name: "n1", Region: "north"}).Loads), 0, "reported a moment ago")
 }
--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -10,8 +10,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// silentTries is the number of periods of which one goes to a silent node.
-const silentTries = 8
+// silentPeerDivisor is the number of periods of which one goes to a silent node.
+const silentPeerDivisor = 8
 
 // Digest is what one node sends another in one exchange.
 type Digest struct {
@@ -26,8 +26,8 @@
 // empty reports whether there is nothing to report.
 func (t *Digest) empty() bool { return len(t.Peers) == 0 && len(t.Marks) == 0 && t.News.empty() }
 
-// Partner carries an exchange to another node and brings back its answer.
-type Partner interface {
+// Transport carries an exchange to another node and brings back its answer.
+type Transport interface {
 	Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error)
 }
 
@@ -41,7 +41,7 @@
 // grow with the fleet, and those of a relay grow with its data centre.
 type Exchange struct {
 	Table   *Table
-	Partner Partner
+	Partner Transport
 	Period  time.Duration // between exchanges with one partner
 	Beat    time.Duration // least time between words of this node about itself when nothing changes
 	Timeout time.Duration // for one exchange
@@ -54,76 +54,76 @@
 	// node of a region; nil when all need to.
 	Gatherer func(peers []Peer, region string) string
 
-	once  sync.Once
-	nudge chan struct{}
-	mu    sync.Mutex
-	view  view
-	with  map[string]*partner
+	once          sync.Once
+	trigger       chan struct{}
+	mu            sync.Mutex
+	view          view
+	partnerStates map[string]*partnerState
 }
 
-// partner is how far this node is level with another.
-type partner struct {
-	since    uint64    // version of the table that the other has
-	wide     uint64    // the same for marks of other regions
-	widely   time.Time // when those were last sent
-	level    bool      // this node has what the other has sent
-	failed   time.Time // when the other could not be reached, zero if it can be
-	finished time.Time // end of the last exchange
+// partnerState is how far this node is level with another.
+type partnerState struct {
+	sentVersion       uint64    // version of the table that the other has
+	remoteSentVersion uint64    // the same for marks of other regions
+	remoteSentAt      time.Time // when those were last sent
+	inSync            bool      // this node has what the other has sent
+	failedAt          time.Time // when the other could not be reached, zero if it can be
+	finishedAt        time.Time // end of the last exchange
 }
 
 // Nudge makes the node report to its partners at once, for news that can't wait for
 // the next period.
 func (x *Exchange) Nudge() {
-	x.once.Do(x.start)
+	x.once.Do(x.makeTrigger)
 	select {
-	case x.nudge <- struct{}{}:
+	case x.trigger <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Exchange) start() { x.nudge = make(chan struct{}, 1) }
+func (x *Exchange) makeTrigger() { x.trigger = make(chan struct{}, 1) }
 
 // Run exchanges until ctx ends; it returns the error of ctx.
 func (x *Exchange) Run(ctx context.Context) error {
-	x.once.Do(x.start)
+	x.once.Do(x.makeTrigger)
 	period := time.NewTimer(0)
 	defer period.Stop()
 	// Nodes that start together would exchange state at the same moments ever after.
-	beat := x.Now().Add(-x.part(x.Beat))
+	beat := x.Now().Add(-x.randomDuration(x.Beat))
 	for {
 		changed := x.Table.Changed()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-			x.gather(ctx)
-			x.round(ctx, x.current().partners, false)
-		case <-x.nudge:
-			x.round(ctx, x.current().partners, false)
+			x.waitForBatch(ctx)
+			x.exchangeAll(ctx, x.currentView().partners, false)
+		case <-x.trigger:
+			x.exchangeAll(ctx, x.currentView().partners, false)
 		case <-period.C:
-			v := x.current()
-			if now, pace := x.Now(), Pace(x.Beat, v.region); now.Sub(beat) >= pace {
-				beat = now.Add(-x.part(pace / beatJitter))
+			v := x.currentView()
+			if now, pace := x.Now(), HeartbeatInterval(x.Beat, v.regionNodes); now.Sub(beat) >= pace {
+				beat = now.Add(-x.randomDuration(pace / heartbeatJitterDivisor))
 				x.Table.Update(now, func(*Peer) {})
 			}
-			x.round(ctx, x.one(v), true)
-			period.Reset(x.jittered(v))
+			x.exchangeAll(ctx, x.choosePartner(v), true)
+			period.Reset(x.nextPeriod(v))
 		}
 	}
 }
 
-// beatJitter is the part of the pace by which the words of a node vary.
-const beatJitter = 4
+// heartbeatJitterDivisor is the part of the pace by which the words of a node vary.
+const heartbeatJitterDivisor = 4
 
-// gatherShare is the part of a period for which changes are gathered, so that
+// batchDelayDivisor is the part of a period for which changes are gathered, so that
 // what all nodes of a data centre say at the same time goes out together.
-const gatherShare = 5
+const batchDelayDivisor = 5
 
-func (x *Exchange) gather(ctx context.Context) {
+func (x *Exchange) waitForBatch(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-x.nudge:
-	case <-time.After(x.Period / gatherShare):
+	case <-x.trigger:
+	case <-time.After(x.Period / batchDelayDivisor):
 	}
 }
 
@@ -132,41 +132,41 @@
 // asked without end; with more partners a relay goes round them faster, or
 // what regions say of their load would be old when it arrives.
 const (
-	usualCentre   = 12
-	usualPartners = 12
+	baseDataCentreNodes = 12
+	basePartners        = 12
 )
 
-// jittered spreads the periods of nodes that started together.
-func (x *Exchange) jittered(v view) time.Duration {
+// nextPeriod spreads the periods of nodes that started together.
+func (x *Exchange) nextPeriod(v view) time.Duration {
 	period := x.Period
 	if v.relay {
-		period = period * usualPartners / time.Duration(max(usualPartners, len(v.periodic)))
+		period = period * basePartners / time.Duration(max(basePartners, len(v.periodic)))
 	} else {
-		period = period * time.Duration(max(usualCentre, v.centre)) / usualCentre
+		period = period * time.Duration(max(baseDataCentreNodes, v.dataCentreNodes)) / baseDataCentreNodes
 	}
-	return period/2 + time.Duration(x.draw(int64(period)))
+	return period/2 + time.Duration(x.randomBelow(int64(period)))
 }
 
-// part returns a random part of a time.
-func (x *Exchange) part(d time.Duration) time.Duration {
-	return time.Duration(x.draw(int64(max(d, 1))))
+// randomDuration returns a random randomDuration of a time.
+func (x *Exchange) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(x.randomBelow(int64(max(d, 1))))
 }
 
-// draw returns a random number below n. Rand is not safe for use by Run and
+// randomBelow returns a random number below n. Rand is not safe for use by Run and
 // Answer at once, as when the period ends while another node exchanges.
-func (x *Exchange) draw(n int64) int64 {
+func (x *Exchange) randomBelow(n int64) int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Rand.Int64N(n)
 }
 
-// otherRelay is the number of periods of which a plain node spends one with
+// otherRelayDivisor is the number of periods of which a plain node spends one with
 // another relay than its own.
-const otherRelay = 8
+const otherRelayDivisor = 8
 
-// own is the relay that a plain node asks as a rule. Asking all of them in turn
+// preferredRelay is the relay that a plain node asks as a rule. Asking all of them in turn
 // would have each report the same to it.
-func (x *Exchange) own(relays []Peer) []Peer {
+func (x *Exchange) preferredRelay(relays []Peer) []Peer {
 	if len(relays) == 0 {
 		return nil
 	}
@@ -181,26 +181,26 @@
 	return relays[best : best+1]
 }
 
-// one picks the partner of this period: the one whose last exchange is the
+// choosePartner picks the partner of this period: the choosePartner whose last exchange is the
 // longest ago, for a plain node mostly its own relay. Now and then it is a node that fell silent: after a cut nobody
 // else would try it, and two halves that each work would never learn of each
 // other again.
-func (x *Exchange) one(v view) []Peer {
-	if len(v.periodic) == 0 || x.draw(silentTries) == 0 {
-		if silent := x.silent(v); len(silent) > 0 {
-			i := int(x.draw(int64(len(silent))))
+func (x *Exchange) choosePartner(v view) []Peer {
+	if len(v.periodic) == 0 || x.randomBelow(silentPeerDivisor) == 0 {
+		if silent := x.silentPeers(v); len(silent) > 0 {
+			i := int(x.randomBelow(int64(len(silent))))
 			return silent[i : i+1]
 		}
 	}
-	if !v.relay && x.draw(otherRelay) > 0 {
-		return x.own(v.periodic)
+	if !v.relay && x.randomBelow(otherRelayDivisor) > 0 {
+		return x.preferredRelay(v.periodic)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	var longest *Peer
 	for i := range v.periodic {
 		p := &v.periodic[i]
-		if longest == nil || x.partner(p.Name).finished.Before(x.partner(longest.Name).finished) {
+		if longest == nil || x.partner(p.Name).finishedAt.Before(x.partner(longest.Name).finishedAt) {
 			longest = p
 		}
 	}
@@ -210,9 +210,9 @@
 	return []Peer{*longest}
 }
 
-// silent returns the nodes that are known and not seen. Those of other
+// silentPeers returns the nodes that are known and not seen. Those of other
 // regions are left to the relays, unless there is nobody else to ask.
-func (x *Exchange) silent(v view) []Peer {
+func (x *Exchange) silentPeers(v view) []Peer {
 	self := x.Table.Self()
 	since := x.Now().Add(-x.Silence)
 	alone := len(v.periodic) == 0
@@ -223,13 +223,13 @@
 		}
 	}
 	return x.Table.Select(func(p Peer) bool {
-		return p.Name != self.Name && takesPart(p) && !seen[p.Name] && (alone || v.relay || p.Region == self.Region)
+		return p.Name != self.Name && isActive(p) && !seen[p.Name] && (alone || v.relay || p.Region == self.Region)
 	})
 }
 
-// round exchanges with the partners at the same time; those that would be sent
+// exchangeAll exchanges with the partners at the same time; those that would be sent
 // nothing are left out unless all is set.
-func (x *Exchange) round(ctx context.Context, partners []Peer, all bool) {
+func (x *Exchange) exchangeAll(ctx context.Context, partners []Peer, all bool) {
 	var wg sync.WaitGroup
 	for _, p := range partners {
 		digest, version := x.digestFor(p)
@@ -246,29 +246,29 @@
 	defer cancel()
 	answer, err := x.Partner.Exchange(ctx, p, digest)
 	if err != nil {
-		x.lost(p)
+		x.recordFailure(p)
 		if x.Failed != nil && ctx.Err() != context.Canceled {
 			x.Failed(p, err)
 		}
 		return
 	}
-	x.noteSent(p.Name, digest, version)
-	x.take(answer)
+	x.recordSent(p.Name, digest, version)
+	x.receive(answer)
 	if x.News != nil {
 		x.News.Merge(p, answer.News)
 	}
 }
 
-// lost books an exchange that failed. The partner may have answered, and then
+// recordFailure books an exchange that failed. The partner may have answered, and then
 // takes it that this node has the answer: it must report all again.
-func (x *Exchange) lost(p Peer) {
+func (x *Exchange) recordFailure(p Peer) {
 	x.mu.Lock()
 	w := x.partner(p.Name)
-	w.level = false
-	w.failed = x.Now()
-	w.finished = w.failed
+	w.inSync = false
+	w.failedAt = x.Now()
+	w.finishedAt = w.failedAt
 	if slices.ContainsFunc(x.view.partners, func(q Peer) bool { return q.Name == p.Name }) {
-		x.view.taken = time.Time{} // others take its place at once
+		x.view.computedAt = time.Time{} // others take its place at once
 	}
 	x.mu.Unlock()
 	if x.News != nil {
@@ -276,29 +276,29 @@
 	}
 }
 
-// noteSent books what a partner has got.
-func (x *Exchange) noteSent(name string, digest Digest, version uint64) {
+// recordSent books what a partner has got.
+func (x *Exchange) recordSent(name string, digest Digest, version uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	w := x.partner(name)
-	w.since = max(w.since, version)
-	if w.wide == 0 || digest.Whole {
-		w.wide = version
+	w.sentVersion = max(w.sentVersion, version)
+	if w.remoteSentVersion == 0 || digest.Whole {
+		w.remoteSentVersion = version
 	}
-	w.failed = time.Time{}
-	w.finished = x.Now()
+	w.failedAt = time.Time{}
+	w.finishedAt = x.Now()
 }
 
-// take writes to the table what a partner sent.
-func (x *Exchange) take(digest Digest) {
-	all := x.Table.take(digest.From, digest.Peers, digest.Marks, x.Now())
+// receive writes to the table what a partner sent.
+func (x *Exchange) receive(digest Digest) {
+	all := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
 	x.mu.Lock()
 	w := x.partner(digest.From)
-	w.level = all && (w.level || digest.Whole)
+	w.inSync = all && (w.inSync || digest.Whole)
 	if digest.Again {
-		w.since, w.wide = 0, 0
+		w.sentVersion, w.remoteSentVersion = 0, 0
 	}
-	w.failed = time.Time{}
+	w.failedAt = time.Time{}
 	x.mu.Unlock()
 	if digest.Again && x.News != nil {
 		x.News.Forget(digest.From)
@@ -306,21 +306,21 @@
 }
 
 // partner returns how far this node is with another; x.mu is held.
-func (x *Exchange) partner(name string) *partner {
-	if x.with == nil {
-		x.with = make(map[string]*partner)
+func (x *Exchange) partner(name string) *partnerState {
+	if x.partnerStates == nil {
+		x.partnerStates = make(map[string]*partnerState)
 	}
-	w := x.with[name]
+	w := x.partnerStates[name]
 	if w == nil {
-		w = &partner{}
-		x.with[name] = w
+		w = &partnerState{}
+		x.partnerStates[name] = w
 	}
 	return w
 }
 
 // Answer merges what another node sent and returns what it lacks.
 func (x *Exchange) Answer(digest Digest) Digest {
-	x.take(digest)
+	x.receive(digest)
 	from, known := x.Table.Get(digest.From)
 	if !known {
 		return Digest{From: x.Table.Self().Name, Again: true}
@@ -329,36 +329,36 @@
 		x.News.Merge(from, digest.News)
 	}
 	answer, version := x.digestFor(from)
-	x.noteSent(from.Name, answer, version)
+	x.recordSent(from.Name, answer, version)
 	return answer
 }
 
-// fewNodes is the size of a fleet up to which marks of other regions go out in
+// smallFleet is the size of a fleet up to which marks of other regions go out in
 // each exchange. The two hops of a slower pace would make a few nodes look silent
 // to each other now and then.
-const fewNodes = 30
+const smallFleet = 30
 
 // digestFor returns what the partner has not had from this node, and the version of
 // the table that it then has.
 func (x *Exchange) digestFor(p Peer) (Digest, uint64) {
-	v := x.current()
+	v := x.currentView()
 	now := x.Now()
 	x.mu.Lock()
 	w := x.partner(p.Name)
-	if w.widely.IsZero() {
+	if w.remoteSentAt.IsZero() {
 		// Partners met together would all be due together ever after.
-		w.widely = now.Add(-time.Duration(x.Rand.Int64N(int64(Pace(x.Beat, v.fleet)))))
+		w.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
 	}
-	a := audience{
+	a := recipient{
 		name: p.Name, region: p.Region, gatherer: x.Gatherer == nil || v.gatherer == p.Name,
-		since: w.since, wide: w.wide, widely: v.fleet <= fewNodes || now.Sub(w.widely) >= Pace(x.Beat, v.fleet),
+		sentVersion: w.sentVersion, remoteSentVersion: w.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(w.remoteSentAt) >= HeartbeatInterval(x.Beat, v.fleetNodes),
 	}
-	out := Digest{From: x.Table.Self().Name, Again: !w.level, Whole: w.since == 0}
+	out := Digest{From: x.Table.Self().Name, Again: !w.inSync, Whole: w.sentVersion == 0}
 	x.mu.Unlock()
-	lacks := x.Table.lacks(a, now)
-	if a.widely {
+	lacks := x.Table.deltaFor(a, now)
+	if a.remoteDue {
 		x.mu.Lock()
-		w.widely, w.wide = now, lacks.version
+		w.remoteSentAt, w.remoteSentVersion = now, lacks.version
 		x.mu.Unlock()
 	}
 	out.Peers, out.Marks = lacks.peers, lacks.marks
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -16,18 +16,18 @@
 
 // net joins exchanges in one process.
 type net struct {
-	mu    sync.Mutex
-	nodes map[string]*Exchange
-	down  map[string]bool // nodes that can't be reached
-	lose  map[string]int  // answers of a node that are still to be lost
-	words int             // whole words that were told
-	marks int
+	mu          sync.Mutex
+	nodes       map[string]*Exchange
+	down        map[string]bool // nodes that can't be reached
+	loseAnswers map[string]int  // answers of a node that are still to be lost
+	fullStates  int             // whole words that were told
+	marks       int
 }
 
 func (n *net) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
 	n.mu.Lock()
 	x, down := n.nodes[to.Name], n.down[to.Name] || n.down[digest.From]
-	n.words += len(digest.Peers)
+	n.fullStates += len(digest.Peers)
 	n.marks += len(digest.Marks)
 	n.mu.Unlock()
 	if x == nil || down {
@@ -36,8 +36,8 @@
 	answer := x.Answer(digest)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lose[to.Name] > 0 {
-		n.lose[to.Name]--
+	if n.loseAnswers[to.Name] > 0 {
+		n.loseAnswers[to.Name]--
 		return Digest{}, errors.New("connection broke")
 	}
 	return answer, nil
@@ -60,7 +60,7 @@
 }
 
 func newNet() *net {
-	return &net{nodes: map[string]*Exchange{}, down: map[string]bool{}, lose: map[string]int{}}
+	return &net{nodes: map[string]*Exchange{}, down: map[string]bool{}, loseAnswers: map[string]int{}}
 }
 
 func listed(name, region, centre string) Peer {
@@ -83,13 +83,13 @@
 	}
 }
 
-func revision(x *Exchange, name string) uint64 {
+func revisionOf(x *Exchange, name string) uint64 {
 	p, _ := x.Table.Get(name)
 	return p.Revision
 }
 
-// fleet is a region of one data centre and another region.
-func fleet(n *net, size int) {
+// addFleet is a region of one data centre and another region.
+func addFleet(n *net, size int) {
 	var list []Peer
 	for i := range size {
 		list = append(list, listed(fmt.Sprintf("n%d", i), "north", "north-a"))
@@ -100,10 +100,10 @@
 	}
 }
 
-func TestExchangeSpreads(t *testing.T) {
+func TestExchangeReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNet()
-		fleet(n, 8)
+		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
 		time.Sleep(30 * time.Second)
@@ -114,7 +114,7 @@
 			}
 		}
 		n.mu.Lock()
-		n.words, n.marks = 0, 0
+		n.fullStates, n.marks = 0, 0
 		n.mu.Unlock()
 		for _, x := range n.nodes {
 			x.Table.Update(time.Now(), func(p *Peer) { p.Revision = 7 })
@@ -122,13 +122,13 @@
 		time.Sleep(time.Second)
 		for name := range n.nodes {
 			if name != "s0" {
-				assert.Equal(t, revision(n.nodes["n0"], name), uint64(7), "the gatherer of %s", name)
+				assert.Equal(t, revisionOf(n.nodes["n0"], name), uint64(7), "the gatherer of %s", name)
 			}
 		}
 		time.Sleep(30 * time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Equal(t, n.words, 0) // marks do when nothing but revisions and time has changed
+		assert.Equal(t, n.fullStates, 0) // marks do when nothing but revisions and time has changed
 		assert.Assert(t, n.marks > 0)
 	})
 }
@@ -147,7 +147,7 @@
 	}
 	meet()
 	b.Table.Merge([]Peer{{Name: "n2", Region: "north", Incarnation: "1", State: Leaving, Sequence: 1}}, time.Now())
-	n.lose["n1"] = 1
+	n.loseAnswers["n1"] = 1
 	meet()
 	_, known := a.Table.Get("n2")
 	assert.Assert(t, !known)
@@ -162,7 +162,7 @@
 func TestRestartedPartner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNet()
-		fleet(n, 4)
+		addFleet(n, 4)
 		stop := n.run(t)
 		time.Sleep(20 * time.Second)
 		stop()
@@ -183,7 +183,7 @@
 func TestDeadRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newNet()
-		fleet(n, 8)
+		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
 		time.Sleep(20 * time.Second)
@@ -209,7 +209,7 @@
 	})
 }
 
-func TestPace(t *testing.T) {
+func TestHeartbeatInterval(t *testing.T) {
 	for name, tc := range map[string]struct {
 		n    int
 		want time.Duration
@@ -218,13 +218,13 @@
 		"few":    {10, 5 * time.Second},
 		"region": {75, 37500 * time.Millisecond},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, Pace(5*time.Second, tc.n), tc.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, HeartbeatInterval(5*time.Second, tc.n), tc.want) })
 	}
 }
 
 // Words about a living node take too long on their way. Others take it for
 // silent, name it last to callers and hand its work to others, though it lives.
-func TestLivingNodesAreHeard(t *testing.T) {
+func TestLiveNodesAreNeverSilent(t *testing.T) {
 	for name, tc := range map[string]struct{ regions, nodes int }{
 		"nine":  {3, 9},
 		"forty": {3, 40},
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -17,88 +17,88 @@
 	Age      time.Duration
 }
 
-func idOf(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
+func markID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
 
-// wordPace is how much longer each further node makes the time between two
+// heartbeatIntervalPerNode is how much longer each further node makes the time between two
 // words about one, so that all words together stay within a node's budget.
-const wordPace = 500 * time.Millisecond
+const heartbeatIntervalPerNode = 500 * time.Millisecond
 
-// Pace is the time between two words about a node in a group of n.
-func Pace(least time.Duration, n int) time.Duration {
-	return max(least, wordPace*time.Duration(max(n, wordPaceFrom)))
+// HeartbeatInterval is the time between two words about a node in a group of n.
+func HeartbeatInterval(least time.Duration, n int) time.Duration {
+	return max(least, heartbeatIntervalPerNode*time.Duration(max(n, minHeartbeatNodes)))
 }
 
-// wordPaceFrom is the size of a group up to which the pace stays the same.
-const wordPaceFrom = 10
+// minHeartbeatNodes is the size of a group up to which the pace stays the same.
+const minHeartbeatNodes = 10
 
-// audience is one partner as far as it decides what it is sent.
-type audience struct {
-	name     string
-	region   string
-	away     bool   // in another region
-	gatherer bool   // needs the revision in force at each node of the region
-	since    uint64 // version of the table that the partner has, 0 for none
-	wide     uint64 // the same for marks of other regions
-	widely   bool   // marks of other regions are due
+// recipient is one partner as far as it decides what it is sent.
+type recipient struct {
+	name              string
+	region            string
+	remote            bool   // in another region
+	gatherer          bool   // needs the revision in force at each node of the region
+	sentVersion       uint64 // version of the table that the partner has, 0 for none
+	remoteSentVersion uint64 // the same for marks of other regions
+	remoteDue         bool   // marks of other regions are due
 }
 
-// telling is what a partner lacks.
-type telling struct {
+// delta is what a partner lacks.
+type delta struct {
 	peers   []Peer
 	marks   []Mark
 	version uint64
 }
 
-// lacks returns what the audience has not been digest.
+// deltaFor returns what the audience has not been digest.
 //
 // Another region is sent the nodes here, at the pace of the fleet, and receives
 // of the rest from themselves. Within the region a new start, state or address
 // goes to all; that a node lives goes to all at the pace of the region, and of
 // other regions at the pace of the fleet; the revision in force at a node goes to the gatherer
 // only, since all other nodes of a region need no more than that of a relay.
-func (t *Table) lacks(a audience, now time.Time) telling {
+func (t *Table) deltaFor(a recipient, now time.Time) delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := telling{version: t.version}
-	here := t.region()
-	a.away = a.region != here
+	out := delta{version: t.version}
+	here := t.selfRegion()
+	a.remote = a.region != here
 	for name, k := range t.peers {
 		away := k.Region != here
 		switch {
-		case name == a.name, k.Incarnation == "", a.away && away:
-		case k.from == a.name && a.since > 0:
-		case k.full > a.since:
+		case name == a.name, k.Incarnation == "", a.remote && away:
+		case k.source == a.name && a.sentVersion > 0:
+		case k.fullVersion > a.sentVersion:
 			p := k.Peer
-			p.Age = max(now.Sub(k.seen), 0)
+			p.Age = max(now.Sub(k.lastSeen), 0)
 			out.peers = append(out.peers, p)
-		case k.due(a, name == t.self, away):
+		case k.markDue(a, name == t.self, away):
 			out.marks = append(out.marks, Mark{
-				ID: k.id, Sequence: k.Sequence, Revision: k.Revision, Base: k.Base, Age: max(now.Sub(k.seen), 0),
+				ID: k.markID, Sequence: k.Sequence, Revision: k.Revision, Base: k.Base, Age: max(now.Sub(k.lastSeen), 0),
 			})
 		}
 	}
 	return out
 }
 
-func (k *known) due(a audience, self, away bool) bool {
+func (k *entry) markDue(a recipient, self, away bool) bool {
 	switch {
 	case self, a.gatherer && !away:
-		return k.any > a.since
-	case away, a.away:
-		return a.widely && k.any > a.wide
+		return k.anyVersion > a.sentVersion
+	case away, a.remote:
+		return a.remoteDue && k.anyVersion > a.remoteSentVersion
 	}
-	return k.beat > a.since
+	return k.heartbeatVersion > a.sentVersion
 }
 
-// take merges what a partner sent; false means that a mark names a peer that is
+// receive merges what a partner sent; false means that a mark names a peer that is
 // not known here, so that the partner must report all again.
-func (t *Table) take(from string, peers []Peer, marks []Mark, now time.Time) bool {
+func (t *Table) receive(from string, peers []Peer, marks []Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.merge(from, peers, now)
 	all := true
 	for _, m := range marks {
-		k := t.ids[m.ID]
+		k := t.byMarkID[m.ID]
 		if k == nil {
 			all = false
 			continue
@@ -109,7 +109,7 @@
 		p := k.Peer
 		p.Sequence, p.Revision, p.Base, p.Age = m.Sequence, m.Revision, m.Base, m.Age
 		t.put(p, now)
-		k.from = from
+		k.source = from
 	}
 	return all
 }
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -27,24 +27,24 @@
 	n.cut = cut
 }
 
-// way returns the node at the other end, and whether the way is cut.
-func (n *network) way(from, to Peer) (there *Exchange, cut bool) {
+// link returns the node at the other end, and whether the link is cut.
+func (n *network) link(from, to Peer) (there *Exchange, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[to.Name], n.cut != nil && n.cut(from, to)
 }
 
-func (n *network) between(from Peer) Partner { return &wire{network: n, from: from} }
+func (n *network) transport(from Peer) Transport { return &testTransport{network: n, from: from} }
 
-type wire struct {
+type testTransport struct {
 	network *network
 	from    Peer
 }
 
 const testDelay = 40 * time.Millisecond
 
-func (w *wire) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
-	there, cut := w.network.way(w.from, to)
+func (w *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
+	there, cut := w.network.link(w.from, to)
 	if cut {
 		<-ctx.Done()
 		return Digest{}, ctx.Err()
@@ -79,7 +79,7 @@
 		table.SetSelf(self, time.Now())
 		table.Merge(all, time.Now())
 		n.nodes[p.Name] = &Exchange{
-			Table: table, Partner: n.between(self), Period: 500 * time.Millisecond, Beat: 5 * time.Second,
+			Table: table, Partner: n.transport(self), Period: 500 * time.Millisecond, Beat: 5 * time.Second,
 			Timeout: time.Second, Silence: 15 * time.Second, Now: time.Now,
 			Rand: rand.New(rand.NewPCG(uint64(i), 7)),
 		}
@@ -93,8 +93,8 @@
 	}
 }
 
-// lacking counts the nodes of a region that lack a revision of a peer.
-func (n *network) lacking(name, region string, revision uint64) int {
+// countLacking counts the nodes of a region that lack a revision of a peer.
+func (n *network) countLacking(name, region string, revision uint64) int {
 	count := 0
 	for _, x := range n.nodes {
 		p, known := x.Table.Get(name)
@@ -105,9 +105,9 @@
 	return count
 }
 
-// follow makes each node bring into force what it hears that another has, as the
+// adoptRevisions makes each node bring into force what it hears that another has, as the
 // catalogue's follower does.
-func (n *network) follow(ctx context.Context) {
+func (n *network) adoptRevisions(ctx context.Context) {
 	for _, x := range n.nodes {
 		go func() {
 			for {
@@ -129,8 +129,8 @@
 	}
 }
 
-// without counts the nodes of a region for which holds is false.
-func (n *network) without(region string, holds func(*Table) bool) int {
+// countWithout counts the nodes of a region for which holds is false.
+func (n *network) countWithout(region string, holds func(*Table) bool) int {
 	count := 0
 	for _, x := range n.nodes {
 		if x.Table.Self().Region == region && !holds(x.Table) {
@@ -146,7 +146,7 @@
 //
 // The largest case has the region alone: with a second one of that size the race
 // detector runs out of its own counters and ends the process now and then.
-func TestNewsReachesTheRegion(t *testing.T) {
+func TestChangesReachTheRegion(t *testing.T) {
 	tests := map[string]struct{ regions, perCentre int }{
 		"1 node a data centre":   {2, 1},
 		"3 nodes a data centre":  {2, 3},
@@ -163,7 +163,7 @@
 				}()
 				n := newNetwork(test.regions, test.perCentre)
 				n.run(ctx)
-				n.follow(ctx)
+				n.adoptRevisions(ctx)
 				time.Sleep(10 * time.Second)
 				all := n.nodes["r0-c0-n0"].Table.Peers()
 				relay := Relays(all, "r0-c0")[0].Name
@@ -171,8 +171,8 @@
 				leaver := "r0-c1-n0"
 				n.nodes[leaver].Table.Update(time.Now(), func(p *Peer) { p.State = Leaving })
 				time.Sleep(1500 * time.Millisecond)
-				assert.Equal(t, n.without("r0", func(table *Table) bool { return table.Self().Revision == 7 }), 0, "nodes without the change")
-				assert.Equal(t, n.without("r0", func(table *Table) bool {
+				assert.Equal(t, n.countWithout("r0", func(table *Table) bool { return table.Self().Revision == 7 }), 0, "nodes without the change")
+				assert.Equal(t, n.countWithout("r0", func(table *Table) bool {
 					p, _ := table.Get(leaver)
 					return p.State == Leaving
 				}), 0, "nodes that take the leaver for serving")
@@ -183,7 +183,7 @@
 
 // Two regions lose each other for an hour. Each goes on by itself, and once the
 // cut is mended both hear of each other again without anybody's help.
-func TestCutAndMended(t *testing.T) {
+func TestRegionsReconnectAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -194,11 +194,11 @@
 		time.Sleep(20 * time.Second)
 		n.nodes["r0-c0-n0"].Table.Update(time.Now(), func(p *Peer) { p.Revision = 3 })
 		time.Sleep(50 * time.Minute)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r0", 3), 0)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r1", 3), 4)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r0", 3), 0)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 4)
 		n.setCut(nil)
 		time.Sleep(time.Minute)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r1", 3), 0)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 0)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
@@ -206,7 +206,7 @@
 
 // A host dies without a word. The nodes left go on telling each other what they
 // know, and that must not make the dead one look alive.
-func TestDeadPeerGrowsOld(t *testing.T) {
+func TestDeadPeerDoesNotLookFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
--- a/core/jwpeer/relay.go
+++ b/core/jwpeer/relay.go
@@ -22,7 +22,7 @@
 	}
 	var in []scored
 	for _, p := range peers {
-		if p.DataCentre == dataCentre && takesPart(p) {
+		if p.DataCentre == dataCentre && isActive(p) {
 			in = append(in, scored{p, xxhash.Sum64String(dataCentre + "\x00" + p.Name)})
 		}
 	}
@@ -53,4 +53,4 @@
 	return false
 }
 
-func takesPart(p Peer) bool { return p.State == Joining || p.State == Serving || p.State == Leaving }
+func isActive(p Peer) bool { return p.State == Joining || p.State == Serving || p.State == Leaving }
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -10,28 +10,28 @@
 // Table holds what this node knows of all nodes, itself included.
 // One lock guards it; it is a leaf in the lock order of the board.
 type Table struct {
-	mu      sync.Mutex
-	self    string
-	peers   map[string]*known
-	ids     map[uint64]*known
-	version uint64 // rises with every state
-	urgent  uint64 // version of the last state that others should get soon
-	changed chan struct{}
+	mu            sync.Mutex
+	self          string
+	peers         map[string]*entry
+	byMarkID      map[uint64]*entry
+	version       uint64 // rises with every state
+	urgentVersion uint64 // version of the last state that others should get soon
+	changed       chan struct{}
 }
 
 // MostAge is how old the state of an unresponsive peer may be before it is forgotten.
 const MostAge = time.Hour
 
-// known is one peer with the moment its newest state came and the versions of
+// entry is one peer with the moment its newest state came and the versions of
 // the table at its last words of each kind.
-type known struct {
+type entry struct {
 	Peer
-	id   uint64
-	seen time.Time
-	from string // partner that brought the newest report
-	any  uint64 // a report of any kind
-	full uint64 // one that a mark can't carry: a new start, state or address
-	beat uint64 // one that says no more than that the peer lives
+	markID           uint64
+	lastSeen         time.Time
+	source           string // partner that brought the newest report
+	anyVersion       uint64 // a report of any kind
+	fullVersion      uint64 // one that a mark can't carry: a new start, state or address
+	heartbeatVersion uint64 // one that says no more than that the peer lives
 }
 
 // SetSelf names the node this table belongs to and what it says of itself.
@@ -73,9 +73,9 @@
 func (t *Table) Merge(peers []Peer, now time.Time) (urgent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.urgent
+	before := t.urgentVersion
 	t.merge("", peers, now)
-	return t.urgent != before
+	return t.urgentVersion != before
 }
 
 func (t *Table) merge(from string, peers []Peer, now time.Time) {
@@ -88,7 +88,7 @@
 			continue
 		}
 		t.put(p, now)
-		t.peers[p.Name].from = from
+		t.peers[p.Name].source = from
 	}
 }
 
@@ -103,49 +103,49 @@
 
 func (t *Table) put(p Peer, now time.Time) {
 	if t.peers == nil {
-		t.peers = make(map[string]*known)
-		t.ids = make(map[uint64]*known)
+		t.peers = make(map[string]*entry)
+		t.byMarkID = make(map[uint64]*entry)
 	}
 	k := t.peers[p.Name]
 	if k == nil {
-		k = &known{}
+		k = &entry{}
 		t.peers[p.Name] = k
 	}
 	t.version++
-	k.any = t.version
+	k.anyVersion = t.version
 	switch {
-	case !sameButWords(k.Peer, p):
-		k.full = t.version
-		t.rename(k, p)
-		t.tellSoon()
+	case !equalExceptMark(k.Peer, p):
+		k.fullVersion = t.version
+		t.reindex(k, p)
+		t.signalChange()
 	case k.Revision != p.Revision:
-		t.tellSoon()
+		t.signalChange()
 	default:
-		k.beat = t.version
+		k.heartbeatVersion = t.version
 	}
-	k.seen = now.Add(-max(p.Age, 0))
-	k.from = ""
+	k.lastSeen = now.Add(-max(p.Age, 0))
+	k.source = ""
 	k.Peer = p
 	k.Age = 0
 }
 
-// sameButWords reports whether two words of a peer differ in nothing that a mark
+// equalExceptMark reports whether two words of a peer differ in nothing that a mark
 // leaves out.
-func sameButWords(a, b Peer) bool {
+func equalExceptMark(a, b Peer) bool {
 	a.Revision, a.Base, a.Sequence, a.Age = b.Revision, b.Base, b.Sequence, b.Age
 	return a == b
 }
 
-func (t *Table) rename(k *known, p Peer) {
-	if t.ids[k.id] == k {
-		delete(t.ids, k.id)
+func (t *Table) reindex(k *entry, p Peer) {
+	if t.byMarkID[k.markID] == k {
+		delete(t.byMarkID, k.markID)
 	}
-	k.id = idOf(p)
-	t.ids[k.id] = k
+	k.markID = markID(p)
+	t.byMarkID[k.markID] = k
 }
 
-func (t *Table) tellSoon() {
-	t.urgent = t.version
+func (t *Table) signalChange() {
+	t.urgentVersion = t.version
 	if t.changed != nil {
 		close(t.changed)
 		t.changed = nil
@@ -159,9 +159,9 @@
 	defer t.mu.Unlock()
 	var gone []string
 	for name, k := range t.peers {
-		if name != t.self && k.seen.Before(before) {
+		if name != t.self && k.lastSeen.Before(before) {
 			delete(t.peers, name)
-			delete(t.ids, k.id)
+			delete(t.byMarkID, k.markID)
 			gone = append(gone, name)
 		}
 	}
@@ -196,7 +196,7 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if k := t.peers[name]; k != nil {
-		return k.seen
+		return k.lastSeen
 	}
 	return time.Time{}
 }
@@ -232,10 +232,10 @@
 // slower pace, so that they may be older by as much.
 func (t *Table) Fresh(since time.Time) []Peer {
 	t.mu.Lock()
-	allowed := t.allowed(since)
+	allowed := t.freshnessLimit(since)
 	out := make([]Peer, 0, len(t.peers))
 	for name, k := range t.peers {
-		if name == t.self || !k.seen.Before(allowed(k)) {
+		if name == t.self || !k.lastSeen.Before(allowed(k)) {
 			out = append(out, k.Peer)
 		}
 	}
@@ -250,15 +250,15 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	k := t.peers[name]
-	return k == nil || name != t.self && k.seen.Before(t.allowed(since)(k))
+	return k == nil || name != t.self && k.lastSeen.Before(t.freshnessLimit(since)(k))
 }
 
-// allowed returns the time before which the newest state of a peer is too old.
-func (t *Table) allowed(since time.Time) func(*known) time.Time {
-	region := t.region()
-	home := since.Add(-lateness(t.inRegion(region)))
-	away := since.Add(-lateness(len(t.peers)))
-	return func(k *known) time.Time {
+// freshnessLimit returns the time before which the newest state of a peer is too old.
+func (t *Table) freshnessLimit(since time.Time) func(*entry) time.Time {
+	region := t.selfRegion()
+	home := since.Add(-extraDelay(t.activeInRegion(region)))
+	away := since.Add(-extraDelay(len(t.peers)))
+	return func(k *entry) time.Time {
 		if k.Region == region {
 			return home
 		}
@@ -266,21 +266,21 @@
 	}
 }
 
-// lateness is by how much three words at the pace of n nodes take longer than
+// extraDelay is by how much three words at the pace of n nodes take longer than
 // at the pace of a few.
-func lateness(n int) time.Duration { return 3 * (Pace(0, n) - Pace(0, 0)) }
+func extraDelay(n int) time.Duration { return 3 * (HeartbeatInterval(0, n) - HeartbeatInterval(0, 0)) }
 
-func (t *Table) region() string {
+func (t *Table) selfRegion() string {
 	if k := t.peers[t.self]; k != nil {
 		return k.Region
 	}
 	return ""
 }
 
-func (t *Table) inRegion(region string) int {
+func (t *Table) activeInRegion(region string) int {
 	n := 0
 	for _, k := range t.peers {
-		if k.Region == region && takesPart(k.Peer) {
+		if k.Region == region && isActive(k.Peer) {
 			n++
 		}
 	}
--- a/core/jwpeer/view.go
+++ b/core/jwpeer/view.go
@@ -9,51 +9,51 @@
 
 // view is what the known nodes mean for this one.
 type view struct {
-	taken    time.Time
-	relay    bool
-	partners []Peer // that get changes at once
-	periodic []Peer // that get them each period in turn
-	gatherer string
-	centre   int // nodes of the data centre
-	region   int // nodes of the region
-	fleet    int
+	computedAt      time.Time
+	relay           bool
+	partners        []Peer // that get changes at once
+	periodic        []Peer // that get them each period in turn
+	gatherer        string
+	dataCentreNodes int // nodes of the data centre
+	regionNodes     int // nodes of the region
+	fleetNodes      int
 }
 
 // A view is kept for a part of the period, and longer where many nodes make it
 // dear: to sort a thousand nodes four times a second would cost a node as much
 // as all its other control work may.
 const (
-	viewPart  = 2
-	viewOfOne = 2 * time.Millisecond
+	viewPeriodDivisor = 2
+	viewAgePerNode    = 2 * time.Millisecond
 )
 
-// current returns what the known nodes mean for this one now.
-func (x *Exchange) current() view {
+// currentView returns what the known nodes mean for this one now.
+func (x *Exchange) currentView() view {
 	now := x.Now()
 	x.mu.Lock()
 	v := x.view
 	x.mu.Unlock()
-	if !v.taken.IsZero() && now.Sub(v.taken) < max(x.Period/viewPart, viewOfOne*time.Duration(v.fleet)) {
+	if !v.computedAt.IsZero() && now.Sub(v.computedAt) < max(x.Period/viewPeriodDivisor, viewAgePerNode*time.Duration(v.fleetNodes)) {
 		return v
 	}
-	v = x.look(now)
+	v = x.computeView(now)
 	x.mu.Lock()
 	x.view = v
 	x.mu.Unlock()
 	return v
 }
 
-func (x *Exchange) look(now time.Time) view {
+func (x *Exchange) computeView(now time.Time) view {
 	self := x.Table.Self()
-	x.forget()
+	x.forgetUnknownPartners()
 	fresh := x.reachable(x.Table.Fresh(now.Add(-x.Silence)), now)
-	v := view{taken: now, relay: IsRelay(fresh, self), fleet: len(fresh)}
+	v := view{computedAt: now, relay: IsRelay(fresh, self), fleetNodes: len(fresh)}
 	for _, p := range fresh {
 		if p.Region == self.Region {
-			v.region++
+			v.regionNodes++
 		}
 		if p.DataCentre == self.DataCentre {
-			v.centre++
+			v.dataCentreNodes++
 		}
 	}
 	v.partners = Partners(fresh, self)
@@ -63,22 +63,22 @@
 	}
 	v.periodic = v.partners
 	if v.relay {
-		v.periodic = periodic(fresh, v.partners, self)
+		v.periodic = periodicPartners(fresh, v.partners, self)
 	}
 	return v
 }
 
-// forget drops partners that are known no more, once they are many.
-func (x *Exchange) forget() {
+// forgetUnknownPartners drops partners that are known no more, once they are many.
+func (x *Exchange) forgetUnknownPartners() {
 	known := x.Table.Len()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.with) <= 2*known {
+	if len(x.partnerStates) <= 2*known {
 		return
 	}
-	for name := range x.with {
+	for name := range x.partnerStates {
 		if _, found := x.Table.Get(name); !found {
-			delete(x.with, name)
+			delete(x.partnerStates, name)
 		}
 	}
 }
@@ -98,9 +98,9 @@
 	return append(v.partners, p)
 }
 
-// periodic leaves out the plain nodes of a relay's data centre, which ask by
+// periodicPartners leaves out the plain nodes of a relay's data centre, which ask by
 // themselves, as long as there is another partner.
-func periodic(fresh, partners []Peer, self Peer) []Peer {
+func periodicPartners(fresh, partners []Peer, self Peer) []Peer {
 	relays := make(map[string]bool)
 	for _, p := range Relays(fresh, self.DataCentre) {
 		relays[p.Name] = true
@@ -125,8 +125,8 @@
 	defer x.mu.Unlock()
 	out := peers[:0]
 	for _, p := range peers {
-		w := x.with[p.Name]
-		if w == nil || w.failed.IsZero() || now.Sub(w.failed) > x.Silence {
+		w := x.partnerStates[p.Name]
+		if w == nil || w.failedAt.IsZero() || now.Sub(w.failedAt) > x.Silence {
 			out = append(out, p)
 		}
 	}
@@ -134,7 +134,7 @@
 }
 
 // IsRelay reports whether this node carries news for its data centre now.
-func (x *Exchange) IsRelay() bool { return x.current().relay }
+func (x *Exchange) IsRelay() bool { return x.currentView().relay }
 
 // Partners returns the nodes that self reports changes to, out of the fresh
 // ones.
@@ -144,7 +144,7 @@
 	var out []Peer
 	add := func(peers ...Peer) {
 		for _, p := range peers {
-			if !seen[p.Name] && takesPart(p) {
+			if !seen[p.Name] && isActive(p) {
 				seen[p.Name] = true
 				out = append(out, p)
 			}
@@ -160,20 +160,20 @@
 			add(p)
 			continue
 		}
-		if takesPart(p) {
+		if isActive(p) {
 			centres[p.DataCentre] = p.Region
 		}
 	}
-	for _, centre := range chosenCentres(centres, self) {
+	for _, centre := range partnerDataCentres(centres, self) {
 		add(Relays(fresh, centre)...)
 	}
 	return out
 }
 
-// chosenCentres are the other data centres of the region, and one of each other
+// partnerDataCentres are the other data centres of the region, and one of each other
 // region. Which one depends on the own data centre, so that the relays of no
 // data centre are asked by all others.
-func chosenCentres(centres map[string]string, self Peer) []string {
+func partnerDataCentres(centres map[string]string, self Peer) []string {
 	var out []string
 	best := make(map[string]string)
 	score := func(centre string) uint64 { return xxhash.Sum64String(self.DataCentre + "\x00" + centre) }
--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -31,26 +31,26 @@
 	if s == nil {
 		return out
 	}
-	out = t.append(s, s.used, now, out)
+	out = t.appendAvailable(s, s.subset, now, out)
 	if len(out) > 0 {
 		return out
 	}
-	out = t.append(s, s.all, now, out)
+	out = t.appendAvailable(s, s.all, now, out)
 	if len(out) > 0 {
 		return out
 	}
 	for _, e := range s.all {
-		if t.spare(e) {
+		if t.isFallback(e) {
 			out = append(out, e.candidate(s, now))
 		}
 	}
 	return out
 }
 
-// spare reports whether a resting target may be tried when there is no other: one
+// isFallback reports whether a resting target may be tried when there is no other: one
 // call at a time, until it fails again.
-func (t *Table) spare(e *entry) bool {
-	return e.failures == 1 && !e.probing && !t.leaves(e.target.Address)
+func (t *Table) isFallback(e *entry) bool {
+	return e.failures == 1 && !e.probing && !t.isLeaving(e.target.Address)
 }
 
 func (e *entry) candidate(s *service, now time.Time) Candidate {
@@ -60,15 +60,15 @@
 		Key:         e.key,
 		Outstanding: e.outstanding(),
 		Slots:       e.slots(),
-		Pace:        s.paceOf(e, now),
+		Pace:        s.slowdownOf(e, now),
 		Probe:       e.failures > 0,
 	}
 }
 
-// append adds those of the entries that may get a new call.
-func (t *Table) append(s *service, entries []*entry, now time.Time, out []Candidate) []Candidate {
+// appendAvailable adds those of the entries that may get a new call.
+func (t *Table) appendAvailable(s *service, entries []*entry, now time.Time, out []Candidate) []Candidate {
 	for _, e := range entries {
-		if now.Before(e.rests) || e.probing || t.leaves(e.target.Address) {
+		if now.Before(e.backoffUntil) || e.probing || t.isLeaving(e.target.Address) {
 			continue
 		}
 		out = append(out, e.candidate(s, now))
@@ -80,44 +80,44 @@
 // which would otherwise draw every call of the time between two reports to the
 // one target that looked idle.
 func (e *entry) outstanding() int {
-	reported := max(e.load.Running+e.load.Waiting-len(e.ended), 0)
-	return max(reported+len(e.begun), e.own)
+	reported := max(e.load.Running+e.load.Waiting-len(e.endedSinceReport), 0)
+	return max(reported+len(e.startedSinceReport), e.inFlight)
 }
 
-// wait returns the expected wait of a new call for a slot, in times of a call.
-func (e *entry) wait() float64 {
+// expectedWait returns the expected expectedWait of a new call for a slot, in times of a call.
+func (e *entry) expectedWait() float64 {
 	return float64(max(e.outstanding()+1-e.slots(), 0)) / float64(e.slots())
 }
 
 // Bounds of a pace. Calls differ in length and batches in size, so small
 // differences say nothing of the target and steering by them does harm; above
-// slowPace the target itself is slow.
+// slowThreshold the target itself is slow.
 const (
-	slowPace = 1.5
-	maxPace  = 20
-	maxRatio = 5 // of one call
-	// paceFor is how long a pace is believed of a target that gets no calls.
+	slowThreshold    = 1.5
+	maxSlowdown      = 20
+	maxDurationRatio = 5 // of one call
+	// slowdownTTL is how long a pace is believed of a target that gets no calls.
 	// The pace is learnt from calls alone: believed for ever, it would keep all
 	// work from a target that was slow once, which stood idle while others queued.
-	paceFor = 20 * time.Second
+	slowdownTTL = 20 * time.Second
 )
 
-// paceOf returns how slow a target is against the others of its service: by
+// slowdownOf returns how slow a target is against the others of its service: by
 // its own word on the time between tokens or by this node's calls, whichever
 // is worse. A target that is slow but well reports no failure, so this alone
 // keeps work from piling up there.
-func (s *service) paceOf(e *entry, now time.Time) float64 {
+func (s *service) slowdownOf(e *entry, now time.Time) float64 {
 	pace := 0.0
-	if e.pace > 0 {
-		pace = e.paceAt(now)
+	if e.slowdown > 0 {
+		pace = e.slowdownAt(now)
 	}
-	if s.tick > 0 && e.load.Token > 0 {
-		pace = max(pace, float64(e.load.Token)/float64(s.tick))
+	if s.tokenInterval > 0 && e.load.Token > 0 {
+		pace = max(pace, float64(e.load.Token)/float64(s.tokenInterval))
 	}
-	if pace < slowPace {
+	if pace < slowThreshold {
 		return 1
 	}
-	return min(pace, maxPace)
+	return min(pace, maxSlowdown)
 }
 
 // Room sums up what a service of the region can still take, as seen from the
@@ -147,8 +147,8 @@
 		return Room{}
 	}
 	slots, outstanding, usable := 0, 0, 0
-	for _, e := range s.used {
-		if now.Before(e.rests) {
+	for _, e := range s.subset {
+		if now.Before(e.backoffUntil) {
 			continue
 		}
 		usable++
@@ -156,39 +156,39 @@
 		outstanding += e.outstanding()
 	}
 	if usable == 0 {
-		return t.spareRoom(s)
+		return t.fallbackRoom(s)
 	}
 	r := Room{
-		Targets:     s.live * usable / len(s.used),
-		Slots:       slots * s.live / len(s.used),
-		Outstanding: outstanding * s.live / len(s.used),
-		Work:        orDefault(s.work, DefaultWork),
+		Targets:     s.available * usable / len(s.subset),
+		Slots:       slots * s.available / len(s.subset),
+		Outstanding: outstanding * s.available / len(s.subset),
+		Work:        orDefault(s.callTime, DefaultCallTime),
 	}
 	queued := max(outstanding+1-slots, 0)
 	r.Wait = time.Duration(float64(r.Work) * float64(queued) / float64(slots))
 	return r
 }
 
-// spareRoom is the room when all targets rest: a call for each that may be tried.
-func (t *Table) spareRoom(s *service) Room {
+// fallbackRoom is the room when all targets rest: a call for each that may be tried.
+func (t *Table) fallbackRoom(s *service) Room {
 	n := 0
 	for _, e := range s.all {
-		if t.spare(e) {
+		if t.isFallback(e) {
 			n++
 		}
 	}
 	if n == 0 {
 		return Room{}
 	}
-	return Room{Targets: n, Slots: n, Work: orDefault(s.work, DefaultWork)}
+	return Room{Targets: n, Slots: n, Work: orDefault(s.callTime, DefaultCallTime)}
 }
 
-// unknownSlots stands for the slots of a target that has not reported yet.
-const unknownSlots = 8
+// defaultSlots stands for the slots of a target that has not reported yet.
+const defaultSlots = 8
 
 func (e *entry) slots() int {
 	if e.load.Slots <= 0 {
-		return unknownSlots
+		return defaultSlots
 	}
 	return e.load.Slots
 }
--- a/core/jwtarget/departure.go
+++ b/core/jwtarget/departure.go
@@ -8,9 +8,9 @@
 
 // departure is a word that a target leaves.
 type departure struct {
-	since  time.Time
-	listed bool      // the list has shown the target since
-	gone   time.Time // when the list no longer showed it, zero before
+	since      time.Time
+	listed     bool      // the list has shown the target since
+	delistedAt time.Time // when the list no longer showed it, zero before
 }
 
 // MarkLeaving notes that a target leaves since a time, by its own word or a
@@ -20,22 +20,22 @@
 func (t *Table) MarkLeaving(addr netip.AddrPort, since, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if now.Sub(since) > t.leavingFor() {
+	if now.Sub(since) > t.leavingTTL() {
 		return
 	}
 	d, told := t.leaving[addr]
-	if told && (d.gone.IsZero() || since.Before(d.gone)) {
+	if told && (d.delistedAt.IsZero() || since.Before(d.delistedAt)) {
 		return
 	}
 	e, listed := t.targets[addr]
-	t.depart(addr, departure{since: since, listed: listed})
+	t.setDeparture(addr, departure{since: since, listed: listed})
 	if listed {
-		t.choose(t.services[e.target.Service])
+		t.chooseSubset(t.services[e.target.Service])
 	}
 }
 
-// depart keeps one word of leaving.
-func (t *Table) depart(addr netip.AddrPort, d departure) {
+// setDeparture keeps one word of leaving.
+func (t *Table) setDeparture(addr netip.AddrPort, d departure) {
 	if t.leaving == nil {
 		t.leaving = make(map[netip.AddrPort]departure)
 	}
@@ -54,7 +54,7 @@
 	defer t.mu.Unlock()
 	var out []Departure
 	for addr, d := range t.leaving {
-		if d.gone.IsZero() {
+		if d.delistedAt.IsZero() {
 			out = append(out, Departure{Address: addr, Since: d.since})
 		}
 	}
@@ -65,27 +65,27 @@
 // updateDepartures compares the words of leaving with the newest list.
 func (t *Table) updateDepartures(now time.Time) {
 	for addr, e := range t.targets {
-		if e.target.State == Leaving && !t.leaves(addr) {
-			t.depart(addr, departure{since: now, listed: true})
+		if e.target.State == Leaving && !t.isLeaving(addr) {
+			t.setDeparture(addr, departure{since: now, listed: true})
 		}
 	}
 	for addr, d := range t.leaving {
 		e, listed := t.targets[addr]
-		if now.Sub(d.since) > t.leavingFor() && (!listed || e.target.State != Leaving) {
+		if now.Sub(d.since) > t.leavingTTL() && (!listed || e.target.State != Leaving) {
 			delete(t.leaving, addr)
 			continue
 		}
 		if listed {
 			d.listed = true
-		} else if d.listed && d.gone.IsZero() {
-			d.gone = now
+		} else if d.listed && d.delistedAt.IsZero() {
+			d.delistedAt = now
 		}
 		t.leaving[addr] = d
 	}
 }
 
-// leaves reports whether a target is known to leave and has not come back.
-func (t *Table) leaves(addr netip.AddrPort) bool {
+// isLeaving reports whether a target is known to leave and has not come back.
+func (t *Table) isLeaving(addr netip.AddrPort) bool {
 	d, told := t.leaving[addr]
-	return told && d.gone.IsZero()
+	return told && d.delistedAt.IsZero()
 }
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -29,25 +29,25 @@
 	Busy func() bool
 }
 
-// askPace is how much longer each target makes the time between two questions
+// pollIntervalPerTarget is how much longer each target makes the time between two questions
 // to one. A report of a kilobyte that takes a tenth of a millisecond then costs
 // a node about 7 KB/s and a thousandth of a core, however many targets it uses.
-const askPace = 150 * time.Millisecond
+const pollIntervalPerTarget = 150 * time.Millisecond
 
-// busyPace is how much less often a busy node asks where the number of targets
+// busyFactor is how much less often a busy node asks where the number of targets
 // decides.
-const busyPace = 3
+const busyFactor = 3
 
 func (p *Poller) period(n int) time.Duration {
 	if p.Busy != nil && p.Busy() {
-		n *= busyPace
+		n *= busyFactor
 	}
 	return PollPeriod(p.Period, n)
 }
 
 // PollPeriod returns the time between two questions to one of n targets.
 func PollPeriod(least time.Duration, n int) time.Duration {
-	return max(least, askPace*time.Duration(n))
+	return max(least, pollIntervalPerTarget*time.Duration(n))
 }
 
 // Run asks until ctx ends; it returns the error of ctx.
@@ -57,7 +57,7 @@
 	for range max(p.Workers, 1) {
 		wg.Go(func() {
 			for t := range work {
-				p.ask(ctx, t)
+				p.poll(ctx, t)
 			}
 		})
 	}
@@ -83,7 +83,7 @@
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, t Target) {
+func (p *Poller) poll(ctx context.Context, t Target) {
 	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
 	asked := p.Now()
--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -38,7 +38,7 @@
 			}
 			table.Set(l, now)
 			for i, since := range o.since {
-				if !o.listed[i] || now.Sub(since) > DefaultLeavingFor {
+				if !o.listed[i] || now.Sub(since) > DefaultLeavingTTL {
 					delete(o.since, i)
 				}
 			}
--- a/core/jwtarget/subset.go
+++ b/core/jwtarget/subset.go
@@ -10,8 +10,8 @@
 		return DefaultSubset
 	}
 	n := int(budget * interval.Seconds() / bytes / float64(services))
-	return max(n, minSubset)
+	return max(n, minSubsetSize)
 }
 
-// minSubset leaves a choice when some targets of a subset fail.
-const minSubset = 3
+// minSubsetSize leaves a choice when some targets of a subset fail.
+const minSubsetSize = 3
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -9,15 +9,15 @@
 
 // The values that a Table takes where its own fields are zero.
 const (
-	DefaultSubset     = 16
-	DefaultLeavingFor = 10 * time.Minute
-	DefaultPause      = time.Second
-	DefaultMaxPause   = time.Minute
-	DefaultWork       = time.Second
+	DefaultSubset         = 16
+	DefaultLeavingTTL     = 10 * time.Minute
+	DefaultInitialBackoff = time.Second
+	DefaultMaxBackoff     = time.Minute
+	DefaultCallTime       = time.Second
 )
 
-// paceWeight is the weight of one finished call in the running averages.
-const paceWeight = 0.2
+// averageWeight is the weight of one finished call in the running averages.
+const averageWeight = 0.2
 
 // Table holds the targets of one region as one node knows them.
 //
@@ -25,12 +25,12 @@
 // of one service; no other lock is taken under it. Fields are set before use;
 // all methods may be called at the same time.
 type Table struct {
-	Node       string        // name of this node, which decides its subset
-	Region     string        // targets of other regions are not kept
-	Subset     int           // targets used for each service, negative for all
-	LeavingFor time.Duration // how long a word of leaving outlives a list that disagrees
-	Pause      time.Duration // rest of a target after one failed call; doubles with each further one
-	MaxPause   time.Duration // longest rest
+	Node           string        // name of this node, which decides its subset
+	Region         string        // targets of other regions are not kept
+	Subset         int           // targets used for each service, negative for all
+	LeavingTTL     time.Duration // how long a word of leaving outlives a list that disagrees
+	InitialBackoff time.Duration // rest of a target after one failed call; doubles with each further one
+	MaxBackoff     time.Duration // longest rest
 
 	mu       sync.Mutex
 	targets  map[netip.AddrPort]*entry
@@ -40,27 +40,27 @@
 
 // service is the part of a table that belongs to one service.
 type service struct {
-	all   []*entry                 // sorted by address
-	used  []*entry                 // this node's subset that may get work, sorted by address
-	live  int                      // those of all that do not leave
-	work  time.Duration            // usual time of a call, without its wait for a slot
-	kinds map[string]time.Duration // the same by kind of call
-	tick  time.Duration            // usual time between tokens over the targets
+	all            []*entry                 // sorted by address
+	subset         []*entry                 // this node's subset that may get work, sorted by address
+	available      int                      // those of all that do not leave
+	callTime       time.Duration            // usual time of a call, without its wait for a slot
+	callTimeByKind map[string]time.Duration // the same by kind of call
+	tokenInterval  time.Duration            // usual time between tokens over the targets
 }
 
 // entry is what the table knows of one target.
 type entry struct {
-	target   Target
-	key      uint64
-	load     Load
-	own      int         // calls of this node in flight
-	begun    []time.Time // when those of them began that the last report has not seen
-	ended    []time.Time // when calls ended that the last report still counts
-	pace     float64     // time taken by calls here over the time expected, 0 before the first
-	paced    time.Time   // when the pace was last learnt
-	failures int
-	rests    time.Time // gets no work until then
-	probing  bool
+	target             Target
+	key                uint64
+	load               Load
+	inFlight           int         // calls of this node in flight
+	startedSinceReport []time.Time // when those of them began that the last report has not seen
+	endedSinceReport   []time.Time // when calls ended that the last report still counts
+	slowdown           float64     // time taken by calls here over the time expected, 0 before the first
+	slowdownUpdated    time.Time   // when the pace was last learnt
+	failures           int
+	backoffUntil       time.Time // gets no work until then
+	probing            bool
 }
 
 // Set takes over the platform's list, which lags. Targets that stay keep their
@@ -95,7 +95,7 @@
 		if s == nil {
 			s = &service{}
 			if before := old[e.target.Service]; before != nil {
-				s.work, s.kinds, s.tick = before.work, before.kinds, before.tick
+				s.callTime, s.callTimeByKind, s.tokenInterval = before.callTime, before.callTimeByKind, before.tokenInterval
 			}
 			t.services[e.target.Service] = s
 		}
@@ -103,26 +103,26 @@
 	}
 	for _, s := range t.services {
 		slices.SortFunc(s.all, byAddress)
-		t.choose(s)
+		t.chooseSubset(s)
 	}
 }
 
-// choose fills the subset of a service with targets that do not leave.
-func (t *Table) choose(s *service) {
-	s.used = s.used[:0]
+// chooseSubset fills the subset of a service with targets that do not leave.
+func (t *Table) chooseSubset(s *service) {
+	s.subset = s.subset[:0]
 	for _, e := range s.all {
-		if !t.leaves(e.target.Address) {
-			s.used = append(s.used, e)
+		if !t.isLeaving(e.target.Address) {
+			s.subset = append(s.subset, e)
 		}
 	}
-	s.live = len(s.used)
-	if n := t.subset(); n >= 0 && n < len(s.used) {
+	s.available = len(s.subset)
+	if n := t.subsetSize(); n >= 0 && n < len(s.subset) {
 		node := NameKey(t.Node)
-		slices.SortFunc(s.used, func(a, b *entry) int {
+		slices.SortFunc(s.subset, func(a, b *entry) int {
 			return compareKeys(Mix(node, b.key), Mix(node, a.key))
 		})
-		s.used = s.used[:n]
-		slices.SortFunc(s.used, byAddress)
+		s.subset = s.subset[:n]
+		slices.SortFunc(s.subset, byAddress)
 	}
 }
 
@@ -137,11 +137,11 @@
 	}
 	e.load = load
 	seen := func(at time.Time) bool { return !at.After(load.Taken) }
-	e.begun = slices.DeleteFunc(e.begun, seen)
-	e.ended = slices.DeleteFunc(e.ended, seen)
+	e.startedSinceReport = slices.DeleteFunc(e.startedSinceReport, seen)
+	e.endedSinceReport = slices.DeleteFunc(e.endedSinceReport, seen)
 	s := t.services[e.target.Service]
 	if load.Token > 0 {
-		s.tick = average(s.tick, load.Token)
+		s.tokenInterval = movingAverage(s.tokenInterval, load.Token)
 	}
 }
 
@@ -152,8 +152,8 @@
 	Work    time.Duration // expected time of the call once it has a slot
 	Began   time.Time
 
-	wait  float64 // expected wait for a slot, in times of a call
-	tries bool    // the single call that tries a target again after failures
+	expectedWait float64 // expected wait for a slot, in times of a call
+	probe        bool    // the single call that tries a target again after failures
 }
 
 // Result tells how a call ended as far as the target's health goes.
@@ -176,7 +176,7 @@
 	if s == nil {
 		return 0
 	}
-	return s.kinds[kind]
+	return s.callTimeByKind[kind]
 }
 
 // Begin counts a call as outstanding; every Begin needs its End.
@@ -185,11 +185,11 @@
 	defer t.mu.Unlock()
 	c := Call{Address: addr, Work: work, Began: now}
 	if e := t.targets[addr]; e != nil {
-		c.wait = e.wait()
-		e.own++
-		e.begun = append(e.begun, now)
+		c.expectedWait = e.expectedWait()
+		e.inFlight++
+		e.startedSinceReport = append(e.startedSinceReport, now)
 		if e.failures > 0 {
-			c.tries, e.probing = true, true
+			c.probe, e.probing = true, true
 		}
 	}
 	return c
@@ -203,77 +203,77 @@
 	if e == nil {
 		return
 	}
-	e.forget(c, now)
-	if c.tries {
+	e.removeCall(c, now)
+	if c.probe {
 		e.probing = false
 	}
 	switch result {
 	case Done:
-		t.learn(e, c, now)
+		t.recordDuration(e, c, now)
 	case Refused:
 		e.failures = 0
 	case Broken:
-		t.fail(e, now, c.tries)
+		t.recordFailure(e, now, c.probe)
 	}
 }
 
-// forget takes a call out of the counts. A call of an earlier target at the
+// removeCall takes a call out of the counts. A call of an earlier target at the
 // same address may end after the counts began anew, hence the floor.
-func (e *entry) forget(c Call, now time.Time) {
-	e.own = max(e.own-1, 0)
-	if i := slices.Index(e.begun, c.Began); i >= 0 {
-		e.begun = slices.Delete(e.begun, i, i+1)
+func (e *entry) removeCall(c Call, now time.Time) {
+	e.inFlight = max(e.inFlight-1, 0)
+	if i := slices.Index(e.startedSinceReport, c.Began); i >= 0 {
+		e.startedSinceReport = slices.Delete(e.startedSinceReport, i, i+1)
 		return
 	}
-	if len(e.ended) < maxEnded {
-		e.ended = append(e.ended, now)
+	if len(e.endedSinceReport) < maxEndedSinceReport {
+		e.endedSinceReport = append(e.endedSinceReport, now)
 	}
 }
 
-// maxEnded bounds what is kept of a target whose reports stay away.
-const maxEnded = 1024
+// maxEndedSinceReport bounds what is kept of a target whose reports stay away.
+const maxEndedSinceReport = 1024
 
-// learn takes the time of a finished call into the averages. The wait for a
+// recordDuration takes the time of a finished call into the averages. The wait for a
 // slot is taken out first: counted as work it would be counted twice by all
 // who add the wait, and a target with a queue would pass for a slow one.
-func (t *Table) learn(e *entry, c Call, now time.Time) {
+func (t *Table) recordDuration(e *entry, c Call, now time.Time) {
 	e.failures = 0
-	took := time.Duration(float64(now.Sub(c.Began)) / (1 + c.wait))
+	took := time.Duration(float64(now.Sub(c.Began)) / (1 + c.expectedWait))
 	s := t.services[e.target.Service]
-	s.work = average(s.work, took)
-	if s.kinds == nil {
-		s.kinds = make(map[string]time.Duration)
+	s.callTime = movingAverage(s.callTime, took)
+	if s.callTimeByKind == nil {
+		s.callTimeByKind = make(map[string]time.Duration)
 	}
-	usual := s.kinds[c.Kind]
-	s.kinds[c.Kind] = average(usual, took)
+	usual := s.callTimeByKind[c.Kind]
+	s.callTimeByKind[c.Kind] = movingAverage(usual, took)
 	if usual == 0 {
 		return // nothing to compare with but calls of other kinds
 	}
 	// What was expected when the call began is no measure: when calls become
 	// longer, all that are in flight exceed it, and what is left of that in the
 	// averages differs from target to target for a minute.
-	ratio := min(float64(took)/float64(usual), maxRatio)
-	e.pace = averagePace(e.paceAt(now), ratio)
-	e.paced = now
+	ratio := min(float64(took)/float64(usual), maxDurationRatio)
+	e.slowdown = averageSlowdown(e.slowdownAt(now), ratio)
+	e.slowdownUpdated = now
 }
 
-// averagePace moves a pace towards a new value. It starts at the usual one:
+// averageSlowdown moves a pace towards a new value. It starts at the usual one:
 // the first call of a target alone does not tell whether the target is slow.
-func averagePace(old, value float64) float64 {
+func averageSlowdown(old, value float64) float64 {
 	if old == 0 {
 		old = 1
 	}
-	return old + paceWeight*(value-old)
+	return old + averageWeight*(value-old)
 }
 
-// paceAt returns the pace as far as it is still believed: it returns to the
+// slowdownAt returns the pace as far as it is still believed: it returns to the
 // usual one in paceFor without calls.
-func (e *entry) paceAt(now time.Time) float64 {
-	if e.pace == 0 {
+func (e *entry) slowdownAt(now time.Time) float64 {
+	if e.slowdown == 0 {
 		return 0
 	}
-	left := max(1-float64(now.Sub(e.paced))/float64(paceFor), 0)
-	return 1 + left*(e.pace-1)
+	left := max(1-float64(now.Sub(e.slowdownUpdated))/float64(slowdownTTL), 0)
+	return 1 + left*(e.slowdown-1)
 }
 
 // Failed notes a failure outside a call, such as a load report that could not
@@ -282,20 +282,20 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.targets[addr]; e != nil {
-		t.fail(e, now, false)
+		t.recordFailure(e, now, false)
 	}
 }
 
-// fail makes a target rest. Calls that break together count as one failure:
+// recordFailure makes a target rest. Calls that break together count as one failure:
 // else one crash with many calls in flight would rest its target for the
 // longest pause at once. A call that tried a resting target counts by itself.
-func (t *Table) fail(e *entry, now time.Time, tried bool) {
-	if now.Before(e.rests) && !tried {
+func (t *Table) recordFailure(e *entry, now time.Time, tried bool) {
+	if now.Before(e.backoffUntil) && !tried {
 		return
 	}
-	pause := t.pause() << min(e.failures, 16)
+	pause := t.initialBackoff() << min(e.failures, 16)
 	e.failures++
-	e.rests = now.Add(min(pause, t.maxPause()))
+	e.backoffUntil = now.Add(min(pause, t.maxBackoff()))
 }
 
 // Used returns the targets whose load this node asks for: its subset of every
@@ -305,7 +305,7 @@
 	defer t.mu.Unlock()
 	var out []Target
 	for _, s := range t.services {
-		for _, e := range s.used {
+		for _, e := range s.subset {
 			out = append(out, e.target)
 		}
 	}
@@ -322,24 +322,26 @@
 	switch {
 	case e == nil:
 		return "", false
-	case t.leaves(addr):
+	case t.isLeaving(addr):
 		return Leaving, true
-	case e.failures > 0 || now.Before(e.rests):
+	case e.failures > 0 || now.Before(e.backoffUntil):
 		return Failed, true
 	}
 	return Live, true
 }
 
-func (t *Table) subset() int {
+func (t *Table) subsetSize() int {
 	if t.Subset == 0 {
 		return DefaultSubset
 	}
 	return t.Subset
 }
 
-func (t *Table) leavingFor() time.Duration { return orDefault(t.LeavingFor, DefaultLeavingFor) }
-func (t *Table) pause() time.Duration      { return orDefault(t.Pause, DefaultPause) }
-func (t *Table) maxPause() time.Duration   { return orDefault(t.MaxPause, DefaultMaxPause) }
+func (t *Table) leavingTTL() time.Duration { return orDefault(t.LeavingTTL, DefaultLeavingTTL) }
+func (t *Table) initialBackoff() time.Duration {
+	return orDefault(t.InitialBackoff, DefaultInitialBackoff)
+}
+func (t *Table) maxBackoff() time.Duration { return orDefault(t.MaxBackoff, DefaultMaxBackoff) }
 
 func orDefault(d, standard time.Duration) time.Duration {
 	if d <= 0 {
@@ -348,12 +350,12 @@
 	return d
 }
 
-// average moves a running average towards a new value.
-func average(old, value time.Duration) time.Duration {
+// movingAverage moves a running movingAverage towards a new value.
+func movingAverage(old, value time.Duration) time.Duration {
 	if old == 0 {
 		return value
 	}
-	return old + time.Duration(paceWeight*float64(value-old))
+	return old + time.Duration(averageWeight*float64(value-old))
 }
 
 func byAddress(a, b *entry) int { return a.target.Address.Compare(b.target.Address) }
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -36,7 +36,7 @@
 // A target says that it leaves, but the platform's list lags and goes on
 // calling it live. Were the list believed, the target would get new work until
 // it stops, and callers would see those requests fail.
-func TestLeavingOutlivesLaggingList(t *testing.T) {
+func TestLeavingOverridesStaleList(t *testing.T) {
 	tests := map[string]struct {
 		steps func(*Table)
 		now   time.Duration
@@ -93,10 +93,10 @@
 
 // A target refuses connections. Were it tried by every call it would fail many
 // of them; were it never tried it would stay out of use after it came back.
-func TestFailedTargetRestsThenGetsOneProbe(t *testing.T) {
+func TestFailedTargetBacksOffThenGetsOneProbe(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
-	pause := DefaultPause
+	pause := DefaultInitialBackoff
 	now := start
 	for range 3 {
 		table.Failed(address(0), now)
@@ -118,7 +118,7 @@
 
 // Every target of a node's subset fails at once, as when a rack goes. Were
 // the rest of the region not tried, callers would be refused beside idle targets.
-func TestWholeSubsetRestsOthersStandIn(t *testing.T) {
+func TestOtherTargetsReplaceFailedSubset(t *testing.T) {
 	table := &Table{Node: "n", Region: "r", Subset: 4}
 	table.Set(list(20), start)
 	for _, target := range table.Used() {
@@ -146,7 +146,7 @@
 
 // Nodes that watched the same few targets would leave the others idle and
 // unwatched; a target that goes must not reshuffle everyone's choice.
-func TestSubsetsSpreadAndHold(t *testing.T) {
+func TestSubsetsAreEvenAndStable(t *testing.T) {
 	const nodes, targets, size = 75, 250, 16
 	count := make(map[netip.AddrPort]int)
 	moved := 0
@@ -183,12 +183,12 @@
 	table.Set(list(2), start)
 	table.Report(address(0), Load{Running: 8, Waiting: 5, Slots: 8, Taken: start})
 	table.Report(address(1), Load{Running: 8, Waiting: 2, Slots: 8, Taken: start})
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultWork / 2, Work: DefaultWork})
+	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultCallTime / 2, Work: DefaultCallTime})
 	assert.DeepEqual(t, table.Room("none", start), Room{})
 	table.Failed(address(0), start)
 	table.Failed(address(1), start)
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 2, Work: DefaultWork})
-	again := start.Add(DefaultMaxPause)
+	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 2, Work: DefaultCallTime})
+	again := start.Add(DefaultMaxBackoff)
 	table.Failed(address(0), again)
 	table.Failed(address(1), again)
 	assert.DeepEqual(t, table.Room("s", again), Room{})
@@ -196,7 +196,7 @@
 
 func TestSubsetFor(t *testing.T) {
 	assert.Equal(t, SubsetFor(8000, 1000, 6*time.Second, 3), 16)
-	assert.Equal(t, SubsetFor(100, 1000, time.Second, 3), minSubset)
+	assert.Equal(t, SubsetFor(100, 1000, time.Second, 3), minSubsetSize)
 }
 
 func BenchmarkSet(b *testing.B) {
@@ -215,7 +215,7 @@
 // A target is slow for a while, or got the longest calls, and from then on
 // gets none: the others have queues while it stands idle, and callers wait
 // beside it.
-func TestSlowTargetIsTriedAgain(t *testing.T) {
+func TestSlowdownExpires(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(4), start)
 	for i := range 10 {
@@ -226,17 +226,17 @@
 		}
 	}
 	now := at(5 * time.Second)
-	assert.Assert(t, usable(table, now)[address(0)].Pace > slowPace)
+	assert.Assert(t, usable(table, now)[address(0)].Pace > slowThreshold)
 	for n := 1; n < 4; n++ {
 		assert.Equal(t, usable(table, now)[address(n)].Pace, 1.0)
 	}
-	assert.Equal(t, usable(table, now.Add(paceFor))[address(0)].Pace, 1.0)
+	assert.Equal(t, usable(table, now.Add(slowdownTTL))[address(0)].Pace, 1.0)
 }
 
 // One service runs long drafts and short questions. Were a draft held against
 // the usual time of all calls, the target that gets the drafts would pass for a
 // slow one; were the wait for a slot taken for work, so would a busy one.
-func TestWorkIsLearntByKindAndWithoutTheWait(t *testing.T) {
+func TestCallTimeIsPerKindAndExcludesWait(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
 	table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: start})
