--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -17,7 +17,7 @@
 	Age      time.Duration
 }
 
-func markID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
+func hashMarkID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
 
 // heartbeatIntervalPerNode is how much longer each further node makes the time between two
 // words about one, so that all words together stay within a node's budget.
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -140,7 +140,7 @@
 	if t.byMarkID[k.markID] == k {
 		delete(t.byMarkID, k.markID)
 	}
-	k.markID = markID(p)
+	k.markID = hashMarkID(p)
 	t.byMarkID[k.markID] = k
 }
 
--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -107,17 +107,17 @@
 // is worse. A target that is slow but well reports no failure, so this alone
 // keeps work from piling up there.
 func (s *service) slowdownOf(e *entry, now time.Time) float64 {
-	pace := 0.0
+	slowdown := 0.0
 	if e.slowdown > 0 {
-		pace = e.slowdownAt(now)
+		slowdown = e.slowdownAt(now)
 	}
 	if s.tokenInterval > 0 && e.load.Token > 0 {
-		pace = max(pace, float64(e.load.Token)/float64(s.tokenInterval))
+		slowdown = max(slowdown, float64(e.load.Token)/float64(s.tokenInterval))
 	}
-	if pace < slowThreshold {
+	if slowdown < slowThreshold {
 		return 1
 	}
-	return min(pace, maxSlowdown)
+	return min(slowdown, maxSlowdown)
 }
 
 // Room sums up what a service of the region can still take, as seen from the
--- a/core/jwtarget/departure.go
+++ b/core/jwtarget/departure.go
@@ -23,8 +23,8 @@
 	if now.Sub(since) > t.leavingTTL() {
 		return
 	}
-	d, told := t.leaving[addr]
-	if told && (d.delistedAt.IsZero() || since.Before(d.delistedAt)) {
+	d, known := t.leaving[addr]
+	if known && (d.delistedAt.IsZero() || since.Before(d.delistedAt)) {
 		return
 	}
 	e, listed := t.targets[addr]
@@ -86,6 +86,6 @@
 
 // isLeaving reports whether a target is known to leave and has not come back.
 func (t *Table) isLeaving(addr netip.AddrPort) bool {
-	d, told := t.leaving[addr]
-	return told && d.delistedAt.IsZero()
+	d, known := t.leaving[addr]
+	return known && d.delistedAt.IsZero()
 }
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -46,23 +46,23 @@
 }
 
 // PollPeriod returns the time between two questions to one of n targets.
-func PollPeriod(least time.Duration, n int) time.Duration {
-	return max(least, pollIntervalPerTarget*time.Duration(n))
+func PollPeriod(minPeriod time.Duration, n int) time.Duration {
+	return max(minPeriod, pollIntervalPerTarget*time.Duration(n))
 }
 
 // Run asks until ctx ends; it returns the error of ctx.
 func (p *Poller) Run(ctx context.Context) error {
-	work := make(chan Target)
+	queue := make(chan Target)
 	var wg sync.WaitGroup
 	for range max(p.Workers, 1) {
 		wg.Go(func() {
-			for t := range work {
+			for t := range queue {
 				p.poll(ctx, t)
 			}
 		})
 	}
 	defer wg.Wait()
-	defer close(work)
+	defer close(queue)
 	for {
 		targets := p.Table.Used()
 		rand.Shuffle(len(targets), func(i, k int) { targets[i], targets[k] = targets[k], targets[i] })
@@ -70,7 +70,7 @@
 		next := time.After(period/2 + time.Duration(rand.Int64N(int64(period))))
 		for _, t := range targets {
 			select {
-			case work <- t:
+			case queue <- t:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -86,7 +86,7 @@
 func (p *Poller) poll(ctx context.Context, t Target) {
 	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	asked := p.Now()
+	requestedAt := p.Now()
 	load, leaving, err := p.Source.Load(ctx, t.Address)
 	now := p.Now()
 	if err != nil {
@@ -95,7 +95,7 @@
 		}
 		return
 	}
-	load.Taken = asked
+	load.Taken = requestedAt
 	p.Table.Report(t.Address, load)
 	if leaving {
 		p.Table.MarkLeaving(t.Address, now, now)
--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -55,7 +55,7 @@
 					t.Skip("only of listed targets")
 				}
 				table.MarkLeaving(address(i), now, now)
-				if _, told := o.since[i]; !told {
+				if _, leaving := o.since[i]; !leaving {
 					o.since[i] = now
 				}
 			},
@@ -77,12 +77,12 @@
 			"": func(t *rapid.T) {
 				got := usable(table, now)
 				for i := range targets {
-					_, offered := got[address(i)]
-					_, leaves := o.since[i]
-					if offered != (o.listed[i] && !leaves) {
-						t.Fatalf("target %d offered %v, listed %v, leaves %v", i, offered, o.listed[i], leaves)
+					_, isCandidate := got[address(i)]
+					_, leaving := o.since[i]
+					if isCandidate != (o.listed[i] && !leaving) {
+						t.Fatalf("target %d offered %v, listed %v, leaves %v", i, isCandidate, o.listed[i], leaving)
 					}
-					if offered && got[address(i)].Outstanding < 0 {
+					if isCandidate && got[address(i)].Outstanding < 0 {
 						t.Fatalf("target %d has %d outstanding", i, got[address(i)].Outstanding)
 					}
 				}
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -69,7 +69,7 @@
 func (t *Table) Set(list []Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := make(map[netip.AddrPort]*entry, len(list))
+	targets := make(map[netip.AddrPort]*entry, len(list))
 	for _, target := range list {
 		if target.Region != t.Region {
 			continue
@@ -79,9 +79,9 @@
 			e = &entry{key: AddressKey(target.Address)}
 		}
 		e.target = target
-		known[target.Address] = e
+		targets[target.Address] = e
 	}
-	t.targets = known
+	t.targets = targets
 	t.updateDepartures(now)
 	t.rebuild()
 }
@@ -136,9 +136,9 @@
 		return
 	}
 	e.load = load
-	seen := func(at time.Time) bool { return !at.After(load.Taken) }
-	e.startedSinceReport = slices.DeleteFunc(e.startedSinceReport, seen)
-	e.endedSinceReport = slices.DeleteFunc(e.endedSinceReport, seen)
+	included := func(at time.Time) bool { return !at.After(load.Taken) }
+	e.startedSinceReport = slices.DeleteFunc(e.startedSinceReport, included)
+	e.endedSinceReport = slices.DeleteFunc(e.endedSinceReport, included)
 	s := t.services[e.target.Service]
 	if load.Token > 0 {
 		s.tokenInterval = movingAverage(s.tokenInterval, load.Token)
@@ -238,21 +238,21 @@
 // who add the wait, and a target with a queue would pass for a slow one.
 func (t *Table) recordDuration(e *entry, c Call, now time.Time) {
 	e.failures = 0
-	took := time.Duration(float64(now.Sub(c.Began)) / (1 + c.expectedWait))
+	duration := time.Duration(float64(now.Sub(c.Began)) / (1 + c.expectedWait))
 	s := t.services[e.target.Service]
-	s.callTime = movingAverage(s.callTime, took)
+	s.callTime = movingAverage(s.callTime, duration)
 	if s.callTimeByKind == nil {
 		s.callTimeByKind = make(map[string]time.Duration)
 	}
-	usual := s.callTimeByKind[c.Kind]
-	s.callTimeByKind[c.Kind] = movingAverage(usual, took)
-	if usual == 0 {
+	expected := s.callTimeByKind[c.Kind]
+	s.callTimeByKind[c.Kind] = movingAverage(expected, duration)
+	if expected == 0 {
 		return // nothing to compare with but calls of other kinds
 	}
 	// What was expected when the call began is no measure: when calls become
 	// longer, all that are in flight exceed it, and what is left of that in the
 	// averages differs from target to target for a minute.
-	ratio := min(float64(took)/float64(usual), maxDurationRatio)
+	ratio := min(float64(duration)/float64(expected), maxDurationRatio)
 	e.slowdown = averageSlowdown(e.slowdownAt(now), ratio)
 	e.slowdownUpdated = now
 }
@@ -272,8 +272,8 @@
 	if e.slowdown == 0 {
 		return 0
 	}
-	left := max(1-float64(now.Sub(e.slowdownUpdated))/float64(slowdownTTL), 0)
-	return 1 + left*(e.slowdown-1)
+	weight := max(1-float64(now.Sub(e.slowdownUpdated))/float64(slowdownTTL), 0)
+	return 1 + weight*(e.slowdown-1)
 }
 
 // Failed notes a failure outside a call, such as a load report that could not
@@ -289,13 +289,13 @@
 // recordFailure makes a target rest. Calls that break together count as one failure:
 // else one crash with many calls in flight would rest its target for the
 // longest pause at once. A call that tried a resting target counts by itself.
-func (t *Table) recordFailure(e *entry, now time.Time, tried bool) {
-	if now.Before(e.backoffUntil) && !tried {
+func (t *Table) recordFailure(e *entry, now time.Time, probe bool) {
+	if now.Before(e.backoffUntil) && !probe {
 		return
 	}
-	pause := t.initialBackoff() << min(e.failures, 16)
+	backoff := t.initialBackoff() << min(e.failures, 16)
 	e.failures++
-	e.backoffUntil = now.Add(min(pause, t.maxBackoff()))
+	e.backoffUntil = now.Add(min(backoff, t.maxBackoff()))
 }
 
 // Used returns the targets whose load this node asks for: its subset of every
@@ -343,9 +343,9 @@
 }
 func (t *Table) maxBackoff() time.Duration { return orDefault(t.MaxBackoff, DefaultMaxBackoff) }
 
-func orDefault(d, standard time.Duration) time.Duration {
+func orDefault(d, defaultValue time.Duration) time.Duration {
 	if d <= 0 {
-		return standard
+		return defaultValue
 	}
 	return d
 }
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -96,17 +96,17 @@
 func TestFailedTargetBacksOffThenGetsOneProbe(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
-	pause := DefaultInitialBackoff
+	backoff := DefaultInitialBackoff
 	now := start
 	for range 3 {
 		table.Failed(address(0), now)
 		table.Failed(address(0), now) // of the same moment: counted once
-		_, ok := usable(table, now.Add(pause-1))[address(0)]
-		assert.Assert(t, !ok, "rests for %v", pause)
-		now = now.Add(pause)
+		_, ok := usable(table, now.Add(backoff-1))[address(0)]
+		assert.Assert(t, !ok, "rests for %v", backoff)
+		now = now.Add(backoff)
 		c, ok := usable(table, now)[address(0)]
 		assert.Assert(t, ok && c.Probe)
-		pause *= 2
+		backoff *= 2
 	}
 	call := table.Begin(address(0), time.Second, now)
 	_, ok := usable(table, now)[address(0)]
@@ -219,10 +219,10 @@
 	table := &Table{Region: "r"}
 	table.Set(list(4), start)
 	for i := range 10 {
-		for n, took := range []time.Duration{5 * time.Second, time.Second, time.Second, time.Second} {
+		for n, duration := range []time.Duration{5 * time.Second, time.Second, time.Second, time.Second} {
 			c := table.Begin(address(n), time.Second, at(0))
 			c.Kind = "draft"
-			table.End(c, Done, at(time.Duration(i)*time.Millisecond+took))
+			table.End(c, Done, at(time.Duration(i)*time.Millisecond+duration))
 		}
 	}
 	now := at(5 * time.Second)
