--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -5,25 +5,25 @@
 	"time"
 )
 
-// Candidate is a target that may get new work, with what is outstanding there.
+// Candidate is a target that may get a new call, with the load that is known of it.
 type Candidate struct {
 	Address     netip.AddrPort
 	DataCentre  string
-	Key         uint64  // hash of the address, for Mix
-	Outstanding int     // calls running or waiting, by the last report and this node's calls since
-	Slots       int     // calls it runs at once, at least 1
-	Pace        float64 // time its calls take over the usual time, 1 for usual
-	Probe       bool    // rested after failures: this is the single call that tries it again
+	Key         uint64  // AddressKey of the address, for Mix
+	Outstanding int     // calls running or waiting: the last report, corrected by this node's calls since
+	Slots       int     // max calls that it runs at once, at least 1
+	Pace        float64 // duration of its calls divided by the average duration; 1 unless it is clearly slow
+	Probe       bool    // it failed before; the next call is the only one allowed until its result is known
 }
 
 // Candidates appends the targets of this node's subset that may get a new call
-// to out, in the order of their addresses. When all of the subset rest, the
-// other targets of the region stand in, whose load this node does not know; and
-// when all of those rest too, the ones that failed only once.
+// to out, sorted by address. If no target of the subset may get one, it appends
+// the other targets of the region, whose load this node does not know; if none
+// of those may get one either, the targets that failed only once.
 //
-// Without the last step a moment in which each connection broke, as when a
-// switch restarts, would have every request refused for as long as targets rest,
-// though all of them are well.
+// The last step is for the case that all connections break at once, for example
+// when a switch restarts. Without it every request would be rejected until the
+// backoff ends, although all targets are healthy.
 func (t *Table) Candidates(serviceName string, now time.Time, out []Candidate) []Candidate {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -47,8 +47,8 @@
 	return out
 }
 
-// isFallback reports whether a resting target may be tried when there is no other: one
-// call at a time, until it fails again.
+// isFallback reports whether a target in backoff may get a call when there is no
+// other target: one call at a time, until it fails again.
 func (t *Table) isFallback(e *entry) bool {
 	return e.failures == 1 && !e.probing && !t.isLeaving(e.target.Address)
 }
@@ -65,7 +65,7 @@
 	}
 }
 
-// appendAvailable adds those of the entries that may get a new call.
+// appendAvailable appends those of the entries to out that may get a new call.
 func (t *Table) appendAvailable(s *service, entries []*entry, now time.Time, out []Candidate) []Candidate {
 	for _, e := range entries {
 		if now.Before(e.backoffUntil) || e.probing || t.isLeaving(e.target.Address) {
@@ -76,36 +76,39 @@
 	return out
 }
 
-// outstanding adds what this node did since the last report to the report,
-// which would otherwise draw every call of the time between two reports to the
-// one target that looked idle.
+// outstanding returns the number of calls that run or wait at the target: those
+// of its last report, corrected by the calls that this node started or ended
+// since. Without the correction, the target that looked idle in its last report
+// would get every call until its next one.
 func (e *entry) outstanding() int {
 	reported := max(e.load.Running+e.load.Waiting-len(e.endedSinceReport), 0)
 	return max(reported+len(e.startedSinceReport), e.inFlight)
 }
 
-// expectedWait returns the expected expectedWait of a new call for a slot, in times of a call.
+// expectedWait returns how long a new call is expected to wait for a slot, as a
+// multiple of the duration of a call.
 func (e *entry) expectedWait() float64 {
 	return float64(max(e.outstanding()+1-e.slots(), 0)) / float64(e.slots())
 }
 
-// Bounds of a pace. Calls differ in length and batches in size, so small
-// differences say nothing of the target and steering by them does harm; above
-// slowThreshold the target itself is slow.
+// These are the bounds of a slowdown. Calls differ in length and batches in
+// size, so small differences say nothing about the target, and routing by them
+// does harm. From slowThreshold on, the target itself counts as slow.
 const (
 	slowThreshold    = 1.5
 	maxSlowdown      = 20
-	maxDurationRatio = 5 // of one call
-	// slowdownTTL is how long a pace is believed of a target that gets no calls.
-	// The pace is learnt from calls alone: believed for ever, it would keep all
-	// work from a target that was slow once, which stood idle while others queued.
+	maxDurationRatio = 5 // the most that one call can add to the average
+	// slowdownTTL is the time in which the measured slowdown of a target that
+	// gets no calls returns to 1. Only calls update the slowdown, so without
+	// this limit a target that was slow once would never get work again and
+	// would stay idle while calls wait at the others.
 	slowdownTTL = 20 * time.Second
 )
 
-// slowdownOf returns how slow a target is against the others of its service: by
-// its own word on the time between tokens or by this node's calls, whichever
-// is worse. A target that is slow but well reports no failure, so this alone
-// keeps work from piling up there.
+// slowdownOf returns how slow a target is compared with the others of its
+// service, 1 for a normal one: by its reported time between tokens or by the
+// durations of this node's calls, whichever is worse. A target that is slow but
+// works reports no failure, so only this factor keeps calls from queueing there.
 func (s *service) slowdownOf(e *entry, now time.Time) float64 {
 	slowdown := 0.0
 	if e.slowdown > 0 {
@@ -120,17 +123,17 @@
 	return min(slowdown, maxSlowdown)
 }
 
-// Room sums up what a service of the region can still take, as seen from the
-// subset of one node.
+// Room is the capacity and the load of one service in the region, estimated from
+// the subset of targets that one node uses.
 type Room struct {
-	Targets     int           // targets of the region that may get work, by the list
-	Slots       int           // calls that the whole region runs at once, scaled up from the subset
-	Outstanding int           // calls running or waiting in the region, scaled up likewise
+	Targets     int           // targets of the region that may get work
+	Slots       int           // max calls that the region runs at once, scaled up from the subset
+	Outstanding int           // calls running or waiting in the region, scaled up from the subset
 	Wait        time.Duration // expected wait of a new call for a slot
-	Work        time.Duration // usual time of a call
+	Work        time.Duration // average duration of a call, without its wait for a slot
 }
 
-// Free returns the share of slots that are free, between 0 and 1.
+// Free returns the share of slots that are free, from 0 to 1.
 func (r Room) Free() float64 {
 	if r.Slots == 0 {
 		return 0
@@ -138,7 +141,8 @@
 	return max(1-float64(r.Outstanding)/float64(r.Slots), 0)
 }
 
-// Room returns the room of a service; it is zero when no target may get work.
+// Room returns the capacity and load of a service; it is zero if no target may
+// get work.
 func (t *Table) Room(serviceName string, now time.Time) Room {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +173,8 @@
 	return r
 }
 
-// fallbackRoom is the room when all targets rest: a call for each that may be tried.
+// fallbackRoom returns the Room for the time in which all targets are in backoff:
+// one slot for each target that isFallback.
 func (t *Table) fallbackRoom(s *service) Room {
 	n := 0
 	for _, e := range s.all {
@@ -183,7 +188,8 @@
 	return Room{Targets: n, Slots: n, Work: orDefault(s.callTime, DefaultCallTime)}
 }
 
-// defaultSlots stands for the slots of a target that has not reported yet.
+// defaultSlots is the number of slots assumed for a target that has not reported
+// any yet.
 const defaultSlots = 8
 
 func (e *entry) slots() int {
--- a/core/jwtarget/departure.go
+++ b/core/jwtarget/departure.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// departure is a word that a target leaves.
+// departure records that a target is leaving.
 type departure struct {
 	since      time.Time
-	listed     bool      // the list has shown the target since
-	delistedAt time.Time // when the list no longer showed it, zero before
+	listed     bool      // whether the platform's list has shown the target since then
+	delistedAt time.Time // when the list stopped showing the target; zero if it still does or never did
 }
 
-// MarkLeaving notes that a target leaves since a time, by its own word or a
-// peer's. A word older than the time at which the list showed the target gone
-// is about an earlier target at the same address and is ignored: without this,
-// peers would go on telling each other of it and lock out its successor.
+// MarkLeaving records that a target has been leaving since the given time, as
+// reported by itself or by a peer. A report from before the platform's list
+// stopped showing the target is about an earlier target at the same address and
+// is ignored. Otherwise peers would keep passing it to each other, and the new
+// target at that address would get no work.
 func (t *Table) MarkLeaving(addr netip.AddrPort, since, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -34,7 +35,7 @@
 	}
 }
 
-// setDeparture keeps one word of leaving.
+// setDeparture stores the departure of a target.
 func (t *Table) setDeparture(addr netip.AddrPort, d departure) {
 	if t.leaving == nil {
 		t.leaving = make(map[netip.AddrPort]departure)
@@ -42,13 +43,14 @@
 	t.leaving[addr] = d
 }
 
-// Departure is a target that leaves, as told to peers.
+// Departure is a leaving target, as reported to peers.
 type Departure struct {
 	Address netip.AddrPort
 	Since   time.Time
 }
 
-// Leaving returns the targets known to leave, for telling peers of the region.
+// Leaving returns the targets known to be leaving, sorted by address. The node
+// reports them to its peers of the region.
 func (t *Table) Leaving() []Departure {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -62,7 +64,9 @@
 	return out
 }
 
-// updateDepartures compares the words of leaving with the newest list.
+// updateDepartures compares the recorded departures with the newest list: it adds
+// the targets listed as leaving, notes which ones the list no longer shows, and
+// drops those older than LeavingTTL unless the list still calls them leaving.
 func (t *Table) updateDepartures(now time.Time) {
 	for addr, e := range t.targets {
 		if e.target.State == Leaving && !t.isLeaving(addr) {
@@ -84,7 +88,8 @@
 	}
 }
 
-// isLeaving reports whether a target is known to leave and has not come back.
+// isLeaving reports whether a target is known to be leaving and the platform's
+// list has not stopped showing it since.
 func (t *Table) isLeaving(addr netip.AddrPort) bool {
 	d, known := t.leaving[addr]
 	return known && d.delistedAt.IsZero()
--- a/core/jwtarget/doc.go
+++ b/core/jwtarget/doc.go
@@ -1,3 +1,3 @@
-// Package jwtarget holds what a node knows of the targets: where they are,
-// whether they may be used and how loaded they are.
+// Package jwtarget holds what a node knows about the targets of its region:
+// their addresses, whether they may get work, and their load.
 package jwtarget
--- a/core/jwtarget/hash.go
+++ b/core/jwtarget/hash.go
@@ -6,9 +6,10 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mix joins two hashes into one that is spread evenly; the target with the
-// highest Mix of a request's key and its own is the first choice of rendezvous
-// hashing, and only the requests of a target that goes move to others.
+// Mix combines two hashes into one that is evenly distributed. It is the score
+// function of rendezvous hashing: the target whose key has the highest Mix with
+// the key of a request is the first choice for it, and when a target disappears,
+// only its own requests move to others.
 func Mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 30
@@ -18,10 +19,10 @@
 	return x ^ x>>31
 }
 
-// NameKey returns the hash of a name, for Mix.
+// NameKey returns the hash of a name, as an argument for Mix.
 func NameKey(name string) uint64 { return xxhash.Sum64String(name) }
 
-// AddressKey returns the hash of an address, for Mix.
+// AddressKey returns the hash of an address, as an argument for Mix.
 func AddressKey(addr netip.AddrPort) uint64 {
 	ip := addr.Addr().As16()
 	return Mix(xxhash.Sum64(ip[:]), uint64(addr.Port()))
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -8,34 +8,36 @@
 	"time"
 )
 
-// LoadSource asks a target for its load; leaving is the target's own word that
-// it wants no new work.
+// LoadSource fetches the load reports of targets.
 type LoadSource interface {
+	// Load requests the load report of a target. It returns leaving as true if
+	// the target reports that it wants no new work.
 	Load(ctx context.Context, addr netip.AddrPort) (load Load, leaving bool, err error)
 }
 
-// Poller asks the targets that this node uses for their load, with a few
-// workers.
+// Poller periodically requests the load reports of the targets that this node
+// uses and writes them to the table. Workers requests run at the same time.
 type Poller struct {
 	Table   *Table
 	Source  LoadSource
-	Period  time.Duration // least time between two questions to one target
-	Timeout time.Duration // for one answer
+	Period  time.Duration // min time between two requests to one target
+	Timeout time.Duration // for one request
 	Workers int
 	Now     func() time.Time
-	Leaving func(addr netip.AddrPort) // called when a target says that it leaves; may be nil
-	// Busy tells that this node has much else to carry, and so asks less often;
-	// may be nil.
+	Leaving func(addr netip.AddrPort) // called when a target reports that it is leaving; may be nil
+	// Busy reports whether this node has a high load of other work, so that it
+	// polls less often; may be nil.
 	Busy func() bool
 }
 
-// pollIntervalPerTarget is how much longer each target makes the time between two questions
-// to one. A report of a kilobyte that takes a tenth of a millisecond then costs
-// a node about 7 KB/s and a thousandth of a core, however many targets it uses.
+// pollIntervalPerTarget is the time that each target in use adds to the time
+// between two requests to one target. A report of 1 KB that takes 0.1 ms then
+// costs a node about 7 KB/s and a thousandth of a core, however many targets it
+// uses.
 const pollIntervalPerTarget = 150 * time.Millisecond
 
-// busyFactor is how much less often a busy node asks where the number of targets
-// decides.
+// busyFactor is the factor by which a busy node lengthens its poll period where
+// the number of targets determines that period.
 const busyFactor = 3
 
 func (p *Poller) period(n int) time.Duration {
@@ -45,12 +47,13 @@
 	return PollPeriod(p.Period, n)
 }
 
-// PollPeriod returns the time between two questions to one of n targets.
+// PollPeriod returns the average time between two requests to one target, for a
+// node that polls n targets; it is at least minPeriod.
 func PollPeriod(minPeriod time.Duration, n int) time.Duration {
 	return max(minPeriod, pollIntervalPerTarget*time.Duration(n))
 }
 
-// Run asks until ctx ends; it returns the error of ctx.
+// Run polls until ctx ends and returns the error of ctx.
 func (p *Poller) Run(ctx context.Context) error {
 	queue := make(chan Target)
 	var wg sync.WaitGroup
--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -12,16 +12,18 @@
 
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
-// leavingOracle is the rule for leaving targets in its plainest form: a word
-// holds until a later list shows the target gone, or LeavingFor has passed.
+// leavingOracle is a simple model of the rule for leaving targets: a target that
+// reported that it is leaving counts as leaving until a later list does not show
+// it or LeavingTTL has passed.
 type leavingOracle struct {
 	since  map[int]time.Time
 	listed map[int]bool
 }
 
-// Words of leaving, lists that lag and time come in any order; a target under
-// a word must never be offered, and a target without one and without failures
-// always is.
+// TestTableAgainstOracle applies reports of leaving targets, out-of-date lists and
+// the passing of time in random order. A leaving target must never be a
+// candidate, and a listed target that is not leaving must always be one; no call
+// fails here.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const targets = 5
--- a/core/jwtarget/subset.go
+++ b/core/jwtarget/subset.go
@@ -2,9 +2,10 @@
 
 import "time"
 
-// SubsetFor returns how many targets of each service a node may ask for their
-// load when each report costs bytes on the wire and comes once in every
-// interval, so that all of it stays within budget bytes a second.
+// SubsetFor returns how many targets of each service a node may poll if each
+// load report has the given number of bytes on the wire and is requested once in
+// each interval, so that all reports together stay within budget, in bytes per
+// second. It returns at least minSubsetSize.
 func SubsetFor(budget, bytes float64, interval time.Duration, services int) int {
 	if bytes <= 0 || services <= 0 {
 		return DefaultSubset
@@ -13,5 +14,5 @@
 	return max(n, minSubsetSize)
 }
 
-// minSubsetSize leaves a choice when some targets of a subset fail.
+// minSubsetSize leaves a choice of targets when some of a subset fail.
 const minSubsetSize = 3
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -7,7 +7,8 @@
 	"time"
 )
 
-// The values that a Table takes where its own fields are zero.
+// These are the defaults for fields of a Table that are zero, and for the
+// duration of a call before the first one has ended.
 const (
 	DefaultSubset         = 16
 	DefaultLeavingTTL     = 10 * time.Minute
@@ -16,21 +17,22 @@
 	DefaultCallTime       = time.Second
 )
 
-// averageWeight is the weight of one finished call in the running averages.
+// averageWeight is the weight of one finished call in the moving averages.
 const averageWeight = 0.2
 
-// Table holds the targets of one region as one node knows them.
+// Table holds what one node knows about the targets of its region.
 //
-// One mutex guards all of it and is held only for short loops over the targets
-// of one service; no other lock is taken under it. Fields are set before use;
-// all methods may be called at the same time.
+// One mutex guards the whole table. It is held only for short loops over the
+// targets of one service, and no other lock is taken while it is held. The
+// exported fields must be set before use; the methods are safe for concurrent
+// use.
 type Table struct {
-	Node           string        // name of this node, which decides its subset
-	Region         string        // targets of other regions are not kept
-	Subset         int           // targets used for each service, negative for all
-	LeavingTTL     time.Duration // how long a word of leaving outlives a list that disagrees
-	InitialBackoff time.Duration // rest of a target after one failed call; doubles with each further one
-	MaxBackoff     time.Duration // longest rest
+	Node           string        // name of this node, which determines its subset
+	Region         string        // region of this node; targets of other regions are ignored
+	Subset         int           // max targets used for each service, negative for all
+	LeavingTTL     time.Duration // how long a target counts as leaving although the list says otherwise
+	InitialBackoff time.Duration // time without calls after one failure; doubles with each further failure
+	MaxBackoff     time.Duration // max time without calls after failures
 
 	mu       sync.Mutex
 	targets  map[netip.AddrPort]*entry
@@ -38,34 +40,35 @@
 	leaving  map[netip.AddrPort]departure
 }
 
-// service is the part of a table that belongs to one service.
+// service holds the targets and the averages of one service.
 type service struct {
 	all            []*entry                 // sorted by address
-	subset         []*entry                 // this node's subset that may get work, sorted by address
-	available      int                      // those of all that do not leave
-	callTime       time.Duration            // usual time of a call, without its wait for a slot
-	callTimeByKind map[string]time.Duration // the same by kind of call
-	tokenInterval  time.Duration            // usual time between tokens over the targets
+	subset         []*entry                 // the targets that this node uses, without the leaving ones, sorted by address
+	available      int                      // number of targets in all that are not leaving
+	callTime       time.Duration            // average duration of a call, without its wait for a slot
+	callTimeByKind map[string]time.Duration // callTime for each kind of call
+	tokenInterval  time.Duration            // average time between tokens over all targets
 }
 
-// entry is what the table knows of one target.
+// entry holds what the table knows about one target.
 type entry struct {
 	target             Target
 	key                uint64
 	load               Load
 	inFlight           int         // calls of this node in flight
-	startedSinceReport []time.Time // when those of them began that the last report has not seen
-	endedSinceReport   []time.Time // when calls ended that the last report still counts
-	slowdown           float64     // time taken by calls here over the time expected, 0 before the first
-	slowdownUpdated    time.Time   // when the pace was last learnt
-	failures           int
-	backoffUntil       time.Time // gets no work until then
-	probing            bool
+	startedSinceReport []time.Time // start times of calls in flight that the last report does not include
+	endedSinceReport   []time.Time // end times of calls that the last report still includes
+	slowdown           float64     // average of call duration over callTimeByKind, 0 before the first call
+	slowdownUpdated    time.Time   // when slowdown was last updated
+	failures           int         // failures in a row
+	backoffUntil       time.Time   // no calls before this time
+	probing            bool        // a probe is in flight, see Call.probe
 }
 
-// Set takes over the platform's list, which lags. Targets that stay keep their
-// load and calls in flight; a target known to leave is not taken back because
-// the list still calls it live.
+// Set replaces the targets by the platform's list, which may be out of date.
+// Targets that stay in the list keep their load and their calls in flight. A
+// target known to be leaving stays out of use although the list still calls it
+// live.
 func (t *Table) Set(list []Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -86,7 +89,8 @@
 	t.rebuild()
 }
 
-// rebuild makes the lists by service anew.
+// rebuild groups the targets by service again. Services that existed before keep
+// their averages.
 func (t *Table) rebuild() {
 	old := t.services
 	t.services = make(map[string]*service)
@@ -107,7 +111,8 @@
 	}
 }
 
-// chooseSubset fills the subset of a service with targets that do not leave.
+// chooseSubset fills the subset of a service with targets that are not leaving,
+// chosen by rendezvous hashing with the name of the node.
 func (t *Table) chooseSubset(s *service) {
 	s.subset = s.subset[:0]
 	for _, e := range s.all {
@@ -126,8 +131,8 @@
 	}
 }
 
-// Report takes over what a target said of its load. What began or ended while
-// the report was under way is still counted apart from it.
+// Report stores the load report of a target. Calls that started or ended after
+// load.Taken, when the report was requested, are still counted in addition to it.
 func (t *Table) Report(addr netip.AddrPort, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -145,30 +150,31 @@
 	}
 }
 
-// Call is one call in flight; Begin makes it and End takes it back.
+// Call is one call to a target, from Begin, which returns it, to End, which
+// receives it.
 type Call struct {
 	Address netip.AddrPort
-	Kind    string        // calls of one kind take about as long, "" for any
-	Work    time.Duration // expected time of the call once it has a slot
+	Kind    string        // calls of the same kind have similar durations; may be empty
+	Work    time.Duration // expected duration of the call once it has a slot
 	Began   time.Time
 
-	expectedWait float64 // expected wait for a slot, in times of a call
-	probe        bool    // the single call that tries a target again after failures
+	expectedWait float64 // expected wait for a slot, as a multiple of the duration of a call
+	probe        bool    // the only call allowed at a target that failed before, until its result is known
 }
 
-// Result tells how a call ended as far as the target's health goes.
+// Result tells how a call ended, as far as it matters for the health of the target.
 type Result string
 
-// The results of a call.
+// These are the results of a call.
 const (
-	Done     Result = "done"     // the whole answer came
-	Refused  Result = "refused"  // the target is well but did not take the call
+	Done     Result = "done"     // the whole answer was received
+	Refused  Result = "refused"  // the target is healthy but rejected the call
 	Canceled Result = "canceled" // given up by the caller or the node
-	Broken   Result = "broken"   // no connection, or it broke, or fell silent
+	Broken   Result = "broken"   // the connection failed or broke, or the target stopped sending
 )
 
-// WorkOf returns the usual time of one kind of call once it has a slot, or 0
-// before the first of that kind has ended.
+// WorkOf returns the average duration of one kind of call once it has a slot, or
+// 0 before the first call of that kind has ended.
 func (t *Table) WorkOf(serviceName, kind string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -179,7 +185,8 @@
 	return s.callTimeByKind[kind]
 }
 
-// Begin counts a call as outstanding; every Begin needs its End.
+// Begin counts a new call as outstanding. The caller must pass the Call that it
+// returns to End.
 func (t *Table) Begin(addr netip.AddrPort, work time.Duration, now time.Time) Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -195,7 +202,8 @@
 	return c
 }
 
-// End takes a call out of the outstanding ones and learns from how it ended.
+// End removes a call from the outstanding ones and updates the averages and the
+// health of the target from its result.
 func (t *Table) End(c Call, result Result, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,8 +225,9 @@
 	}
 }
 
-// removeCall takes a call out of the counts. A call of an earlier target at the
-// same address may end after the counts began anew, hence the floor.
+// removeCall removes a call from the counts. They start at zero again for a new
+// target at the same address, and a call of the earlier target may end after
+// that; so inFlight is kept from going below zero.
 func (e *entry) removeCall(c Call, now time.Time) {
 	e.inFlight = max(e.inFlight-1, 0)
 	if i := slices.Index(e.startedSinceReport, c.Began); i >= 0 {
@@ -230,12 +239,13 @@
 	}
 }
 
-// maxEndedSinceReport bounds what is kept of a target whose reports stay away.
+// maxEndedSinceReport limits the memory used for a target that sends no reports.
 const maxEndedSinceReport = 1024
 
-// recordDuration takes the time of a finished call into the averages. The wait for a
-// slot is taken out first: counted as work it would be counted twice by all
-// who add the wait, and a target with a queue would pass for a slow one.
+// recordDuration updates the averages with the duration of a finished call. It
+// first removes the expected wait for a slot. Otherwise callers that add the wait
+// to the average would count it twice, and a target with a queue would look like
+// a slow one.
 func (t *Table) recordDuration(e *entry, c Call, now time.Time) {
 	e.failures = 0
 	duration := time.Duration(float64(now.Sub(c.Began)) / (1 + c.expectedWait))
@@ -247,18 +257,19 @@
 	expected := s.callTimeByKind[c.Kind]
 	s.callTimeByKind[c.Kind] = movingAverage(expected, duration)
 	if expected == 0 {
-		return // nothing to compare with but calls of other kinds
+		return // there are only calls of other kinds to compare with
 	}
-	// What was expected when the call began is no measure: when calls become
-	// longer, all that are in flight exceed it, and what is left of that in the
-	// averages differs from target to target for a minute.
+	// The duration is compared with the average of now, not with the one expected
+	// when the call began. When calls become longer, all calls in flight exceed
+	// the expected duration, and for a minute the averages of the targets would
+	// differ by what is left of that excess.
 	ratio := min(float64(duration)/float64(expected), maxDurationRatio)
 	e.slowdown = averageSlowdown(e.slowdownAt(now), ratio)
 	e.slowdownUpdated = now
 }
 
-// averageSlowdown moves a pace towards a new value. It starts at the usual one:
-// the first call of a target alone does not tell whether the target is slow.
+// averageSlowdown moves a slowdown towards a new value. The average starts at 1,
+// because the first call alone does not tell whether the target is slow.
 func averageSlowdown(old, value float64) float64 {
 	if old == 0 {
 		old = 1
@@ -266,8 +277,8 @@
 	return old + averageWeight*(value-old)
 }
 
-// slowdownAt returns the pace as far as it is still believed: it returns to the
-// usual one in paceFor without calls.
+// slowdownAt returns the slowdown after its decay: without calls it returns
+// linearly to 1 within slowdownTTL. It is 0 before the first call.
 func (e *entry) slowdownAt(now time.Time) float64 {
 	if e.slowdown == 0 {
 		return 0
@@ -276,8 +287,9 @@
 	return 1 + weight*(e.slowdown-1)
 }
 
-// Failed notes a failure outside a call, such as a load report that could not
-// be had; the target rests, longer with each failure in a row.
+// Failed records a failure outside a call, for example of a load request. The
+// target then gets no calls for a backoff, which grows with each failure in a
+// row.
 func (t *Table) Failed(addr netip.AddrPort, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -286,9 +298,9 @@
 	}
 }
 
-// recordFailure makes a target rest. Calls that break together count as one failure:
-// else one crash with many calls in flight would rest its target for the
-// longest pause at once. A call that tried a resting target counts by itself.
+// recordFailure starts the backoff of a target. Failures during a backoff are not
+// counted, or one crash with many calls in flight would cause the longest backoff
+// at once. The failure of a probe is always counted.
 func (t *Table) recordFailure(e *entry, now time.Time, probe bool) {
 	if now.Before(e.backoffUntil) && !probe {
 		return
@@ -298,8 +310,8 @@
 	e.backoffUntil = now.Add(min(backoff, t.maxBackoff()))
 }
 
-// Used returns the targets whose load this node asks for: its subset of every
-// service, resting ones included.
+// Used returns the targets whose load this node polls: its subset of each
+// service, those in backoff included, sorted by address.
 func (t *Table) Used() []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -313,8 +325,8 @@
 	return out
 }
 
-// State returns what the table holds of a target; known is false for a target
-// that the list does not show.
+// State returns the state of a target; known is false if the list does not show
+// the target.
 func (t *Table) State(addr netip.AddrPort, now time.Time) (state State, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -350,7 +362,8 @@
 	return d
 }
 
-// movingAverage moves a running movingAverage towards a new value.
+// movingAverage returns the moving average after a new value; an average of 0 takes
+// the value itself.
 func movingAverage(old, value time.Duration) time.Duration {
 	if old == 0 {
 		return value
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -33,9 +33,9 @@
 	return out
 }
 
-// A target says that it leaves, but the platform's list lags and goes on
-// calling it live. Were the list believed, the target would get new work until
-// it stops, and callers would see those requests fail.
+// A target reports that it is leaving, but the platform's list is out of date and
+// still shows it as live. If the list took precedence, the target would get new
+// work until it stops, and those requests would fail.
 func TestLeavingOverridesStaleList(t *testing.T) {
 	tests := map[string]struct {
 		steps func(*Table)
@@ -91,8 +91,8 @@
 	}
 }
 
-// A target refuses connections. Were it tried by every call it would fail many
-// of them; were it never tried it would stay out of use after it came back.
+// A target refuses connections. If every call tried it, many calls would fail; if
+// no call ever did, it would stay out of use after its recovery.
 func TestFailedTargetBacksOffThenGetsOneProbe(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
@@ -100,7 +100,7 @@
 	now := start
 	for range 3 {
 		table.Failed(address(0), now)
-		table.Failed(address(0), now) // of the same moment: counted once
+		table.Failed(address(0), now) // at the same time: counted once
 		_, ok := usable(table, now.Add(backoff-1))[address(0)]
 		assert.Assert(t, !ok, "rests for %v", backoff)
 		now = now.Add(backoff)
@@ -116,8 +116,9 @@
 	assert.Assert(t, ok && !c.Probe)
 }
 
-// Every target of a node's subset fails at once, as when a rack goes. Were
-// the rest of the region not tried, callers would be refused beside idle targets.
+// All targets of a node's subset fail at once, for example with their rack. If the
+// node did not try the other targets of the region, requests would be rejected
+// while those are idle.
 func TestOtherTargetsReplaceFailedSubset(t *testing.T) {
 	table := &Table{Node: "n", Region: "r", Subset: 4}
 	table.Set(list(20), start)
@@ -127,8 +128,8 @@
 	assert.Equal(t, len(usable(table, start)), 16)
 }
 
-// Load reports come late. Calls sent since the last one must count, or all
-// calls between two reports go to the target that happened to look idle.
+// Load reports are out of date. Calls started since the last report must count,
+// or all calls between two reports go to the target that looked idle in it.
 func TestOutstandingCountsCallsSinceReport(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(1), start)
@@ -144,8 +145,8 @@
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 0)
 }
 
-// Nodes that watched the same few targets would leave the others idle and
-// unwatched; a target that goes must not reshuffle everyone's choice.
+// If all nodes chose the same few targets, the others would be idle and their load
+// unknown. And when one target is removed, the subsets must not change otherwise.
 func TestSubsetsAreEvenAndStable(t *testing.T) {
 	const nodes, targets, size = 75, 250, 16
 	count := make(map[netip.AddrPort]int)
@@ -212,9 +213,8 @@
 	}
 }
 
-// A target is slow for a while, or got the longest calls, and from then on
-// gets none: the others have queues while it stands idle, and callers wait
-// beside it.
+// A target is slow for a while, or gets the longest calls, and gets none from then
+// on: it is idle while calls wait at the other targets.
 func TestSlowdownExpires(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(4), start)
@@ -233,9 +233,10 @@
 	assert.Equal(t, usable(table, now.Add(slowdownTTL))[address(0)].Pace, 1.0)
 }
 
-// One service runs long drafts and short questions. Were a draft held against
-// the usual time of all calls, the target that gets the drafts would pass for a
-// slow one; were the wait for a slot taken for work, so would a busy one.
+// One service runs long drafts and short questions. If the duration of a draft
+// were compared with the average of all calls, the target that gets the drafts
+// would look slow; if the wait for a slot counted as call time, so would a busy
+// target.
 func TestCallTimeIsPerKindAndExcludesWait(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
@@ -246,7 +247,7 @@
 		table.End(long, Done, at(8*time.Second))
 		short := table.Begin(address(1), table.WorkOf("s", "question"), at(0))
 		short.Kind = "question"
-		table.End(short, Done, at(2*time.Second)) // the half of it in the queue
+		table.End(short, Done, at(2*time.Second)) // half of it in the queue
 		table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: at(2 * time.Second)})
 	}
 	assert.Equal(t, table.WorkOf("s", "draft"), 8*time.Second)
@@ -256,10 +257,10 @@
 	}
 }
 
-// A switch restarts, and each connection to the targets of a service breaks in
-// the same second. All targets are well, and callers must not be refused for as
-// long as targets rest after a failure. A service that is really down must not
-// be tried by every request either, or each would wait for it in vain.
+// A switch restarts, and all connections to the targets of a service break in the
+// same second. All targets are healthy, so requests must not be rejected until the
+// backoff ends. But if the service is really down, not every request may try it,
+// or each would wait for nothing.
 func TestAllTargetsFailedOnce(t *testing.T) {
 	table := &Table{Node: "n", Region: "r"}
 	table.Set(list(3), at(0))
--- a/core/jwtarget/target.go
+++ b/core/jwtarget/target.go
@@ -5,17 +5,17 @@
 	"time"
 )
 
-// State reports whether a target may get new work.
+// State tells whether a target may get new work.
 type State string
 
-// The states of a target.
+// These are the states of a target.
 const (
 	Live    State = "live"
-	Leaving State = "leaving" // finishes what it runs, gets no new work
-	Failed  State = "failed"  // recent calls failed; tried again now and then
+	Leaving State = "leaving" // finishes its running calls and gets no new ones
+	Failed  State = "failed"  // recent calls or load reports failed; probed again after a backoff
 )
 
-// Target is one runner as the platform lists it.
+// Target is one model server as the platform's list shows it.
 type Target struct {
 	Address    netip.AddrPort
 	Service    string
@@ -24,12 +24,13 @@
 	State      State
 }
 
-// Load is what a target reported of itself; it lags behind.
+// Load is a target's own report of its load. It is older than the calls that
+// started since.
 type Load struct {
-	Running  int           // requests in the current batch
+	Running  int           // requests in the batch being processed
 	Waiting  int           // requests queued
-	Slots    int           // requests it can batch at once
-	CacheUse float64       // share of its prefix cache in use
+	Slots    int           // max requests in one batch; 0 if not known
+	CacheUse float64       // share of its prefix cache in use, 0 to 1
 	Token    time.Duration // time between tokens of one stream
-	Taken    time.Time     // when the report was asked for
+	Taken    time.Time     // when the report was requested
 }
