--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -54,7 +54,7 @@
 			"leave": func(t *rapid.T) {
 				i := index.Draw(t, "target")
 				if !o.listed[i] {
-					t.Skip("only of listed targets")
+					t.Skip("only listed targets report that they leave")
 				}
 				table.MarkLeaving(address(i), now, now)
 				if _, leaving := o.since[i]; !leaving {
@@ -82,7 +82,7 @@
 					_, isCandidate := got[address(i)]
 					_, leaving := o.since[i]
 					if isCandidate != (o.listed[i] && !leaving) {
-						t.Fatalf("target %d offered %v, listed %v, leaves %v", i, isCandidate, o.listed[i], leaving)
+						t.Fatalf("target %d usable %v, listed %v, leaving %v", i, isCandidate, o.listed[i], leaving)
 					}
 					if isCandidate && got[address(i)].Outstanding < 0 {
 						t.Fatalf("target %d has %d outstanding", i, got[address(i)].Outstanding)
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -42,39 +42,39 @@
 		now   time.Duration
 		want  bool // usable at the end
 	}{
-		"list still shows it live": {func(t *Table) {
+		"list still shows it as live": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(time.Second))
 		}, time.Second, false},
-		"list says leaving": {func(t *Table) {
+		"list shows it as leaving": {func(t *Table) {
 			l := list(3)
 			l[0].State = Leaving
 			t.Set(l, at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 		}, 2 * time.Second, false},
-		"gone and back at the same address": {func(t *Table) {
+		"delisted, then listed again at the same address": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 		}, 2 * time.Second, true},
-		"old word of a peer after it came back": {func(t *Table) {
+		"outdated report of a peer after it is listed again": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 			t.MarkLeaving(address(0), at(0), at(3*time.Second))
 		}, 3 * time.Second, true},
-		"leaves once more after it came back": {func(t *Table) {
+		"leaving again after it is listed again": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 			t.MarkLeaving(address(0), at(3*time.Second), at(3*time.Second))
 		}, 3 * time.Second, false},
-		"word came before the list": {func(t *Table) {
+		"reported before it is listed": {func(t *Table) {
 			t.Set(nil, at(0))
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(time.Second))
 		}, time.Second, false},
-		"the stated time has passed": {func(t *Table) {
+		"LeavingTTL has passed": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(11*time.Minute))
 		}, 11 * time.Minute, true},
@@ -102,7 +102,7 @@
 		table.Failed(address(0), now)
 		table.Failed(address(0), now) // at the same time: counted once
 		_, ok := usable(table, now.Add(backoff-1))[address(0)]
-		assert.Assert(t, !ok, "rests for %v", backoff)
+		assert.Assert(t, !ok, "not usable for %v", backoff)
 		now = now.Add(backoff)
 		c, ok := usable(table, now)[address(0)]
 		assert.Assert(t, ok && c.Probe)
@@ -175,8 +175,8 @@
 	for _, n := range count {
 		most = max(most, n)
 	}
-	assert.Assert(t, len(count) >= targets*97/100, "%d of %d targets watched", len(count), targets)
-	assert.Assert(t, most <= 15, "a target is watched by %d nodes", most)
+	assert.Assert(t, len(count) >= targets*97/100, "%d of %d targets are in a subset", len(count), targets)
+	assert.Assert(t, most <= 15, "a target is in the subsets of %d nodes", most)
 }
 
 func TestRoom(t *testing.T) {
@@ -271,12 +271,12 @@
 	assert.Equal(t, table.Room("s", at(0)).Targets, 3)
 
 	first := table.Begin(address(0), time.Second, at(0))
-	assert.Equal(t, len(usable(table, at(0))), 2, "one call tries a target")
+	assert.Equal(t, len(usable(table, at(0))), 2, "only one call probes a target")
 	second := table.Begin(address(1), time.Second, at(0))
 	table.End(second, Broken, at(0))
-	assert.Equal(t, len(usable(table, at(0))), 1, "a target that failed again rests")
+	assert.Equal(t, len(usable(table, at(0))), 1, "a target that failed again is in backoff")
 	table.End(first, Done, at(0))
-	assert.Assert(t, !usable(table, at(0))[address(0)].Probe, "a target that answered is well")
+	assert.Assert(t, !usable(table, at(0))[address(0)].Probe, "a target that answered is healthy")
 
 	down := &Table{Node: "n", Region: "r"}
 	down.Set(list(3), at(0))
