--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -80,9 +80,9 @@
 				got := usable(table, now)
 				for i := range targets {
 					_, isCandidate := got[address(i)]
-					_, leaving := o.since[i]
-					if isCandidate != (o.listed[i] && !leaving) {
-						t.Fatalf("target %d usable %v, listed %v, leaving %v", i, isCandidate, o.listed[i], leaving)
+					_, isLeaving := o.since[i]
+					if isCandidate != (o.listed[i] && !isLeaving) {
+						t.Fatalf("target %d usable %v, listed %v, leaving %v", i, isCandidate, o.listed[i], isLeaving)
 					}
 					if isCandidate && got[address(i)].Outstanding < 0 {
 						t.Fatalf("target %d has %d outstanding", i, got[address(i)].Outstanding)
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -72,7 +72,7 @@
 func (t *Table) Set(list []Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	targets := make(map[netip.AddrPort]*entry, len(list))
+	newTargets := make(map[netip.AddrPort]*entry, len(list))
 	for _, target := range list {
 		if target.Region != t.Region {
 			continue
@@ -82,9 +82,9 @@
 			e = &entry{key: AddressKey(target.Address)}
 		}
 		e.target = target
-		targets[target.Address] = e
+		newTargets[target.Address] = e
 	}
-	t.targets = targets
+	t.targets = newTargets
 	t.updateDepartures(now)
 	t.rebuild()
 }
