--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -89,7 +89,7 @@
 	period := time.NewTimer(0)
 	defer period.Stop()
 	// Nodes that start together would exchange state at the same moments ever after.
-	beat := x.Now().Add(-x.randomDuration(x.Beat))
+	lastHeartbeat := x.Now().Add(-x.randomDuration(x.Beat))
 	for {
 		changed := x.Table.Changed()
 		select {
@@ -102,8 +102,8 @@
 			x.exchangeAll(ctx, x.currentView().partners, false)
 		case <-period.C:
 			v := x.currentView()
-			if now, pace := x.Now(), HeartbeatInterval(x.Beat, v.regionNodes); now.Sub(beat) >= pace {
-				beat = now.Add(-x.randomDuration(pace / heartbeatJitterDivisor))
+			if now, interval := x.Now(), HeartbeatInterval(x.Beat, v.regionNodes); now.Sub(lastHeartbeat) >= interval {
+				lastHeartbeat = now.Add(-x.randomDuration(interval / heartbeatJitterDivisor))
 				x.Table.Update(now, func(*Peer) {})
 			}
 			x.exchangeAll(ctx, x.choosePartner(v), true)
@@ -197,17 +197,17 @@
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var longest *Peer
+	var oldest *Peer
 	for i := range v.periodic {
 		p := &v.periodic[i]
-		if longest == nil || x.partner(p.Name).finishedAt.Before(x.partner(longest.Name).finishedAt) {
-			longest = p
+		if oldest == nil || x.partnerState(p.Name).finishedAt.Before(x.partnerState(oldest.Name).finishedAt) {
+			oldest = p
 		}
 	}
-	if longest == nil {
+	if oldest == nil {
 		return nil
 	}
-	return []Peer{*longest}
+	return []Peer{*oldest}
 }
 
 // silentPeers returns the nodes that are known and not seen. Those of other
@@ -229,11 +229,11 @@
 
 // exchangeAll exchanges with the partners at the same time; those that would be sent
 // nothing are left out unless all is set.
-func (x *Exchange) exchangeAll(ctx context.Context, partners []Peer, all bool) {
+func (x *Exchange) exchangeAll(ctx context.Context, partners []Peer, sendEmpty bool) {
 	var wg sync.WaitGroup
 	for _, p := range partners {
 		digest, version := x.digestFor(p)
-		if digest.empty() && !all {
+		if digest.empty() && !sendEmpty {
 			continue
 		}
 		wg.Go(func() { x.exchange(ctx, p, digest, version) })
@@ -263,10 +263,10 @@
 // takes it that this node has the answer: it must report all again.
 func (x *Exchange) recordFailure(p Peer) {
 	x.mu.Lock()
-	w := x.partner(p.Name)
-	w.inSync = false
-	w.failedAt = x.Now()
-	w.finishedAt = w.failedAt
+	ps := x.partnerState(p.Name)
+	ps.inSync = false
+	ps.failedAt = x.Now()
+	ps.finishedAt = ps.failedAt
 	if slices.ContainsFunc(x.view.partners, func(q Peer) bool { return q.Name == p.Name }) {
 		x.view.computedAt = time.Time{} // others take its place at once
 	}
@@ -280,25 +280,25 @@
 func (x *Exchange) recordSent(name string, digest Digest, version uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	w := x.partner(name)
-	w.sentVersion = max(w.sentVersion, version)
-	if w.remoteSentVersion == 0 || digest.Whole {
-		w.remoteSentVersion = version
+	ps := x.partnerState(name)
+	ps.sentVersion = max(ps.sentVersion, version)
+	if ps.remoteSentVersion == 0 || digest.Whole {
+		ps.remoteSentVersion = version
 	}
-	w.failedAt = time.Time{}
-	w.finishedAt = x.Now()
+	ps.failedAt = time.Time{}
+	ps.finishedAt = x.Now()
 }
 
 // receive writes to the table what a partner sent.
 func (x *Exchange) receive(digest Digest) {
-	all := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
+	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
 	x.mu.Lock()
-	w := x.partner(digest.From)
-	w.inSync = all && (w.inSync || digest.Whole)
+	ps := x.partnerState(digest.From)
+	ps.inSync = allKnown && (ps.inSync || digest.Whole)
 	if digest.Again {
-		w.sentVersion, w.remoteSentVersion = 0, 0
+		ps.sentVersion, ps.remoteSentVersion = 0, 0
 	}
-	w.failedAt = time.Time{}
+	ps.failedAt = time.Time{}
 	x.mu.Unlock()
 	if digest.Again && x.News != nil {
 		x.News.Forget(digest.From)
@@ -306,16 +306,16 @@
 }
 
 // partner returns how far this node is with another; x.mu is held.
-func (x *Exchange) partner(name string) *partnerState {
+func (x *Exchange) partnerState(name string) *partnerState {
 	if x.partnerStates == nil {
 		x.partnerStates = make(map[string]*partnerState)
 	}
-	w := x.partnerStates[name]
-	if w == nil {
-		w = &partnerState{}
-		x.partnerStates[name] = w
+	ps := x.partnerStates[name]
+	if ps == nil {
+		ps = &partnerState{}
+		x.partnerStates[name] = ps
 	}
-	return w
+	return ps
 }
 
 // Answer merges what another node sent and returns what it lacks.
@@ -344,26 +344,26 @@
 	v := x.currentView()
 	now := x.Now()
 	x.mu.Lock()
-	w := x.partner(p.Name)
-	if w.remoteSentAt.IsZero() {
+	ps := x.partnerState(p.Name)
+	if ps.remoteSentAt.IsZero() {
 		// Partners met together would all be due together ever after.
-		w.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
+		ps.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
 	}
-	a := recipient{
+	to := recipient{
 		name: p.Name, region: p.Region, gatherer: x.Gatherer == nil || v.gatherer == p.Name,
-		sentVersion: w.sentVersion, remoteSentVersion: w.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(w.remoteSentAt) >= HeartbeatInterval(x.Beat, v.fleetNodes),
+		sentVersion: ps.sentVersion, remoteSentVersion: ps.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(ps.remoteSentAt) >= HeartbeatInterval(x.Beat, v.fleetNodes),
 	}
-	out := Digest{From: x.Table.Self().Name, Again: !w.inSync, Whole: w.sentVersion == 0}
+	out := Digest{From: x.Table.Self().Name, Again: !ps.inSync, Whole: ps.sentVersion == 0}
 	x.mu.Unlock()
-	lacks := x.Table.deltaFor(a, now)
-	if a.remoteDue {
+	missing := x.Table.deltaFor(to, now)
+	if to.remoteDue {
 		x.mu.Lock()
-		w.remoteSentAt, w.remoteSentVersion = now, lacks.version
+		ps.remoteSentAt, ps.remoteSentVersion = now, missing.version
 		x.mu.Unlock()
 	}
-	out.Peers, out.Marks = lacks.peers, lacks.marks
+	out.Peers, out.Marks = missing.peers, missing.marks
 	if x.News != nil {
 		out.News = x.News.Report(p)
 	}
-	return out, lacks.version
+	return out, missing.version
 }
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -15,7 +15,7 @@
 )
 
 // net joins exchanges in one process.
-type net struct {
+type memoryNet struct {
 	mu          sync.Mutex
 	nodes       map[string]*Exchange
 	down        map[string]bool // nodes that can't be reached
@@ -24,7 +24,7 @@
 	marks       int
 }
 
-func (n *net) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
+func (n *memoryNet) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
 	n.mu.Lock()
 	x, down := n.nodes[to.Name], n.down[to.Name] || n.down[digest.From]
 	n.fullStates += len(digest.Peers)
@@ -43,7 +43,7 @@
 	return answer, nil
 }
 
-func (n *net) add(name, region, centre, incarnation string, listed ...Peer) *Exchange {
+func (n *memoryNet) add(name, region, centre, incarnation string, listed ...Peer) *Exchange {
 	table := &Table{}
 	now := time.Now()
 	table.SetSelf(Peer{Name: name, Region: region, DataCentre: centre, Incarnation: incarnation, State: Serving, Sequence: 1}, now)
@@ -59,8 +59,8 @@
 	return x
 }
 
-func newNet() *net {
-	return &net{nodes: map[string]*Exchange{}, down: map[string]bool{}, loseAnswers: map[string]int{}}
+func newMemoryNet() *memoryNet {
+	return &memoryNet{nodes: map[string]*Exchange{}, down: map[string]bool{}, loseAnswers: map[string]int{}}
 }
 
 func listed(name, region, centre string) Peer {
@@ -70,7 +70,7 @@
 }
 
 // run runs all nodes and returns what stops them.
-func (n *net) run(t *testing.T) (stop func()) {
+func (n *memoryNet) run(t *testing.T) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -89,7 +89,7 @@
 }
 
 // addFleet is a region of one data centre and another region.
-func addFleet(n *net, size int) {
+func addFleet(n *memoryNet, size int) {
 	var list []Peer
 	for i := range size {
 		list = append(list, listed(fmt.Sprintf("n%d", i), "north", "north-a"))
@@ -102,7 +102,7 @@
 
 func TestExchangeReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
+		n := newMemoryNet()
 		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
@@ -137,21 +137,21 @@
 // this node has it, and would never tell it again: the node would go on with an
 // old state of a peer, for instance send requests to one that has left.
 func TestLostAnswer(t *testing.T) {
-	n := newNet()
+	n := newMemoryNet()
 	a := n.add("n0", "north", "north-a", "1", listed("n1", "north", "north-a"))
 	b := n.add("n1", "north", "north-a", "1", listed("n0", "north", "north-a"))
 	to, _ := a.Table.Get("n1")
-	meet := func() {
+	exchange := func() {
 		digest, version := a.digestFor(to)
 		a.exchange(t.Context(), to, digest, version)
 	}
-	meet()
+	exchange()
 	b.Table.Merge([]Peer{{Name: "n2", Region: "north", Incarnation: "1", State: Leaving, Sequence: 1}}, time.Now())
 	n.loseAnswers["n1"] = 1
-	meet()
+	exchange()
 	_, known := a.Table.Get("n2")
 	assert.Assert(t, !known)
-	meet()
+	exchange()
 	p, _ := a.Table.Get("n2")
 	assert.Equal(t, p.State, Leaving)
 }
@@ -161,7 +161,7 @@
 // so that it would not know most nodes.
 func TestRestartedPartner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
+		n := newMemoryNet()
 		addFleet(n, 4)
 		stop := n.run(t)
 		time.Sleep(20 * time.Second)
@@ -182,7 +182,7 @@
 // of no change until then.
 func TestDeadRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
+		n := newMemoryNet()
 		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
@@ -231,7 +231,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := newNet()
+				n := newMemoryNet()
 				var list []Peer
 				for i := range tc.nodes {
 					region := fmt.Sprintf("r%d", i%tc.regions)
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -24,8 +24,8 @@
 const heartbeatIntervalPerNode = 500 * time.Millisecond
 
 // HeartbeatInterval is the time between two words about a node in a group of n.
-func HeartbeatInterval(least time.Duration, n int) time.Duration {
-	return max(least, heartbeatIntervalPerNode*time.Duration(max(n, minHeartbeatNodes)))
+func HeartbeatInterval(minInterval time.Duration, n int) time.Duration {
+	return max(minInterval, heartbeatIntervalPerNode*time.Duration(max(n, minHeartbeatNodes)))
 }
 
 // minHeartbeatNodes is the size of a group up to which the pace stays the same.
@@ -56,60 +56,60 @@
 // goes to all; that a node lives goes to all at the pace of the region, and of
 // other regions at the pace of the fleet; the revision in force at a node goes to the gatherer
 // only, since all other nodes of a region need no more than that of a relay.
-func (t *Table) deltaFor(a recipient, now time.Time) delta {
+func (t *Table) deltaFor(to recipient, now time.Time) delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := delta{version: t.version}
-	here := t.selfRegion()
-	a.remote = a.region != here
-	for name, k := range t.peers {
-		away := k.Region != here
+	selfRegion := t.selfRegion()
+	to.remote = to.region != selfRegion
+	for name, e := range t.peers {
+		remotePeer := e.Region != selfRegion
 		switch {
-		case name == a.name, k.Incarnation == "", a.remote && away:
-		case k.source == a.name && a.sentVersion > 0:
-		case k.fullVersion > a.sentVersion:
-			p := k.Peer
-			p.Age = max(now.Sub(k.lastSeen), 0)
+		case name == to.name, e.Incarnation == "", to.remote && remotePeer:
+		case e.source == to.name && to.sentVersion > 0:
+		case e.fullVersion > to.sentVersion:
+			p := e.Peer
+			p.Age = max(now.Sub(e.lastSeen), 0)
 			out.peers = append(out.peers, p)
-		case k.markDue(a, name == t.self, away):
+		case e.markDue(to, name == t.self, remotePeer):
 			out.marks = append(out.marks, Mark{
-				ID: k.markID, Sequence: k.Sequence, Revision: k.Revision, Base: k.Base, Age: max(now.Sub(k.lastSeen), 0),
+				ID: e.markID, Sequence: e.Sequence, Revision: e.Revision, Base: e.Base, Age: max(now.Sub(e.lastSeen), 0),
 			})
 		}
 	}
 	return out
 }
 
-func (k *entry) markDue(a recipient, self, away bool) bool {
+func (e *entry) markDue(to recipient, self, remotePeer bool) bool {
 	switch {
-	case self, a.gatherer && !away:
-		return k.anyVersion > a.sentVersion
-	case away, a.remote:
-		return a.remoteDue && k.anyVersion > a.remoteSentVersion
+	case self, to.gatherer && !remotePeer:
+		return e.anyVersion > to.sentVersion
+	case remotePeer, to.remote:
+		return to.remoteDue && e.anyVersion > to.remoteSentVersion
 	}
-	return k.heartbeatVersion > a.sentVersion
+	return e.heartbeatVersion > to.sentVersion
 }
 
 // receive merges what a partner sent; false means that a mark names a peer that is
 // not known here, so that the partner must report all again.
-func (t *Table) receive(from string, peers []Peer, marks []Mark, now time.Time) bool {
+func (t *Table) receive(source string, peers []Peer, marks []Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.merge(from, peers, now)
-	all := true
+	t.merge(source, peers, now)
+	allKnown := true
 	for _, m := range marks {
-		k := t.byMarkID[m.ID]
-		if k == nil {
-			all = false
+		e := t.byMarkID[m.ID]
+		if e == nil {
+			allKnown = false
 			continue
 		}
-		if k.Name == t.self || m.Sequence <= k.Sequence {
+		if e.Name == t.self || m.Sequence <= e.Sequence {
 			continue
 		}
-		p := k.Peer
+		p := e.Peer
 		p.Sequence, p.Revision, p.Base, p.Age = m.Sequence, m.Revision, m.Base, m.Age
 		t.put(p, now)
-		k.source = from
+		e.source = source
 	}
-	return all
+	return allKnown
 }
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -28,7 +28,7 @@
 }
 
 // link returns the node at the other end, and whether the link is cut.
-func (n *network) link(from, to Peer) (there *Exchange, cut bool) {
+func (n *network) link(from, to Peer) (peer *Exchange, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[to.Name], n.cut != nil && n.cut(from, to)
@@ -41,29 +41,29 @@
 	from    Peer
 }
 
-const testDelay = 40 * time.Millisecond
+const testLinkDelay = 40 * time.Millisecond
 
 func (w *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
-	there, cut := w.network.link(w.from, to)
+	peer, cut := w.network.link(w.from, to)
 	if cut {
 		<-ctx.Done()
 		return Digest{}, ctx.Err()
 	}
-	time.Sleep(testDelay)
-	if there == nil {
+	time.Sleep(testLinkDelay)
+	if peer == nil {
 		return Digest{}, errors.New("nobody there")
 	}
-	return there.Answer(digest), nil
+	return peer.Answer(digest), nil
 }
 
 // newNetwork makes nodes in regions of two data centres, each knowing all
 // others by the platform's list alone.
-func newNetwork(regions, perCentre int) *network {
+func newNetwork(regions, perDataCentre int) *network {
 	n := &network{nodes: make(map[string]*Exchange)}
 	var all []Peer
 	for r := range regions {
 		for c := range 2 {
-			for i := range perCentre {
+			for i := range perDataCentre {
 				region := fmt.Sprintf("r%d", r)
 				all = append(all, Peer{
 					Name: fmt.Sprintf("%s-c%d-n%d", region, c, i), Region: region,
@@ -112,12 +112,12 @@
 		go func() {
 			for {
 				changed := x.Table.Changed()
-				most := uint64(0)
+				latest := uint64(0)
 				for _, p := range x.Table.Peers() {
-					most = max(most, p.Revision)
+					latest = max(latest, p.Revision)
 				}
-				if most > x.Table.Self().Revision {
-					x.Table.Update(time.Now(), func(p *Peer) { p.Revision = most })
+				if latest > x.Table.Self().Revision {
+					x.Table.Update(time.Now(), func(p *Peer) { p.Revision = latest })
 				}
 				select {
 				case <-changed:
@@ -147,7 +147,7 @@
 // The largest case has the region alone: with a second one of that size the race
 // detector runs out of its own counters and ends the process now and then.
 func TestChangesReachTheRegion(t *testing.T) {
-	tests := map[string]struct{ regions, perCentre int }{
+	tests := map[string]struct{ regions, perDataCentre int }{
 		"1 node a data centre":   {2, 1},
 		"3 nodes a data centre":  {2, 3},
 		"18 nodes a data centre": {2, 18},
@@ -161,19 +161,19 @@
 					cancel()
 					time.Sleep(2 * time.Second) // for exchanges under way
 				}()
-				n := newNetwork(test.regions, test.perCentre)
+				n := newNetwork(test.regions, test.perDataCentre)
 				n.run(ctx)
 				n.adoptRevisions(ctx)
 				time.Sleep(10 * time.Second)
 				all := n.nodes["r0-c0-n0"].Table.Peers()
 				relay := Relays(all, "r0-c0")[0].Name
 				n.nodes[relay].Table.Update(time.Now(), func(p *Peer) { p.Revision = 7 })
-				leaver := "r0-c1-n0"
-				n.nodes[leaver].Table.Update(time.Now(), func(p *Peer) { p.State = Leaving })
+				leavingNode := "r0-c1-n0"
+				n.nodes[leavingNode].Table.Update(time.Now(), func(p *Peer) { p.State = Leaving })
 				time.Sleep(1500 * time.Millisecond)
 				assert.Equal(t, n.countWithout("r0", func(table *Table) bool { return table.Self().Revision == 7 }), 0, "nodes without the change")
 				assert.Equal(t, n.countWithout("r0", func(table *Table) bool {
-					p, _ := table.Get(leaver)
+					p, _ := table.Get(leavingNode)
 					return p.State == Leaving
 				}), 0, "nodes that take the leaver for serving")
 			})
@@ -211,10 +211,10 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		n := newNetwork(1, 3)
-		dead, kill := context.WithCancel(ctx)
+		deadCtx, kill := context.WithCancel(ctx)
 		for name, x := range n.nodes {
 			if name == "r0-c0-n0" {
-				go func() { _ = x.Run(dead) }()
+				go func() { _ = x.Run(deadCtx) }()
 				continue
 			}
 			go func() { _ = x.Run(ctx) }()
@@ -227,8 +227,8 @@
 		died := time.Now()
 		time.Sleep(2 * time.Minute)
 		// One node forgets it, and hears of it again from those that have not.
-		forgetful := n.nodes["r0-c0-n1"].Table
-		forgetful.Forget(time.Now().Add(-30 * time.Second))
+		table := n.nodes["r0-c0-n1"].Table
+		table.Forget(time.Now().Add(-30 * time.Second))
 		time.Sleep(5 * time.Minute)
 		for _, x := range n.nodes {
 			seen := x.Table.LastSeen("r0-c0-n0")
@@ -243,9 +243,9 @@
 	now := time.Unix(1000, 0)
 	old := Peer{Name: "a", Incarnation: "2", Sequence: 5, State: Serving, Revision: 9}
 	tests := map[string]struct {
-		word   Peer
-		taken  bool
-		urgent bool
+		state    Peer
+		accepted bool
+		urgent   bool
 	}{
 		"later word":                {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 9}, true, false},
 		"later word, new revision":  {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 10}, true, true},
@@ -262,10 +262,10 @@
 			table := &Table{}
 			table.SetSelf(Peer{Name: "self", Incarnation: "1", State: Serving}, now)
 			table.Merge([]Peer{old}, now)
-			urgent := table.Merge([]Peer{test.word}, now.Add(time.Second))
+			urgent := table.Merge([]Peer{test.state}, now.Add(time.Second))
 			assert.Equal(t, urgent, test.urgent)
 			got, _ := table.Get("a")
-			assert.Equal(t, got == test.word, test.taken || test.word == old)
+			assert.Equal(t, got == test.state, test.accepted || test.state == old)
 			assert.Equal(t, table.Self().State, Serving)
 		})
 	}
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -47,11 +47,11 @@
 func (t *Table) Update(now time.Time, change func(*Peer)) Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[t.self]
-	if k == nil {
+	e := t.peers[t.self]
+	if e == nil {
 		return Peer{}
 	}
-	p := k.Peer
+	p := e.Peer
 	change(&p)
 	p.Sequence++
 	t.put(p, now)
@@ -62,8 +62,8 @@
 func (t *Table) Self() Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k := t.peers[t.self]; k != nil {
-		return k.Peer
+	if e := t.peers[t.self]; e != nil {
+		return e.Peer
 	}
 	return Peer{}
 }
@@ -78,17 +78,17 @@
 	return t.urgentVersion != before
 }
 
-func (t *Table) merge(from string, peers []Peer, now time.Time) {
+func (t *Table) merge(source string, peers []Peer, now time.Time) {
 	for _, p := range peers {
 		if p.Name == "" || p.Name == t.self {
 			continue
 		}
-		k := t.peers[p.Name]
-		if k != nil && !newer(p, k.Peer) || p.Age > MostAge {
+		e := t.peers[p.Name]
+		if e != nil && !newer(p, e.Peer) || p.Age > MostAge {
 			continue
 		}
 		t.put(p, now)
-		t.peers[p.Name].source = from
+		t.peers[p.Name].source = source
 	}
 }
 
@@ -106,27 +106,27 @@
 		t.peers = make(map[string]*entry)
 		t.byMarkID = make(map[uint64]*entry)
 	}
-	k := t.peers[p.Name]
-	if k == nil {
-		k = &entry{}
-		t.peers[p.Name] = k
+	e := t.peers[p.Name]
+	if e == nil {
+		e = &entry{}
+		t.peers[p.Name] = e
 	}
 	t.version++
-	k.anyVersion = t.version
+	e.anyVersion = t.version
 	switch {
-	case !equalExceptMark(k.Peer, p):
-		k.fullVersion = t.version
-		t.reindex(k, p)
+	case !equalExceptMark(e.Peer, p):
+		e.fullVersion = t.version
+		t.reindex(e, p)
 		t.signalChange()
-	case k.Revision != p.Revision:
+	case e.Revision != p.Revision:
 		t.signalChange()
 	default:
-		k.heartbeatVersion = t.version
+		e.heartbeatVersion = t.version
 	}
-	k.lastSeen = now.Add(-max(p.Age, 0))
-	k.source = ""
-	k.Peer = p
-	k.Age = 0
+	e.lastSeen = now.Add(-max(p.Age, 0))
+	e.source = ""
+	e.Peer = p
+	e.Age = 0
 }
 
 // equalExceptMark reports whether two words of a peer differ in nothing that a mark
@@ -136,12 +136,12 @@
 	return a == b
 }
 
-func (t *Table) reindex(k *entry, p Peer) {
-	if t.byMarkID[k.markID] == k {
-		delete(t.byMarkID, k.markID)
+func (t *Table) reindex(e *entry, p Peer) {
+	if t.byMarkID[e.markID] == e {
+		delete(t.byMarkID, e.markID)
 	}
-	k.markID = hashMarkID(p)
-	t.byMarkID[k.markID] = k
+	e.markID = hashMarkID(p)
+	t.byMarkID[e.markID] = e
 }
 
 func (t *Table) signalChange() {
@@ -157,16 +157,16 @@
 func (t *Table) Forget(before time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var gone []string
-	for name, k := range t.peers {
-		if name != t.self && k.lastSeen.Before(before) {
+	var forgotten []string
+	for name, e := range t.peers {
+		if name != t.self && e.lastSeen.Before(before) {
 			delete(t.peers, name)
-			delete(t.byMarkID, k.markID)
-			gone = append(gone, name)
+			delete(t.byMarkID, e.markID)
+			forgotten = append(forgotten, name)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(forgotten)
+	return forgotten
 }
 
 // Changed returns a channel that closes at the next change of a state, a
@@ -184,19 +184,19 @@
 func (t *Table) Get(name string) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[name]
-	if k == nil {
+	e := t.peers[name]
+	if e == nil {
 		return Peer{}, false
 	}
-	return k.Peer, true
+	return e.Peer, true
 }
 
 // LastSeen returns when the newest state of a peer came, the zero time for none.
 func (t *Table) LastSeen(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k := t.peers[name]; k != nil {
-		return k.lastSeen
+	if e := t.peers[name]; e != nil {
+		return e.lastSeen
 	}
 	return time.Time{}
 }
@@ -217,9 +217,9 @@
 func (t *Table) Select(keep func(Peer) bool) []Peer {
 	t.mu.Lock()
 	out := make([]Peer, 0, len(t.peers))
-	for _, k := range t.peers {
-		if keep(k.Peer) {
-			out = append(out, k.Peer)
+	for _, e := range t.peers {
+		if keep(e.Peer) {
+			out = append(out, e.Peer)
 		}
 	}
 	t.mu.Unlock()
@@ -232,11 +232,11 @@
 // slower pace, so that they may be older by as much.
 func (t *Table) Fresh(since time.Time) []Peer {
 	t.mu.Lock()
-	allowed := t.freshnessLimit(since)
+	limit := t.freshnessLimit(since)
 	out := make([]Peer, 0, len(t.peers))
-	for name, k := range t.peers {
-		if name == t.self || !k.lastSeen.Before(allowed(k)) {
-			out = append(out, k.Peer)
+	for name, e := range t.peers {
+		if name == t.self || !e.lastSeen.Before(limit(e)) {
+			out = append(out, e.Peer)
 		}
 	}
 	t.mu.Unlock()
@@ -249,20 +249,20 @@
 func (t *Table) Silent(name string, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[name]
-	return k == nil || name != t.self && k.lastSeen.Before(t.freshnessLimit(since)(k))
+	e := t.peers[name]
+	return e == nil || name != t.self && e.lastSeen.Before(t.freshnessLimit(since)(e))
 }
 
 // freshnessLimit returns the time before which the newest state of a peer is too old.
 func (t *Table) freshnessLimit(since time.Time) func(*entry) time.Time {
-	region := t.selfRegion()
-	home := since.Add(-extraDelay(t.activeInRegion(region)))
-	away := since.Add(-extraDelay(len(t.peers)))
-	return func(k *entry) time.Time {
-		if k.Region == region {
-			return home
+	selfRegion := t.selfRegion()
+	localLimit := since.Add(-extraDelay(t.activeInRegion(selfRegion)))
+	remoteLimit := since.Add(-extraDelay(len(t.peers)))
+	return func(e *entry) time.Time {
+		if e.Region == selfRegion {
+			return localLimit
 		}
-		return away
+		return remoteLimit
 	}
 }
 
@@ -271,16 +271,16 @@
 func extraDelay(n int) time.Duration { return 3 * (HeartbeatInterval(0, n) - HeartbeatInterval(0, 0)) }
 
 func (t *Table) selfRegion() string {
-	if k := t.peers[t.self]; k != nil {
-		return k.Region
+	if e := t.peers[t.self]; e != nil {
+		return e.Region
 	}
 	return ""
 }
 
 func (t *Table) activeInRegion(region string) int {
 	n := 0
-	for _, k := range t.peers {
-		if k.Region == region && isActive(k.Peer) {
+	for _, e := range t.peers {
+		if e.Region == region && isActive(e.Peer) {
 			n++
 		}
 	}
--- a/core/jwpeer/view.go
+++ b/core/jwpeer/view.go
@@ -125,8 +125,8 @@
 	defer x.mu.Unlock()
 	out := peers[:0]
 	for _, p := range peers {
-		w := x.partnerStates[p.Name]
-		if w == nil || w.failedAt.IsZero() || now.Sub(w.failedAt) > x.Silence {
+		ps := x.partnerStates[p.Name]
+		if ps == nil || ps.failedAt.IsZero() || now.Sub(ps.failedAt) > x.Silence {
 			out = append(out, p)
 		}
 	}
