--- a/core/jwpeer/doc.go
+++ b/core/jwpeer/doc.go
@@ -1,3 +1,4 @@
-// Package jwpeer holds what a node knows of the other nodes: where they are,
-// whether they serve, and which catalogue revision each has in force.
+// Package jwpeer holds what a node knows about the other nodes: their addresses,
+// whether they serve requests, and which catalogue revision each has in force. It
+// also exchanges this state with the other nodes.
 package jwpeer
--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -10,48 +10,51 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// silentPeerDivisor is the number of periods of which one goes to a silent node.
+// silentPeerDivisor is the average number of periods in which one exchange goes to
+// a silent node.
 const silentPeerDivisor = 8
 
-// Digest is what one node sends another in one exchange.
+// Digest is what one node sends to another in one exchange.
 type Digest struct {
 	From  string
 	Peers []Peer
 	Marks []Mark
 	News  News
-	Again bool // the sender lacks something and is to be sent everything
-	Whole bool // this is everything that the receiver needs
+	Again bool // the sender does not have all that it was sent; the receiver must send it everything
+	Whole bool // the digest is complete: it does not depend on earlier ones
 }
 
-// empty reports whether there is nothing to report.
+// empty reports whether the digest has nothing to report.
 func (t *Digest) empty() bool { return len(t.Peers) == 0 && len(t.Marks) == 0 && t.News.empty() }
 
-// Transport carries an exchange to another node and brings back its answer.
+// Transport sends a digest to another node and returns its answer.
 type Transport interface {
 	Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error)
 }
 
-// Exchange keeps the table level with the other nodes: every period with one
-// partner, and at once with all it answers for when something changed.
+// Exchange keeps the table in sync with those of the other nodes. In each period
+// it exchanges digests with one partner; after an urgent change it does so at once
+// with all partners.
 //
-// A node of many talks to the relays of its data centre only; relays talk to
-// all nodes of their data centre, to the relays of their region and to one
-// data centre's relays of each other region. A partner is sent what it has not
-// been sent yet, and most of that as marks. So the messages of a node don't
-// grow with the fleet, and those of a relay grow with its data centre.
+// A node that is no relay exchanges only with the relays of its data centre. A
+// relay exchanges with all nodes of its data centre, with the other relays of its
+// region, and with the relays of one data centre in each other region. A partner
+// is sent only what it has not been sent yet, and most of that as marks. So the
+// messages of a node don't grow with the fleet, and those of a relay grow with its
+// data centre.
 type Exchange struct {
 	Table   *Table
 	Partner Transport
-	Period  time.Duration // between exchanges with one partner
-	Beat    time.Duration // least time between words of this node about itself when nothing changes
+	Period  time.Duration // time between exchanges with one partner
+	Beat    time.Duration // min time between heartbeats: states that are published without a change
 	Timeout time.Duration // for one exchange
-	Silence time.Duration // after which a peer isn't chosen as a relay
+	Silence time.Duration // age of the newest state from which on a peer is no partner
 	Now     func() time.Time
 	Rand    *rand.Rand
 	News    Reporter                 // may be nil
-	Failed  func(to Peer, err error) // may be nil
-	// Gatherer names the node that needs to know the revision in force at each
-	// node of a region; nil when all need to.
+	Failed  func(to Peer, err error) // called after a failed exchange; may be nil
+	// Gatherer returns the name of the node that needs to know the revision in
+	// force at each node of a region. If it is nil, all nodes need to.
 	Gatherer func(peers []Peer, region string) string
 
 	once          sync.Once
@@ -61,17 +64,17 @@
 	partnerStates map[string]*partnerState
 }
 
-// partnerState is how far this node is level with another.
+// partnerState records what was exchanged with a partner.
 type partnerState struct {
-	sentVersion       uint64    // version of the table that the other has
-	remoteSentVersion uint64    // the same for marks of other regions
-	remoteSentAt      time.Time // when those were last sent
-	inSync            bool      // this node has what the other has sent
-	failedAt          time.Time // when the other could not be reached, zero if it can be
-	finishedAt        time.Time // end of the last exchange
+	sentVersion       uint64    // version of the table that the partner has, 0 for none
+	remoteSentVersion uint64    // sentVersion for the marks that are sent when recipient.remoteDue
+	remoteSentAt      time.Time // when those marks were last sent
+	inSync            bool      // whether this node has everything that the partner sent
+	failedAt          time.Time // when the last exchange failed, zero if it succeeded
+	finishedAt        time.Time // end of the last exchange that this node started or answered
 }
 
-// Nudge makes the node report to its partners at once, for news that can't wait for
+// Nudge starts an exchange with all partners at once, for news that must not wait for
 // the next period.
 func (x *Exchange) Nudge() {
 	x.once.Do(x.makeTrigger)
@@ -83,12 +86,13 @@
 
 func (x *Exchange) makeTrigger() { x.trigger = make(chan struct{}, 1) }
 
-// Run exchanges until ctx ends; it returns the error of ctx.
+// Run exchanges digests until ctx ends and returns the error of ctx.
 func (x *Exchange) Run(ctx context.Context) error {
 	x.once.Do(x.makeTrigger)
 	period := time.NewTimer(0)
 	defer period.Stop()
-	// Nodes that start together would exchange state at the same moments ever after.
+	// Without a random first interval, nodes that start together would send their
+	// heartbeats at the same time forever.
 	lastHeartbeat := x.Now().Add(-x.randomDuration(x.Beat))
 	for {
 		changed := x.Table.Changed()
@@ -112,13 +116,15 @@
 	}
 }
 
-// heartbeatJitterDivisor is the part of the pace by which the words of a node vary.
+// heartbeatJitterDivisor sets the jitter of the heartbeats: the interval is shortened
+// by a random part of up to 1/heartbeatJitterDivisor.
 const heartbeatJitterDivisor = 4
 
-// batchDelayDivisor is the part of a period for which changes are gathered, so that
-// what all nodes of a data centre say at the same time goes out together.
+// batchDelayDivisor sets the delay before changes are sent, as a part of the period,
+// so that changes of all nodes of a data centre at the same time are sent together.
 const batchDelayDivisor = 5
 
+// waitForBatch waits for the batch delay, or until Nudge is called or ctx ends.
 func (x *Exchange) waitForBatch(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -127,16 +133,18 @@
 	}
 }
 
-// The numbers of partners at which the period is as it was set. With more nodes
-// in a data centre each asks its relays less often, or the relays would be
-// asked without end; with more partners a relay goes round them faster, or
-// what regions say of their load would be old when it arrives.
+// These are the max numbers of nodes and partners for which the configured period
+// applies. With more nodes in a data centre each node contacts its relays less
+// often, or the relays would be overloaded. With more partners a relay contacts
+// them at shorter intervals, or the loads of the regions would be out of date when
+// they arrive.
 const (
 	baseDataCentreNodes = 12
 	basePartners        = 12
 )
 
-// nextPeriod spreads the periods of nodes that started together.
+// nextPeriod returns the time until the next exchange. It is random, so that nodes
+// that started together don't exchange at the same time.
 func (x *Exchange) nextPeriod(v view) time.Duration {
 	period := x.Period
 	if v.relay {
@@ -147,25 +155,25 @@
 	return period/2 + time.Duration(x.randomBelow(int64(period)))
 }
 
-// randomDuration returns a random randomDuration of a time.
+// randomDuration returns a random duration below d.
 func (x *Exchange) randomDuration(d time.Duration) time.Duration {
 	return time.Duration(x.randomBelow(int64(max(d, 1))))
 }
 
-// randomBelow returns a random number below n. Rand is not safe for use by Run and
-// Answer at once, as when the period ends while another node exchanges.
+// randomBelow returns a random number from 0 to n-1. The lock is needed because Rand
+// is not safe for concurrent use, and Run and Answer may run at the same time.
 func (x *Exchange) randomBelow(n int64) int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Rand.Int64N(n)
 }
 
-// otherRelayDivisor is the number of periods of which a plain node spends one with
-// another relay than its own.
+// otherRelayDivisor is the average number of periods in which a node that is no relay
+// may exchange once with another relay than its preferred one.
 const otherRelayDivisor = 8
 
-// preferredRelay is the relay that a plain node asks as a rule. Asking all of them in turn
-// would have each report the same to it.
+// preferredRelay returns the relay that a node usually exchanges with, as a list of at
+// most one. If the node used all relays in turn, each would send it the same states.
 func (x *Exchange) preferredRelay(relays []Peer) []Peer {
 	if len(relays) == 0 {
 		return nil
@@ -181,10 +189,10 @@
 	return relays[best : best+1]
 }
 
-// choosePartner picks the partner of this period: the choosePartner whose last exchange is the
-// longest ago, for a plain node mostly its own relay. Now and then it is a node that fell silent: after a cut nobody
-// else would try it, and two halves that each work would never learn of each
-// other again.
+// choosePartner returns the partner for this period, as a list of at most one: the
+// partner whose last exchange is the longest ago, but for a node that is no relay
+// usually its preferred relay. Once in a while it is a silent node. Otherwise two
+// parts of the fleet would never find each other again after a network partition.
 func (x *Exchange) choosePartner(v view) []Peer {
 	if len(v.periodic) == 0 || x.randomBelow(silentPeerDivisor) == 0 {
 		if silent := x.silentPeers(v); len(silent) > 0 {
@@ -210,8 +218,8 @@
 	return []Peer{*oldest}
 }
 
-// silentPeers returns the nodes that are known and not seen. Those of other
-// regions are left to the relays, unless there is nobody else to ask.
+// silentPeers returns the known nodes that are not fresh. Only relays try those of
+// other regions, unless this node has no other partner.
 func (x *Exchange) silentPeers(v view) []Peer {
 	self := x.Table.Self()
 	since := x.Now().Add(-x.Silence)
@@ -227,8 +235,8 @@
 	})
 }
 
-// exchangeAll exchanges with the partners at the same time; those that would be sent
-// nothing are left out unless all is set.
+// exchangeAll exchanges with the partners at the same time. It skips partners for
+// which there is nothing to send, unless sendEmpty is set.
 func (x *Exchange) exchangeAll(ctx context.Context, partners []Peer, sendEmpty bool) {
 	var wg sync.WaitGroup
 	for _, p := range partners {
@@ -259,8 +267,8 @@
 	}
 }
 
-// recordFailure books an exchange that failed. The partner may have answered, and then
-// takes it that this node has the answer: it must report all again.
+// recordFailure records a failed exchange. The partner may have sent its answer and
+// assume that this node has it, so it must send everything again.
 func (x *Exchange) recordFailure(p Peer) {
 	x.mu.Lock()
 	ps := x.partnerState(p.Name)
@@ -268,7 +276,7 @@
 	ps.failedAt = x.Now()
 	ps.finishedAt = ps.failedAt
 	if slices.ContainsFunc(x.view.partners, func(q Peer) bool { return q.Name == p.Name }) {
-		x.view.computedAt = time.Time{} // others take its place at once
+		x.view.computedAt = time.Time{} // so that the next view has other partners instead of it
 	}
 	x.mu.Unlock()
 	if x.News != nil {
@@ -276,7 +284,7 @@
 	}
 }
 
-// recordSent books what a partner has got.
+// recordSent records what a partner was sent.
 func (x *Exchange) recordSent(name string, digest Digest, version uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -289,7 +297,7 @@
 	ps.finishedAt = x.Now()
 }
 
-// receive writes to the table what a partner sent.
+// receive stores in the table what a partner sent.
 func (x *Exchange) receive(digest Digest) {
 	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
 	x.mu.Lock()
@@ -305,7 +313,7 @@
 	}
 }
 
-// partner returns how far this node is with another; x.mu is held.
+// partnerState returns the state kept for a partner; x.mu must be held.
 func (x *Exchange) partnerState(name string) *partnerState {
 	if x.partnerStates == nil {
 		x.partnerStates = make(map[string]*partnerState)
@@ -318,7 +326,8 @@
 	return ps
 }
 
-// Answer merges what another node sent and returns what it lacks.
+// Answer merges the digest of another node and returns what that node has not been
+// sent yet.
 func (x *Exchange) Answer(digest Digest) Digest {
 	x.receive(digest)
 	from, known := x.Table.Get(digest.From)
@@ -333,20 +342,21 @@
 	return answer
 }
 
-// smallFleet is the size of a fleet up to which marks of other regions go out in
-// each exchange. The two hops of a slower pace would make a few nodes look silent
-// to each other now and then.
+// smallFleet is the size of a fleet up to which marks of other regions are sent in
+// each exchange. In a small fleet, two hops that each wait for the heartbeat
+// interval would make some nodes look silent to others now and then.
 const smallFleet = 30
 
-// digestFor returns what the partner has not had from this node, and the version of
-// the table that it then has.
+// digestFor returns what the partner has not been sent yet, and the version of the
+// table that the partner has once it receives it.
 func (x *Exchange) digestFor(p Peer) (Digest, uint64) {
 	v := x.currentView()
 	now := x.Now()
 	x.mu.Lock()
 	ps := x.partnerState(p.Name)
 	if ps.remoteSentAt.IsZero() {
-		// Partners met together would all be due together ever after.
+		// Without a random start, partners that became known together would all
+		// be due at the same time forever.
 		ps.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
 	}
 	to := recipient{
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -14,14 +14,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// net joins exchanges in one process.
+// memoryNet connects exchanges within the test process.
 type memoryNet struct {
 	mu          sync.Mutex
 	nodes       map[string]*Exchange
 	down        map[string]bool // nodes that can't be reached
-	loseAnswers map[string]int  // answers of a node that are still to be lost
-	fullStates  int             // whole words that were told
-	marks       int
+	loseAnswers map[string]int  // for each node, how many of its next answers are lost
+	fullStates  int             // whole states that were sent
+	marks       int             // marks that were sent
 }
 
 func (n *memoryNet) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
@@ -69,7 +69,7 @@
 	}
 }
 
-// run runs all nodes and returns what stops them.
+// run starts all nodes and returns a function that stops them.
 func (n *memoryNet) run(t *testing.T) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
@@ -88,7 +88,8 @@
 	return p.Revision
 }
 
-// addFleet is a region of one data centre and another region.
+// addFleet adds a region with one data centre of size nodes, and another region with
+// one node.
 func addFleet(n *memoryNet, size int) {
 	var list []Peer
 	for i := range size {
@@ -128,14 +129,14 @@
 		time.Sleep(30 * time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Equal(t, n.fullStates, 0) // marks do when nothing but revisions and time has changed
+		assert.Equal(t, n.fullStates, 0) // marks suffice if only revisions and sequences have changed
 		assert.Assert(t, n.marks > 0)
 	})
 }
 
-// The answer of a partner is lost after it was made. The partner believes that
-// this node has it, and would never tell it again: the node would go on with an
-// old state of a peer, for instance send requests to one that has left.
+// The answer of a partner is lost after it was sent. The partner assumes that this
+// node has it and would never send it again. The node would keep an old state of a
+// peer and, for example, send requests to one that is leaving.
 func TestLostAnswer(t *testing.T) {
 	n := newMemoryNet()
 	a := n.add("n0", "north", "north-a", "1", listed("n1", "north", "north-a"))
@@ -156,9 +157,9 @@
 	assert.Equal(t, p.State, Leaving)
 }
 
-// A node is killed and starts again with an empty memory. Its partners know
-// what they told the old process and would tell the new one only what is new,
-// so that it would not know most nodes.
+// A node is killed and restarts with an empty table. Its partners remember what
+// they sent to the old process and would send the new one only later changes, so
+// that it would not know most nodes.
 func TestRestartedPartner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemoryNet()
@@ -177,9 +178,9 @@
 	})
 }
 
-// Both relays of a data centre die in one moment, as when a rack goes. Their
-// words look fresh for a while; nodes that went on asking only them would hear
-// of no change until then.
+// Both relays of a data centre die at the same time, for example with their rack.
+// Their states look fresh for a while, and nodes that exchanged only with them
+// would receive no change until then.
 func TestDeadRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		n := newMemoryNet()
@@ -222,8 +223,8 @@
 	}
 }
 
-// Words about a living node take too long on their way. Others take it for
-// silent, name it last to callers and hand its work to others, though it lives.
+// The heartbeats of a live node arrive too late. Other nodes count it as silent,
+// list it last for callers and hand its work to other nodes, although it is alive.
 func TestLiveNodesAreNeverSilent(t *testing.T) {
 	for name, tc := range map[string]struct{ regions, nodes int }{
 		"nine":  {3, 9},
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -6,56 +6,61 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mark is a later state of a peer that the receiver knows, as far as it differs.
-// Most words say only that a node lives or has a change in force; a mark is a
-// tenth of a whole state.
+// Mark is a short update of a peer's state for a receiver that already knows the
+// peer. Most updates only say that a node is alive or has a change in force, and a
+// Mark is a tenth of the size of a whole Peer.
 type Mark struct {
-	ID       uint64 // hash of name and incarnation
+	ID       uint64 // hash of the name and the incarnation of the peer
 	Sequence uint64
 	Revision uint64
 	Base     uint64
 	Age      time.Duration
 }
 
+// hashMarkID returns the ID of the marks of a peer.
 func hashMarkID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
 
-// heartbeatIntervalPerNode is how much longer each further node makes the time between two
-// words about one, so that all words together stay within a node's budget.
+// heartbeatIntervalPerNode is the time that each node of a group adds to the
+// heartbeat interval, so that all heartbeats together stay within a node's budget
+// for them.
 const heartbeatIntervalPerNode = 500 * time.Millisecond
 
-// HeartbeatInterval is the time between two words about a node in a group of n.
+// HeartbeatInterval returns the time between two heartbeats of one node in a group
+// of n nodes; it is at least minInterval.
 func HeartbeatInterval(minInterval time.Duration, n int) time.Duration {
 	return max(minInterval, heartbeatIntervalPerNode*time.Duration(max(n, minHeartbeatNodes)))
 }
 
-// minHeartbeatNodes is the size of a group up to which the pace stays the same.
+// minHeartbeatNodes is the size of a group up to which the interval stays the same.
 const minHeartbeatNodes = 10
 
-// recipient is one partner as far as it decides what it is sent.
+// recipient is what determines the states that a partner is sent.
 type recipient struct {
 	name              string
 	region            string
-	remote            bool   // in another region
-	gatherer          bool   // needs the revision in force at each node of the region
+	remote            bool   // whether the partner is in another region
+	gatherer          bool   // whether it needs the revision in force at each node of the region
 	sentVersion       uint64 // version of the table that the partner has, 0 for none
-	remoteSentVersion uint64 // the same for marks of other regions
-	remoteDue         bool   // marks of other regions are due
+	remoteSentVersion uint64 // sentVersion for the marks that are sent when remoteDue
+	remoteDue         bool   // whether marks of or for another region are due
 }
 
-// delta is what a partner lacks.
+// delta is what a partner has not been sent yet.
 type delta struct {
 	peers   []Peer
 	marks   []Mark
-	version uint64
+	version uint64 // version of the table that the partner has afterwards
 }
 
-// deltaFor returns what the audience has not been digest.
+// deltaFor returns the states that the recipient has not been sent yet.
 //
-// Another region is sent the nodes here, at the pace of the fleet, and receives
-// of the rest from themselves. Within the region a new start, state or address
-// goes to all; that a node lives goes to all at the pace of the region, and of
-// other regions at the pace of the fleet; the revision in force at a node goes to the gatherer
-// only, since all other nodes of a region need no more than that of a relay.
+// A partner in another region is sent only the nodes of this region, at the
+// heartbeat interval of the fleet; it learns of the others from their own regions.
+// Within the region, a new incarnation, state or address is sent to all partners.
+// Heartbeats are sent to all partners, too: those of this region at the interval
+// of the region, those of other regions at the interval of the fleet. The revision
+// in force at a node is sent to the gatherer only, because all other nodes of a
+// region need only that of a relay.
 func (t *Table) deltaFor(to recipient, now time.Time) delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -90,8 +95,8 @@
 	return e.heartbeatVersion > to.sentVersion
 }
 
-// receive merges what a partner sent; false means that a mark names a peer that is
-// not known here, so that the partner must report all again.
+// receive stores the states that a partner sent. It returns false if a mark is of
+// an unknown peer, so that the partner must send everything again.
 func (t *Table) receive(source string, peers []Peer, marks []Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwpeer/news.go
+++ b/core/jwpeer/news.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// News is what nodes report to each other besides their own states. Times travel as
-// ages, so that clocks need not agree.
+// News is what nodes report to each other besides their own states. Points in time
+// are sent as ages, so that the clocks of the nodes need not agree.
 type News struct {
 	Leaving  []LeavingTarget
 	Suspects []Suspect
@@ -19,42 +19,42 @@
 	return len(n.Leaving)+len(n.Suspects)+len(n.Loads)+len(n.Usages)+len(n.Moves) == 0
 }
 
-// LeavingTarget is a target that leaves.
+// LeavingTarget is a target that is leaving.
 type LeavingTarget struct {
 	Target netip.AddrPort
-	Age    time.Duration // since it was first known
+	Age    time.Duration // time since a node first knew of it
 }
 
-// Suspect is one crash held against a request's fingerprint.
+// Suspect records that a target crashed with a request of this fingerprint.
 type Suspect struct {
 	Fingerprint []byte
 	Target      netip.AddrPort
 	Age         time.Duration
-	Region      string // set for bound data, sent only within this region
-	State       string // of the fingerprint, as the table of suspects words it
+	Region      string // set for data bound to this region, and then sent only within it
+	State       string // state of the fingerprint, a value of jwsuspect.State
 }
 
-// RegionLoad is what a region says of one of its services.
+// RegionLoad is the load that a region reports for one of its services.
 type RegionLoad struct {
 	Region  string
 	Service string
 	Wait    time.Duration // expected wait of a new call for a slot
-	Work    time.Duration // usual time of a call
-	Free    float64       // share of slots free
+	Work    time.Duration // average duration of a call, without its wait for a slot
+	Free    float64       // share of slots that are free, 0 to 1
 	Slots   int
 	Targets int
 	Age     time.Duration
 }
 
-// Usage is what a node admitted of one limited name.
+// Usage is how much of one limit a node uses.
 type Usage struct {
 	Node    string
 	Name    string
-	Rate    float64 // requests that asked, a second
+	Rate    float64 // requests per second, admitted or not
 	Running int
 }
 
-// Move says which process answers for the tickets of one that stopped.
+// Move names the process that answers for the tickets of a stopped process.
 type Move struct {
 	Incarnation   string
 	ToNode        string
@@ -62,12 +62,12 @@
 	ToIncarnation string
 }
 
-// Reporter makes and merges news.
+// Reporter provides the news to send and merges the news received.
 type Reporter interface {
-	// Report returns what to send to a partner that has had what was sent before.
+	// Report returns the news to send to a partner, without what it was sent before.
 	Report(to Peer) News
-	// Forget says that a partner may lack what it was digest.
+	// Forget is called when a partner may not have received what it was sent.
 	Forget(partner string)
-	// Merge merges what a partner sent.
+	// Merge merges the news that a partner sent.
 	Merge(from Peer, n News)
 }
--- a/core/jwpeer/peer.go
+++ b/core/jwpeer/peer.go
@@ -5,31 +5,31 @@
 	"time"
 )
 
-// State says how far a node is in its life.
+// State is the stage of a node between its start and its end.
 type State string
 
-// The states of a node.
+// These are the states of a node.
 const (
-	Joining State = "joining" // known, does not serve yet
-	Serving State = "serving"
-	Leaving State = "leaving" // finishes what it runs, takes no new requests
-	Gone    State = "gone"    // left by itself after the last request
+	Joining State = "joining" // known to others, does not serve requests yet
+	Serving State = "serving" // serves requests
+	Leaving State = "leaving" // finishes its running requests, accepts no new ones
+	Gone    State = "gone"    // stopped on its own after its last request
 )
 
-// Peer is one node as it describes itself.
+// Peer is the state of one node, as that node published it.
 type Peer struct {
 	Name        string
 	Region      string
 	DataCentre  string
-	Callers     netip.AddrPort // where callers send requests
-	Nodes       netip.AddrPort // where other nodes send requests
-	Incarnation string         // new at every start of the process
+	Callers     netip.AddrPort // address for requests of callers
+	Nodes       netip.AddrPort // address for requests of other nodes
+	Incarnation string         // new at each start of the process; sorts by the time of the start
 	State       State
 	Revision    uint64 // catalogue revision in force there
-	Base        uint64 // oldest change it can still give to others
-	Sequence    uint64 // rises with every state that the peer reports of itself
-	// Age is the time since the peer said this, where one node reports it to another.
-	// Without it a dead peer would look fresh to whoever learns of it late, and
-	// nodes would keep it alive by telling each other.
+	Base        uint64 // oldest change of the catalogue that the node can still send to others
+	Sequence    uint64 // rises with each state that the node publishes
+	// Age is the time since the node published this state, where one node sends it
+	// to another. Without it a dead peer would look fresh to a node that learns of
+	// it late, and the nodes would keep it alive by sending its state to each other.
 	Age time.Duration
 }
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -13,21 +13,22 @@
 	"gotest.tools/v3/assert"
 )
 
-// network joins the exchanges of many nodes, with cuts between regions.
+// network connects the exchanges of many nodes; some of its links can be cut.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]*Exchange
 	cut   func(from, to Peer) bool
 }
 
-// setCut begins or ends a cut.
+// setCut sets which links are cut, nil for none.
 func (n *network) setCut(cut func(from, to Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-// link returns the node at the other end, and whether the link is cut.
+// link returns the node at the other end, nil if there is none, and whether the link
+// to it is cut.
 func (n *network) link(from, to Peer) (peer *Exchange, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -56,8 +57,8 @@
 	return peer.Answer(digest), nil
 }
 
-// newNetwork makes nodes in regions of two data centres, each knowing all
-// others by the platform's list alone.
+// newNetwork makes nodes in regions of two data centres. At first each node knows
+// the others only from the platform's list.
 func newNetwork(regions, perDataCentre int) *network {
 	n := &network{nodes: make(map[string]*Exchange)}
 	var all []Peer
@@ -93,7 +94,8 @@
 	}
 }
 
-// countLacking counts the nodes of a region that lack a revision of a peer.
+// countLacking counts the nodes of a region that don't know the given revision, or a
+// later one, of a peer.
 func (n *network) countLacking(name, region string, revision uint64) int {
 	count := 0
 	for _, x := range n.nodes {
@@ -105,8 +107,8 @@
 	return count
 }
 
-// adoptRevisions makes each node bring into force what it hears that another has, as the
-// catalogue's follower does.
+// adoptRevisions makes each node put the latest revision of any peer into force, as
+// the follower of the catalogue does.
 func (n *network) adoptRevisions(ctx context.Context) {
 	for _, x := range n.nodes {
 		go func() {
@@ -129,7 +131,7 @@
 	}
 }
 
-// countWithout counts the nodes of a region for which holds is false.
+// countWithout counts the nodes of a region for which holds returns false.
 func (n *network) countWithout(region string, holds func(*Table) bool) int {
 	count := 0
 	for _, x := range n.nodes {
@@ -140,12 +142,13 @@
 	return count
 }
 
-// A change comes to a relay, and a plain node begins to leave. All nodes of the
-// region must hear of both well within the three seconds in which a change has
-// to be in force; later, callers are still sent to a host that stops.
+// A relay gets a change, and a node that is no relay starts to leave. All nodes of
+// the region must know of both well within the three seconds in which a change has
+// to be in force. If they learn of them later, callers are still sent to a host
+// that is stopping.
 //
-// The largest case has the region alone: with a second one of that size the race
-// detector runs out of its own counters and ends the process now and then.
+// The largest case has only one region: with a second one of that size, the race
+// detector sometimes runs out of its own counters and ends the process.
 func TestChangesReachTheRegion(t *testing.T) {
 	tests := map[string]struct{ regions, perDataCentre int }{
 		"1 node a data centre":   {2, 1},
@@ -159,7 +162,7 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer func() {
 					cancel()
-					time.Sleep(2 * time.Second) // for exchanges under way
+					time.Sleep(2 * time.Second) // for exchanges in flight
 				}()
 				n := newNetwork(test.regions, test.perDataCentre)
 				n.run(ctx)
@@ -181,8 +184,8 @@
 	}
 }
 
-// Two regions lose each other for an hour. Each goes on by itself, and once the
-// cut is mended both hear of each other again without anybody's help.
+// The links between two regions are cut for an hour. Each region continues on its
+// own, and after the cut both exchange states again without intervention.
 func TestRegionsReconnectAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -204,8 +207,8 @@
 	})
 }
 
-// A host dies without a word. The nodes left go on telling each other what they
-// know, and that must not make the dead one look alive.
+// A host dies without reporting that it leaves. The other nodes keep sending each
+// other its last state, and that must not make it look alive.
 func TestDeadPeerDoesNotLookFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -226,7 +229,7 @@
 		n.mu.Unlock()
 		died := time.Now()
 		time.Sleep(2 * time.Minute)
-		// One node forgets it, and hears of it again from those that have not.
+		// One node forgets it and learns of it again from the nodes that have not.
 		table := n.nodes["r0-c0-n1"].Table
 		table.Forget(time.Now().Add(-30 * time.Second))
 		time.Sleep(5 * time.Minute)
@@ -271,8 +274,8 @@
 	}
 }
 
-// Every node must name the same relays, or news goes round in circles or
-// nowhere; and the partners of one must not grow with the fleet.
+// All nodes must choose the same relays, or states are sent in circles or not at
+// all. The number of partners of a node must not grow with the fleet.
 func TestPartners(t *testing.T) {
 	n := newNetwork(13, 36)
 	var all []Peer
--- a/core/jwpeer/relay.go
+++ b/core/jwpeer/relay.go
@@ -7,14 +7,15 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// RelaysPerDataCentre is how many nodes of a data centre carry news between
-// it and the others.
+// RelaysPerDataCentre is how many nodes of a data centre exchange state with other
+// data centres on behalf of it.
 const RelaysPerDataCentre = 2
 
-// Relays returns the nodes of a data centre that carry news for it, chosen by
-// rendezvous hash over those that take part, so that every node names the same
-// ones without asking. Two nodes that see different peers may name different
-// relays: the news then travels twice, nothing is lost.
+// Relays returns the relays of a data centre: the nodes that exchange state with
+// other data centres. They are chosen by rendezvous hashing among the active
+// nodes, so all nodes that know the same peers choose the same relays without
+// communicating. Nodes that know different peers may choose different relays; then
+// some states are sent twice, and none is lost.
 func Relays(peers []Peer, dataCentre string) []Peer {
 	type scored struct {
 		peer  Peer
@@ -42,8 +43,7 @@
 	return out
 }
 
-// IsRelay reports whether the node of this name is among the relays of its data
-// centre.
+// IsRelay reports whether the node self is a relay of its data centre.
 func IsRelay(peers []Peer, self Peer) bool {
 	for _, p := range Relays(peers, self.DataCentre) {
 		if p.Name == self.Name {
@@ -53,4 +53,5 @@
 	return false
 }
 
+// isActive reports whether a node has not stopped, as far as its state tells.
 func isActive(p Peer) bool { return p.State == Joining || p.State == Serving || p.State == Leaving }
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Table holds what this node knows of all nodes, itself included.
-// One lock guards it; it is a leaf in the lock order of the board.
+// Table holds the newest known state of each node, this one included. One lock
+// guards it, and no other lock is taken while it is held.
 type Table struct {
 	mu            sync.Mutex
-	self          string
+	self          string // name of this node
 	peers         map[string]*entry
 	byMarkID      map[uint64]*entry
-	version       uint64 // rises with every state
-	urgentVersion uint64 // version of the last state that others should get soon
-	changed       chan struct{}
+	version       uint64        // rises with each stored state
+	urgentVersion uint64        // version of the last state that others should receive soon
+	changed       chan struct{} // closed at the next urgent state; nil if nobody waits for it
 }
 
-// MostAge is how old the state of an unresponsive peer may be before it is forgotten.
+// MostAge is the max age of a received state; older ones are ignored.
 const MostAge = time.Hour
 
-// entry is one peer with the moment its newest state came and the versions of
-// the table at its last words of each kind.
+// entry holds the newest state of one peer, when it was published, and the
+// versions of the table at which the peer's last state of each kind was stored.
 type entry struct {
 	Peer
 	markID           uint64
-	lastSeen         time.Time
-	source           string // partner that brought the newest report
-	anyVersion       uint64 // a report of any kind
-	fullVersion      uint64 // one that a mark can't carry: a new start, state or address
-	heartbeatVersion uint64 // one that says no more than that the peer lives
+	lastSeen         time.Time // when the peer published the newest state, by the local clock
+	source           string    // partner that sent the newest state, empty if no partner did
+	anyVersion       uint64    // last state of any kind
+	fullVersion      uint64    // last state with a change that a Mark can't carry: incarnation, state or address
+	heartbeatVersion uint64    // last state with no change but its sequence and Base
 }
 
-// SetSelf names the node this table belongs to and what it says of itself.
+// SetSelf stores the state of this node and makes it the owner of the table.
 func (t *Table) SetSelf(p Peer, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,8 +42,8 @@
 	t.put(p, now)
 }
 
-// Update changes what this node says of itself and returns it; the sequence
-// rises so that the state goes out to others.
+// Update changes the state of this node and returns it. It raises the sequence, so
+// that the new state is sent to others.
 func (t *Table) Update(now time.Time, change func(*Peer)) Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -58,7 +58,7 @@
 	return p
 }
 
-// Self returns what this node says of itself.
+// Self returns the state of this node.
 func (t *Table) Self() Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -68,8 +68,8 @@
 	return Peer{}
 }
 
-// Merge takes the newer states of the list and reports whether any was news that
-// others should get without waiting for the next period.
+// Merge stores those of the states that are newer than the known ones. It reports
+// whether any of them should be sent on without waiting for the next period.
 func (t *Table) Merge(peers []Peer, now time.Time) (urgent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -93,7 +93,8 @@
 }
 
 // newer reports whether a is a later state of a peer than b. Incarnations sort by
-// the time of their start, so a restarted node wins over its former self.
+// the time of their start, so the state of a restarted node replaces those from
+// before the restart.
 func newer(a, b Peer) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -129,13 +130,14 @@
 	e.Age = 0
 }
 
-// equalExceptMark reports whether two words of a peer differ in nothing that a mark
-// leaves out.
+// equalExceptMark reports whether two states of a peer differ in nothing but the
+// fields that a Mark carries.
 func equalExceptMark(a, b Peer) bool {
 	a.Revision, a.Base, a.Sequence, a.Age = b.Revision, b.Base, b.Sequence, b.Age
 	return a == b
 }
 
+// reindex stores the entry under the Mark ID of its new state.
 func (t *Table) reindex(e *entry, p Peer) {
 	if t.byMarkID[e.markID] == e {
 		delete(t.byMarkID, e.markID)
@@ -144,6 +146,7 @@
 	t.byMarkID[e.markID] = e
 }
 
+// signalChange marks the current version as urgent and closes the channel of Changed.
 func (t *Table) signalChange() {
 	t.urgentVersion = t.version
 	if t.changed != nil {
@@ -152,8 +155,8 @@
 	}
 }
 
-// Forget drops peers that said nothing since the given time, but never this
-// node itself; it returns their names.
+// Forget removes the peers whose newest state is from before the given time, but
+// never this node. It returns their names in sorted order.
 func (t *Table) Forget(before time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,8 +172,8 @@
 	return forgotten
 }
 
-// Changed returns a channel that closes at the next change of a state, a
-// revision or an incarnation.
+// Changed returns a channel that is closed at the next change of a peer, except for
+// states that change nothing but the sequence and Base.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,7 +183,7 @@
 	return t.changed
 }
 
-// Get returns the peer of a name.
+// Get returns the state of the peer with the given name and whether it is known.
 func (t *Table) Get(name string) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -191,7 +194,8 @@
 	return e.Peer, true
 }
 
-// LastSeen returns when the newest state of a peer came, the zero time for none.
+// LastSeen returns when a peer published its newest known state, or the zero time
+// for an unknown peer.
 func (t *Table) LastSeen(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -201,7 +205,7 @@
 	return time.Time{}
 }
 
-// Len returns how many nodes are known, this one included.
+// Len returns the number of known nodes, this one included.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -227,9 +231,9 @@
 	return out
 }
 
-// Fresh returns the nodes seen of since the given time, sorted by name; this
-// node itself is always fresh. Where there are many nodes their words come at a
-// slower pace, so that they may be older by as much.
+// Fresh returns the nodes whose newest state is not from before the given time,
+// sorted by name. This node is always included. With many nodes the heartbeat
+// interval is longer, so older states are accepted accordingly.
 func (t *Table) Fresh(since time.Time) []Peer {
 	t.mu.Lock()
 	limit := t.freshnessLimit(since)
@@ -244,8 +248,8 @@
 	return out
 }
 
-// Silent reports whether a node has not been seen since the given time, which
-// is put off for many nodes as by Fresh; an unknown one is silent.
+// Silent reports whether the newest state of a node is from before the given time,
+// adjusted to the number of nodes as in Fresh. An unknown node is silent.
 func (t *Table) Silent(name string, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -253,7 +257,8 @@
 	return e == nil || name != t.self && e.lastSeen.Before(t.freshnessLimit(since)(e))
 }
 
-// freshnessLimit returns the time before which the newest state of a peer is too old.
+// freshnessLimit returns a function that gives the earliest time at which the newest
+// state of a peer still counts as fresh.
 func (t *Table) freshnessLimit(since time.Time) func(*entry) time.Time {
 	selfRegion := t.selfRegion()
 	localLimit := since.Add(-extraDelay(t.activeInRegion(selfRegion)))
@@ -266,8 +271,8 @@
 	}
 }
 
-// extraDelay is by how much three words at the pace of n nodes take longer than
-// at the pace of a few.
+// extraDelay returns how much longer three heartbeat intervals are for n nodes than
+// for a few.
 func extraDelay(n int) time.Duration { return 3 * (HeartbeatInterval(0, n) - HeartbeatInterval(0, 0)) }
 
 func (t *Table) selfRegion() string {
--- a/core/jwpeer/view.go
+++ b/core/jwpeer/view.go
@@ -7,27 +7,27 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is what the known nodes mean for this one.
+// view is what this node derives from the known nodes: its role and its partners.
 type view struct {
 	computedAt      time.Time
-	relay           bool
-	partners        []Peer // that get changes at once
-	periodic        []Peer // that get them each period in turn
-	gatherer        string
-	dataCentreNodes int // nodes of the data centre
-	regionNodes     int // nodes of the region
-	fleetNodes      int
+	relay           bool   // whether this node is a relay of its data centre
+	partners        []Peer // partners that are sent changes at once
+	periodic        []Peer // partners that are sent changes in turn, one in each period
+	gatherer        string // name of the gatherer of the region, see Exchange.Gatherer
+	dataCentreNodes int    // number of fresh nodes in the data centre
+	regionNodes     int    // number of fresh nodes in the region
+	fleetNodes      int    // number of fresh nodes
 }
 
-// A view is kept for a part of the period, and longer where many nodes make it
-// dear: to sort a thousand nodes four times a second would cost a node as much
-// as all its other control work may.
+// A view is reused for a part of the period, and for longer if there are many
+// nodes: sorting a thousand nodes four times a second would cost as much as a node
+// may spend on all its other control work.
 const (
 	viewPeriodDivisor = 2
 	viewAgePerNode    = 2 * time.Millisecond
 )
 
-// currentView returns what the known nodes mean for this one now.
+// currentView returns the view, computed again if it is too old.
 func (x *Exchange) currentView() view {
 	now := x.Now()
 	x.mu.Lock()
@@ -68,7 +68,8 @@
 	return v
 }
 
-// forgetUnknownPartners drops partners that are known no more, once they are many.
+// forgetUnknownPartners removes the state kept for partners that the table no longer
+// has, once there are more than twice as many partners as known nodes.
 func (x *Exchange) forgetUnknownPartners() {
 	known := x.Table.Len()
 	x.mu.Lock()
@@ -83,8 +84,9 @@
 	}
 }
 
-// withGatherer makes a relay report to the gatherer of its region what its own nodes
-// have in force.
+// withGatherer returns the partners of the view. For a relay it adds the gatherer of
+// the region, which needs the revisions in force at the nodes of the relay's data
+// centre.
 func (x *Exchange) withGatherer(v view, self Peer) []Peer {
 	p, known := x.Table.Get(v.gatherer)
 	if !known || !v.relay || p.Name == self.Name {
@@ -98,8 +100,9 @@
 	return append(v.partners, p)
 }
 
-// periodicPartners leaves out the plain nodes of a relay's data centre, which ask by
-// themselves, as long as there is another partner.
+// periodicPartners returns the partners of a relay without the other nodes of its
+// data centre that are no relays, because those start exchanges themselves. If
+// nothing is left, it returns all partners.
 func periodicPartners(fresh, partners []Peer, self Peer) []Peer {
 	relays := make(map[string]bool)
 	for _, p := range Relays(fresh, self.DataCentre) {
@@ -117,9 +120,9 @@
 	return out
 }
 
-// reachable leaves out nodes that could not be reached a short while ago. Their
-// words may look fresh for long after they died where words are rare, and a
-// data centre whose relays are dead would learn nothing.
+// reachable returns the peers without those that could not be reached a short while
+// ago. Where heartbeats are rare, a dead node looks fresh for a long time, and a
+// data centre whose relays are dead would receive nothing.
 func (x *Exchange) reachable(peers []Peer, now time.Time) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
@@ -133,11 +136,11 @@
 	return out
 }
 
-// IsRelay reports whether this node carries news for its data centre now.
+// IsRelay reports whether this node currently exchanges state with other data
+// centres on behalf of its own.
 func (x *Exchange) IsRelay() bool { return x.currentView().relay }
 
-// Partners returns the nodes that self reports changes to, out of the fresh
-// ones.
+// Partners returns those of the fresh nodes that self sends changes to.
 func Partners(fresh []Peer, self Peer) []Peer {
 	relay := IsRelay(fresh, self)
 	seen := map[string]bool{self.Name: true}
@@ -170,9 +173,9 @@
 	return out
 }
 
-// partnerDataCentres are the other data centres of the region, and one of each other
-// region. Which one depends on the own data centre, so that the relays of no
-// data centre are asked by all others.
+// partnerDataCentres returns the other data centres of the region and one data
+// centre of each other region. Which one depends on the data centre of self, so
+// that the exchanges are spread over the data centres of a region.
 func partnerDataCentres(centres map[string]string, self Peer) []string {
 	var out []string
 	best := make(map[string]string)
