--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -111,7 +111,7 @@
 		for name, x := range n.nodes {
 			for other := range n.nodes {
 				p, _ := x.Table.Get(other)
-				assert.Equal(t, p.Incarnation, "1", "%s of %s", name, other)
+				assert.Equal(t, p.Incarnation, "1", "%s lacks the state of %s", name, other)
 			}
 		}
 		n.mu.Lock()
@@ -123,7 +123,7 @@
 		time.Sleep(time.Second)
 		for name := range n.nodes {
 			if name != "s0" {
-				assert.Equal(t, revisionOf(n.nodes["n0"], name), uint64(7), "the gatherer of %s", name)
+				assert.Equal(t, revisionOf(n.nodes["n0"], name), uint64(7), "revision of %s at the gatherer", name)
 			}
 		}
 		time.Sleep(30 * time.Second)
@@ -248,7 +248,7 @@
 					time.Sleep(1700 * time.Millisecond)
 					for name, x := range n.nodes {
 						for _, p := range list {
-							assert.Assert(t, !x.Table.Silent(p.Name, time.Now().Add(-12*time.Second)), "%s at %s", p.Name, name)
+							assert.Assert(t, !x.Table.Silent(p.Name, time.Now().Add(-12*time.Second)), "%s is silent at %s", p.Name, name)
 						}
 					}
 				}
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -52,7 +52,7 @@
 	}
 	time.Sleep(testLinkDelay)
 	if peer == nil {
-		return Digest{}, errors.New("nobody there")
+		return Digest{}, errors.New("no such node")
 	}
 	return peer.Answer(digest), nil
 }
@@ -178,7 +178,7 @@
 				assert.Equal(t, n.countWithout("r0", func(table *Table) bool {
 					p, _ := table.Get(leavingNode)
 					return p.State == Leaving
-				}), 0, "nodes that take the leaver for serving")
+				}), 0, "nodes that don't show the leaving node as leaving")
 			})
 		})
 	}
@@ -250,14 +250,14 @@
 		accepted bool
 		urgent   bool
 	}{
-		"later word":                {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 9}, true, false},
-		"later word, new revision":  {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 10}, true, true},
-		"the same word":             {old, false, false},
-		"an earlier word":           {Peer{Name: "a", Incarnation: "2", Sequence: 4, State: Joining}, false, false},
-		"its former self":           {Peer{Name: "a", Incarnation: "1", Sequence: 99, State: Gone}, false, false},
-		"started anew":              {Peer{Name: "a", Incarnation: "3", Sequence: 1, State: Joining}, true, true},
-		"older than may be told":    {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MostAge + 1}, false, false},
-		"what it says of this node": {Peer{Name: "self", Incarnation: "9", Sequence: 9, State: Gone}, false, false},
+		"later state":               {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 9}, true, false},
+		"later state, new revision": {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 10}, true, true},
+		"same state":                {old, false, false},
+		"earlier state":             {Peer{Name: "a", Incarnation: "2", Sequence: 4, State: Joining}, false, false},
+		"earlier incarnation":       {Peer{Name: "a", Incarnation: "1", Sequence: 99, State: Gone}, false, false},
+		"later incarnation":         {Peer{Name: "a", Incarnation: "3", Sequence: 1, State: Joining}, true, true},
+		"older than MostAge":        {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MostAge + 1}, false, false},
+		"state of this node":        {Peer{Name: "self", Incarnation: "9", Sequence: 9, State: Gone}, false, false},
 		"no name":                   {Peer{Incarnation: "9"}, false, false},
 	}
 	for name, test := range tests {
