--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -208,7 +208,7 @@
 	var oldest *Peer
 	for i := range v.periodic {
 		p := &v.periodic[i]
-		if oldest == nil || x.partnerState(p.Name).finishedAt.Before(x.partnerState(oldest.Name).finishedAt) {
+		if oldest == nil || x.stateOf(p.Name).finishedAt.Before(x.stateOf(oldest.Name).finishedAt) {
 			oldest = p
 		}
 	}
@@ -271,7 +271,7 @@
 // assume that this node has it, so it must send everything again.
 func (x *Exchange) recordFailure(p Peer) {
 	x.mu.Lock()
-	ps := x.partnerState(p.Name)
+	ps := x.stateOf(p.Name)
 	ps.inSync = false
 	ps.failedAt = x.Now()
 	ps.finishedAt = ps.failedAt
@@ -288,7 +288,7 @@
 func (x *Exchange) recordSent(name string, digest Digest, version uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	ps := x.partnerState(name)
+	ps := x.stateOf(name)
 	ps.sentVersion = max(ps.sentVersion, version)
 	if ps.remoteSentVersion == 0 || digest.Whole {
 		ps.remoteSentVersion = version
@@ -301,7 +301,7 @@
 func (x *Exchange) receive(digest Digest) {
 	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
 	x.mu.Lock()
-	ps := x.partnerState(digest.From)
+	ps := x.stateOf(digest.From)
 	ps.inSync = allKnown && (ps.inSync || digest.Whole)
 	if digest.Again {
 		ps.sentVersion, ps.remoteSentVersion = 0, 0
@@ -313,8 +313,8 @@
 	}
 }
 
-// partnerState returns the state kept for a partner; x.mu must be held.
-func (x *Exchange) partnerState(name string) *partnerState {
+// stateOf returns the state kept for a partner; x.mu must be held.
+func (x *Exchange) stateOf(name string) *partnerState {
 	if x.partnerStates == nil {
 		x.partnerStates = make(map[string]*partnerState)
 	}
@@ -353,7 +353,7 @@
 	v := x.currentView()
 	now := x.Now()
 	x.mu.Lock()
-	ps := x.partnerState(p.Name)
+	ps := x.stateOf(p.Name)
 	if ps.remoteSentAt.IsZero() {
 		// Without a random start, partners that became known together would all
 		// be due at the same time forever.
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -142,17 +142,17 @@
 	a := n.add("n0", "north", "north-a", "1", listed("n1", "north", "north-a"))
 	b := n.add("n1", "north", "north-a", "1", listed("n0", "north", "north-a"))
 	to, _ := a.Table.Get("n1")
-	exchange := func() {
+	exchangeOnce := func() {
 		digest, version := a.digestFor(to)
 		a.exchange(t.Context(), to, digest, version)
 	}
-	exchange()
+	exchangeOnce()
 	b.Table.Merge([]Peer{{Name: "n2", Region: "north", Incarnation: "1", State: Leaving, Sequence: 1}}, time.Now())
 	n.loseAnswers["n1"] = 1
-	exchange()
+	exchangeOnce()
 	_, known := a.Table.Get("n2")
 	assert.Assert(t, !known)
-	exchange()
+	exchangeOnce()
 	p, _ := a.Table.Get("n2")
 	assert.Equal(t, p.State, Leaving)
 }
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -65,10 +65,10 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	out := delta{version: t.version}
-	selfRegion := t.selfRegion()
-	to.remote = to.region != selfRegion
+	ownRegion := t.selfRegion()
+	to.remote = to.region != ownRegion
 	for name, e := range t.peers {
-		remotePeer := e.Region != selfRegion
+		remotePeer := e.Region != ownRegion
 		switch {
 		case name == to.name, e.Incarnation == "", to.remote && remotePeer:
 		case e.source == to.name && to.sentVersion > 0:
@@ -97,10 +97,10 @@
 
 // receive stores the states that a partner sent. It returns false if a mark is of
 // an unknown peer, so that the partner must send everything again.
-func (t *Table) receive(source string, peers []Peer, marks []Mark, now time.Time) bool {
+func (t *Table) receive(partner string, peers []Peer, marks []Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.merge(source, peers, now)
+	t.merge(partner, peers, now)
 	allKnown := true
 	for _, m := range marks {
 		e := t.byMarkID[m.ID]
@@ -114,7 +114,7 @@
 		p := e.Peer
 		p.Sequence, p.Revision, p.Base, p.Age = m.Sequence, m.Revision, m.Base, m.Age
 		t.put(p, now)
-		e.source = source
+		e.source = partner
 	}
 	return allKnown
 }
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -78,7 +78,7 @@
 	return t.urgentVersion != before
 }
 
-func (t *Table) merge(source string, peers []Peer, now time.Time) {
+func (t *Table) merge(partner string, peers []Peer, now time.Time) {
 	for _, p := range peers {
 		if p.Name == "" || p.Name == t.self {
 			continue
@@ -88,7 +88,7 @@
 			continue
 		}
 		t.put(p, now)
-		t.peers[p.Name].source = source
+		t.peers[p.Name].source = partner
 	}
 }
 
@@ -260,11 +260,11 @@
 // freshnessLimit returns a function that gives the earliest time at which the newest
 // state of a peer still counts as fresh.
 func (t *Table) freshnessLimit(since time.Time) func(*entry) time.Time {
-	selfRegion := t.selfRegion()
-	localLimit := since.Add(-extraDelay(t.activeInRegion(selfRegion)))
+	ownRegion := t.selfRegion()
+	localLimit := since.Add(-extraDelay(t.activeInRegion(ownRegion)))
 	remoteLimit := since.Add(-extraDelay(len(t.peers)))
 	return func(e *entry) time.Time {
-		if e.Region == selfRegion {
+		if e.Region == ownRegion {
 			return localLimit
 		}
 		return remoteLimit
