--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -37,12 +37,12 @@
 func (r *Reporter) Report(to jwpeer.Peer) jwpeer.News {
 	now := r.Now()
 	self := r.Board.Peers.Self()
-	every := loadInterval(r.Board.Peers.Len())
+	interval := loadInterval(r.Board.Peers.Len())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partner(to.Name, now)
-	n := jwpeer.News{Suspects: r.suspects(to.Region, now, t)}
-	due := t.loadsDue(now, every)
+	record := r.partner(to.Name, now)
+	n := jwpeer.News{Suspects: r.suspects(to.Region, now, record)}
+	due := record.loadsDue(now, interval)
 	if to.Region != self.Region {
 		if due {
 			n.Loads = r.ownLoads(self.Region, now)
@@ -50,11 +50,11 @@
 		return n
 	}
 	for _, d := range r.Board.Targets.Leaving() {
-		if t.markSent("leaving "+d.Address.String(), now) {
+		if record.markSent("leaving "+d.Address.String(), now) {
 			n.Leaving = append(n.Leaving, jwpeer.LeavingTarget{Target: d.Address, Age: now.Sub(d.Since)})
 		}
 	}
-	n.Moves = r.moves(t, now)
+	n.Moves = r.moves(record, now)
 	if due {
 		n.Usages = r.usages(self.Name, now)
 		n.Loads = r.otherRegionLoads(self.Region, now)
@@ -77,11 +77,11 @@
 	return out
 }
 
-func (r *Reporter) suspects(region string, now time.Time, t *sent) []jwpeer.Suspect {
+func (r *Reporter) suspects(region string, now time.Time, record *sent) []jwpeer.Suspect {
 	var out []jwpeer.Suspect
 	for _, s := range r.Board.Suspects.Notices(region, now) {
 		key := "suspect " + string(s.Fingerprint[:]) + s.Target.String() + string(s.State)
-		if !t.markSent(key, now) {
+		if !record.markSent(key, now) {
 			continue
 		}
 		out = append(out, jwpeer.Suspect{
@@ -148,13 +148,13 @@
 }
 
 // moves are reported within the region, where tickets are run.
-func (r *Reporter) moves(t *sent, now time.Time) []jwpeer.Move {
+func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.Move {
 	if r.Moves == nil {
 		return nil
 	}
 	var out []jwpeer.Move
 	for _, m := range r.Moves.Moves() {
-		if !t.markSent("move "+m.Incarnation+m.To.Incarnation, now) {
+		if !record.markSent("move "+m.Incarnation+m.To.Incarnation, now) {
 			continue
 		}
 		out = append(out, jwpeer.Move{
--- a/core/jwboard/sent.go
+++ b/core/jwboard/sent.go
@@ -26,36 +26,36 @@
 
 // partner returns what was reported to a partner; r.mu is held.
 func (r *Reporter) partner(name string, now time.Time) *sent {
-	t := r.sent[name]
-	if t == nil {
+	s := r.sent[name]
+	if s == nil {
 		if r.sent == nil {
 			r.sent = make(map[string]*sent)
 		}
-		t = &sent{onceAt: make(map[string]time.Time)}
-		r.sent[name] = t
+		s = &sent{onceAt: make(map[string]time.Time)}
+		r.sent[name] = s
 	}
-	for key, at := range t.onceAt {
+	for key, at := range s.onceAt {
 		if now.Sub(at) >= resendAfter {
-			delete(t.onceAt, key)
+			delete(s.onceAt, key)
 		}
 	}
-	return t
+	return s
 }
 
 // markSent reports whether a thing is to be reported to the partner, and notes that it was.
-func (t *sent) markSent(key string, now time.Time) bool {
-	if _, known := t.onceAt[key]; known {
+func (s *sent) markSent(key string, now time.Time) bool {
+	if _, found := s.onceAt[key]; found {
 		return false
 	}
-	t.onceAt[key] = now
+	s.onceAt[key] = now
 	return true
 }
 
 // loadsDue reports whether it is time for loads and use, and notes that it was.
-func (t *sent) loadsDue(now time.Time, every time.Duration) bool {
-	if now.Sub(t.loadsAt) < every {
+func (s *sent) loadsDue(now time.Time, interval time.Duration) bool {
+	if now.Sub(s.loadsAt) < interval {
 		return false
 	}
-	t.loadsAt = now
+	s.loadsAt = now
 	return true
 }
--- a/core/jwrequest/hops_test.go
+++ b/core/jwrequest/hops_test.go
@@ -7,11 +7,13 @@
 )
 
 func TestHops(t *testing.T) {
-	hop := func(node, region, centre string) Hop { return Hop{Node: node, Region: region, DataCentre: centre} }
+	hop := func(node, region, dataCentre string) Hop {
+		return Hop{Node: node, Region: region, DataCentre: dataCentre}
+	}
 	a1, a2, b1 := hop("a1", "east", "a"), hop("a2", "east", "a"), hop("b1", "east", "b")
 	c1, d1 := hop("c1", "west", "c"), hop("d1", "north", "d")
 	tests := map[string]struct {
-		way     Hops
+		hops    Hops
 		changes int
 		returns bool
 	}{
@@ -28,8 +30,8 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, test.way.RegionChanges(), test.changes)
-			assert.Equal(t, test.way.Returns(), test.returns)
+			assert.Equal(t, test.hops.RegionChanges(), test.changes)
+			assert.Equal(t, test.hops.Returns(), test.returns)
 		})
 	}
 }
