--- a/core/jwboard/board.go
+++ b/core/jwboard/board.go
@@ -11,8 +11,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Board holds the tables of one node; set their fields before use and don't
-// copy it.
+// Board holds the tables of one node. Their fields must be set before use, and a
+// Board must not be copied.
 type Board struct {
 	Catalogue jwcatalogue.Table
 	Directory jwdirectory.Table
--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -13,27 +13,28 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// Reporter reports to other nodes what the board knows and writes what they report to
-// it.
+// Reporter builds the news that this node sends to its partners from the board, and
+// writes the news that it receives to the board.
 type Reporter struct {
 	Board *Board
 	Moves Moves // may be nil
 	Now   func() time.Time
-	Nudge func() // called when something was merged that others should receive at once
+	Nudge func() // called when received news must be sent on at once; may be nil
 
 	mu   sync.Mutex
-	sent map[string]*sent // by partner
+	sent map[string]*sent // by name of the partner
 }
 
-// Moves knows which processes answer for the tickets of stopped ones.
+// Moves knows which process answers for the tickets of a stopped process.
 type Moves interface {
 	Moves() []jwclaim.Move
 	Learn(jwclaim.Move)
 }
 
-// Report returns what to send to a partner that has had what it was sent before.
-// Within the region that is what all its nodes need; to another region go the
-// load here and the suspects whose data isn't bound.
+// Report returns the news to send to a partner, without what it was sent before. A
+// partner in the same region is sent everything that the nodes of a region need. A
+// partner in another region is sent the load of this region and the suspects whose
+// data is not bound to a region.
 func (r *Reporter) Report(to jwpeer.Peer) jwpeer.News {
 	now := r.Now()
 	self := r.Board.Peers.Self()
@@ -62,7 +63,8 @@
 	return n
 }
 
-// Forget says that a partner may lack what was reported to it.
+// Forget makes the next Report to a partner complete, because it may not have
+// received the last one.
 func (r *Reporter) Forget(partner string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -92,7 +94,7 @@
 	return out
 }
 
-// ownLoads is the load of this region's services as this node sees it.
+// ownLoads returns the loads of this region's services, as this node sees them.
 func (r *Reporter) ownLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
@@ -105,13 +107,13 @@
 	return out
 }
 
-// maxReportedRegions is how many other regions a node reports of for each service. A
-// request goes to one region, so that words about all of many would be mostly
-// wasted on the nodes that don't talk to those regions.
+// maxReportedRegions is the max number of other regions whose load a node reports for
+// each service. A request goes to only one region, so the loads of all regions would
+// mostly be useless to the nodes that don't exchange with those regions.
 const maxReportedRegions = 5
 
-// otherRegionLoads are the loads of the other regions that would serve a service
-// soonest, for the nodes of this one that don't talk to them.
+// otherRegionLoads returns the loads of the other regions that could start a request
+// soonest, for the nodes of this region that don't exchange with those regions.
 func (r *Reporter) otherRegionLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
@@ -129,12 +131,13 @@
 	return out
 }
 
-// earliestStart is the least time after which a region could begin a request.
+// earliestStart returns the shortest time after which a region could start a request:
+// its wait and one round trip.
 func (r *Reporter) earliestStart(l jwrouter.Load) time.Duration {
 	return l.Wait + 2*r.Board.Regions.Links[l.Region].Delay
 }
 
-// services are those that entries of the catalogue name.
+// services returns the services that the entries of the catalogue name.
 func (r *Reporter) services() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -147,7 +150,8 @@
 	return out
 }
 
-// moves are reported within the region, where tickets are run.
+// moves returns the moves that a partner has not been sent. They are reported only
+// within the region, because tickets run in one region.
 func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.Move {
 	if r.Moves == nil {
 		return nil
@@ -174,7 +178,7 @@
 	}
 }
 
-// Merge writes what a partner sent to the board.
+// Merge writes the news that a partner sent to the board.
 func (r *Reporter) Merge(from jwpeer.Peer, n jwpeer.News) {
 	now := r.Now()
 	self := r.Board.Peers.Self()
@@ -195,8 +199,8 @@
 	r.mergeSuspects(self.Region, n.Suspects, now)
 }
 
-// mergeLeaving passes a departure on at once: a target that leaves may get no
-// new work from any node after a few seconds.
+// mergeLeaving records the leaving targets and sends new ones on at once, because no
+// node may give a leaving target new work after a few seconds.
 func (r *Reporter) mergeLeaving(leaving []jwpeer.LeavingTarget, now time.Time) {
 	before := len(r.Board.Targets.Leaving())
 	for _, l := range leaving {
--- a/core/jwboard/reporter_test.go
+++ b/core/jwboard/reporter_test.go
@@ -27,8 +27,8 @@
 	return &Reporter{Board: b, Now: func() time.Time { return *now }}
 }
 
-// It was reported to a partner that a target leaves, and the answer was lost on the way.
-// Unless that is sent again it goes on sending work there.
+// A report that a target is leaving is lost on its way to a partner. Unless it is
+// sent again, the partner keeps sending work to that target.
 func TestReportOnceAndAgainAfterForget(t *testing.T) {
 	now := time.Now()
 	r := newReporter(t, &now)
--- a/core/jwboard/sent.go
+++ b/core/jwboard/sent.go
@@ -3,28 +3,29 @@
 import "time"
 
 const (
-	// resendAfter is when a partner is sent again what it was sent, in case
-	// it has lost it in a way that nobody noticed.
+	// resendAfter is the time after which a partner is sent the same again,
+	// in case it has lost it without either node noticing.
 	resendAfter = time.Minute
-	// loadIntervalPerNode is how much longer each node of the fleet makes the time
-	// between two reports of loads and use to a partner, up to mostReport.
+	// loadIntervalPerNode is the time that each known node adds to the time
+	// between two reports of loads and usages to a partner, up to
+	// maxLoadInterval.
 	loadIntervalPerNode = 10 * time.Millisecond
 	maxLoadInterval     = 5 * time.Second
 )
 
-// loadInterval is the time between two reports of loads and use to one partner,
-// with n nodes known.
+// loadInterval returns the time between two reports of loads and usages to one
+// partner if n nodes are known.
 func loadInterval(n int) time.Duration {
 	return min(loadIntervalPerNode*time.Duration(n), maxLoadInterval)
 }
 
-// sent is what was reported to one partner.
+// sent records what was reported to one partner.
 type sent struct {
-	loadsAt time.Time            // when loads and use were last reported to it
-	onceAt  map[string]time.Time // when each thing was reported that is reported once
+	loadsAt time.Time            // when loads and usages were last reported
+	onceAt  map[string]time.Time // for each item that is reported only once, when it was reported
 }
 
-// partner returns what was reported to a partner; r.mu is held.
+// partner returns the record of what was reported to a partner; r.mu must be held.
 func (r *Reporter) partner(name string, now time.Time) *sent {
 	s := r.sent[name]
 	if s == nil {
@@ -42,7 +43,8 @@
 	return s
 }
 
-// markSent reports whether a thing is to be reported to the partner, and notes that it was.
+// markSent records an item as reported. It returns true if the item was not recorded
+// before and so must be reported now.
 func (s *sent) markSent(key string, now time.Time) bool {
 	if _, found := s.onceAt[key]; found {
 		return false
@@ -51,7 +53,8 @@
 	return true
 }
 
-// loadsDue reports whether it is time for loads and use, and notes that it was.
+// loadsDue reports whether loads and usages must be reported now. If so, it records
+// them as reported.
 func (s *sent) loadsDue(now time.Time, interval time.Duration) bool {
 	if now.Sub(s.loadsAt) < interval {
 		return false
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -19,7 +19,8 @@
 	changed       chan struct{} // closed at the next urgent state; nil if nobody waits for it
 }
 
-// MostAge is the max age of a received state; older ones are ignored.
+// MostAge is the max age of a peer's state. Received states that are older are
+// ignored, and the node forgets peers whose newest state is older.
 const MostAge = time.Hour
 
 // entry holds the newest state of one peer, when it was published, and the
@@ -102,6 +103,7 @@
 	return a.Sequence > b.Sequence
 }
 
+// put stores p as the newest state of its peer.
 func (t *Table) put(p Peer, now time.Time) {
 	if t.peers == nil {
 		t.peers = make(map[string]*entry)
--- a/core/jwrequest/doc.go
+++ b/core/jwrequest/doc.go
@@ -1,3 +1,3 @@
-// Package jwrequest describes one request on its way from a caller to a
-// target: what the caller asked, where the request has been and how it ended.
+// Package jwrequest describes one request from a caller to a target: what the
+// caller asked for, which nodes the request has passed, and how it ended.
 package jwrequest
--- a/core/jwrequest/hops.go
+++ b/core/jwrequest/hops.go
@@ -7,10 +7,10 @@
 	DataCentre string `json:"dataCentre"`
 }
 
-// Hops is the way of a request so far, oldest first.
+// Hops is the list of the nodes that a request has passed, oldest first.
 type Hops []Hop
 
-// RegionChanges counts how often the request has changed region.
+// RegionChanges returns how often the request has changed region.
 func (h Hops) RegionChanges() int {
 	n := 0
 	for i := 1; i < len(h); i++ {
@@ -37,7 +37,7 @@
 	return false
 }
 
-// Visited reports whether the request has passed the node.
+// Visited reports whether the request has passed the node with the given name.
 func (h Hops) Visited(node string) bool {
 	for _, hop := range h {
 		if hop.Node == node {
@@ -47,7 +47,7 @@
 	return false
 }
 
-// With returns the way extended by one hop; the receiver is left as it is.
+// With returns a copy of the list with one more hop; h is not changed.
 func (h Hops) With(hop Hop) Hops {
 	out := make(Hops, 0, len(h)+1)
 	out = append(out, h...)
--- a/core/jwrequest/request.go
+++ b/core/jwrequest/request.go
@@ -5,18 +5,18 @@
 // Outcome tells a caller whether its request was run.
 type Outcome string
 
-// The outcomes of a request.
+// These are the outcomes of a request.
 const (
 	Served  Outcome = "served"  // the whole answer follows
-	NotRun  Outcome = "notRun"  // the request certainly was not run
-	Unknown Outcome = "unknown" // the request may have been run
+	NotRun  Outcome = "notRun"  // the request was certainly not run
+	Unknown Outcome = "unknown" // the request may have run
 )
 
-// Request is one caller's request as nodes pass it on.
+// Request is one request of a caller, as nodes forward it to each other.
 type Request struct {
 	ID          string
 	Workspace   string
-	Entry       string
+	Entry       string // name of the catalogue entry
 	Key         string // idempotency key or ticket, may be empty
 	Region      string // home region of the workspace
 	Bound       bool   // the data must not leave Region
