--- a/core/jwboard/reporter_test.go
+++ b/core/jwboard/reporter_test.go
@@ -55,5 +55,5 @@
 	loads := r.Report(jwpeer.Peer{Name: "n1", Region: "north"}).Loads
 	assert.Equal(t, len(loads), maxReportedRegions)
 	assert.Equal(t, loads[0].Region, "region-11")
-	assert.Equal(t, len(r.Report(jwpeer.Peer{Name: "n1", Region: "north"}).Loads), 0, "reported a moment ago")
+	assert.Equal(t, len(r.Report(jwpeer.Peer{Name: "n1", Region: "north"}).Loads), 0, "loads were just reported")
 }
--- a/core/jwrequest/hops_test.go
+++ b/core/jwrequest/hops_test.go
@@ -17,16 +17,16 @@
 		changes int
 		returns bool
 	}{
-		"none":                                {nil, 0, false},
-		"one node":                            {Hops{a1}, 0, false},
-		"within a data centre":                {Hops{a1, a2}, 0, false},
-		"to another data centre":              {Hops{a1, b1}, 0, false},
-		"and on within it":                    {Hops{a1, b1, hop("b2", "east", "b")}, 0, false},
-		"back to the first data centre":       {Hops{a1, b1, a2}, 0, true},
-		"to another region":                   {Hops{a1, c1}, 1, false},
-		"back to the first region":            {Hops{a1, c1, b1}, 2, false},
-		"back to the first region and centre": {Hops{a1, c1, a2}, 2, true},
-		"to a third region":                   {Hops{a1, c1, d1}, 2, false},
+		"no hops":                {nil, 0, false},
+		"one node":               {Hops{a1}, 0, false},
+		"within a data centre":   {Hops{a1, a2}, 0, false},
+		"to another data centre": {Hops{a1, b1}, 0, false},
+		"to another data centre and on within it":  {Hops{a1, b1, hop("b2", "east", "b")}, 0, false},
+		"back to the first data centre":            {Hops{a1, b1, a2}, 0, true},
+		"to another region":                        {Hops{a1, c1}, 1, false},
+		"back to the first region":                 {Hops{a1, c1, b1}, 2, false},
+		"back to the first region and data centre": {Hops{a1, c1, a2}, 2, true},
+		"to a third region":                        {Hops{a1, c1, d1}, 2, false},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
