--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -151,7 +151,7 @@
 }
 
 // moves returns the moves that a partner has not been sent. They are reported only
-// within the region, because tickets run in one region.
+// within the region, where the tickets run.
 func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.Move {
 	if r.Moves == nil {
 		return nil
