--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -97,7 +97,7 @@
 const (
 	slowThreshold    = 1.5
 	maxSlowdown      = 20
-	maxDurationRatio = 5 // the most that one call can add to the average
+	maxDurationRatio = 5 // max ratio of the duration of one call to the average
 	// slowdownTTL is the time in which the measured slowdown of a target that
 	// gets no calls returns to 1. Only calls update the slowdown, so without
 	// this limit a target that was slow once would never get work again and
