--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -44,8 +44,8 @@
 
 const testLinkDelay = 40 * time.Millisecond
 
-func (w *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
-	peer, cut := w.network.link(w.from, to)
+func (t *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
+	peer, cut := t.network.link(t.from, to)
 	if cut {
 		<-ctx.Done()
 		return Digest{}, ctx.Err()
