--- a/core/jwtarget/departure.go
+++ b/core/jwtarget/departure.go
@@ -46,7 +46,7 @@
 // Departure is a leaving target, as reported to peers.
 type Departure struct {
 	Address netip.AddrPort
-	Since   time.Time
+	Since   time.Time // when it was first reported as leaving
 }
 
 // Leaving returns the targets known to be leaving, sorted by address. The node
