--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -13,56 +13,58 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// Reporter reports to other nodes what the board knows and writes what they report to
-// it.
+// Reporter builds the news that this node sends to its partners from the board, and
+// writes the news that it receives to the board.
 type Reporter struct {
 	Board *Board
 	Moves Moves // may be nil
 	Now   func() time.Time
-	Nudge func() // called when something was merged that others should receive at once
+	Nudge func() // called when received news must be sent on at once; may be nil
 
 	mu   sync.Mutex
-	sent map[string]*sent // by partner
+	sent map[string]*sent // by name of the partner
 }
 
-// Moves knows which processes answer for the tickets of stopped ones.
+// Moves knows which process answers for the tickets of a stopped process.
 type Moves interface {
 	Moves() []jwclaim.Move
 	Learn(jwclaim.Move)
 }
 
-// Report returns what to send to a partner that has had what it was sent before.
-// Within the region that is what all its nodes need; to another region go the
-// load here and the suspects whose data isn't bound.
+// Report returns the news to send to a partner, without what it was sent before. A
+// partner in the same region is sent everything that the nodes of a region need. A
+// partner in another region is sent the load of this region and the suspects whose
+// data is not bound to a region.
 func (r *Reporter) Report(to jwpeer.Peer) jwpeer.News {
 	now := r.Now()
 	self := r.Board.Peers.Self()
-	every := reportEvery(r.Board.Peers.Len())
+	interval := loadInterval(r.Board.Peers.Len())
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := r.partner(to.Name, now)
-	n := jwpeer.News{Suspects: r.suspects(to.Region, now, t)}
-	due := t.due(now, every)
+	record := r.partner(to.Name, now)
+	n := jwpeer.News{Suspects: r.suspects(to.Region, now, record)}
+	due := record.loadsDue(now, interval)
 	if to.Region != self.Region {
 		if due {
-			n.Loads = r.own(self.Region, now)
+			n.Loads = r.ownLoads(self.Region, now)
 		}
 		return n
 	}
 	for _, d := range r.Board.Targets.Leaving() {
-		if t.first("leaving "+d.Address.String(), now) {
+		if record.markSent("leaving "+d.Address.String(), now) {
 			n.Leaving = append(n.Leaving, jwpeer.LeavingTarget{Target: d.Address, Age: now.Sub(d.Since)})
 		}
 	}
-	n.Moves = r.moves(t, now)
+	n.Moves = r.moves(record, now)
 	if due {
 		n.Usages = r.usages(self.Name, now)
-		n.Loads = r.others(self.Region, now)
+		n.Loads = r.otherRegionLoads(self.Region, now)
 	}
 	return n
 }
 
-// Forget says that a partner may lack what was reported to it.
+// Forget makes the next Report to a partner complete, because it may not have
+// received the last one.
 func (r *Reporter) Forget(partner string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -77,11 +79,11 @@
 	return out
 }
 
-func (r *Reporter) suspects(region string, now time.Time, t *sent) []jwpeer.Suspect {
+func (r *Reporter) suspects(region string, now time.Time, record *sent) []jwpeer.Suspect {
 	var out []jwpeer.Suspect
 	for _, s := range r.Board.Suspects.Notices(region, now) {
 		key := "suspect " + string(s.Fingerprint[:]) + s.Target.String() + string(s.State)
-		if !t.first(key, now) {
+		if !record.markSent(key, now) {
 			continue
 		}
 		out = append(out, jwpeer.Suspect{
@@ -92,8 +94,8 @@
 	return out
 }
 
-// own is the load of this region's services as this node sees it.
-func (r *Reporter) own(region string, now time.Time) []jwpeer.RegionLoad {
+// ownLoads returns the loads of this region's services, as this node sees them.
+func (r *Reporter) ownLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
 		room := r.Board.Targets.Room(service, now)
@@ -105,21 +107,21 @@
 	return out
 }
 
-// reportedRegions is how many other regions a node reports of for each service. A
-// request goes to one region, so that words about all of many would be mostly
-// wasted on the nodes that don't talk to those regions.
-const reportedRegions = 5
+// maxReportedRegions is the max number of other regions whose load a node reports for
+// each service. A request goes to only one region, so the loads of all regions would
+// mostly be useless to the nodes that don't exchange with those regions.
+const maxReportedRegions = 5
 
-// others are the loads of the other regions that would serve a service
-// soonest, for the nodes of this one that don't talk to them.
-func (r *Reporter) others(region string, now time.Time) []jwpeer.RegionLoad {
+// otherRegionLoads returns the loads of the other regions that could start a request
+// soonest, for the nodes of this region that don't exchange with those regions.
+func (r *Reporter) otherRegionLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
 		loads := slices.DeleteFunc(r.Board.Regions.Loads(service, now), func(l jwrouter.Load) bool { return l.Region == region })
 		slices.SortStableFunc(loads, func(a, b jwrouter.Load) int {
-			return cmp.Or(cmp.Compare(r.soonest(a), r.soonest(b)), cmp.Compare(b.Free*float64(b.Slots), a.Free*float64(a.Slots)))
+			return cmp.Or(cmp.Compare(r.earliestStart(a), r.earliestStart(b)), cmp.Compare(b.Free*float64(b.Slots), a.Free*float64(a.Slots)))
 		})
-		for _, l := range loads[:min(len(loads), reportedRegions)] {
+		for _, l := range loads[:min(len(loads), maxReportedRegions)] {
 			out = append(out, jwpeer.RegionLoad{
 				Region: l.Region, Service: l.Service, Wait: l.Wait, Work: l.Work,
 				Free: l.Free, Slots: l.Slots, Targets: l.Targets, Age: now.Sub(l.Taken),
@@ -129,12 +131,13 @@
 	return out
 }
 
-// soonest is the least time after which a region could begin a request.
-func (r *Reporter) soonest(l jwrouter.Load) time.Duration {
+// earliestStart returns the shortest time after which a region could start a request:
+// its wait and one round trip.
+func (r *Reporter) earliestStart(l jwrouter.Load) time.Duration {
 	return l.Wait + 2*r.Board.Regions.Links[l.Region].Delay
 }
 
-// services are those that entries of the catalogue name.
+// services returns the services that the entries of the catalogue name.
 func (r *Reporter) services() []string {
 	seen := make(map[string]bool)
 	var out []string
@@ -147,14 +150,15 @@
 	return out
 }
 
-// moves are reported within the region, where tickets are run.
-func (r *Reporter) moves(t *sent, now time.Time) []jwpeer.Move {
+// moves returns the moves that a partner has not been sent. They are reported only
+// within the region, where the tickets run.
+func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.Move {
 	if r.Moves == nil {
 		return nil
 	}
 	var out []jwpeer.Move
 	for _, m := range r.Moves.Moves() {
-		if !t.first("move "+m.Incarnation+m.To.Incarnation, now) {
+		if !record.markSent("move "+m.Incarnation+m.To.Incarnation, now) {
 			continue
 		}
 		out = append(out, jwpeer.Move{
@@ -164,7 +168,7 @@
 	return out
 }
 
-func (r *Reporter) hearMoves(moves []jwpeer.Move) {
+func (r *Reporter) mergeMoves(moves []jwpeer.Move) {
 	if r.Moves == nil {
 		return
 	}
@@ -174,14 +178,14 @@
 	}
 }
 
-// Merge writes what a partner sent to the board.
+// Merge writes the news that a partner sent to the board.
 func (r *Reporter) Merge(from jwpeer.Peer, n jwpeer.News) {
 	now := r.Now()
 	self := r.Board.Peers.Self()
 	if from.Region == self.Region {
-		r.hearLeaving(n.Leaving, now)
-		r.hearUsages(n.Usages, now)
-		r.hearMoves(n.Moves)
+		r.mergeLeaving(n.Leaving, now)
+		r.mergeUsages(n.Usages, now)
+		r.mergeMoves(n.Moves)
 	}
 	for _, l := range n.Loads {
 		if l.Region == self.Region {
@@ -192,12 +196,12 @@
 			Free: l.Free, Slots: l.Slots, Targets: l.Targets, Taken: now.Add(-l.Age),
 		})
 	}
-	r.hearSuspects(self.Region, n.Suspects, now)
+	r.mergeSuspects(self.Region, n.Suspects, now)
 }
 
-// hearLeaving passes a departure on at once: a target that leaves may get no
-// new work from any node after a few seconds.
-func (r *Reporter) hearLeaving(leaving []jwpeer.LeavingTarget, now time.Time) {
+// mergeLeaving records the leaving targets and sends new ones on at once, because no
+// node may give a leaving target new work after a few seconds.
+func (r *Reporter) mergeLeaving(leaving []jwpeer.LeavingTarget, now time.Time) {
 	before := len(r.Board.Targets.Leaving())
 	for _, l := range leaving {
 		r.Board.Targets.MarkLeaving(l.Target, now.Add(-l.Age), now)
@@ -207,7 +211,7 @@
 	}
 }
 
-func (r *Reporter) hearUsages(usages []jwpeer.Usage, now time.Time) {
+func (r *Reporter) mergeUsages(usages []jwpeer.Usage, now time.Time) {
 	byNode := make(map[string][]jwlimit.Usage)
 	for _, u := range usages {
 		byNode[u.Node] = append(byNode[u.Node], jwlimit.Usage{Name: u.Name, Rate: u.Rate, Running: u.Running})
@@ -217,7 +221,7 @@
 	}
 }
 
-func (r *Reporter) hearSuspects(region string, suspects []jwpeer.Suspect, now time.Time) {
+func (r *Reporter) mergeSuspects(region string, suspects []jwpeer.Suspect, now time.Time) {
 	var notices []jwsuspect.Notice
 	for _, s := range suspects {
 		if s.Region != "" && s.Region != region {
--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -10,163 +10,171 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// silentTries is the number of periods of which one goes to a silent node.
-const silentTries = 8
+// silentPeerDivisor is the average number of periods in which one exchange goes to
+// a silent node.
+const silentPeerDivisor = 8
 
-// Digest is what one node sends another in one exchange.
+// Digest is what one node sends to another in one exchange.
 type Digest struct {
 	From  string
 	Peers []Peer
 	Marks []Mark
 	News  News
-	Again bool // the sender lacks something and is to be sent everything
-	Whole bool // this is everything that the receiver needs
+	Again bool // the sender does not have all that it was sent; the receiver must send it everything
+	Whole bool // the digest is complete: it does not depend on earlier ones
 }
 
-// empty reports whether there is nothing to report.
+// empty reports whether the digest has nothing to report.
 func (t *Digest) empty() bool { return len(t.Peers) == 0 && len(t.Marks) == 0 && t.News.empty() }
 
-// Partner carries an exchange to another node and brings back its answer.
-type Partner interface {
+// Transport sends a digest to another node and returns its answer.
+type Transport interface {
 	Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error)
 }
 
-// Exchange keeps the table level with the other nodes: every period with one
-// partner, and at once with all it answers for when something changed.
+// Exchange keeps the table in sync with those of the other nodes. In each period
+// it exchanges digests with one partner; after an urgent change it does so at once
+// with all partners.
 //
-// A node of many talks to the relays of its data centre only; relays talk to
-// all nodes of their data centre, to the relays of their region and to one
-// data centre's relays of each other region. A partner is sent what it has not
-// been sent yet, and most of that as marks. So the messages of a node don't
-// grow with the fleet, and those of a relay grow with its data centre.
+// A node that is no relay exchanges only with the relays of its data centre. A
+// relay exchanges with all nodes of its data centre, with the other relays of its
+// region, and with the relays of one data centre in each other region. A partner
+// is sent only what it has not been sent yet, and most of that as marks. So the
+// messages of a node don't grow with the fleet, and those of a relay grow with its
+// data centre.
 type Exchange struct {
 	Table   *Table
-	Partner Partner
-	Period  time.Duration // between exchanges with one partner
-	Beat    time.Duration // least time between words of this node about itself when nothing changes
+	Partner Transport
+	Period  time.Duration // time between exchanges with one partner
+	Beat    time.Duration // min time between heartbeats: states that are published without a change
 	Timeout time.Duration // for one exchange
-	Silence time.Duration // after which a peer isn't chosen as a relay
+	Silence time.Duration // age of the newest state from which on a peer is no partner
 	Now     func() time.Time
 	Rand    *rand.Rand
 	News    Reporter                 // may be nil
-	Failed  func(to Peer, err error) // may be nil
-	// Gatherer names the node that needs to know the revision in force at each
-	// node of a region; nil when all need to.
+	Failed  func(to Peer, err error) // called after a failed exchange; may be nil
+	// Gatherer returns the name of the node that needs to know the revision in
+	// force at each node of a region. If it is nil, all nodes need to.
 	Gatherer func(peers []Peer, region string) string
 
-	once  sync.Once
-	nudge chan struct{}
-	mu    sync.Mutex
-	view  view
-	with  map[string]*partner
+	once          sync.Once
+	trigger       chan struct{}
+	mu            sync.Mutex
+	view          view
+	partnerStates map[string]*partnerState
 }
 
-// partner is how far this node is level with another.
-type partner struct {
-	since    uint64    // version of the table that the other has
-	wide     uint64    // the same for marks of other regions
-	widely   time.Time // when those were last sent
-	level    bool      // this node has what the other has sent
-	failed   time.Time // when the other could not be reached, zero if it can be
-	finished time.Time // end of the last exchange
+// partnerState records what was exchanged with a partner.
+type partnerState struct {
+	sentVersion       uint64    // version of the table that the partner has, 0 for none
+	remoteSentVersion uint64    // sentVersion for the marks that are sent when recipient.remoteDue
+	remoteSentAt      time.Time // when those marks were last sent
+	inSync            bool      // whether this node has everything that the partner sent
+	failedAt          time.Time // when the last exchange failed, zero if it succeeded
+	finishedAt        time.Time // end of the last exchange that this node started or answered
 }
 
-// Nudge makes the node report to its partners at once, for news that can't wait for
+// Nudge starts an exchange with all partners at once, for news that must not wait for
 // the next period.
 func (x *Exchange) Nudge() {
-	x.once.Do(x.start)
+	x.once.Do(x.makeTrigger)
 	select {
-	case x.nudge <- struct{}{}:
+	case x.trigger <- struct{}{}:
 	default:
 	}
 }
 
-func (x *Exchange) start() { x.nudge = make(chan struct{}, 1) }
+func (x *Exchange) makeTrigger() { x.trigger = make(chan struct{}, 1) }
 
-// Run exchanges until ctx ends; it returns the error of ctx.
+// Run exchanges digests until ctx ends and returns the error of ctx.
 func (x *Exchange) Run(ctx context.Context) error {
-	x.once.Do(x.start)
+	x.once.Do(x.makeTrigger)
 	period := time.NewTimer(0)
 	defer period.Stop()
-	// Nodes that start together would exchange state at the same moments ever after.
-	beat := x.Now().Add(-x.part(x.Beat))
+	// Without a random first interval, nodes that start together would send their
+	// heartbeats at the same time forever.
+	lastHeartbeat := x.Now().Add(-x.randomDuration(x.Beat))
 	for {
 		changed := x.Table.Changed()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-changed:
-			x.gather(ctx)
-			x.round(ctx, x.current().partners, false)
-		case <-x.nudge:
-			x.round(ctx, x.current().partners, false)
+			x.waitForBatch(ctx)
+			x.exchangeAll(ctx, x.currentView().partners, false)
+		case <-x.trigger:
+			x.exchangeAll(ctx, x.currentView().partners, false)
 		case <-period.C:
-			v := x.current()
-			if now, pace := x.Now(), Pace(x.Beat, v.region); now.Sub(beat) >= pace {
-				beat = now.Add(-x.part(pace / beatJitter))
+			v := x.currentView()
+			if now, interval := x.Now(), HeartbeatInterval(x.Beat, v.regionNodes); now.Sub(lastHeartbeat) >= interval {
+				lastHeartbeat = now.Add(-x.randomDuration(interval / heartbeatJitterDivisor))
 				x.Table.Update(now, func(*Peer) {})
 			}
-			x.round(ctx, x.one(v), true)
-			period.Reset(x.jittered(v))
+			x.exchangeAll(ctx, x.choosePartner(v), true)
+			period.Reset(x.nextPeriod(v))
 		}
 	}
 }
 
-// beatJitter is the part of the pace by which the words of a node vary.
-const beatJitter = 4
+// heartbeatJitterDivisor sets the jitter of the heartbeats: the interval is shortened
+// by a random part of up to 1/heartbeatJitterDivisor.
+const heartbeatJitterDivisor = 4
 
-// gatherShare is the part of a period for which changes are gathered, so that
-// what all nodes of a data centre say at the same time goes out together.
-const gatherShare = 5
+// batchDelayDivisor sets the delay before changes are sent, as a part of the period,
+// so that changes of all nodes of a data centre at the same time are sent together.
+const batchDelayDivisor = 5
 
-func (x *Exchange) gather(ctx context.Context) {
+// waitForBatch waits for the batch delay, or until Nudge is called or ctx ends.
+func (x *Exchange) waitForBatch(ctx context.Context) {
 	select {
 	case <-ctx.Done():
-	case <-x.nudge:
-	case <-time.After(x.Period / gatherShare):
+	case <-x.trigger:
+	case <-time.After(x.Period / batchDelayDivisor):
 	}
 }
 
-// The numbers of partners at which the period is as it was set. With more nodes
-// in a data centre each asks its relays less often, or the relays would be
-// asked without end; with more partners a relay goes round them faster, or
-// what regions say of their load would be old when it arrives.
+// These are the max numbers of nodes and partners for which the configured period
+// applies. With more nodes in a data centre each node contacts its relays less
+// often, or the relays would be overloaded. With more partners a relay contacts
+// them at shorter intervals, or the loads of the regions would be out of date when
+// they arrive.
 const (
-	usualCentre   = 12
-	usualPartners = 12
+	baseDataCentreNodes = 12
+	basePartners        = 12
 )
 
-// jittered spreads the periods of nodes that started together.
-func (x *Exchange) jittered(v view) time.Duration {
+// nextPeriod returns the time until the next exchange. It is random, so that nodes
+// that started together don't exchange at the same time.
+func (x *Exchange) nextPeriod(v view) time.Duration {
 	period := x.Period
 	if v.relay {
-		period = period * usualPartners / time.Duration(max(usualPartners, len(v.periodic)))
+		period = period * basePartners / time.Duration(max(basePartners, len(v.periodic)))
 	} else {
-		period = period * time.Duration(max(usualCentre, v.centre)) / usualCentre
+		period = period * time.Duration(max(baseDataCentreNodes, v.dataCentreNodes)) / baseDataCentreNodes
 	}
-	return period/2 + time.Duration(x.draw(int64(period)))
+	return period/2 + time.Duration(x.randomBelow(int64(period)))
 }
 
-// part returns a random part of a time.
-func (x *Exchange) part(d time.Duration) time.Duration {
-	return time.Duration(x.draw(int64(max(d, 1))))
+// randomDuration returns a random duration below d.
+func (x *Exchange) randomDuration(d time.Duration) time.Duration {
+	return time.Duration(x.randomBelow(int64(max(d, 1))))
 }
 
-// draw returns a random number below n. Rand is not safe for use by Run and
-// Answer at once, as when the period ends while another node exchanges.
-func (x *Exchange) draw(n int64) int64 {
+// randomBelow returns a random number from 0 to n-1. The lock is needed because Rand
+// is not safe for concurrent use, and Run and Answer may run at the same time.
+func (x *Exchange) randomBelow(n int64) int64 {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	return x.Rand.Int64N(n)
 }
 
-// otherRelay is the number of periods of which a plain node spends one with
-// another relay than its own.
-const otherRelay = 8
+// otherRelayDivisor is the average number of periods in which a node that is no relay
+// may exchange once with another relay than its preferred one.
+const otherRelayDivisor = 8
 
-// own is the relay that a plain node asks as a rule. Asking all of them in turn
-// would have each report the same to it.
-func (x *Exchange) own(relays []Peer) []Peer {
+// preferredRelay returns the relay that a node usually exchanges with, as a list of at
+// most one. If the node used all relays in turn, each would send it the same states.
+func (x *Exchange) preferredRelay(relays []Peer) []Peer {
 	if len(relays) == 0 {
 		return nil
 	}
@@ -181,38 +189,38 @@
 	return relays[best : best+1]
 }
 
-// one picks the partner of this period: the one whose last exchange is the
-// longest ago, for a plain node mostly its own relay. Now and then it is a node that fell silent: after a cut nobody
-// else would try it, and two halves that each work would never learn of each
-// other again.
-func (x *Exchange) one(v view) []Peer {
-	if len(v.periodic) == 0 || x.draw(silentTries) == 0 {
-		if silent := x.silent(v); len(silent) > 0 {
-			i := int(x.draw(int64(len(silent))))
+// choosePartner returns the partner for this period, as a list of at most one: the
+// partner whose last exchange is the longest ago, but for a node that is no relay
+// usually its preferred relay. Once in a while it is a silent node. Otherwise two
+// parts of the fleet would never find each other again after a network partition.
+func (x *Exchange) choosePartner(v view) []Peer {
+	if len(v.periodic) == 0 || x.randomBelow(silentPeerDivisor) == 0 {
+		if silent := x.silentPeers(v); len(silent) > 0 {
+			i := int(x.randomBelow(int64(len(silent))))
 			return silent[i : i+1]
 		}
 	}
-	if !v.relay && x.draw(otherRelay) > 0 {
-		return x.own(v.periodic)
+	if !v.relay && x.randomBelow(otherRelayDivisor) > 0 {
+		return x.preferredRelay(v.periodic)
 	}
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	var longest *Peer
+	var oldest *Peer
 	for i := range v.periodic {
 		p := &v.periodic[i]
-		if longest == nil || x.partner(p.Name).finished.Before(x.partner(longest.Name).finished) {
-			longest = p
+		if oldest == nil || x.stateOf(p.Name).finishedAt.Before(x.stateOf(oldest.Name).finishedAt) {
+			oldest = p
 		}
 	}
-	if longest == nil {
+	if oldest == nil {
 		return nil
 	}
-	return []Peer{*longest}
+	return []Peer{*oldest}
 }
 
-// silent returns the nodes that are known and not seen. Those of other
-// regions are left to the relays, unless there is nobody else to ask.
-func (x *Exchange) silent(v view) []Peer {
+// silentPeers returns the known nodes that are not fresh. Only relays try those of
+// other regions, unless this node has no other partner.
+func (x *Exchange) silentPeers(v view) []Peer {
 	self := x.Table.Self()
 	since := x.Now().Add(-x.Silence)
 	alone := len(v.periodic) == 0
@@ -223,17 +231,17 @@
 		}
 	}
 	return x.Table.Select(func(p Peer) bool {
-		return p.Name != self.Name && takesPart(p) && !seen[p.Name] && (alone || v.relay || p.Region == self.Region)
+		return p.Name != self.Name && isActive(p) && !seen[p.Name] && (alone || v.relay || p.Region == self.Region)
 	})
 }
 
-// round exchanges with the partners at the same time; those that would be sent
-// nothing are left out unless all is set.
-func (x *Exchange) round(ctx context.Context, partners []Peer, all bool) {
+// exchangeAll exchanges with the partners at the same time. It skips partners for
+// which there is nothing to send, unless sendEmpty is set.
+func (x *Exchange) exchangeAll(ctx context.Context, partners []Peer, sendEmpty bool) {
 	var wg sync.WaitGroup
 	for _, p := range partners {
 		digest, version := x.digestFor(p)
-		if digest.empty() && !all {
+		if digest.empty() && !sendEmpty {
 			continue
 		}
 		wg.Go(func() { x.exchange(ctx, p, digest, version) })
@@ -246,29 +254,29 @@
 	defer cancel()
 	answer, err := x.Partner.Exchange(ctx, p, digest)
 	if err != nil {
-		x.lost(p)
+		x.recordFailure(p)
 		if x.Failed != nil && ctx.Err() != context.Canceled {
 			x.Failed(p, err)
 		}
 		return
 	}
-	x.noteSent(p.Name, digest, version)
-	x.take(answer)
+	x.recordSent(p.Name, digest, version)
+	x.receive(answer)
 	if x.News != nil {
 		x.News.Merge(p, answer.News)
 	}
 }
 
-// lost books an exchange that failed. The partner may have answered, and then
-// takes it that this node has the answer: it must report all again.
-func (x *Exchange) lost(p Peer) {
+// recordFailure records a failed exchange. The partner may have sent its answer and
+// assume that this node has it, so it must send everything again.
+func (x *Exchange) recordFailure(p Peer) {
 	x.mu.Lock()
-	w := x.partner(p.Name)
-	w.level = false
-	w.failed = x.Now()
-	w.finished = w.failed
+	ps := x.stateOf(p.Name)
+	ps.inSync = false
+	ps.failedAt = x.Now()
+	ps.finishedAt = ps.failedAt
 	if slices.ContainsFunc(x.view.partners, func(q Peer) bool { return q.Name == p.Name }) {
-		x.view.taken = time.Time{} // others take its place at once
+		x.view.computedAt = time.Time{} // so that the next view has other partners instead of it
 	}
 	x.mu.Unlock()
 	if x.News != nil {
@@ -276,51 +284,52 @@
 	}
 }
 
-// noteSent books what a partner has got.
-func (x *Exchange) noteSent(name string, digest Digest, version uint64) {
+// recordSent records what a partner was sent.
+func (x *Exchange) recordSent(name string, digest Digest, version uint64) {
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	w := x.partner(name)
-	w.since = max(w.since, version)
-	if w.wide == 0 || digest.Whole {
-		w.wide = version
+	ps := x.stateOf(name)
+	ps.sentVersion = max(ps.sentVersion, version)
+	if ps.remoteSentVersion == 0 || digest.Whole {
+		ps.remoteSentVersion = version
 	}
-	w.failed = time.Time{}
-	w.finished = x.Now()
+	ps.failedAt = time.Time{}
+	ps.finishedAt = x.Now()
 }
 
-// take writes to the table what a partner sent.
-func (x *Exchange) take(digest Digest) {
-	all := x.Table.take(digest.From, digest.Peers, digest.Marks, x.Now())
+// receive stores in the table what a partner sent.
+func (x *Exchange) receive(digest Digest) {
+	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
 	x.mu.Lock()
-	w := x.partner(digest.From)
-	w.level = all && (w.level || digest.Whole)
+	ps := x.stateOf(digest.From)
+	ps.inSync = allKnown && (ps.inSync || digest.Whole)
 	if digest.Again {
-		w.since, w.wide = 0, 0
+		ps.sentVersion, ps.remoteSentVersion = 0, 0
 	}
-	w.failed = time.Time{}
+	ps.failedAt = time.Time{}
 	x.mu.Unlock()
 	if digest.Again && x.News != nil {
 		x.News.Forget(digest.From)
 	}
 }
 
-// partner returns how far this node is with another; x.mu is held.
-func (x *Exchange) partner(name string) *partner {
-	if x.with == nil {
-		x.with = make(map[string]*partner)
+// stateOf returns the state kept for a partner; x.mu must be held.
+func (x *Exchange) stateOf(name string) *partnerState {
+	if x.partnerStates == nil {
+		x.partnerStates = make(map[string]*partnerState)
 	}
-	w := x.with[name]
-	if w == nil {
-		w = &partner{}
-		x.with[name] = w
+	ps := x.partnerStates[name]
+	if ps == nil {
+		ps = &partnerState{}
+		x.partnerStates[name] = ps
 	}
-	return w
+	return ps
 }
 
-// Answer merges what another node sent and returns what it lacks.
+// Answer merges the digest of another node and returns what that node has not been
+// sent yet.
 func (x *Exchange) Answer(digest Digest) Digest {
-	x.take(digest)
+	x.receive(digest)
 	from, known := x.Table.Get(digest.From)
 	if !known {
 		return Digest{From: x.Table.Self().Name, Again: true}
@@ -329,41 +338,42 @@
 		x.News.Merge(from, digest.News)
 	}
 	answer, version := x.digestFor(from)
-	x.noteSent(from.Name, answer, version)
+	x.recordSent(from.Name, answer, version)
 	return answer
 }
 
-// fewNodes is the size of a fleet up to which marks of other regions go out in
-// each exchange. The two hops of a slower pace would make a few nodes look silent
-// to each other now and then.
-const fewNodes = 30
+// smallFleet is the size of a fleet up to which marks of other regions are sent in
+// each exchange. In a small fleet, two hops that each wait for the heartbeat
+// interval would make some nodes look silent to others now and then.
+const smallFleet = 30
 
-// digestFor returns what the partner has not had from this node, and the version of
-// the table that it then has.
+// digestFor returns what the partner has not been sent yet, and the version of the
+// table that the partner has once it receives it.
 func (x *Exchange) digestFor(p Peer) (Digest, uint64) {
-	v := x.current()
+	v := x.currentView()
 	now := x.Now()
 	x.mu.Lock()
-	w := x.partner(p.Name)
-	if w.widely.IsZero() {
-		// Partners met together would all be due together ever after.
-		w.widely = now.Add(-time.Duration(x.Rand.Int64N(int64(Pace(x.Beat, v.fleet)))))
+	ps := x.stateOf(p.Name)
+	if ps.remoteSentAt.IsZero() {
+		// Without a random start, partners that became known together would all
+		// be due at the same time forever.
+		ps.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
 	}
-	a := audience{
+	to := recipient{
 		name: p.Name, region: p.Region, gatherer: x.Gatherer == nil || v.gatherer == p.Name,
-		since: w.since, wide: w.wide, widely: v.fleet <= fewNodes || now.Sub(w.widely) >= Pace(x.Beat, v.fleet),
+		sentVersion: ps.sentVersion, remoteSentVersion: ps.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(ps.remoteSentAt) >= HeartbeatInterval(x.Beat, v.fleetNodes),
 	}
-	out := Digest{From: x.Table.Self().Name, Again: !w.level, Whole: w.since == 0}
+	out := Digest{From: x.Table.Self().Name, Again: !ps.inSync, Whole: ps.sentVersion == 0}
 	x.mu.Unlock()
-	lacks := x.Table.lacks(a, now)
-	if a.widely {
+	missing := x.Table.deltaFor(to, now)
+	if to.remoteDue {
 		x.mu.Lock()
-		w.widely, w.wide = now, lacks.version
+		ps.remoteSentAt, ps.remoteSentVersion = now, missing.version
 		x.mu.Unlock()
 	}
-	out.Peers, out.Marks = lacks.peers, lacks.marks
+	out.Peers, out.Marks = missing.peers, missing.marks
 	if x.News != nil {
 		out.News = x.News.Report(p)
 	}
-	return out, lacks.version
+	return out, missing.version
 }
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -14,20 +14,20 @@
 	"gotest.tools/v3/assert"
 )
 
-// net joins exchanges in one process.
-type net struct {
-	mu    sync.Mutex
-	nodes map[string]*Exchange
-	down  map[string]bool // nodes that can't be reached
-	lose  map[string]int  // answers of a node that are still to be lost
-	words int             // whole words that were told
-	marks int
+// memoryNet connects exchanges within the test process.
+type memoryNet struct {
+	mu          sync.Mutex
+	nodes       map[string]*Exchange
+	down        map[string]bool // nodes that can't be reached
+	loseAnswers map[string]int  // for each node, how many of its next answers are lost
+	fullStates  int             // whole states that were sent
+	marks       int             // marks that were sent
 }
 
-func (n *net) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
+func (n *memoryNet) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
 	n.mu.Lock()
 	x, down := n.nodes[to.Name], n.down[to.Name] || n.down[digest.From]
-	n.words += len(digest.Peers)
+	n.fullStates += len(digest.Peers)
 	n.marks += len(digest.Marks)
 	n.mu.Unlock()
 	if x == nil || down {
@@ -36,14 +36,14 @@
 	answer := x.Answer(digest)
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.lose[to.Name] > 0 {
-		n.lose[to.Name]--
+	if n.loseAnswers[to.Name] > 0 {
+		n.loseAnswers[to.Name]--
 		return Digest{}, errors.New("connection broke")
 	}
 	return answer, nil
 }
 
-func (n *net) add(name, region, centre, incarnation string, listed ...Peer) *Exchange {
+func (n *memoryNet) add(name, region, centre, incarnation string, listed ...Peer) *Exchange {
 	table := &Table{}
 	now := time.Now()
 	table.SetSelf(Peer{Name: name, Region: region, DataCentre: centre, Incarnation: incarnation, State: Serving, Sequence: 1}, now)
@@ -59,8 +59,8 @@
 	return x
 }
 
-func newNet() *net {
-	return &net{nodes: map[string]*Exchange{}, down: map[string]bool{}, lose: map[string]int{}}
+func newMemoryNet() *memoryNet {
+	return &memoryNet{nodes: map[string]*Exchange{}, down: map[string]bool{}, loseAnswers: map[string]int{}}
 }
 
 func listed(name, region, centre string) Peer {
@@ -69,8 +69,8 @@
 	}
 }
 
-// run runs all nodes and returns what stops them.
-func (n *net) run(t *testing.T) (stop func()) {
+// run starts all nodes and returns a function that stops them.
+func (n *memoryNet) run(t *testing.T) (stop func()) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(t.Context())
 	var wg sync.WaitGroup
@@ -83,13 +83,14 @@
 	}
 }
 
-func revision(x *Exchange, name string) uint64 {
+func revisionOf(x *Exchange, name string) uint64 {
 	p, _ := x.Table.Get(name)
 	return p.Revision
 }
 
-// fleet is a region of one data centre and another region.
-func fleet(n *net, size int) {
+// addFleet adds a region with one data centre of size nodes, and another region with
+// one node.
+func addFleet(n *memoryNet, size int) {
 	var list []Peer
 	for i := range size {
 		list = append(list, listed(fmt.Sprintf("n%d", i), "north", "north-a"))
@@ -100,21 +101,21 @@
 	}
 }
 
-func TestExchangeSpreads(t *testing.T) {
+func TestExchangeReachesAllNodes(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
-		fleet(n, 8)
+		n := newMemoryNet()
+		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
 		time.Sleep(30 * time.Second)
 		for name, x := range n.nodes {
 			for other := range n.nodes {
 				p, _ := x.Table.Get(other)
-				assert.Equal(t, p.Incarnation, "1", "%s of %s", name, other)
+				assert.Equal(t, p.Incarnation, "1", "%s lacks the state of %s", name, other)
 			}
 		}
 		n.mu.Lock()
-		n.words, n.marks = 0, 0
+		n.fullStates, n.marks = 0, 0
 		n.mu.Unlock()
 		for _, x := range n.nodes {
 			x.Table.Update(time.Now(), func(p *Peer) { p.Revision = 7 })
@@ -122,47 +123,47 @@
 		time.Sleep(time.Second)
 		for name := range n.nodes {
 			if name != "s0" {
-				assert.Equal(t, revision(n.nodes["n0"], name), uint64(7), "the gatherer of %s", name)
+				assert.Equal(t, revisionOf(n.nodes["n0"], name), uint64(7), "revision of %s at the gatherer", name)
 			}
 		}
 		time.Sleep(30 * time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Equal(t, n.words, 0) // marks do when nothing but revisions and time has changed
+		assert.Equal(t, n.fullStates, 0) // marks suffice if only revisions and sequences have changed
 		assert.Assert(t, n.marks > 0)
 	})
 }
 
-// The answer of a partner is lost after it was made. The partner believes that
-// this node has it, and would never tell it again: the node would go on with an
-// old state of a peer, for instance send requests to one that has left.
+// The answer of a partner is lost after it was sent. The partner assumes that this
+// node has it and would never send it again. The node would keep an old state of a
+// peer and, for example, send requests to one that is leaving.
 func TestLostAnswer(t *testing.T) {
-	n := newNet()
+	n := newMemoryNet()
 	a := n.add("n0", "north", "north-a", "1", listed("n1", "north", "north-a"))
 	b := n.add("n1", "north", "north-a", "1", listed("n0", "north", "north-a"))
 	to, _ := a.Table.Get("n1")
-	meet := func() {
+	exchangeOnce := func() {
 		digest, version := a.digestFor(to)
 		a.exchange(t.Context(), to, digest, version)
 	}
-	meet()
+	exchangeOnce()
 	b.Table.Merge([]Peer{{Name: "n2", Region: "north", Incarnation: "1", State: Leaving, Sequence: 1}}, time.Now())
-	n.lose["n1"] = 1
-	meet()
+	n.loseAnswers["n1"] = 1
+	exchangeOnce()
 	_, known := a.Table.Get("n2")
 	assert.Assert(t, !known)
-	meet()
+	exchangeOnce()
 	p, _ := a.Table.Get("n2")
 	assert.Equal(t, p.State, Leaving)
 }
 
-// A node is killed and starts again with an empty memory. Its partners know
-// what they told the old process and would tell the new one only what is new,
-// so that it would not know most nodes.
+// A node is killed and restarts with an empty table. Its partners remember what
+// they sent to the old process and would send the new one only later changes, so
+// that it would not know most nodes.
 func TestRestartedPartner(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
-		fleet(n, 4)
+		n := newMemoryNet()
+		addFleet(n, 4)
 		stop := n.run(t)
 		time.Sleep(20 * time.Second)
 		stop()
@@ -177,13 +178,13 @@
 	})
 }
 
-// Both relays of a data centre die in one moment, as when a rack goes. Their
-// words look fresh for a while; nodes that went on asking only them would hear
-// of no change until then.
+// Both relays of a data centre die at the same time, for example with their rack.
+// Their states look fresh for a while, and nodes that exchanged only with them
+// would receive no change until then.
 func TestDeadRelays(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		n := newNet()
-		fleet(n, 8)
+		n := newMemoryNet()
+		addFleet(n, 8)
 		stop := n.run(t)
 		defer stop()
 		time.Sleep(20 * time.Second)
@@ -209,7 +210,7 @@
 	})
 }
 
-func TestPace(t *testing.T) {
+func TestHeartbeatInterval(t *testing.T) {
 	for name, tc := range map[string]struct {
 		n    int
 		want time.Duration
@@ -218,20 +219,20 @@
 		"few":    {10, 5 * time.Second},
 		"region": {75, 37500 * time.Millisecond},
 	} {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, Pace(5*time.Second, tc.n), tc.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, HeartbeatInterval(5*time.Second, tc.n), tc.want) })
 	}
 }
 
-// Words about a living node take too long on their way. Others take it for
-// silent, name it last to callers and hand its work to others, though it lives.
-func TestLivingNodesAreHeard(t *testing.T) {
+// The heartbeats of a live node arrive too late. Other nodes count it as silent,
+// list it last for callers and hand its work to other nodes, although it is alive.
+func TestLiveNodesAreNeverSilent(t *testing.T) {
 	for name, tc := range map[string]struct{ regions, nodes int }{
 		"nine":  {3, 9},
 		"forty": {3, 40},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				n := newNet()
+				n := newMemoryNet()
 				var list []Peer
 				for i := range tc.nodes {
 					region := fmt.Sprintf("r%d", i%tc.regions)
@@ -247,7 +248,7 @@
 					time.Sleep(1700 * time.Millisecond)
 					for name, x := range n.nodes {
 						for _, p := range list {
-							assert.Assert(t, !x.Table.Silent(p.Name, time.Now().Add(-12*time.Second)), "%s at %s", p.Name, name)
+							assert.Assert(t, !x.Table.Silent(p.Name, time.Now().Add(-12*time.Second)), "%s is silent at %s", p.Name, name)
 						}
 					}
 				}
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/mark.go
@@ -6,110 +6,115 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mark is a later state of a peer that the receiver knows, as far as it differs.
-// Most words say only that a node lives or has a change in force; a mark is a
-// tenth of a whole state.
+// Mark is a short update of a peer's state for a receiver that already knows the
+// peer. Most updates only say that a node is alive or has a change in force, and a
+// Mark is a tenth of the size of a whole Peer.
 type Mark struct {
-	ID       uint64 // hash of name and incarnation
+	ID       uint64 // hash of the name and the incarnation of the peer
 	Sequence uint64
 	Revision uint64
 	Base     uint64
 	Age      time.Duration
 }
 
-func idOf(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
+// hashMarkID returns the ID of the marks of a peer.
+func hashMarkID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
 
-// wordPace is how much longer each further node makes the time between two
-// words about one, so that all words together stay within a node's budget.
-const wordPace = 500 * time.Millisecond
+// heartbeatIntervalPerNode is the time that each node of a group adds to the
+// heartbeat interval, so that all heartbeats together stay within a node's budget
+// for them.
+const heartbeatIntervalPerNode = 500 * time.Millisecond
 
-// Pace is the time between two words about a node in a group of n.
-func Pace(least time.Duration, n int) time.Duration {
-	return max(least, wordPace*time.Duration(max(n, wordPaceFrom)))
+// HeartbeatInterval returns the time between two heartbeats of one node in a group
+// of n nodes; it is at least minInterval.
+func HeartbeatInterval(minInterval time.Duration, n int) time.Duration {
+	return max(minInterval, heartbeatIntervalPerNode*time.Duration(max(n, minHeartbeatNodes)))
 }
 
-// wordPaceFrom is the size of a group up to which the pace stays the same.
-const wordPaceFrom = 10
+// minHeartbeatNodes is the size of a group up to which the interval stays the same.
+const minHeartbeatNodes = 10
 
-// audience is one partner as far as it decides what it is sent.
-type audience struct {
-	name     string
-	region   string
-	away     bool   // in another region
-	gatherer bool   // needs the revision in force at each node of the region
-	since    uint64 // version of the table that the partner has, 0 for none
-	wide     uint64 // the same for marks of other regions
-	widely   bool   // marks of other regions are due
+// recipient is what determines the states that a partner is sent.
+type recipient struct {
+	name              string
+	region            string
+	remote            bool   // whether the partner is in another region
+	gatherer          bool   // whether it needs the revision in force at each node of the region
+	sentVersion       uint64 // version of the table that the partner has, 0 for none
+	remoteSentVersion uint64 // sentVersion for the marks that are sent when remoteDue
+	remoteDue         bool   // whether marks of or for another region are due
 }
 
-// telling is what a partner lacks.
-type telling struct {
+// delta is what a partner has not been sent yet.
+type delta struct {
 	peers   []Peer
 	marks   []Mark
-	version uint64
+	version uint64 // version of the table that the partner has afterwards
 }
 
-// lacks returns what the audience has not been digest.
+// deltaFor returns the states that the recipient has not been sent yet.
 //
-// Another region is sent the nodes here, at the pace of the fleet, and receives
-// of the rest from themselves. Within the region a new start, state or address
-// goes to all; that a node lives goes to all at the pace of the region, and of
-// other regions at the pace of the fleet; the revision in force at a node goes to the gatherer
-// only, since all other nodes of a region need no more than that of a relay.
-func (t *Table) lacks(a audience, now time.Time) telling {
+// A partner in another region is sent only the nodes of this region, at the
+// heartbeat interval of the fleet; it learns of the others from their own regions.
+// Within the region, a new incarnation, state or address is sent to all partners.
+// Heartbeats are sent to all partners, too: those of this region at the interval
+// of the region, those of other regions at the interval of the fleet. The revision
+// in force at a node is sent to the gatherer only, because all other nodes of a
+// region need only that of a relay.
+func (t *Table) deltaFor(to recipient, now time.Time) delta {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	out := telling{version: t.version}
-	here := t.region()
-	a.away = a.region != here
-	for name, k := range t.peers {
-		away := k.Region != here
+	out := delta{version: t.version}
+	ownRegion := t.selfRegion()
+	to.remote = to.region != ownRegion
+	for name, e := range t.peers {
+		remotePeer := e.Region != ownRegion
 		switch {
-		case name == a.name, k.Incarnation == "", a.away && away:
-		case k.from == a.name && a.since > 0:
-		case k.full > a.since:
-			p := k.Peer
-			p.Age = max(now.Sub(k.seen), 0)
+		case name == to.name, e.Incarnation == "", to.remote && remotePeer:
+		case e.source == to.name && to.sentVersion > 0:
+		case e.fullVersion > to.sentVersion:
+			p := e.Peer
+			p.Age = max(now.Sub(e.lastSeen), 0)
 			out.peers = append(out.peers, p)
-		case k.due(a, name == t.self, away):
+		case e.markDue(to, name == t.self, remotePeer):
 			out.marks = append(out.marks, Mark{
-				ID: k.id, Sequence: k.Sequence, Revision: k.Revision, Base: k.Base, Age: max(now.Sub(k.seen), 0),
+				ID: e.markID, Sequence: e.Sequence, Revision: e.Revision, Base: e.Base, Age: max(now.Sub(e.lastSeen), 0),
 			})
 		}
 	}
 	return out
 }
 
-func (k *known) due(a audience, self, away bool) bool {
+func (e *entry) markDue(to recipient, self, remotePeer bool) bool {
 	switch {
-	case self, a.gatherer && !away:
-		return k.any > a.since
-	case away, a.away:
-		return a.widely && k.any > a.wide
+	case self, to.gatherer && !remotePeer:
+		return e.anyVersion > to.sentVersion
+	case remotePeer, to.remote:
+		return to.remoteDue && e.anyVersion > to.remoteSentVersion
 	}
-	return k.beat > a.since
+	return e.heartbeatVersion > to.sentVersion
 }
 
-// take merges what a partner sent; false means that a mark names a peer that is
-// not known here, so that the partner must report all again.
-func (t *Table) take(from string, peers []Peer, marks []Mark, now time.Time) bool {
+// receive stores the states that a partner sent. It returns false if a mark is of
+// an unknown peer, so that the partner must send everything again.
+func (t *Table) receive(partner string, peers []Peer, marks []Mark, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	t.merge(from, peers, now)
-	all := true
+	t.merge(partner, peers, now)
+	allKnown := true
 	for _, m := range marks {
-		k := t.ids[m.ID]
-		if k == nil {
-			all = false
+		e := t.byMarkID[m.ID]
+		if e == nil {
+			allKnown = false
 			continue
 		}
-		if k.Name == t.self || m.Sequence <= k.Sequence {
+		if e.Name == t.self || m.Sequence <= e.Sequence {
 			continue
 		}
-		p := k.Peer
+		p := e.Peer
 		p.Sequence, p.Revision, p.Base, p.Age = m.Sequence, m.Revision, m.Base, m.Age
 		t.put(p, now)
-		k.from = from
+		e.source = partner
 	}
-	return all
+	return allKnown
 }
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -13,57 +13,58 @@
 	"gotest.tools/v3/assert"
 )
 
-// network joins the exchanges of many nodes, with cuts between regions.
+// network connects the exchanges of many nodes; some of its links can be cut.
 type network struct {
 	mu    sync.Mutex
 	nodes map[string]*Exchange
 	cut   func(from, to Peer) bool
 }
 
-// setCut begins or ends a cut.
+// setCut sets which links are cut, nil for none.
 func (n *network) setCut(cut func(from, to Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.cut = cut
 }
 
-// way returns the node at the other end, and whether the way is cut.
-func (n *network) way(from, to Peer) (there *Exchange, cut bool) {
+// link returns the node at the other end, nil if there is none, and whether the link
+// to it is cut.
+func (n *network) link(from, to Peer) (peer *Exchange, cut bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.nodes[to.Name], n.cut != nil && n.cut(from, to)
 }
 
-func (n *network) between(from Peer) Partner { return &wire{network: n, from: from} }
+func (n *network) transport(from Peer) Transport { return &testTransport{network: n, from: from} }
 
-type wire struct {
+type testTransport struct {
 	network *network
 	from    Peer
 }
 
-const testDelay = 40 * time.Millisecond
+const testLinkDelay = 40 * time.Millisecond
 
-func (w *wire) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
-	there, cut := w.network.way(w.from, to)
+func (t *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
+	peer, cut := t.network.link(t.from, to)
 	if cut {
 		<-ctx.Done()
 		return Digest{}, ctx.Err()
 	}
-	time.Sleep(testDelay)
-	if there == nil {
-		return Digest{}, errors.New("nobody there")
+	time.Sleep(testLinkDelay)
+	if peer == nil {
+		return Digest{}, errors.New("no such node")
 	}
-	return there.Answer(digest), nil
+	return peer.Answer(digest), nil
 }
 
-// newNetwork makes nodes in regions of two data centres, each knowing all
-// others by the platform's list alone.
-func newNetwork(regions, perCentre int) *network {
+// newNetwork makes nodes in regions of two data centres. At first each node knows
+// the others only from the platform's list.
+func newNetwork(regions, perDataCentre int) *network {
 	n := &network{nodes: make(map[string]*Exchange)}
 	var all []Peer
 	for r := range regions {
 		for c := range 2 {
-			for i := range perCentre {
+			for i := range perDataCentre {
 				region := fmt.Sprintf("r%d", r)
 				all = append(all, Peer{
 					Name: fmt.Sprintf("%s-c%d-n%d", region, c, i), Region: region,
@@ -79,7 +80,7 @@
 		table.SetSelf(self, time.Now())
 		table.Merge(all, time.Now())
 		n.nodes[p.Name] = &Exchange{
-			Table: table, Partner: n.between(self), Period: 500 * time.Millisecond, Beat: 5 * time.Second,
+			Table: table, Partner: n.transport(self), Period: 500 * time.Millisecond, Beat: 5 * time.Second,
 			Timeout: time.Second, Silence: 15 * time.Second, Now: time.Now,
 			Rand: rand.New(rand.NewPCG(uint64(i), 7)),
 		}
@@ -93,8 +94,9 @@
 	}
 }
 
-// lacking counts the nodes of a region that lack a revision of a peer.
-func (n *network) lacking(name, region string, revision uint64) int {
+// countLacking counts the nodes of a region that don't know the given revision, or a
+// later one, of a peer.
+func (n *network) countLacking(name, region string, revision uint64) int {
 	count := 0
 	for _, x := range n.nodes {
 		p, known := x.Table.Get(name)
@@ -105,19 +107,19 @@
 	return count
 }
 
-// follow makes each node bring into force what it hears that another has, as the
-// catalogue's follower does.
-func (n *network) follow(ctx context.Context) {
+// adoptRevisions makes each node put the latest revision of any peer into force, as
+// the follower of the catalogue does.
+func (n *network) adoptRevisions(ctx context.Context) {
 	for _, x := range n.nodes {
 		go func() {
 			for {
 				changed := x.Table.Changed()
-				most := uint64(0)
+				latest := uint64(0)
 				for _, p := range x.Table.Peers() {
-					most = max(most, p.Revision)
+					latest = max(latest, p.Revision)
 				}
-				if most > x.Table.Self().Revision {
-					x.Table.Update(time.Now(), func(p *Peer) { p.Revision = most })
+				if latest > x.Table.Self().Revision {
+					x.Table.Update(time.Now(), func(p *Peer) { p.Revision = latest })
 				}
 				select {
 				case <-changed:
@@ -129,8 +131,8 @@
 	}
 }
 
-// without counts the nodes of a region for which holds is false.
-func (n *network) without(region string, holds func(*Table) bool) int {
+// countWithout counts the nodes of a region for which holds returns false.
+func (n *network) countWithout(region string, holds func(*Table) bool) int {
 	count := 0
 	for _, x := range n.nodes {
 		if x.Table.Self().Region == region && !holds(x.Table) {
@@ -140,14 +142,15 @@
 	return count
 }
 
-// A change comes to a relay, and a plain node begins to leave. All nodes of the
-// region must hear of both well within the three seconds in which a change has
-// to be in force; later, callers are still sent to a host that stops.
+// A relay gets a change, and a node that is no relay starts to leave. All nodes of
+// the region must know of both well within the three seconds in which a change has
+// to be in force. If they learn of them later, callers are still sent to a host
+// that is stopping.
 //
-// The largest case has the region alone: with a second one of that size the race
-// detector runs out of its own counters and ends the process now and then.
-func TestNewsReachesTheRegion(t *testing.T) {
-	tests := map[string]struct{ regions, perCentre int }{
+// The largest case has only one region: with a second one of that size, the race
+// detector sometimes runs out of its own counters and ends the process.
+func TestChangesReachTheRegion(t *testing.T) {
+	tests := map[string]struct{ regions, perDataCentre int }{
 		"1 node a data centre":   {2, 1},
 		"3 nodes a data centre":  {2, 3},
 		"18 nodes a data centre": {2, 18},
@@ -159,31 +162,31 @@
 				ctx, cancel := context.WithCancel(t.Context())
 				defer func() {
 					cancel()
-					time.Sleep(2 * time.Second) // for exchanges under way
+					time.Sleep(2 * time.Second) // for exchanges in flight
 				}()
-				n := newNetwork(test.regions, test.perCentre)
+				n := newNetwork(test.regions, test.perDataCentre)
 				n.run(ctx)
-				n.follow(ctx)
+				n.adoptRevisions(ctx)
 				time.Sleep(10 * time.Second)
 				all := n.nodes["r0-c0-n0"].Table.Peers()
 				relay := Relays(all, "r0-c0")[0].Name
 				n.nodes[relay].Table.Update(time.Now(), func(p *Peer) { p.Revision = 7 })
-				leaver := "r0-c1-n0"
-				n.nodes[leaver].Table.Update(time.Now(), func(p *Peer) { p.State = Leaving })
+				leavingNode := "r0-c1-n0"
+				n.nodes[leavingNode].Table.Update(time.Now(), func(p *Peer) { p.State = Leaving })
 				time.Sleep(1500 * time.Millisecond)
-				assert.Equal(t, n.without("r0", func(table *Table) bool { return table.Self().Revision == 7 }), 0, "nodes without the change")
-				assert.Equal(t, n.without("r0", func(table *Table) bool {
-					p, _ := table.Get(leaver)
+				assert.Equal(t, n.countWithout("r0", func(table *Table) bool { return table.Self().Revision == 7 }), 0, "nodes without the change")
+				assert.Equal(t, n.countWithout("r0", func(table *Table) bool {
+					p, _ := table.Get(leavingNode)
 					return p.State == Leaving
-				}), 0, "nodes that take the leaver for serving")
+				}), 0, "nodes that don't show the leaving node as leaving")
 			})
 		})
 	}
 }
 
-// Two regions lose each other for an hour. Each goes on by itself, and once the
-// cut is mended both hear of each other again without anybody's help.
-func TestCutAndMended(t *testing.T) {
+// The links between two regions are cut for an hour. Each region continues on its
+// own, and after the cut both exchange states again without intervention.
+func TestRegionsReconnectAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
@@ -194,27 +197,27 @@
 		time.Sleep(20 * time.Second)
 		n.nodes["r0-c0-n0"].Table.Update(time.Now(), func(p *Peer) { p.Revision = 3 })
 		time.Sleep(50 * time.Minute)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r0", 3), 0)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r1", 3), 4)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r0", 3), 0)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 4)
 		n.setCut(nil)
 		time.Sleep(time.Minute)
-		assert.Equal(t, n.lacking("r0-c0-n0", "r1", 3), 0)
+		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 0)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
 }
 
-// A host dies without a word. The nodes left go on telling each other what they
-// know, and that must not make the dead one look alive.
-func TestDeadPeerGrowsOld(t *testing.T) {
+// A host dies without reporting that it leaves. The other nodes keep sending each
+// other its last state, and that must not make it look alive.
+func TestDeadPeerDoesNotLookFresh(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		defer cancel()
 		n := newNetwork(1, 3)
-		dead, kill := context.WithCancel(ctx)
+		deadCtx, kill := context.WithCancel(ctx)
 		for name, x := range n.nodes {
 			if name == "r0-c0-n0" {
-				go func() { _ = x.Run(dead) }()
+				go func() { _ = x.Run(deadCtx) }()
 				continue
 			}
 			go func() { _ = x.Run(ctx) }()
@@ -226,9 +229,9 @@
 		n.mu.Unlock()
 		died := time.Now()
 		time.Sleep(2 * time.Minute)
-		// One node forgets it, and hears of it again from those that have not.
-		forgetful := n.nodes["r0-c0-n1"].Table
-		forgetful.Forget(time.Now().Add(-30 * time.Second))
+		// One node forgets it and learns of it again from the nodes that have not.
+		table := n.nodes["r0-c0-n1"].Table
+		table.Forget(time.Now().Add(-30 * time.Second))
 		time.Sleep(5 * time.Minute)
 		for _, x := range n.nodes {
 			seen := x.Table.LastSeen("r0-c0-n0")
@@ -243,18 +246,18 @@
 	now := time.Unix(1000, 0)
 	old := Peer{Name: "a", Incarnation: "2", Sequence: 5, State: Serving, Revision: 9}
 	tests := map[string]struct {
-		word   Peer
-		taken  bool
-		urgent bool
+		state    Peer
+		accepted bool
+		urgent   bool
 	}{
-		"later word":                {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 9}, true, false},
-		"later word, new revision":  {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 10}, true, true},
-		"the same word":             {old, false, false},
-		"an earlier word":           {Peer{Name: "a", Incarnation: "2", Sequence: 4, State: Joining}, false, false},
-		"its former self":           {Peer{Name: "a", Incarnation: "1", Sequence: 99, State: Gone}, false, false},
-		"started anew":              {Peer{Name: "a", Incarnation: "3", Sequence: 1, State: Joining}, true, true},
-		"older than may be told":    {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MostAge + 1}, false, false},
-		"what it says of this node": {Peer{Name: "self", Incarnation: "9", Sequence: 9, State: Gone}, false, false},
+		"later state":               {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 9}, true, false},
+		"later state, new revision": {Peer{Name: "a", Incarnation: "2", Sequence: 6, State: Serving, Revision: 10}, true, true},
+		"same state":                {old, false, false},
+		"earlier state":             {Peer{Name: "a", Incarnation: "2", Sequence: 4, State: Joining}, false, false},
+		"earlier incarnation":       {Peer{Name: "a", Incarnation: "1", Sequence: 99, State: Gone}, false, false},
+		"later incarnation":         {Peer{Name: "a", Incarnation: "3", Sequence: 1, State: Joining}, true, true},
+		"older than MostAge":        {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MostAge + 1}, false, false},
+		"state of this node":        {Peer{Name: "self", Incarnation: "9", Sequence: 9, State: Gone}, false, false},
 		"no name":                   {Peer{Incarnation: "9"}, false, false},
 	}
 	for name, test := range tests {
@@ -262,17 +265,17 @@
 			table := &Table{}
 			table.SetSelf(Peer{Name: "self", Incarnation: "1", State: Serving}, now)
 			table.Merge([]Peer{old}, now)
-			urgent := table.Merge([]Peer{test.word}, now.Add(time.Second))
+			urgent := table.Merge([]Peer{test.state}, now.Add(time.Second))
 			assert.Equal(t, urgent, test.urgent)
 			got, _ := table.Get("a")
-			assert.Equal(t, got == test.word, test.taken || test.word == old)
+			assert.Equal(t, got == test.state, test.accepted || test.state == old)
 			assert.Equal(t, table.Self().State, Serving)
 		})
 	}
 }
 
-// Every node must name the same relays, or news goes round in circles or
-// nowhere; and the partners of one must not grow with the fleet.
+// All nodes must choose the same relays, or states are sent in circles or not at
+// all. The number of partners of a node must not grow with the fleet.
 func TestPartners(t *testing.T) {
 	n := newNetwork(13, 36)
 	var all []Peer
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -7,34 +7,35 @@
 	"time"
 )
 
-// Table holds what this node knows of all nodes, itself included.
-// One lock guards it; it is a leaf in the lock order of the board.
+// Table holds the newest known state of each node, this one included. One lock
+// guards it, and no other lock is taken while it is held.
 type Table struct {
-	mu      sync.Mutex
-	self    string
-	peers   map[string]*known
-	ids     map[uint64]*known
-	version uint64 // rises with every state
-	urgent  uint64 // version of the last state that others should get soon
-	changed chan struct{}
+	mu            sync.Mutex
+	self          string // name of this node
+	peers         map[string]*entry
+	byMarkID      map[uint64]*entry
+	version       uint64        // rises with each stored state
+	urgentVersion uint64        // version of the last state that others should receive soon
+	changed       chan struct{} // closed at the next urgent state; nil if nobody waits for it
 }
 
-// MostAge is how old the state of an unresponsive peer may be before it is forgotten.
+// MostAge is the max age of a peer's state. Received states that are older are
+// ignored, and the node forgets peers whose newest state is older.
 const MostAge = time.Hour
 
-// known is one peer with the moment its newest state came and the versions of
-// the table at its last words of each kind.
-type known struct {
+// entry holds the newest state of one peer, when it was published, and the
+// versions of the table at which the peer's last state of each kind was stored.
+type entry struct {
 	Peer
-	id   uint64
-	seen time.Time
-	from string // partner that brought the newest report
-	any  uint64 // a report of any kind
-	full uint64 // one that a mark can't carry: a new start, state or address
-	beat uint64 // one that says no more than that the peer lives
+	markID           uint64
+	lastSeen         time.Time // when the peer published the newest state, by the local clock
+	source           string    // partner that sent the newest state, empty if no partner did
+	anyVersion       uint64    // last state of any kind
+	fullVersion      uint64    // last state with a change that a Mark can't carry: incarnation, state or address
+	heartbeatVersion uint64    // last state with no change but its sequence and Base
 }
 
-// SetSelf names the node this table belongs to and what it says of itself.
+// SetSelf stores the state of this node and makes it the owner of the table.
 func (t *Table) SetSelf(p Peer, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -42,58 +43,59 @@
 	t.put(p, now)
 }
 
-// Update changes what this node says of itself and returns it; the sequence
-// rises so that the state goes out to others.
+// Update changes the state of this node and returns it. It raises the sequence, so
+// that the new state is sent to others.
 func (t *Table) Update(now time.Time, change func(*Peer)) Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[t.self]
-	if k == nil {
+	e := t.peers[t.self]
+	if e == nil {
 		return Peer{}
 	}
-	p := k.Peer
+	p := e.Peer
 	change(&p)
 	p.Sequence++
 	t.put(p, now)
 	return p
 }
 
-// Self returns what this node says of itself.
+// Self returns the state of this node.
 func (t *Table) Self() Peer {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k := t.peers[t.self]; k != nil {
-		return k.Peer
+	if e := t.peers[t.self]; e != nil {
+		return e.Peer
 	}
 	return Peer{}
 }
 
-// Merge takes the newer states of the list and reports whether any was news that
-// others should get without waiting for the next period.
+// Merge stores those of the states that are newer than the known ones. It reports
+// whether any of them should be sent on without waiting for the next period.
 func (t *Table) Merge(peers []Peer, now time.Time) (urgent bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	before := t.urgent
+	before := t.urgentVersion
 	t.merge("", peers, now)
-	return t.urgent != before
+	return t.urgentVersion != before
 }
 
-func (t *Table) merge(from string, peers []Peer, now time.Time) {
+func (t *Table) merge(partner string, peers []Peer, now time.Time) {
 	for _, p := range peers {
 		if p.Name == "" || p.Name == t.self {
 			continue
 		}
-		k := t.peers[p.Name]
-		if k != nil && !newer(p, k.Peer) || p.Age > MostAge {
+		e := t.peers[p.Name]
+		if e != nil && !newer(p, e.Peer) || p.Age > MostAge {
 			continue
 		}
 		t.put(p, now)
-		t.peers[p.Name].from = from
+		t.peers[p.Name].source = partner
 	}
 }
 
 // newer reports whether a is a later state of a peer than b. Incarnations sort by
-// the time of their start, so a restarted node wins over its former self.
+// the time of their start, so the state of a restarted node replaces those from
+// before the restart.
 func newer(a, b Peer) bool {
 	if a.Incarnation != b.Incarnation {
 		return a.Incarnation > b.Incarnation
@@ -101,76 +103,79 @@
 	return a.Sequence > b.Sequence
 }
 
+// put stores p as the newest state of its peer.
 func (t *Table) put(p Peer, now time.Time) {
 	if t.peers == nil {
-		t.peers = make(map[string]*known)
-		t.ids = make(map[uint64]*known)
+		t.peers = make(map[string]*entry)
+		t.byMarkID = make(map[uint64]*entry)
 	}
-	k := t.peers[p.Name]
-	if k == nil {
-		k = &known{}
-		t.peers[p.Name] = k
+	e := t.peers[p.Name]
+	if e == nil {
+		e = &entry{}
+		t.peers[p.Name] = e
 	}
 	t.version++
-	k.any = t.version
+	e.anyVersion = t.version
 	switch {
-	case !sameButWords(k.Peer, p):
-		k.full = t.version
-		t.rename(k, p)
-		t.tellSoon()
-	case k.Revision != p.Revision:
-		t.tellSoon()
+	case !equalExceptMark(e.Peer, p):
+		e.fullVersion = t.version
+		t.reindex(e, p)
+		t.signalChange()
+	case e.Revision != p.Revision:
+		t.signalChange()
 	default:
-		k.beat = t.version
+		e.heartbeatVersion = t.version
 	}
-	k.seen = now.Add(-max(p.Age, 0))
-	k.from = ""
-	k.Peer = p
-	k.Age = 0
+	e.lastSeen = now.Add(-max(p.Age, 0))
+	e.source = ""
+	e.Peer = p
+	e.Age = 0
 }
 
-// sameButWords reports whether two words of a peer differ in nothing that a mark
-// leaves out.
-func sameButWords(a, b Peer) bool {
+// equalExceptMark reports whether two states of a peer differ in nothing but the
+// fields that a Mark carries.
+func equalExceptMark(a, b Peer) bool {
 	a.Revision, a.Base, a.Sequence, a.Age = b.Revision, b.Base, b.Sequence, b.Age
 	return a == b
 }
 
-func (t *Table) rename(k *known, p Peer) {
-	if t.ids[k.id] == k {
-		delete(t.ids, k.id)
+// reindex stores the entry under the Mark ID of its new state.
+func (t *Table) reindex(e *entry, p Peer) {
+	if t.byMarkID[e.markID] == e {
+		delete(t.byMarkID, e.markID)
 	}
-	k.id = idOf(p)
-	t.ids[k.id] = k
+	e.markID = hashMarkID(p)
+	t.byMarkID[e.markID] = e
 }
 
-func (t *Table) tellSoon() {
-	t.urgent = t.version
+// signalChange marks the current version as urgent and closes the channel of Changed.
+func (t *Table) signalChange() {
+	t.urgentVersion = t.version
 	if t.changed != nil {
 		close(t.changed)
 		t.changed = nil
 	}
 }
 
-// Forget drops peers that said nothing since the given time, but never this
-// node itself; it returns their names.
+// Forget removes the peers whose newest state is from before the given time, but
+// never this node. It returns their names in sorted order.
 func (t *Table) Forget(before time.Time) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var gone []string
-	for name, k := range t.peers {
-		if name != t.self && k.seen.Before(before) {
+	var forgotten []string
+	for name, e := range t.peers {
+		if name != t.self && e.lastSeen.Before(before) {
 			delete(t.peers, name)
-			delete(t.ids, k.id)
-			gone = append(gone, name)
+			delete(t.byMarkID, e.markID)
+			forgotten = append(forgotten, name)
 		}
 	}
-	slices.Sort(gone)
-	return gone
+	slices.Sort(forgotten)
+	return forgotten
 }
 
-// Changed returns a channel that closes at the next change of a state, a
-// revision or an incarnation.
+// Changed returns a channel that is closed at the next change of a peer, except for
+// states that change nothing but the sequence and Base.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -180,28 +185,29 @@
 	return t.changed
 }
 
-// Get returns the peer of a name.
+// Get returns the state of the peer with the given name and whether it is known.
 func (t *Table) Get(name string) (Peer, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[name]
-	if k == nil {
+	e := t.peers[name]
+	if e == nil {
 		return Peer{}, false
 	}
-	return k.Peer, true
+	return e.Peer, true
 }
 
-// LastSeen returns when the newest state of a peer came, the zero time for none.
+// LastSeen returns when a peer published its newest known state, or the zero time
+// for an unknown peer.
 func (t *Table) LastSeen(name string) time.Time {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if k := t.peers[name]; k != nil {
-		return k.seen
+	if e := t.peers[name]; e != nil {
+		return e.lastSeen
 	}
 	return time.Time{}
 }
 
-// Len returns how many nodes are known, this one included.
+// Len returns the number of known nodes, this one included.
 func (t *Table) Len() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -217,9 +223,9 @@
 func (t *Table) Select(keep func(Peer) bool) []Peer {
 	t.mu.Lock()
 	out := make([]Peer, 0, len(t.peers))
-	for _, k := range t.peers {
-		if keep(k.Peer) {
-			out = append(out, k.Peer)
+	for _, e := range t.peers {
+		if keep(e.Peer) {
+			out = append(out, e.Peer)
 		}
 	}
 	t.mu.Unlock()
@@ -227,16 +233,16 @@
 	return out
 }
 
-// Fresh returns the nodes seen of since the given time, sorted by name; this
-// node itself is always fresh. Where there are many nodes their words come at a
-// slower pace, so that they may be older by as much.
+// Fresh returns the nodes whose newest state is not from before the given time,
+// sorted by name. This node is always included. With many nodes the heartbeat
+// interval is longer, so older states are accepted accordingly.
 func (t *Table) Fresh(since time.Time) []Peer {
 	t.mu.Lock()
-	allowed := t.allowed(since)
+	limit := t.freshnessLimit(since)
 	out := make([]Peer, 0, len(t.peers))
-	for name, k := range t.peers {
-		if name == t.self || !k.seen.Before(allowed(k)) {
-			out = append(out, k.Peer)
+	for name, e := range t.peers {
+		if name == t.self || !e.lastSeen.Before(limit(e)) {
+			out = append(out, e.Peer)
 		}
 	}
 	t.mu.Unlock()
@@ -244,43 +250,44 @@
 	return out
 }
 
-// Silent reports whether a node has not been seen since the given time, which
-// is put off for many nodes as by Fresh; an unknown one is silent.
+// Silent reports whether the newest state of a node is from before the given time,
+// adjusted to the number of nodes as in Fresh. An unknown node is silent.
 func (t *Table) Silent(name string, since time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	k := t.peers[name]
-	return k == nil || name != t.self && k.seen.Before(t.allowed(since)(k))
+	e := t.peers[name]
+	return e == nil || name != t.self && e.lastSeen.Before(t.freshnessLimit(since)(e))
 }
 
-// allowed returns the time before which the newest state of a peer is too old.
-func (t *Table) allowed(since time.Time) func(*known) time.Time {
-	region := t.region()
-	home := since.Add(-lateness(t.inRegion(region)))
-	away := since.Add(-lateness(len(t.peers)))
-	return func(k *known) time.Time {
-		if k.Region == region {
-			return home
+// freshnessLimit returns a function that gives the earliest time at which the newest
+// state of a peer still counts as fresh.
+func (t *Table) freshnessLimit(since time.Time) func(*entry) time.Time {
+	ownRegion := t.selfRegion()
+	localLimit := since.Add(-extraDelay(t.activeInRegion(ownRegion)))
+	remoteLimit := since.Add(-extraDelay(len(t.peers)))
+	return func(e *entry) time.Time {
+		if e.Region == ownRegion {
+			return localLimit
 		}
-		return away
+		return remoteLimit
 	}
 }
 
-// lateness is by how much three words at the pace of n nodes take longer than
-// at the pace of a few.
-func lateness(n int) time.Duration { return 3 * (Pace(0, n) - Pace(0, 0)) }
+// extraDelay returns how much longer three heartbeat intervals are for n nodes than
+// for a few.
+func extraDelay(n int) time.Duration { return 3 * (HeartbeatInterval(0, n) - HeartbeatInterval(0, 0)) }
 
-func (t *Table) region() string {
-	if k := t.peers[t.self]; k != nil {
-		return k.Region
+func (t *Table) selfRegion() string {
+	if e := t.peers[t.self]; e != nil {
+		return e.Region
 	}
 	return ""
 }
 
-func (t *Table) inRegion(region string) int {
+func (t *Table) activeInRegion(region string) int {
 	n := 0
-	for _, k := range t.peers {
-		if k.Region == region && takesPart(k.Peer) {
+	for _, e := range t.peers {
+		if e.Region == region && isActive(e.Peer) {
 			n++
 		}
 	}
--- a/core/jwpeer/view.go
+++ b/core/jwpeer/view.go
@@ -7,53 +7,53 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// view is what the known nodes mean for this one.
+// view is what this node derives from the known nodes: its role and its partners.
 type view struct {
-	taken    time.Time
-	relay    bool
-	partners []Peer // that get changes at once
-	periodic []Peer // that get them each period in turn
-	gatherer string
-	centre   int // nodes of the data centre
-	region   int // nodes of the region
-	fleet    int
+	computedAt      time.Time
+	relay           bool   // whether this node is a relay of its data centre
+	partners        []Peer // partners that are sent changes at once
+	periodic        []Peer // partners that are sent changes in turn, one in each period
+	gatherer        string // name of the gatherer of the region, see Exchange.Gatherer
+	dataCentreNodes int    // number of fresh nodes in the data centre
+	regionNodes     int    // number of fresh nodes in the region
+	fleetNodes      int    // number of fresh nodes
 }
 
-// A view is kept for a part of the period, and longer where many nodes make it
-// dear: to sort a thousand nodes four times a second would cost a node as much
-// as all its other control work may.
+// A view is reused for a part of the period, and for longer if there are many
+// nodes: sorting a thousand nodes four times a second would cost as much as a node
+// may spend on all its other control work.
 const (
-	viewPart  = 2
-	viewOfOne = 2 * time.Millisecond
+	viewPeriodDivisor = 2
+	viewAgePerNode    = 2 * time.Millisecond
 )
 
-// current returns what the known nodes mean for this one now.
-func (x *Exchange) current() view {
+// currentView returns the view, computed again if it is too old.
+func (x *Exchange) currentView() view {
 	now := x.Now()
 	x.mu.Lock()
 	v := x.view
 	x.mu.Unlock()
-	if !v.taken.IsZero() && now.Sub(v.taken) < max(x.Period/viewPart, viewOfOne*time.Duration(v.fleet)) {
+	if !v.computedAt.IsZero() && now.Sub(v.computedAt) < max(x.Period/viewPeriodDivisor, viewAgePerNode*time.Duration(v.fleetNodes)) {
 		return v
 	}
-	v = x.look(now)
+	v = x.computeView(now)
 	x.mu.Lock()
 	x.view = v
 	x.mu.Unlock()
 	return v
 }
 
-func (x *Exchange) look(now time.Time) view {
+func (x *Exchange) computeView(now time.Time) view {
 	self := x.Table.Self()
-	x.forget()
+	x.forgetUnknownPartners()
 	fresh := x.reachable(x.Table.Fresh(now.Add(-x.Silence)), now)
-	v := view{taken: now, relay: IsRelay(fresh, self), fleet: len(fresh)}
+	v := view{computedAt: now, relay: IsRelay(fresh, self), fleetNodes: len(fresh)}
 	for _, p := range fresh {
 		if p.Region == self.Region {
-			v.region++
+			v.regionNodes++
 		}
 		if p.DataCentre == self.DataCentre {
-			v.centre++
+			v.dataCentreNodes++
 		}
 	}
 	v.partners = Partners(fresh, self)
@@ -63,28 +63,30 @@
 	}
 	v.periodic = v.partners
 	if v.relay {
-		v.periodic = periodic(fresh, v.partners, self)
+		v.periodic = periodicPartners(fresh, v.partners, self)
 	}
 	return v
 }
 
-// forget drops partners that are known no more, once they are many.
-func (x *Exchange) forget() {
+// forgetUnknownPartners removes the state kept for partners that the table no longer
+// has, once there are more than twice as many partners as known nodes.
+func (x *Exchange) forgetUnknownPartners() {
 	known := x.Table.Len()
 	x.mu.Lock()
 	defer x.mu.Unlock()
-	if len(x.with) <= 2*known {
+	if len(x.partnerStates) <= 2*known {
 		return
 	}
-	for name := range x.with {
+	for name := range x.partnerStates {
 		if _, found := x.Table.Get(name); !found {
-			delete(x.with, name)
+			delete(x.partnerStates, name)
 		}
 	}
 }
 
-// withGatherer makes a relay report to the gatherer of its region what its own nodes
-// have in force.
+// withGatherer returns the partners of the view. For a relay it adds the gatherer of
+// the region, which needs the revisions in force at the nodes of the relay's data
+// centre.
 func (x *Exchange) withGatherer(v view, self Peer) []Peer {
 	p, known := x.Table.Get(v.gatherer)
 	if !known || !v.relay || p.Name == self.Name {
@@ -98,9 +100,10 @@
 	return append(v.partners, p)
 }
 
-// periodic leaves out the plain nodes of a relay's data centre, which ask by
-// themselves, as long as there is another partner.
-func periodic(fresh, partners []Peer, self Peer) []Peer {
+// periodicPartners returns the partners of a relay without the other nodes of its
+// data centre that are no relays, because those start exchanges themselves. If
+// nothing is left, it returns all partners.
+func periodicPartners(fresh, partners []Peer, self Peer) []Peer {
 	relays := make(map[string]bool)
 	for _, p := range Relays(fresh, self.DataCentre) {
 		relays[p.Name] = true
@@ -117,34 +120,34 @@
 	return out
 }
 
-// reachable leaves out nodes that could not be reached a short while ago. Their
-// words may look fresh for long after they died where words are rare, and a
-// data centre whose relays are dead would learn nothing.
+// reachable returns the peers without those that could not be reached a short while
+// ago. Where heartbeats are rare, a dead node looks fresh for a long time, and a
+// data centre whose relays are dead would receive nothing.
 func (x *Exchange) reachable(peers []Peer, now time.Time) []Peer {
 	x.mu.Lock()
 	defer x.mu.Unlock()
 	out := peers[:0]
 	for _, p := range peers {
-		w := x.with[p.Name]
-		if w == nil || w.failed.IsZero() || now.Sub(w.failed) > x.Silence {
+		ps := x.partnerStates[p.Name]
+		if ps == nil || ps.failedAt.IsZero() || now.Sub(ps.failedAt) > x.Silence {
 			out = append(out, p)
 		}
 	}
 	return out
 }
 
-// IsRelay reports whether this node carries news for its data centre now.
-func (x *Exchange) IsRelay() bool { return x.current().relay }
+// IsRelay reports whether this node currently exchanges state with other data
+// centres on behalf of its own.
+func (x *Exchange) IsRelay() bool { return x.currentView().relay }
 
-// Partners returns the nodes that self reports changes to, out of the fresh
-// ones.
+// Partners returns those of the fresh nodes that self sends changes to.
 func Partners(fresh []Peer, self Peer) []Peer {
 	relay := IsRelay(fresh, self)
 	seen := map[string]bool{self.Name: true}
 	var out []Peer
 	add := func(peers ...Peer) {
 		for _, p := range peers {
-			if !seen[p.Name] && takesPart(p) {
+			if !seen[p.Name] && isActive(p) {
 				seen[p.Name] = true
 				out = append(out, p)
 			}
@@ -160,20 +163,20 @@
 			add(p)
 			continue
 		}
-		if takesPart(p) {
+		if isActive(p) {
 			centres[p.DataCentre] = p.Region
 		}
 	}
-	for _, centre := range chosenCentres(centres, self) {
+	for _, centre := range partnerDataCentres(centres, self) {
 		add(Relays(fresh, centre)...)
 	}
 	return out
 }
 
-// chosenCentres are the other data centres of the region, and one of each other
-// region. Which one depends on the own data centre, so that the relays of no
-// data centre are asked by all others.
-func chosenCentres(centres map[string]string, self Peer) []string {
+// partnerDataCentres returns the other data centres of the region and one data
+// centre of each other region. Which one depends on the data centre of self, so
+// that the exchanges are spread over the data centres of a region.
+func partnerDataCentres(centres map[string]string, self Peer) []string {
 	var out []string
 	best := make(map[string]string)
 	score := func(centre string) uint64 { return xxhash.Sum64String(self.DataCentre + "\x00" + centre) }
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -8,61 +8,64 @@
 	"time"
 )
 
-// LoadSource asks a target for its load; leaving is the target's own word that
-// it wants no new work.
+// LoadSource fetches the load reports of targets.
 type LoadSource interface {
+	// Load requests the load report of a target. It returns leaving as true if
+	// the target reports that it wants no new work.
 	Load(ctx context.Context, addr netip.AddrPort) (load Load, leaving bool, err error)
 }
 
-// Poller asks the targets that this node uses for their load, with a few
-// workers.
+// Poller periodically requests the load reports of the targets that this node
+// uses and writes them to the table. Workers requests run at the same time.
 type Poller struct {
 	Table   *Table
 	Source  LoadSource
-	Period  time.Duration // least time between two questions to one target
-	Timeout time.Duration // for one answer
+	Period  time.Duration // min time between two requests to one target
+	Timeout time.Duration // for one request
 	Workers int
 	Now     func() time.Time
-	Leaving func(addr netip.AddrPort) // called when a target says that it leaves; may be nil
-	// Busy tells that this node has much else to carry, and so asks less often;
-	// may be nil.
+	Leaving func(addr netip.AddrPort) // called when a target reports that it is leaving; may be nil
+	// Busy reports whether this node has a high load of other work, so that it
+	// polls less often; may be nil.
 	Busy func() bool
 }
 
-// askPace is how much longer each target makes the time between two questions
-// to one. A report of a kilobyte that takes a tenth of a millisecond then costs
-// a node about 7 KB/s and a thousandth of a core, however many targets it uses.
-const askPace = 150 * time.Millisecond
+// pollIntervalPerTarget is the time that each target in use adds to the time
+// between two requests to one target. A report of 1 KB that takes 0.1 ms then
+// costs a node about 7 KB/s and a thousandth of a core, however many targets it
+// uses.
+const pollIntervalPerTarget = 150 * time.Millisecond
 
-// busyPace is how much less often a busy node asks where the number of targets
-// decides.
-const busyPace = 3
+// busyFactor is the factor by which a busy node lengthens its poll period where
+// the number of targets determines that period.
+const busyFactor = 3
 
 func (p *Poller) period(n int) time.Duration {
 	if p.Busy != nil && p.Busy() {
-		n *= busyPace
+		n *= busyFactor
 	}
 	return PollPeriod(p.Period, n)
 }
 
-// PollPeriod returns the time between two questions to one of n targets.
-func PollPeriod(least time.Duration, n int) time.Duration {
-	return max(least, askPace*time.Duration(n))
+// PollPeriod returns the average time between two requests to one target, for a
+// node that polls n targets; it is at least minPeriod.
+func PollPeriod(minPeriod time.Duration, n int) time.Duration {
+	return max(minPeriod, pollIntervalPerTarget*time.Duration(n))
 }
 
-// Run asks until ctx ends; it returns the error of ctx.
+// Run polls until ctx ends and returns the error of ctx.
 func (p *Poller) Run(ctx context.Context) error {
-	work := make(chan Target)
+	queue := make(chan Target)
 	var wg sync.WaitGroup
 	for range max(p.Workers, 1) {
 		wg.Go(func() {
-			for t := range work {
-				p.ask(ctx, t)
+			for t := range queue {
+				p.poll(ctx, t)
 			}
 		})
 	}
 	defer wg.Wait()
-	defer close(work)
+	defer close(queue)
 	for {
 		targets := p.Table.Used()
 		rand.Shuffle(len(targets), func(i, k int) { targets[i], targets[k] = targets[k], targets[i] })
@@ -70,7 +73,7 @@
 		next := time.After(period/2 + time.Duration(rand.Int64N(int64(period))))
 		for _, t := range targets {
 			select {
-			case work <- t:
+			case queue <- t:
 			case <-ctx.Done():
 				return ctx.Err()
 			}
@@ -83,10 +86,10 @@
 	}
 }
 
-func (p *Poller) ask(ctx context.Context, t Target) {
+func (p *Poller) poll(ctx context.Context, t Target) {
 	ctx, cancel := context.WithTimeout(ctx, p.Timeout)
 	defer cancel()
-	asked := p.Now()
+	requestedAt := p.Now()
 	load, leaving, err := p.Source.Load(ctx, t.Address)
 	now := p.Now()
 	if err != nil {
@@ -95,7 +98,7 @@
 		}
 		return
 	}
-	load.Taken = asked
+	load.Taken = requestedAt
 	p.Table.Report(t.Address, load)
 	if leaving {
 		p.Table.MarkLeaving(t.Address, now, now)
--- a/core/jwtarget/rapid_test.go
+++ b/core/jwtarget/rapid_test.go
@@ -12,16 +12,18 @@
 
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
-// leavingOracle is the rule for leaving targets in its plainest form: a word
-// holds until a later list shows the target gone, or LeavingFor has passed.
+// leavingOracle is a simple model of the rule for leaving targets: a target that
+// reported that it is leaving counts as leaving until a later list does not show
+// it or LeavingTTL has passed.
 type leavingOracle struct {
 	since  map[int]time.Time
 	listed map[int]bool
 }
 
-// Words of leaving, lists that lag and time come in any order; a target under
-// a word must never be offered, and a target without one and without failures
-// always is.
+// TestTableAgainstOracle applies reports of leaving targets, out-of-date lists and
+// the passing of time in random order. A leaving target must never be a
+// candidate, and a listed target that is not leaving must always be one; no call
+// fails here.
 func TestTableAgainstOracle(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		const targets = 5
@@ -38,7 +40,7 @@
 			}
 			table.Set(l, now)
 			for i, since := range o.since {
-				if !o.listed[i] || now.Sub(since) > DefaultLeavingFor {
+				if !o.listed[i] || now.Sub(since) > DefaultLeavingTTL {
 					delete(o.since, i)
 				}
 			}
@@ -52,10 +54,10 @@
 			"leave": func(t *rapid.T) {
 				i := index.Draw(t, "target")
 				if !o.listed[i] {
-					t.Skip("only of listed targets")
+					t.Skip("only listed targets report that they leave")
 				}
 				table.MarkLeaving(address(i), now, now)
-				if _, told := o.since[i]; !told {
+				if _, leaving := o.since[i]; !leaving {
 					o.since[i] = now
 				}
 			},
@@ -77,12 +79,12 @@
 			"": func(t *rapid.T) {
 				got := usable(table, now)
 				for i := range targets {
-					_, offered := got[address(i)]
-					_, leaves := o.since[i]
-					if offered != (o.listed[i] && !leaves) {
-						t.Fatalf("target %d offered %v, listed %v, leaves %v", i, offered, o.listed[i], leaves)
+					_, isCandidate := got[address(i)]
+					_, isLeaving := o.since[i]
+					if isCandidate != (o.listed[i] && !isLeaving) {
+						t.Fatalf("target %d usable %v, listed %v, leaving %v", i, isCandidate, o.listed[i], isLeaving)
 					}
-					if offered && got[address(i)].Outstanding < 0 {
+					if isCandidate && got[address(i)].Outstanding < 0 {
 						t.Fatalf("target %d has %d outstanding", i, got[address(i)].Outstanding)
 					}
 				}
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -7,30 +7,32 @@
 	"time"
 )
 
-// The values that a Table takes where its own fields are zero.
+// These are the defaults for fields of a Table that are zero, and for the
+// duration of a call before the first one has ended.
 const (
-	DefaultSubset     = 16
-	DefaultLeavingFor = 10 * time.Minute
-	DefaultPause      = time.Second
-	DefaultMaxPause   = time.Minute
-	DefaultWork       = time.Second
+	DefaultSubset         = 16
+	DefaultLeavingTTL     = 10 * time.Minute
+	DefaultInitialBackoff = time.Second
+	DefaultMaxBackoff     = time.Minute
+	DefaultCallTime       = time.Second
 )
 
-// paceWeight is the weight of one finished call in the running averages.
-const paceWeight = 0.2
+// averageWeight is the weight of one finished call in the moving averages.
+const averageWeight = 0.2
 
-// Table holds the targets of one region as one node knows them.
+// Table holds what one node knows about the targets of its region.
 //
-// One mutex guards all of it and is held only for short loops over the targets
-// of one service; no other lock is taken under it. Fields are set before use;
-// all methods may be called at the same time.
+// One mutex guards the whole table. It is held only for short loops over the
+// targets of one service, and no other lock is taken while it is held. The
+// exported fields must be set before use; the methods are safe for concurrent
+// use.
 type Table struct {
-	Node       string        // name of this node, which decides its subset
-	Region     string        // targets of other regions are not kept
-	Subset     int           // targets used for each service, negative for all
-	LeavingFor time.Duration // how long a word of leaving outlives a list that disagrees
-	Pause      time.Duration // rest of a target after one failed call; doubles with each further one
-	MaxPause   time.Duration // longest rest
+	Node           string        // name of this node, which determines its subset
+	Region         string        // region of this node; targets of other regions are ignored
+	Subset         int           // max targets used for each service, negative for all
+	LeavingTTL     time.Duration // how long a target counts as leaving although the list says otherwise
+	InitialBackoff time.Duration // time without calls after one failure; doubles with each further failure
+	MaxBackoff     time.Duration // max time without calls after failures
 
 	mu       sync.Mutex
 	targets  map[netip.AddrPort]*entry
@@ -38,38 +40,39 @@
 	leaving  map[netip.AddrPort]departure
 }
 
-// service is the part of a table that belongs to one service.
+// service holds the targets and the averages of one service.
 type service struct {
-	all   []*entry                 // sorted by address
-	used  []*entry                 // this node's subset that may get work, sorted by address
-	live  int                      // those of all that do not leave
-	work  time.Duration            // usual time of a call, without its wait for a slot
-	kinds map[string]time.Duration // the same by kind of call
-	tick  time.Duration            // usual time between tokens over the targets
+	all            []*entry                 // sorted by address
+	subset         []*entry                 // the targets that this node uses, without the leaving ones, sorted by address
+	available      int                      // number of targets in all that are not leaving
+	callTime       time.Duration            // average duration of a call, without its wait for a slot
+	callTimeByKind map[string]time.Duration // callTime for each kind of call
+	tokenInterval  time.Duration            // average time between tokens over all targets
 }
 
-// entry is what the table knows of one target.
+// entry holds what the table knows about one target.
 type entry struct {
-	target   Target
-	key      uint64
-	load     Load
-	own      int         // calls of this node in flight
-	begun    []time.Time // when those of them began that the last report has not seen
-	ended    []time.Time // when calls ended that the last report still counts
-	pace     float64     // time taken by calls here over the time expected, 0 before the first
-	paced    time.Time   // when the pace was last learnt
-	failures int
-	rests    time.Time // gets no work until then
-	probing  bool
+	target             Target
+	key                uint64
+	load               Load
+	inFlight           int         // calls of this node in flight
+	startedSinceReport []time.Time // start times of calls in flight that the last report does not include
+	endedSinceReport   []time.Time // end times of calls that the last report still includes
+	slowdown           float64     // average of call duration over callTimeByKind, 0 before the first call
+	slowdownUpdated    time.Time   // when slowdown was last updated
+	failures           int         // failures in a row
+	backoffUntil       time.Time   // no calls before this time
+	probing            bool        // a probe is in flight, see Call.probe
 }
 
-// Set takes over the platform's list, which lags. Targets that stay keep their
-// load and calls in flight; a target known to leave is not taken back because
-// the list still calls it live.
+// Set replaces the targets by the platform's list, which may be out of date.
+// Targets that stay in the list keep their load and their calls in flight. A
+// target known to be leaving stays out of use although the list still calls it
+// live.
 func (t *Table) Set(list []Target, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	known := make(map[netip.AddrPort]*entry, len(list))
+	newTargets := make(map[netip.AddrPort]*entry, len(list))
 	for _, target := range list {
 		if target.Region != t.Region {
 			continue
@@ -79,14 +82,15 @@
 			e = &entry{key: AddressKey(target.Address)}
 		}
 		e.target = target
-		known[target.Address] = e
+		newTargets[target.Address] = e
 	}
-	t.targets = known
+	t.targets = newTargets
 	t.updateDepartures(now)
 	t.rebuild()
 }
 
-// rebuild makes the lists by service anew.
+// rebuild groups the targets by service again. Services that existed before keep
+// their averages.
 func (t *Table) rebuild() {
 	old := t.services
 	t.services = make(map[string]*service)
@@ -95,7 +99,7 @@
 		if s == nil {
 			s = &service{}
 			if before := old[e.target.Service]; before != nil {
-				s.work, s.kinds, s.tick = before.work, before.kinds, before.tick
+				s.callTime, s.callTimeByKind, s.tokenInterval = before.callTime, before.callTimeByKind, before.tokenInterval
 			}
 			t.services[e.target.Service] = s
 		}
@@ -103,31 +107,32 @@
 	}
 	for _, s := range t.services {
 		slices.SortFunc(s.all, byAddress)
-		t.choose(s)
+		t.chooseSubset(s)
 	}
 }
 
-// choose fills the subset of a service with targets that do not leave.
-func (t *Table) choose(s *service) {
-	s.used = s.used[:0]
+// chooseSubset fills the subset of a service with targets that are not leaving,
+// chosen by rendezvous hashing with the name of the node.
+func (t *Table) chooseSubset(s *service) {
+	s.subset = s.subset[:0]
 	for _, e := range s.all {
-		if !t.leaves(e.target.Address) {
-			s.used = append(s.used, e)
+		if !t.isLeaving(e.target.Address) {
+			s.subset = append(s.subset, e)
 		}
 	}
-	s.live = len(s.used)
-	if n := t.subset(); n >= 0 && n < len(s.used) {
+	s.available = len(s.subset)
+	if n := t.subsetSize(); n >= 0 && n < len(s.subset) {
 		node := NameKey(t.Node)
-		slices.SortFunc(s.used, func(a, b *entry) int {
+		slices.SortFunc(s.subset, func(a, b *entry) int {
 			return compareKeys(Mix(node, b.key), Mix(node, a.key))
 		})
-		s.used = s.used[:n]
-		slices.SortFunc(s.used, byAddress)
+		s.subset = s.subset[:n]
+		slices.SortFunc(s.subset, byAddress)
 	}
 }
 
-// Report takes over what a target said of its load. What began or ended while
-// the report was under way is still counted apart from it.
+// Report stores the load report of a target. Calls that started or ended after
+// load.Taken, when the report was requested, are still counted in addition to it.
 func (t *Table) Report(addr netip.AddrPort, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -136,39 +141,40 @@
 		return
 	}
 	e.load = load
-	seen := func(at time.Time) bool { return !at.After(load.Taken) }
-	e.begun = slices.DeleteFunc(e.begun, seen)
-	e.ended = slices.DeleteFunc(e.ended, seen)
+	included := func(at time.Time) bool { return !at.After(load.Taken) }
+	e.startedSinceReport = slices.DeleteFunc(e.startedSinceReport, included)
+	e.endedSinceReport = slices.DeleteFunc(e.endedSinceReport, included)
 	s := t.services[e.target.Service]
 	if load.Token > 0 {
-		s.tick = average(s.tick, load.Token)
+		s.tokenInterval = movingAverage(s.tokenInterval, load.Token)
 	}
 }
 
-// Call is one call in flight; Begin makes it and End takes it back.
+// Call is one call to a target, from Begin, which returns it, to End, which
+// receives it.
 type Call struct {
 	Address netip.AddrPort
-	Kind    string        // calls of one kind take about as long, "" for any
-	Work    time.Duration // expected time of the call once it has a slot
+	Kind    string        // calls of the same kind have similar durations; may be empty
+	Work    time.Duration // expected duration of the call once it has a slot
 	Began   time.Time
 
-	wait  float64 // expected wait for a slot, in times of a call
-	tries bool    // the single call that tries a target again after failures
+	expectedWait float64 // expected wait for a slot, as a multiple of the duration of a call
+	probe        bool    // the only call allowed at a target that failed before, until its result is known
 }
 
-// Result tells how a call ended as far as the target's health goes.
+// Result tells how a call ended, as far as it matters for the health of the target.
 type Result string
 
-// The results of a call.
+// These are the results of a call.
 const (
-	Done     Result = "done"     // the whole answer came
-	Refused  Result = "refused"  // the target is well but did not take the call
+	Done     Result = "done"     // the whole answer was received
+	Refused  Result = "refused"  // the target is healthy but rejected the call
 	Canceled Result = "canceled" // given up by the caller or the node
-	Broken   Result = "broken"   // no connection, or it broke, or fell silent
+	Broken   Result = "broken"   // the connection failed or broke, or the target stopped sending
 )
 
-// WorkOf returns the usual time of one kind of call once it has a slot, or 0
-// before the first of that kind has ended.
+// WorkOf returns the average duration of one kind of call once it has a slot, or
+// 0 before the first call of that kind has ended.
 func (t *Table) WorkOf(serviceName, kind string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -176,26 +182,28 @@
 	if s == nil {
 		return 0
 	}
-	return s.kinds[kind]
+	return s.callTimeByKind[kind]
 }
 
-// Begin counts a call as outstanding; every Begin needs its End.
+// Begin counts a new call as outstanding. The caller must pass the Call that it
+// returns to End.
 func (t *Table) Begin(addr netip.AddrPort, work time.Duration, now time.Time) Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	c := Call{Address: addr, Work: work, Began: now}
 	if e := t.targets[addr]; e != nil {
-		c.wait = e.wait()
-		e.own++
-		e.begun = append(e.begun, now)
+		c.expectedWait = e.expectedWait()
+		e.inFlight++
+		e.startedSinceReport = append(e.startedSinceReport, now)
 		if e.failures > 0 {
-			c.tries, e.probing = true, true
+			c.probe, e.probing = true, true
 		}
 	}
 	return c
 }
 
-// End takes a call out of the outstanding ones and learns from how it ended.
+// End removes a call from the outstanding ones and updates the averages and the
+// health of the target from its result.
 func (t *Table) End(c Call, result Result, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -203,109 +211,113 @@
 	if e == nil {
 		return
 	}
-	e.forget(c, now)
-	if c.tries {
+	e.removeCall(c, now)
+	if c.probe {
 		e.probing = false
 	}
 	switch result {
 	case Done:
-		t.learn(e, c, now)
+		t.recordDuration(e, c, now)
 	case Refused:
 		e.failures = 0
 	case Broken:
-		t.fail(e, now, c.tries)
+		t.recordFailure(e, now, c.probe)
 	}
 }
 
-// forget takes a call out of the counts. A call of an earlier target at the
-// same address may end after the counts began anew, hence the floor.
-func (e *entry) forget(c Call, now time.Time) {
-	e.own = max(e.own-1, 0)
-	if i := slices.Index(e.begun, c.Began); i >= 0 {
-		e.begun = slices.Delete(e.begun, i, i+1)
+// removeCall removes a call from the counts. They start at zero again for a new
+// target at the same address, and a call of the earlier target may end after
+// that; so inFlight is kept from going below zero.
+func (e *entry) removeCall(c Call, now time.Time) {
+	e.inFlight = max(e.inFlight-1, 0)
+	if i := slices.Index(e.startedSinceReport, c.Began); i >= 0 {
+		e.startedSinceReport = slices.Delete(e.startedSinceReport, i, i+1)
 		return
 	}
-	if len(e.ended) < maxEnded {
-		e.ended = append(e.ended, now)
+	if len(e.endedSinceReport) < maxEndedSinceReport {
+		e.endedSinceReport = append(e.endedSinceReport, now)
 	}
 }
 
-// maxEnded bounds what is kept of a target whose reports stay away.
-const maxEnded = 1024
+// maxEndedSinceReport limits the memory used for a target that sends no reports.
+const maxEndedSinceReport = 1024
 
-// learn takes the time of a finished call into the averages. The wait for a
-// slot is taken out first: counted as work it would be counted twice by all
-// who add the wait, and a target with a queue would pass for a slow one.
-func (t *Table) learn(e *entry, c Call, now time.Time) {
+// recordDuration updates the averages with the duration of a finished call. It
+// first removes the expected wait for a slot. Otherwise callers that add the wait
+// to the average would count it twice, and a target with a queue would look like
+// a slow one.
+func (t *Table) recordDuration(e *entry, c Call, now time.Time) {
 	e.failures = 0
-	took := time.Duration(float64(now.Sub(c.Began)) / (1 + c.wait))
+	duration := time.Duration(float64(now.Sub(c.Began)) / (1 + c.expectedWait))
 	s := t.services[e.target.Service]
-	s.work = average(s.work, took)
-	if s.kinds == nil {
-		s.kinds = make(map[string]time.Duration)
+	s.callTime = movingAverage(s.callTime, duration)
+	if s.callTimeByKind == nil {
+		s.callTimeByKind = make(map[string]time.Duration)
 	}
-	usual := s.kinds[c.Kind]
-	s.kinds[c.Kind] = average(usual, took)
-	if usual == 0 {
-		return // nothing to compare with but calls of other kinds
+	expected := s.callTimeByKind[c.Kind]
+	s.callTimeByKind[c.Kind] = movingAverage(expected, duration)
+	if expected == 0 {
+		return // there are only calls of other kinds to compare with
 	}
-	// What was expected when the call began is no measure: when calls become
-	// longer, all that are in flight exceed it, and what is left of that in the
-	// averages differs from target to target for a minute.
-	ratio := min(float64(took)/float64(usual), maxRatio)
-	e.pace = averagePace(e.paceAt(now), ratio)
-	e.paced = now
+	// The duration is compared with the average of now, not with the one expected
+	// when the call began. When calls become longer, all calls in flight exceed
+	// the expected duration, and for a minute the averages of the targets would
+	// differ by what is left of that excess.
+	ratio := min(float64(duration)/float64(expected), maxDurationRatio)
+	e.slowdown = averageSlowdown(e.slowdownAt(now), ratio)
+	e.slowdownUpdated = now
 }
 
-// averagePace moves a pace towards a new value. It starts at the usual one:
-// the first call of a target alone does not tell whether the target is slow.
-func averagePace(old, value float64) float64 {
+// averageSlowdown moves a slowdown towards a new value. The average starts at 1,
+// because the first call alone does not tell whether the target is slow.
+func averageSlowdown(old, value float64) float64 {
 	if old == 0 {
 		old = 1
 	}
-	return old + paceWeight*(value-old)
+	return old + averageWeight*(value-old)
 }
 
-// paceAt returns the pace as far as it is still believed: it returns to the
-// usual one in paceFor without calls.
-func (e *entry) paceAt(now time.Time) float64 {
-	if e.pace == 0 {
+// slowdownAt returns the slowdown after its decay: without calls it returns
+// linearly to 1 within slowdownTTL. It is 0 before the first call.
+func (e *entry) slowdownAt(now time.Time) float64 {
+	if e.slowdown == 0 {
 		return 0
 	}
-	left := max(1-float64(now.Sub(e.paced))/float64(paceFor), 0)
-	return 1 + left*(e.pace-1)
+	weight := max(1-float64(now.Sub(e.slowdownUpdated))/float64(slowdownTTL), 0)
+	return 1 + weight*(e.slowdown-1)
 }
 
-// Failed notes a failure outside a call, such as a load report that could not
-// be had; the target rests, longer with each failure in a row.
+// Failed records a failure outside a call, for example of a load request. The
+// target then gets no calls for a backoff, which grows with each failure in a
+// row.
 func (t *Table) Failed(addr netip.AddrPort, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if e := t.targets[addr]; e != nil {
-		t.fail(e, now, false)
+		t.recordFailure(e, now, false)
 	}
 }
 
-// fail makes a target rest. Calls that break together count as one failure:
-// else one crash with many calls in flight would rest its target for the
-// longest pause at once. A call that tried a resting target counts by itself.
-func (t *Table) fail(e *entry, now time.Time, tried bool) {
-	if now.Before(e.rests) && !tried {
+// recordFailure starts the backoff of a target. Failures during a backoff are not
+// counted, or one crash with many calls in flight would cause the longest backoff
+// at once. The failure of a probe is always counted.
+func (t *Table) recordFailure(e *entry, now time.Time, probe bool) {
+	if now.Before(e.backoffUntil) && !probe {
 		return
 	}
-	pause := t.pause() << min(e.failures, 16)
+	backoff := t.initialBackoff() << min(e.failures, 16)
 	e.failures++
-	e.rests = now.Add(min(pause, t.maxPause()))
+	e.backoffUntil = now.Add(min(backoff, t.maxBackoff()))
 }
 
-// Used returns the targets whose load this node asks for: its subset of every
-// service, resting ones included.
+// Used returns the targets whose load this node polls: its subset of each
+// service, those in backoff included, sorted by address.
 func (t *Table) Used() []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Target
 	for _, s := range t.services {
-		for _, e := range s.used {
+		for _, e := range s.subset {
 			out = append(out, e.target)
 		}
 	}
@@ -313,8 +325,8 @@
 	return out
 }
 
-// State returns what the table holds of a target; known is false for a target
-// that the list does not show.
+// State returns the state of a target; known is false if the list does not show
+// the target.
 func (t *Table) State(addr netip.AddrPort, now time.Time) (state State, known bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -322,38 +334,41 @@
 	switch {
 	case e == nil:
 		return "", false
-	case t.leaves(addr):
+	case t.isLeaving(addr):
 		return Leaving, true
-	case e.failures > 0 || now.Before(e.rests):
+	case e.failures > 0 || now.Before(e.backoffUntil):
 		return Failed, true
 	}
 	return Live, true
 }
 
-func (t *Table) subset() int {
+func (t *Table) subsetSize() int {
 	if t.Subset == 0 {
 		return DefaultSubset
 	}
 	return t.Subset
 }
 
-func (t *Table) leavingFor() time.Duration { return orDefault(t.LeavingFor, DefaultLeavingFor) }
-func (t *Table) pause() time.Duration      { return orDefault(t.Pause, DefaultPause) }
-func (t *Table) maxPause() time.Duration   { return orDefault(t.MaxPause, DefaultMaxPause) }
+func (t *Table) leavingTTL() time.Duration { return orDefault(t.LeavingTTL, DefaultLeavingTTL) }
+func (t *Table) initialBackoff() time.Duration {
+	return orDefault(t.InitialBackoff, DefaultInitialBackoff)
+}
+func (t *Table) maxBackoff() time.Duration { return orDefault(t.MaxBackoff, DefaultMaxBackoff) }
 
-func orDefault(d, standard time.Duration) time.Duration {
+func orDefault(d, defaultValue time.Duration) time.Duration {
 	if d <= 0 {
-		return standard
+		return defaultValue
 	}
 	return d
 }
 
-// average moves a running average towards a new value.
-func average(old, value time.Duration) time.Duration {
+// movingAverage returns the moving average after a new value; an average of 0 takes
+// the value itself.
+func movingAverage(old, value time.Duration) time.Duration {
 	if old == 0 {
 		return value
 	}
-	return old + time.Duration(paceWeight*float64(value-old))
+	return old + time.Duration(averageWeight*float64(value-old))
 }
 
 func byAddress(a, b *entry) int { return a.target.Address.Compare(b.target.Address) }
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -33,48 +33,48 @@
 	return out
 }
 
-// A target says that it leaves, but the platform's list lags and goes on
-// calling it live. Were the list believed, the target would get new work until
-// it stops, and callers would see those requests fail.
-func TestLeavingOutlivesLaggingList(t *testing.T) {
+// A target reports that it is leaving, but the platform's list is out of date and
+// still shows it as live. If the list took precedence, the target would get new
+// work until it stops, and those requests would fail.
+func TestLeavingOverridesStaleList(t *testing.T) {
 	tests := map[string]struct {
 		steps func(*Table)
 		now   time.Duration
 		want  bool // usable at the end
 	}{
-		"list still shows it live": {func(t *Table) {
+		"list still shows it as live": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(time.Second))
 		}, time.Second, false},
-		"list says leaving": {func(t *Table) {
+		"list shows it as leaving": {func(t *Table) {
 			l := list(3)
 			l[0].State = Leaving
 			t.Set(l, at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 		}, 2 * time.Second, false},
-		"gone and back at the same address": {func(t *Table) {
+		"delisted, then listed again at the same address": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 		}, 2 * time.Second, true},
-		"old word of a peer after it came back": {func(t *Table) {
+		"outdated report of a peer after it is listed again": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 			t.MarkLeaving(address(0), at(0), at(3*time.Second))
 		}, 3 * time.Second, true},
-		"leaves once more after it came back": {func(t *Table) {
+		"leaving again after it is listed again": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3)[1:], at(time.Second))
 			t.Set(list(3), at(2*time.Second))
 			t.MarkLeaving(address(0), at(3*time.Second), at(3*time.Second))
 		}, 3 * time.Second, false},
-		"word came before the list": {func(t *Table) {
+		"reported before it is listed": {func(t *Table) {
 			t.Set(nil, at(0))
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(time.Second))
 		}, time.Second, false},
-		"the stated time has passed": {func(t *Table) {
+		"LeavingTTL has passed": {func(t *Table) {
 			t.MarkLeaving(address(0), at(0), at(0))
 			t.Set(list(3), at(11*time.Minute))
 		}, 11 * time.Minute, true},
@@ -91,22 +91,22 @@
 	}
 }
 
-// A target refuses connections. Were it tried by every call it would fail many
-// of them; were it never tried it would stay out of use after it came back.
-func TestFailedTargetRestsThenGetsOneProbe(t *testing.T) {
+// A target refuses connections. If every call tried it, many calls would fail; if
+// no call ever did, it would stay out of use after its recovery.
+func TestFailedTargetBacksOffThenGetsOneProbe(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
-	pause := DefaultPause
+	backoff := DefaultInitialBackoff
 	now := start
 	for range 3 {
 		table.Failed(address(0), now)
-		table.Failed(address(0), now) // of the same moment: counted once
-		_, ok := usable(table, now.Add(pause-1))[address(0)]
-		assert.Assert(t, !ok, "rests for %v", pause)
-		now = now.Add(pause)
+		table.Failed(address(0), now) // at the same time: counted once
+		_, ok := usable(table, now.Add(backoff-1))[address(0)]
+		assert.Assert(t, !ok, "not usable for %v", backoff)
+		now = now.Add(backoff)
 		c, ok := usable(table, now)[address(0)]
 		assert.Assert(t, ok && c.Probe)
-		pause *= 2
+		backoff *= 2
 	}
 	call := table.Begin(address(0), time.Second, now)
 	_, ok := usable(table, now)[address(0)]
@@ -116,9 +116,10 @@
 	assert.Assert(t, ok && !c.Probe)
 }
 
-// Every target of a node's subset fails at once, as when a rack goes. Were
-// the rest of the region not tried, callers would be refused beside idle targets.
-func TestWholeSubsetRestsOthersStandIn(t *testing.T) {
+// All targets of a node's subset fail at once, for example with their rack. If the
+// node did not try the other targets of the region, requests would be rejected
+// while those are idle.
+func TestOtherTargetsReplaceFailedSubset(t *testing.T) {
 	table := &Table{Node: "n", Region: "r", Subset: 4}
 	table.Set(list(20), start)
 	for _, target := range table.Used() {
@@ -127,8 +128,8 @@
 	assert.Equal(t, len(usable(table, start)), 16)
 }
 
-// Load reports come late. Calls sent since the last one must count, or all
-// calls between two reports go to the target that happened to look idle.
+// Load reports are out of date. Calls started since the last report must count,
+// or all calls between two reports go to the target that looked idle in it.
 func TestOutstandingCountsCallsSinceReport(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(1), start)
@@ -144,9 +145,9 @@
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 0)
 }
 
-// Nodes that watched the same few targets would leave the others idle and
-// unwatched; a target that goes must not reshuffle everyone's choice.
-func TestSubsetsSpreadAndHold(t *testing.T) {
+// If all nodes chose the same few targets, the others would be idle and their load
+// unknown. And when one target is removed, the subsets must not change otherwise.
+func TestSubsetsAreEvenAndStable(t *testing.T) {
 	const nodes, targets, size = 75, 250, 16
 	count := make(map[netip.AddrPort]int)
 	moved := 0
@@ -174,8 +175,8 @@
 	for _, n := range count {
 		most = max(most, n)
 	}
-	assert.Assert(t, len(count) >= targets*97/100, "%d of %d targets watched", len(count), targets)
-	assert.Assert(t, most <= 15, "a target is watched by %d nodes", most)
+	assert.Assert(t, len(count) >= targets*97/100, "%d of %d targets are in a subset", len(count), targets)
+	assert.Assert(t, most <= 15, "a target is in the subsets of %d nodes", most)
 }
 
 func TestRoom(t *testing.T) {
@@ -183,12 +184,12 @@
 	table.Set(list(2), start)
 	table.Report(address(0), Load{Running: 8, Waiting: 5, Slots: 8, Taken: start})
 	table.Report(address(1), Load{Running: 8, Waiting: 2, Slots: 8, Taken: start})
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultWork / 2, Work: DefaultWork})
+	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultCallTime / 2, Work: DefaultCallTime})
 	assert.DeepEqual(t, table.Room("none", start), Room{})
 	table.Failed(address(0), start)
 	table.Failed(address(1), start)
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 2, Work: DefaultWork})
-	again := start.Add(DefaultMaxPause)
+	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 2, Work: DefaultCallTime})
+	again := start.Add(DefaultMaxBackoff)
 	table.Failed(address(0), again)
 	table.Failed(address(1), again)
 	assert.DeepEqual(t, table.Room("s", again), Room{})
@@ -196,7 +197,7 @@
 
 func TestSubsetFor(t *testing.T) {
 	assert.Equal(t, SubsetFor(8000, 1000, 6*time.Second, 3), 16)
-	assert.Equal(t, SubsetFor(100, 1000, time.Second, 3), minSubset)
+	assert.Equal(t, SubsetFor(100, 1000, time.Second, 3), minSubsetSize)
 }
 
 func BenchmarkSet(b *testing.B) {
@@ -212,31 +213,31 @@
 	}
 }
 
-// A target is slow for a while, or got the longest calls, and from then on
-// gets none: the others have queues while it stands idle, and callers wait
-// beside it.
-func TestSlowTargetIsTriedAgain(t *testing.T) {
+// A target is slow for a while, or gets the longest calls, and gets none from then
+// on: it is idle while calls wait at the other targets.
+func TestSlowdownExpires(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(4), start)
 	for i := range 10 {
-		for n, took := range []time.Duration{5 * time.Second, time.Second, time.Second, time.Second} {
+		for n, duration := range []time.Duration{5 * time.Second, time.Second, time.Second, time.Second} {
 			c := table.Begin(address(n), time.Second, at(0))
 			c.Kind = "draft"
-			table.End(c, Done, at(time.Duration(i)*time.Millisecond+took))
+			table.End(c, Done, at(time.Duration(i)*time.Millisecond+duration))
 		}
 	}
 	now := at(5 * time.Second)
-	assert.Assert(t, usable(table, now)[address(0)].Pace > slowPace)
+	assert.Assert(t, usable(table, now)[address(0)].Pace > slowThreshold)
 	for n := 1; n < 4; n++ {
 		assert.Equal(t, usable(table, now)[address(n)].Pace, 1.0)
 	}
-	assert.Equal(t, usable(table, now.Add(paceFor))[address(0)].Pace, 1.0)
+	assert.Equal(t, usable(table, now.Add(slowdownTTL))[address(0)].Pace, 1.0)
 }
 
-// One service runs long drafts and short questions. Were a draft held against
-// the usual time of all calls, the target that gets the drafts would pass for a
-// slow one; were the wait for a slot taken for work, so would a busy one.
-func TestWorkIsLearntByKindAndWithoutTheWait(t *testing.T) {
+// One service runs long drafts and short questions. If the duration of a draft
+// were compared with the average of all calls, the target that gets the drafts
+// would look slow; if the wait for a slot counted as call time, so would a busy
+// target.
+func TestCallTimeIsPerKindAndExcludesWait(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
 	table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: start})
@@ -246,7 +247,7 @@
 		table.End(long, Done, at(8*time.Second))
 		short := table.Begin(address(1), table.WorkOf("s", "question"), at(0))
 		short.Kind = "question"
-		table.End(short, Done, at(2*time.Second)) // the half of it in the queue
+		table.End(short, Done, at(2*time.Second)) // half of it in the queue
 		table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: at(2 * time.Second)})
 	}
 	assert.Equal(t, table.WorkOf("s", "draft"), 8*time.Second)
@@ -256,10 +257,10 @@
 	}
 }
 
-// A switch restarts, and each connection to the targets of a service breaks in
-// the same second. All targets are well, and callers must not be refused for as
-// long as targets rest after a failure. A service that is really down must not
-// be tried by every request either, or each would wait for it in vain.
+// A switch restarts, and all connections to the targets of a service break in the
+// same second. All targets are healthy, so requests must not be rejected until the
+// backoff ends. But if the service is really down, not every request may try it,
+// or each would wait for nothing.
 func TestAllTargetsFailedOnce(t *testing.T) {
 	table := &Table{Node: "n", Region: "r"}
 	table.Set(list(3), at(0))
@@ -270,12 +271,12 @@
 	assert.Equal(t, table.Room("s", at(0)).Targets, 3)
 
 	first := table.Begin(address(0), time.Second, at(0))
-	assert.Equal(t, len(usable(table, at(0))), 2, "one call tries a target")
+	assert.Equal(t, len(usable(table, at(0))), 2, "only one call probes a target")
 	second := table.Begin(address(1), time.Second, at(0))
 	table.End(second, Broken, at(0))
-	assert.Equal(t, len(usable(table, at(0))), 1, "a target that failed again rests")
+	assert.Equal(t, len(usable(table, at(0))), 1, "a target that failed again is in backoff")
 	table.End(first, Done, at(0))
-	assert.Assert(t, !usable(table, at(0))[address(0)].Probe, "a target that answered is well")
+	assert.Assert(t, !usable(table, at(0))[address(0)].Probe, "a target that answered is healthy")
 
 	down := &Table{Node: "n", Region: "r"}
 	down.Set(list(3), at(0))
