--- a/io/jwforward/adopt.go
+++ b/io/jwforward/adopt.go
@@ -17,8 +17,8 @@
 
 // AskAdopt asks a node to answer for this one and returns the catalogue changes
 // that this one lacks.
-func (p *Pool) AskAdopt(ctx context.Context, of, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
-	client, _, err := p.client(of.Nodes)
+func (p *Pool) AskAdopt(ctx context.Context, sponsor, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
+	client, _, err := p.client(sponsor.Nodes)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -26,21 +26,21 @@
 		Node: self.Name, Region: self.Region, Incarnation: self.Incarnation, After: after,
 	})
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "ask %s to answer for this node", of.Name)
+		return nil, nil, errors.Wrapf(err, "ask %s to answer for this node", sponsor.Name)
 	}
 	return out.GetChanges(), out.GetCheckpoint(), nil
 }
 
 // AskRelease tells a node that it need not answer for this one any more.
-func (p *Pool) AskRelease(ctx context.Context, of, self jwpeer.Peer) error {
-	client, _, err := p.client(of.Nodes)
+func (p *Pool) AskRelease(ctx context.Context, sponsor, self jwpeer.Peer) error {
+	client, _, err := p.client(sponsor.Nodes)
 	if err != nil {
 		return err
 	}
 	_, err = client.Release(ctx, &jwwire.AdoptRequest{
 		Node: self.Name, Region: self.Region, Incarnation: self.Incarnation,
 	})
-	return errors.Wrapf(err, "tell %s to answer no more", of.Name)
+	return errors.Wrapf(err, "tell %s to answer no more", sponsor.Name)
 }
 
 // Adopt answers for another node of the region from now on.
--- a/io/jwforward/exchange.go
+++ b/io/jwforward/exchange.go
@@ -28,7 +28,7 @@
 	answer, err := client.Exchange(ctx, digestToWire(digest))
 	if err != nil {
 		if code := status.Code(err); code == codes.DeadlineExceeded && ctx.Err() == context.DeadlineExceeded {
-			go p.check(to.Nodes, conn)
+			go p.probeOrReplace(to.Nodes, conn)
 		}
 		return jwpeer.Digest{}, errors.Wrapf(err, "exchange with %s", to.Name)
 	}
@@ -43,10 +43,10 @@
 	return digestToWire(s.Exchanger.Answer(digestFromWire(d))), nil
 }
 
-func digestToWire(t jwpeer.Digest) *jwwire.Digest {
-	out := &jwwire.Digest{Node: t.From, Again: t.Again, Whole: t.Whole}
-	newsToWire(t.News, out)
-	for _, p := range t.Peers {
+func digestToWire(digest jwpeer.Digest) *jwwire.Digest {
+	out := &jwwire.Digest{Node: digest.From, Again: digest.Again, Whole: digest.Whole}
+	newsToWire(digest.News, out)
+	for _, p := range digest.Peers {
 		out.Peers = append(out.Peers, &jwwire.PeerState{
 			Node: p.Name, Region: p.Region, DataCentre: p.DataCentre,
 			CallerAddress: p.Callers.String(), NodeAddress: p.Nodes.String(),
@@ -55,7 +55,7 @@
 			AgeMicros: p.Age.Microseconds(),
 		})
 	}
-	for _, m := range t.Marks {
+	for _, m := range digest.Marks {
 		out.Marks = append(out.Marks, &jwwire.PeerMark{
 			Id: m.ID, Sequence: m.Sequence, Revision: m.Revision, BaseRevision: m.Base,
 			AgeMillis: uint64(m.Age.Milliseconds()),
@@ -96,10 +96,10 @@
 
 // EncodeTold returns what goes over the wire in one exchange, for measuring
 // what exchanges cost.
-func EncodeTold(t jwpeer.Digest) ([]byte, error) { return proto.Marshal(digestToWire(t)) }
+func EncodeDigest(digest jwpeer.Digest) ([]byte, error) { return proto.Marshal(digestToWire(digest)) }
 
 // DecodeTold reads what EncodeTold returned.
-func DecodeTold(data []byte) (jwpeer.Digest, error) {
+func DecodeDigest(data []byte) (jwpeer.Digest, error) {
 	var d jwwire.Digest
 	if err := proto.Unmarshal(data, &d); err != nil {
 		return jwpeer.Digest{}, errors.Wrap(err, "decode exchange")
--- a/io/jwforward/forward.go
+++ b/io/jwforward/forward.go
@@ -22,17 +22,17 @@
 // Forward sends a request to another node and returns once its answer has
 // begun. Errors are of type *jwdispatch.CallError.
 func (p *Pool) Forward(ctx context.Context, to jwpeer.Peer, r *jwrequest.Request, reason string) (*jwdispatch.Answer, error) {
-	if p.doubtful(to.Nodes) {
+	if p.isExcluded(to.Nodes) {
 		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node left a probe unanswered"))
 	}
 	client, conn, err := p.client(to.Nodes)
 	if err != nil {
 		return nil, forwardError(to.Nodes, jwdispatch.Unsent, err)
 	}
-	ctx, end := context.WithCancel(ctx)
-	done := p.watch(to.Nodes, conn)
+	ctx, cancelStream := context.WithCancel(ctx)
+	done := p.trackCall(to.Nodes, conn)
 	cancel := sync.OnceFunc(func() {
-		end()
+		cancelStream()
 		done()
 	})
 	stream, err := client.Forward(ctx)
@@ -47,7 +47,7 @@
 	first, err := stream.Recv()
 	if err != nil {
 		cancel()
-		p.judge(to.Nodes, conn, err)
+		p.replaceIfUnavailable(to.Nodes, conn, err)
 		return nil, forwardError(to.Nodes, fate(err), err)
 	}
 	if code := first.GetHead().GetStatus(); code < http.StatusOK || code > maxStatus {
@@ -62,7 +62,7 @@
 const maxStatus = 599
 
 // judge replaces a connection whose pings went unanswered.
-func (p *Pool) judge(addr netip.AddrPort, conn *grpc.ClientConn, err error) {
+func (p *Pool) replaceIfUnavailable(addr netip.AddrPort, conn *grpc.ClientConn, err error) {
 	if status.Code(err) == codes.Unavailable {
 		p.replace(addr, conn)
 	}
@@ -86,13 +86,13 @@
 // sendError is a failed sending of a request. The other node starts nothing
 // before the last frame, so a failure before that is Unsent.
 type sendError struct {
-	last bool
-	err  error
+	lastFrame bool
+	err       error
 }
 
 func (e *sendError) at(peer netip.AddrPort) *jwdispatch.CallError {
 	f := fate(e.err)
-	if f == jwdispatch.Broken && !e.last {
+	if f == jwdispatch.Broken && !e.lastFrame {
 		f = jwdispatch.Unsent
 	}
 	return forwardError(peer, f, e.err)
@@ -109,17 +109,17 @@
 			f.Head = head
 		}
 		if err := stream.Send(f); err != nil {
-			return &sendError{last: len(body) == 0, err: cause(stream, err)}
+			return &sendError{lastFrame: len(body) == 0, err: streamError(stream, err)}
 		}
 	}
 	if err := stream.CloseSend(); err != nil {
-		return &sendError{last: true, err: err}
+		return &sendError{lastFrame: true, err: err}
 	}
 	return nil
 }
 
 // cause finds why a stream ended, which a failed Send doesn't tell.
-func cause(stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame], err error) error {
+func streamError(stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame], err error) error {
 	if err != io.EOF {
 		return err
 	}
@@ -166,42 +166,42 @@
 	stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame]
 	cancel func()
 	peer   netip.AddrPort
-	rest   []byte
+	unread []byte
 	length uint64
 	err    error
 }
 
 // Read reads the answer; errors other than io.EOF are *jwdispatch.CallError.
 func (b *answerBody) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.unread) == 0 {
 		if b.err != nil {
 			return 0, b.err
 		}
-		b.next()
+		b.readFrame()
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
-func (b *answerBody) next() {
+func (b *answerBody) readFrame() {
 	f, err := b.stream.Recv()
 	if err != nil {
 		// io.EOF here is a stream that ended without its end frame.
 		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer without an end"))
 		return
 	}
-	b.rest = f.GetBody()
-	b.length += uint64(len(b.rest))
-	end := f.GetEnd()
-	if end == nil {
+	b.unread = f.GetBody()
+	b.length += uint64(len(b.unread))
+	endFrame := f.GetEnd()
+	if endFrame == nil {
 		return
 	}
 	switch {
-	case end.GetOutcome() != string(jwrequest.Served):
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", end.GetOutcome(), end.GetDetail()))
-	case end.GetLength() != b.length:
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer of %d bytes where %d were sent", b.length, end.GetLength()))
+	case endFrame.GetOutcome() != string(jwrequest.Served):
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", endFrame.GetOutcome(), endFrame.GetDetail()))
+	case endFrame.GetLength() != b.length:
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer of %d bytes where %d were sent", b.length, endFrame.GetLength()))
 	default:
 		b.err = io.EOF
 	}
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -47,7 +47,7 @@
 	return jwpeer.Peer{Name: "there", Nodes: l.Addr().(*net.TCPAddr).AddrPort()}, g
 }
 
-func fromHere() *jwrequest.Request {
+func testRequest() *jwrequest.Request {
 	return &jwrequest.Request{
 		ID: "r", Workspace: "w", Entry: "e", Body: []byte(strings.Repeat("body ", 20_000)),
 		Deadline: time.Now().Add(time.Minute),
@@ -58,7 +58,7 @@
 // A request goes to another node and the way back is disturbed at each place
 // where it can be. The caller may be told that nothing ran only where the other
 // node did not start, and an answer is whole only if the other node said so.
-func TestForwardFates(t *testing.T) {
+func TestForwardFailures(t *testing.T) {
 	type result struct {
 		atCall, atEnd jwdispatch.Fate // empty for none
 		body          string
@@ -111,7 +111,7 @@
 			begun = make(chan struct{})
 			pool := &Pool{}
 			defer pool.Close()
-			r := fromHere()
+			r := testRequest()
 			if test.request != nil {
 				test.request(r)
 			}
@@ -143,11 +143,11 @@
 
 // The other node is not there at all. Nothing was sent, and the caller must not
 // be told that its order may have been placed.
-func TestForwardToNobody(t *testing.T) {
+func TestForwardToStoppedNode(t *testing.T) {
 	to, g := serve(t, &Server{Gate: gate(true)})
 	g.Stop()
 	pool := &Pool{}
 	defer pool.Close()
-	_, err := pool.Forward(t.Context(), to, fromHere(), jwdispatch.ForwardRegion)
+	_, err := pool.Forward(t.Context(), to, testRequest(), jwdispatch.ForwardRegion)
 	assertFate(t, err, jwdispatch.Unsent)
 }
--- a/io/jwforward/identity_test.go
+++ b/io/jwforward/identity_test.go
@@ -17,21 +17,21 @@
 func TestCheckIdentity(t *testing.T) {
 	uri, err := url.Parse("spiffe://jujubewheel/region/east/node/e1")
 	assert.NilError(t, err)
-	of := func(certificates ...*x509.Certificate) credentials.AuthInfo {
+	tlsInfo := func(certificates ...*x509.Certificate) credentials.AuthInfo {
 		return credentials.TLSInfo{State: tls.ConnectionState{PeerCertificates: certificates}}
 	}
-	named := of(&x509.Certificate{URIs: []*url.URL{uri}})
+	nodeAuth := tlsInfo(&x509.Certificate{URIs: []*url.URL{uri}})
 	tests := map[string]struct {
 		auth         credentials.AuthInfo
 		node, region string
 		refused      bool
 	}{
-		"itself":                     {auth: named, node: "e1", region: "east"},
-		"itself, region not said":    {auth: named, node: "e1"},
-		"another node":               {auth: named, node: "e2", region: "east", refused: true},
-		"another region":             {auth: named, node: "e1", region: "west", refused: true},
-		"no certificate":             {auth: of(), node: "e1", refused: true},
-		"a certificate of no node":   {auth: of(&x509.Certificate{}), node: "e1", refused: true},
+		"itself":                     {auth: nodeAuth, node: "e1", region: "east"},
+		"itself, region not said":    {auth: nodeAuth, node: "e1"},
+		"another node":               {auth: nodeAuth, node: "e2", region: "east", refused: true},
+		"another region":             {auth: nodeAuth, node: "e1", region: "west", refused: true},
+		"no certificate":             {auth: tlsInfo(), node: "e1", refused: true},
+		"a certificate of no node":   {auth: tlsInfo(&x509.Certificate{}), node: "e1", refused: true},
 		"without TLS, any is let in": {node: "e2", region: "west"},
 	}
 	for name, test := range tests {
--- a/io/jwforward/news.go
+++ b/io/jwforward/news.go
@@ -97,9 +97,9 @@
 
 // mostMicros is the longest time that a node is believed; a longer one would
 // overflow and come out as one before now.
-const mostMicros = int64(math.MaxInt64 / time.Microsecond)
+const maxMicros = int64(math.MaxInt64 / time.Microsecond)
 
 // micros reads an age or a wait; none is below zero.
 func micros(n int64) time.Duration {
-	return time.Duration(min(max(n, 0), mostMicros)) * time.Microsecond
+	return time.Duration(min(max(n, 0), maxMicros)) * time.Microsecond
 }
--- a/io/jwforward/pool.go
+++ b/io/jwforward/pool.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	pingAfter   = 10 * time.Second // the least that gRPC allows a client
-	pingTimeout = 3 * time.Second
+	pingInterval = 10 * time.Second // the least that gRPC allows a client
+	pingTimeout  = 3 * time.Second
 	// A peer that came back must be reached within a second or two, so the
 	// backoff between connection attempts stays short.
 	maxBackoff  = 2 * time.Second
@@ -36,10 +36,10 @@
 type Pool struct {
 	Credentials credentials.TransportCredentials // nil for none
 
-	mu     sync.Mutex
-	closed bool
-	ways   map[netip.AddrPort]*way
-	doubts map[netip.AddrPort]time.Time // nodes left out, until when at the latest
+	mu            sync.Mutex
+	closed        bool
+	conns         map[netip.AddrPort]*peerConn
+	excludedUntil map[netip.AddrPort]time.Time // nodes left out, until when at the latest
 }
 
 // client returns the way to a node, connecting in the background if needed.
@@ -50,19 +50,19 @@
 		return nil, nil, errors.Errorf("connect to node %s: closed", addr)
 	}
 	now := time.Now()
-	if w := p.ways[addr]; w != nil {
-		w.used = now
-		return jwwire.NewNodeClient(w.conn), w.conn, nil
+	if c := p.conns[addr]; c != nil {
+		c.used = now
+		return jwwire.NewNodeClient(c.conn), c.conn, nil
 	}
 	conn, err := grpc.NewClient("passthrough:///"+addr.String(), p.options()...)
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "connect to node %s", addr)
 	}
-	if p.ways == nil {
-		p.ways = make(map[netip.AddrPort]*way)
+	if p.conns == nil {
+		p.conns = make(map[netip.AddrPort]*peerConn)
 	}
-	p.sweep(now)
-	p.ways[addr] = &way{conn: conn, used: now}
+	p.closeIdleConns(now)
+	p.conns[addr] = &peerConn{conn: conn, used: now}
 	return jwwire.NewNodeClient(conn), conn, nil
 }
 
@@ -82,18 +82,18 @@
 		grpc.WithIdleTimeout(idleTimeout),
 		grpc.WithDefaultCallOptions(grpc.MaxCallRecvMsgSize(maxMessage)),
 		grpc.WithConnectParams(grpc.ConnectParams{Backoff: b, MinConnectTimeout: dialTimeout}),
-		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingAfter, Timeout: pingTimeout}),
+		grpc.WithKeepaliveParams(keepalive.ClientParameters{Time: pingInterval, Timeout: pingTimeout}),
 	}
 }
 
 // sweep forgets connections that were closed for want of calls; p.mu is held.
 // The next call to such a node makes a new one. One that was asked for just now
 // is idle too, until its call begins, and must not be closed under it.
-func (p *Pool) sweep(now time.Time) {
-	for addr, w := range p.ways {
-		if now.Sub(w.used) > 2*idleTimeout && w.conn.GetState() == connectivity.Idle {
-			delete(p.ways, addr)
-			_ = w.conn.Close()
+func (p *Pool) closeIdleConns(now time.Time) {
+	for addr, c := range p.conns {
+		if now.Sub(c.used) > 2*idleTimeout && c.conn.GetState() == connectivity.Idle {
+			delete(p.conns, addr)
+			_ = c.conn.Close()
 		}
 	}
 }
@@ -103,23 +103,23 @@
 // never will again. It is false if another has done so already.
 func (p *Pool) replace(addr netip.AddrPort, conn *grpc.ClientConn) bool {
 	p.mu.Lock()
-	w := p.ways[addr]
-	mine := w != nil && w.conn == conn
-	if mine {
-		delete(p.ways, addr)
+	c := p.conns[addr]
+	replaced := c != nil && c.conn == conn
+	if replaced {
+		delete(p.conns, addr)
 	}
 	p.mu.Unlock()
 	_ = conn.Close()
-	return mine
+	return replaced
 }
 
 // Close ends all connections.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	for _, w := range p.ways {
-		_ = w.conn.Close()
+	for _, c := range p.conns {
+		_ = c.conn.Close()
 	}
-	p.ways = nil
+	p.conns = nil
 	p.closed = true
 }
--- a/io/jwforward/pool_test.go
+++ b/io/jwforward/pool_test.go
@@ -10,7 +10,7 @@
 
 // Hosts are replaced every day and their addresses never come back. A pool that
 // kept a connection to each would try all of them again and again for good.
-func TestSweepForgetsIdleConnections(t *testing.T) {
+func TestIdleConnectionsAreRemoved(t *testing.T) {
 	p := &Pool{}
 	defer p.Close()
 	old, fresh := netip.MustParseAddrPort("127.0.0.1:1"), netip.MustParseAddrPort("127.0.0.1:2")
@@ -21,8 +21,8 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	p.ways[old].used = now.Add(-time.Hour)
-	p.sweep(now)
-	assert.Assert(t, p.ways[old] == nil)
-	assert.Assert(t, p.ways[fresh] != nil) // its call may be about to begin
+	p.conns[old].used = now.Add(-time.Hour)
+	p.closeIdleConns(now)
+	assert.Assert(t, p.conns[old] == nil)
+	assert.Assert(t, p.conns[fresh] != nil) // its call may be about to begin
 }
--- a/io/jwforward/probe.go
+++ b/io/jwforward/probe.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	probeEvery   = time.Second             // while a connection has calls
-	probeTimeout = 1500 * time.Millisecond // longer than a short pause of a process
-	probePause   = 250 * time.Millisecond  // between probes of a node that is left out
+	probeInterval         = time.Second             // while a connection has calls
+	probeTimeout          = 1500 * time.Millisecond // longer than a short pause of a process
+	excludedProbeInterval = 250 * time.Millisecond  // between probes of a node that is left out
 	// doubtFor bounds how long a node is left out after a probe failed, should
 	// no later one tell that it answers again.
-	doubtFor = 10 * time.Second
+	maxExclusion = 10 * time.Second
 )
 
 // way is the connection to one node, and what is known of it.
@@ -27,76 +27,76 @@
 // sent on waits that long, and all who follow as well. A small call every
 // second, made while others wait, tells sooner; and nothing more is sent to a
 // node that left one unanswered until it answers again.
-type way struct {
+type peerConn struct {
 	used  time.Time // when it was last asked for
 	conn  *grpc.ClientConn
 	calls int // that wait for the node
 	// tended tells that a goroutine probes the connection. Without it, each
 	// call that finds no other would start one, and a busy connection would
 	// gather more and more of them.
-	tended bool
+	probed bool
 }
 
 // doubtful tells whether a node left a probe unanswered.
-func (p *Pool) doubtful(addr netip.AddrPort) bool {
+func (p *Pool) isExcluded(addr netip.AddrPort) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.doubts[addr])
+	return time.Now().Before(p.excludedUntil[addr])
 }
 
 // watch probes the connection of a call until done is called.
-func (p *Pool) watch(addr netip.AddrPort, conn *grpc.ClientConn) (done func()) {
+func (p *Pool) trackCall(addr netip.AddrPort, conn *grpc.ClientConn) (done func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.ways[addr]
-	if w == nil || w.conn != conn {
+	c := p.conns[addr]
+	if c == nil || c.conn != conn {
 		return func() {}
 	}
-	w.calls++
-	if !w.tended {
-		w.tended = true
-		go p.tend(addr, w)
+	c.calls++
+	if !c.probed {
+		c.probed = true
+		go p.probeWhileBusy(addr, c)
 	}
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		w.calls--
+		c.calls--
 	}
 }
 
 // tend probes while there are calls.
-func (p *Pool) tend(addr netip.AddrPort, w *way) {
+func (p *Pool) probeWhileBusy(addr netip.AddrPort, c *peerConn) {
 	for {
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		p.mu.Lock()
-		w.tended = w.calls > 0 && p.ways[addr] == w
-		tended := w.tended
+		c.probed = c.calls > 0 && p.conns[addr] == c
+		probed := c.probed
 		p.mu.Unlock()
-		if !tended || !p.check(addr, w.conn) {
+		if !probed || !p.probeOrReplace(addr, c.conn) {
 			return
 		}
 	}
 }
 
 // check probes a connection once and gives it up if there is no answer.
-func (p *Pool) check(addr netip.AddrPort, conn *grpc.ClientConn) bool {
+func (p *Pool) probeOrReplace(addr netip.AddrPort, conn *grpc.ClientConn) bool {
 	if probe(conn) {
 		return true
 	}
 	if p.replace(addr, conn) {
-		go p.leaveOut(addr)
+		go p.excludeUntilAnswer(addr)
 	}
 	return false
 }
 
 // leaveOut sends a node nothing more until it answers a probe.
-func (p *Pool) leaveOut(addr netip.AddrPort) {
-	until := time.Now().Add(doubtFor)
+func (p *Pool) excludeUntilAnswer(addr netip.AddrPort) {
+	until := time.Now().Add(maxExclusion)
 	p.mu.Lock()
-	if p.doubts == nil {
-		p.doubts = make(map[netip.AddrPort]time.Time)
+	if p.excludedUntil == nil {
+		p.excludedUntil = make(map[netip.AddrPort]time.Time)
 	}
-	p.doubts[addr] = until
+	p.excludedUntil[addr] = until
 	p.mu.Unlock()
 	for time.Now().Before(until) {
 		_, conn, err := p.client(addr)
@@ -104,10 +104,10 @@
 			break
 		}
 		p.replace(addr, conn)
-		time.Sleep(probePause)
+		time.Sleep(excludedProbeInterval)
 	}
 	p.mu.Lock()
-	delete(p.doubts, addr)
+	delete(p.excludedUntil, addr)
 	p.mu.Unlock()
 }
 
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -54,8 +54,8 @@
 	g := grpc.NewServer(
 		grpc.Creds(creds),
 		grpc.MaxRecvMsgSize(maxMessage),
-		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingAfter, Timeout: pingTimeout}),
-		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingAfter / 2, PermitWithoutStream: true}),
+		grpc.KeepaliveParams(keepalive.ServerParameters{Time: pingInterval, Timeout: pingTimeout}),
+		grpc.KeepaliveEnforcementPolicy(keepalive.EnforcementPolicy{MinTime: pingInterval / 2, PermitWithoutStream: true}),
 	)
 	jwwire.RegisterNodeServer(g, s)
 	return g
@@ -94,7 +94,7 @@
 	if head == nil {
 		return nil, "", status.Error(codes.InvalidArgument, "first frame without a head")
 	}
-	if err := checkWay(stream.Context(), head.GetHops()); err != nil {
+	if err := checkLastHop(stream.Context(), head.GetHops()); err != nil {
 		return nil, "", err
 	}
 	if s.MaxBody > 0 && head.GetBodyLength() > uint64(s.MaxBody) {
@@ -124,7 +124,7 @@
 // checkWay refuses a request that doesn't say where it has been. Taken for one
 // that came straight from a caller, it could be sent on to another region, and
 // from there again.
-func checkWay(ctx context.Context, hops []*jwwire.Hop) error {
+func checkLastHop(ctx context.Context, hops []*jwwire.Hop) error {
 	if len(hops) == 0 {
 		return status.Error(codes.FailedPrecondition, "request without a hop")
 	}
--- a/io/jwforward/sources.go
+++ b/io/jwforward/sources.go
@@ -13,11 +13,11 @@
 )
 
 // directoryPage is how many workspaces one page of the directory holds.
-const directoryPage = 1000
+const directoryPageSize = 1000
 
 // ChangeSource gives catalogue changes, as JSON records, to other nodes.
 type ChangeSource interface {
-	ChangeRecords(after uint64, most int) (changes [][]byte, checkpoint []byte, revision uint64)
+	ChangeRecords(after uint64, limit int) (changes [][]byte, checkpoint []byte, revision uint64)
 }
 
 // DirectorySource gives the newest known directory to other nodes.
@@ -27,12 +27,12 @@
 
 // ChangeRecords asks a node for catalogue changes after a revision; a
 // checkpoint comes when the node no longer has the changes themselves.
-func (p *Pool) ChangeRecords(ctx context.Context, from jwpeer.Peer, after uint64, most int) (changes [][]byte, checkpoint []byte, err error) {
+func (p *Pool) ChangeRecords(ctx context.Context, from jwpeer.Peer, after uint64, limit int) (changes [][]byte, checkpoint []byte, err error) {
 	client, _, err := p.client(from.Nodes)
 	if err != nil {
 		return nil, nil, err
 	}
-	out, err := client.Changes(ctx, &jwwire.ChangesRequest{After: after, Most: uint32(most)})
+	out, err := client.Changes(ctx, &jwwire.ChangesRequest{After: after, Most: uint32(limit)})
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "get changes from %s", from.Name)
 	}
@@ -87,7 +87,7 @@
 		page.Workspaces = append(page.Workspaces, &jwwire.Workspace{
 			Name: w.Name, Region: w.Region, Bound: w.Bound, Owner: w.Owner,
 		})
-		if len(page.Workspaces) < directoryPage {
+		if len(page.Workspaces) < directoryPageSize {
 			continue
 		}
 		if err := stream.Send(page); err != nil {
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -17,19 +17,19 @@
 // A request ran on a target that then crashed for another reason, and was
 // served elsewhere. If the word that it is harmless does not reach the other
 // nodes, they go on turning away every caller who sends it.
-func TestNewsOnTheWire(t *testing.T) {
+func TestSuspectsOnTheWire(t *testing.T) {
 	target := netip.MustParseAddrPort("10.0.0.1:80")
-	mark := []byte("0123456789abcdef")
+	fingerprint := []byte("0123456789abcdef")
 	tests := map[string]jwpeer.Suspect{
-		"crash": {Fingerprint: mark, Target: target, Age: time.Second, State: "suspected"},
-		"clear": {Fingerprint: mark, Age: time.Second, State: "clear"},
-		"bound": {Fingerprint: mark, Target: target, Region: "east", State: "suspected"},
+		"crash": {Fingerprint: fingerprint, Target: target, Age: time.Second, State: "suspected"},
+		"clear": {Fingerprint: fingerprint, Age: time.Second, State: "clear"},
+		"bound": {Fingerprint: fingerprint, Target: target, Region: "east", State: "suspected"},
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
-			told := jwpeer.Digest{From: "n1", News: jwpeer.News{Suspects: []jwpeer.Suspect{s}}}
-			got := digestFromWire(digestToWire(told))
-			assert.Assert(t, reflect.DeepEqual(got.News.Suspects, told.News.Suspects), "%+v", got.News.Suspects)
+			digest := jwpeer.Digest{From: "n1", News: jwpeer.News{Suspects: []jwpeer.Suspect{s}}}
+			got := digestFromWire(digestToWire(digest))
+			assert.Assert(t, reflect.DeepEqual(got.News.Suspects, digest.News.Suspects), "%+v", got.News.Suspects)
 		})
 	}
 }
@@ -37,7 +37,7 @@
 // A node with a broken clock or a fault of its own tells ages from the future,
 // or so large that they overflow. Believed, its word about a load would count
 // as the newest for ever, and all would be sent there.
-func TestOddTimes(t *testing.T) {
+func TestMicrosOutOfRange(t *testing.T) {
 	tests := map[string]struct {
 		micros int64
 		want   time.Duration
@@ -45,7 +45,7 @@
 		"none":         {0, 0},
 		"one second":   {1_000_000, time.Second},
 		"future":       {-5, 0},
-		"overflow":     {1 << 62, time.Duration(mostMicros) * time.Microsecond},
+		"overflow":     {1 << 62, time.Duration(maxMicros) * time.Microsecond},
 		"far overflow": {-1 << 63, 0},
 	}
 	for name, tc := range tests {
@@ -70,18 +70,18 @@
 		if proto.Unmarshal(data, d) != nil {
 			return
 		}
-		told := digestFromWire(d)
-		for _, p := range told.Peers {
+		digest := digestFromWire(d)
+		for _, p := range digest.Peers {
 			assert.Assert(t, p.Age >= 0 && p.Nodes.IsValid() && p.Callers.IsValid(), "%+v", p)
 		}
-		for _, l := range told.News.Loads {
+		for _, l := range digest.News.Loads {
 			assert.Assert(t, l.Age >= 0 && l.Wait >= 0 && l.Work >= 0, "%+v", l)
 		}
-		for _, l := range told.News.Leaving {
+		for _, l := range digest.News.Leaving {
 			assert.Assert(t, l.Age >= 0, "%+v", l)
 		}
-		wire := digestToWire(told)
-		assert.Assert(t, proto.Equal(digestToWire(digestFromWire(wire)), wire), "%+v", told)
+		wire := digestToWire(digest)
+		assert.Assert(t, proto.Equal(digestToWire(digestFromWire(wire)), wire), "%+v", digest)
 	})
 }
 
