--- a/io/jwforward/adopt.go
+++ b/io/jwforward/adopt.go
@@ -9,14 +9,18 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Sponsor answers for nodes of the region that can't reach the platform.
+// Sponsor confirms catalogue revisions on behalf of nodes of the region that
+// can't reach the platform.
 type Sponsor interface {
+	// AdoptRecords makes this node the sponsor of another one and returns the
+	// catalogue changes that the other lacks after a revision, as JSON records.
 	AdoptRecords(node, region, incarnation string, after uint64) (changes [][]byte, checkpoint []byte, err error)
+	// ReleaseNode ends the sponsorship that AdoptRecords began.
 	ReleaseNode(node, region, incarnation string)
 }
 
-// AskAdopt asks a node to answer for this one and returns the catalogue changes
-// that this one lacks.
+// AskAdopt asks a node to be the sponsor of this one and returns the catalogue
+// changes that this one lacks after the given revision.
 func (p *Pool) AskAdopt(ctx context.Context, sponsor, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
 	client, _, err := p.client(sponsor.Nodes)
 	if err != nil {
@@ -31,7 +35,7 @@
 	return out.GetChanges(), out.GetCheckpoint(), nil
 }
 
-// AskRelease tells a node that it need not answer for this one any more.
+// AskRelease ends the sponsorship of a node for this one.
 func (p *Pool) AskRelease(ctx context.Context, sponsor, self jwpeer.Peer) error {
 	client, _, err := p.client(sponsor.Nodes)
 	if err != nil {
@@ -43,7 +47,8 @@
 	return errors.Wrapf(err, "tell %s to answer no more", sponsor.Name)
 }
 
-// Adopt answers for another node of the region from now on.
+// Adopt handles AskAdopt of another node: it makes this node the sponsor of
+// the caller.
 func (s *Server) Adopt(ctx context.Context, in *jwwire.AdoptRequest) (*jwwire.ChangesResponse, error) {
 	if err := checkIdentity(ctx, in.GetNode(), in.GetRegion()); err != nil {
 		return nil, err
@@ -55,7 +60,8 @@
 	return &jwwire.ChangesResponse{Changes: changes, Checkpoint: checkpoint}, nil
 }
 
-// Release ends what Adopt began.
+// Release handles AskRelease of another node: it ends the sponsorship that
+// Adopt began.
 func (s *Server) Release(ctx context.Context, in *jwwire.AdoptRequest) (*jwwire.ReleaseResponse, error) {
 	if err := checkIdentity(ctx, in.GetNode(), in.GetRegion()); err != nil {
 		return nil, err
--- a/io/jwforward/doc.go
+++ b/io/jwforward/doc.go
@@ -1,4 +1,5 @@
-// Package jwforward speaks the protocol between nodes over gRPC: requests and
-// answers on their way to another node, exchanges of what nodes know, and
-// catalogue changes.
+// Package jwforward implements the gRPC protocol between nodes, client and
+// server: it forwards requests and answers, exchanges digests of what nodes
+// know about each other, hands over the records of a stopping node, and
+// transfers catalogue changes, the workspace directory and host lists.
 package jwforward
--- a/io/jwforward/exchange.go
+++ b/io/jwforward/exchange.go
@@ -14,12 +14,15 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Exchanger takes the digest of another node and returns what that one lacks.
+// Exchanger merges the digests of other nodes into what this node knows.
 type Exchanger interface {
+	// Answer merges the digest of another node and returns what that node lacks.
 	Answer(jwpeer.Digest) jwpeer.Digest
 }
 
-// Exchange swaps what this node and another know.
+// Exchange sends a digest to another node and returns the digest that the node
+// answers with. If the node does not answer before the deadline of ctx, the
+// connection is probed, and replaced if the probe fails too.
 func (p *Pool) Exchange(ctx context.Context, to jwpeer.Peer, digest jwpeer.Digest) (jwpeer.Digest, error) {
 	client, conn, err := p.client(to.Nodes)
 	if err != nil {
@@ -35,7 +38,7 @@
 	return digestFromWire(answer), nil
 }
 
-// Exchange answers the exchange of another node.
+// Exchange handles the digest of another node and returns what that node lacks.
 func (s *Server) Exchange(ctx context.Context, d *jwwire.Digest) (*jwwire.Digest, error) {
 	if err := checkIdentity(ctx, d.GetNode(), ""); err != nil {
 		return nil, err
@@ -64,8 +67,8 @@
 	return out
 }
 
-// digestFromWire leaves out peers whose addresses can't be read, as those of a
-// later version might be.
+// digestFromWire leaves out peers whose addresses can't be parsed, as those of
+// a later version might be.
 func digestFromWire(d *jwwire.Digest) jwpeer.Digest {
 	out := jwpeer.Digest{From: d.GetNode(), News: newsFromWire(d), Again: d.GetAgain(), Whole: d.GetWhole()}
 	for _, m := range d.GetMarks() {
@@ -94,11 +97,11 @@
 	return out
 }
 
-// EncodeTold returns what goes over the wire in one exchange, for measuring
-// what exchanges cost.
+// EncodeDigest returns a digest as it is sent in an exchange, so that the size
+// of exchanges can be measured.
 func EncodeDigest(digest jwpeer.Digest) ([]byte, error) { return proto.Marshal(digestToWire(digest)) }
 
-// DecodeTold reads what EncodeTold returned.
+// DecodeDigest decodes what EncodeDigest returned.
 func DecodeDigest(data []byte) (jwpeer.Digest, error) {
 	var d jwwire.Digest
 	if err := proto.Unmarshal(data, &d); err != nil {
--- a/io/jwforward/forward.go
+++ b/io/jwforward/forward.go
@@ -19,8 +19,8 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Forward sends a request to another node and returns once its answer has
-// begun. Errors are of type *jwdispatch.CallError.
+// Forward sends a request to another node and returns when the head of the
+// answer has arrived. Errors are of type *jwdispatch.CallError.
 func (p *Pool) Forward(ctx context.Context, to jwpeer.Peer, r *jwrequest.Request, reason string) (*jwdispatch.Answer, error) {
 	if p.isExcluded(to.Nodes) {
 		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node left a probe unanswered"))
@@ -58,19 +58,20 @@
 	return &jwdispatch.Answer{Head: headFromWire(first.GetHead()), Body: b}, nil
 }
 
-// maxStatus is the highest status that HTTP has a class for.
+// maxStatus is the highest status code in the classes that HTTP defines.
 const maxStatus = 599
 
-// judge replaces a connection whose pings went unanswered.
+// replaceIfUnavailable replaces the connection if err has the code Unavailable,
+// which gRPC returns when its pings were not answered.
 func (p *Pool) replaceIfUnavailable(addr netip.AddrPort, conn *grpc.ClientConn, err error) {
 	if status.Code(err) == codes.Unavailable {
 		p.replace(addr, conn)
 	}
 }
 
-// fate tells what a failed wait for an answer means. These codes are what a
-// node says before it takes a request; of one that it took, it tells the outcome
-// in an answer.
+// fate returns whether the other node may have run a request whose stream
+// failed with err. A node returns the codes below only before it accepts a
+// request; for an accepted request it sends the outcome in an answer.
 func fate(err error) jwdispatch.Fate {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.PermissionDenied, codes.Unimplemented:
@@ -83,10 +84,10 @@
 	return &jwdispatch.CallError{Step: "forward to node", Peer: peer, Fate: f, Err: err}
 }
 
-// sendError is a failed sending of a request. The other node starts nothing
-// before the last frame, so a failure before that is Unsent.
+// sendError is a failure to send a request. The other node does not start the
+// request before it has the last frame, so an earlier failure is Unsent.
 type sendError struct {
-	lastFrame bool
+	lastFrame bool // whether the last frame may have been sent
 	err       error
 }
 
@@ -118,7 +119,8 @@
 	return nil
 }
 
-// cause finds why a stream ended, which a failed Send doesn't tell.
+// streamError returns why a stream ended. Send returns only io.EOF in that
+// case; the error itself comes from Recv.
 func streamError(stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame], err error) error {
 	if err != io.EOF {
 		return err
@@ -160,15 +162,15 @@
 	}
 }
 
-// answerBody reads the answer of another node; it says io.EOF only when the
-// other node said that the answer is whole.
+// answerBody reads the answer of another node. It returns io.EOF only if the
+// other node reported that the answer is complete.
 type answerBody struct {
 	stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame]
 	cancel func()
 	peer   netip.AddrPort
-	unread []byte
-	length uint64
-	err    error
+	unread []byte // received but not yet read
+	length uint64 // bytes received so far
+	err    error  // what Read returns after unread
 }
 
 // Read reads the answer; errors other than io.EOF are *jwdispatch.CallError.
@@ -187,7 +189,7 @@
 func (b *answerBody) readFrame() {
 	f, err := b.stream.Recv()
 	if err != nil {
-		// io.EOF here is a stream that ended without its end frame.
+		// io.EOF here means that the stream ended without its end frame.
 		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer without an end"))
 		return
 	}
@@ -207,7 +209,8 @@
 	}
 }
 
-// Close gives up the rest of the answer; the other node stops working for it.
+// Close cancels the stream, so that the other node stops work on an answer that
+// is not complete.
 func (b *answerBody) Close() error {
 	b.cancel()
 	return nil
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -17,19 +17,20 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// dispatcher serves requests as its function says.
+// dispatcher is a Dispatcher that calls a function for each request.
 type dispatcher func(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
 
 func (d dispatcher) Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
 	d(ctx, r, sink)
 }
 
-// gate is open or not.
+// gate is a Gate that admits every request if it is true, and none otherwise.
 type gate bool
 
 func (g gate) Enter() (func(), bool) { return func() {}, bool(g) }
 
-// serve starts a node's server and returns it as a peer, with what stops it.
+// serve starts s and returns it as a peer, with the gRPC server that the test
+// can stop.
 func serve(t *testing.T, s *Server) (jwpeer.Peer, *grpc.Server) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,12 +56,12 @@
 	}
 }
 
-// A request goes to another node and the way back is disturbed at each place
-// where it can be. The caller may be told that nothing ran only where the other
-// node did not start, and an answer is whole only if the other node said so.
+// A forwarded request fails at each step of the call. The caller may be told
+// that nothing ran only if the other node did not start the request, and an
+// answer counts as complete only if the other node reported that it is.
 func TestForwardFailures(t *testing.T) {
 	type result struct {
-		atCall, atEnd jwdispatch.Fate // empty for none
+		atCall, atEnd jwdispatch.Fate // failure of Forward and of reading the body, empty for none
 		body          string
 	}
 	var stop func()
@@ -79,16 +80,16 @@
 		"the other node stops": {open: false, want: result{atCall: jwdispatch.Refused}},
 		"no hop in the record": {open: true, request: func(r *jwrequest.Request) { r.Hops = nil }, want: result{atCall: jwdispatch.Refused}},
 		"body too long":        {open: true, request: func(r *jwrequest.Request) { r.Body = make([]byte, 2<<20) }, want: result{atCall: jwdispatch.Refused}},
-		"ends without a word": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
+		"ends without an end frame": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
 			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
 		}, want: result{atEnd: jwdispatch.Broken, body: "half"}},
-		"says that it broke": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
+		"end frame reports a failure": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
 			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
 			_ = sink.End(jwdispatch.End{Outcome: jwrequest.Unknown, Length: 4})
 		}, want: result{atEnd: jwdispatch.Broken, body: "half"}},
-		"length that does not fit": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
+		"wrong length in the end frame": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
 			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
 			_ = sink.End(jwdispatch.End{Outcome: jwrequest.Served, Length: 8})
@@ -97,7 +98,7 @@
 			stop()
 			<-ctx.Done()
 		}, want: result{atCall: jwdispatch.Broken}},
-		"killed in the midst": {open: true, serve: func(ctx context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
+		"killed in the middle of the answer": {open: true, serve: func(ctx context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
 			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
 			<-begun
 			stop()
@@ -141,8 +142,8 @@
 	assert.Equal(t, failed.Fate, want, "%v", err)
 }
 
-// The other node is not there at all. Nothing was sent, and the caller must not
-// be told that its order may have been placed.
+// The other node is not running. Nothing was sent, so the caller must not be
+// told that its request may have run.
 func TestForwardToStoppedNode(t *testing.T) {
 	to, g := serve(t, &Server{Gate: gate(true)})
 	g.Stop()
--- a/io/jwforward/handover.go
+++ b/io/jwforward/handover.go
@@ -18,22 +18,24 @@
 
 // Adopter takes over the tickets and answers of a node that stops.
 type Adopter interface {
+	// Adopt takes over all records or none. Its error is jwclaim.ErrNotAdopted
+	// if it certainly took over none.
 	Adopt(records iter.Seq2[jwclaim.Record, error]) (jwclaim.Receipt, error)
 }
 
-// Successor is a node that may take over from this one.
+// Successor is a node that may take over the records of this one.
 type Successor struct {
 	Pool *Pool
 	Peer jwpeer.Peer
 }
 
-// Holder names the process that would answer for what is handed over.
+// Holder returns the process that holds the records after the handover.
 func (s Successor) Holder() jwclaim.Holder {
 	return jwclaim.Holder{Node: s.Peer.Name, Region: s.Peer.Region, Incarnation: s.Peer.Incarnation}
 }
 
-// Handover sends the records. An error that is jwclaim.ErrNotAdopted says that
-// the successor certainly took nothing over.
+// Handover sends the records. An error that is jwclaim.ErrNotAdopted means that
+// the successor certainly took over none of them.
 func (s Successor) Handover(ctx context.Context, records iter.Seq[jwclaim.Record]) (jwclaim.Receipt, error) {
 	client, _, err := s.Pool.client(s.Peer.Nodes)
 	if err != nil {
@@ -49,7 +51,7 @@
 			return jwclaim.Receipt{}, s.notAdopted(err)
 		}
 		if err := stream.Send(&jwwire.HandoverRecord{Record: data}); err != nil {
-			break // the answer tells why
+			break // CloseAndRecv returns the reason
 		}
 	}
 	result, err := stream.CloseAndRecv()
@@ -66,7 +68,7 @@
 	return errors.Wrapf(jwclaim.ErrNotAdopted, "handover: %s: %v", s.Peer.Name, err)
 }
 
-// Handover takes over from another node that stops.
+// Handover takes over the records of another node that stops.
 func (s *Server) Handover(stream grpc.ClientStreamingServer[jwwire.HandoverRecord, jwwire.HandoverResult]) error {
 	receipt, err := s.Adopter.Adopt(receivedRecords(stream))
 	if errors.Is(err, jwclaim.ErrNotAdopted) {
--- a/io/jwforward/hosts.go
+++ b/io/jwforward/hosts.go
@@ -12,12 +12,14 @@
 	"jujubewheel/io/jwwire"
 )
 
-// HostSource gives the newest host list to other nodes.
+// HostSource provides the newest host list, which is sent to other nodes.
 type HostSource interface {
+	// Hosts returns the list and when it was read from the platform.
 	Hosts() (hosts []jwhost.Host, taken time.Time)
 }
 
-// FetchHosts asks a node for the hosts of its region.
+// FetchHosts asks a node for the hosts of a region. It leaves out hosts whose
+// addresses can't be parsed.
 func (p *Pool) FetchHosts(ctx context.Context, from jwpeer.Peer, region string) ([]jwhost.Host, error) {
 	client, _, err := p.client(from.Nodes)
 	if err != nil {
@@ -36,7 +38,7 @@
 	return out, nil
 }
 
-// hostFromWire leaves out a host whose addresses can't be read.
+// hostFromWire returns false for a host whose addresses can't be parsed.
 func hostFromWire(h *jwwire.Host) (jwhost.Host, bool) {
 	out := jwhost.Host{
 		Name: h.GetName(), Role: jwhost.Role(h.GetRole()), Region: h.GetRegion(), DataCentre: h.GetDataCentre(),
@@ -52,7 +54,8 @@
 	return out, err == nil
 }
 
-// Hosts answers another node that can't reach the platform's list.
+// Hosts sends the hosts of a region to another node that can't read the
+// platform's list.
 func (s *Server) Hosts(_ context.Context, in *jwwire.HostsRequest) (*jwwire.HostsResponse, error) {
 	hosts, _ := s.HostList.Hosts()
 	out := &jwwire.HostsResponse{}
--- a/io/jwforward/identity.go
+++ b/io/jwforward/identity.go
@@ -11,10 +11,11 @@
 	"jujubewheel/io/jwkeys"
 )
 
-// checkIdentity compares what a node says it is with its certificate. One node
-// that is taken over could otherwise confirm a catalogue change in the name of
-// others, or pass off a request as one that came from another region. Over a
-// connection without TLS there is nothing to compare.
+// checkIdentity compares the name and region that a node claims with its
+// certificate; an empty region is not compared. Without this check, one
+// compromised node could confirm a catalogue change in the name of others, or
+// present a request as one from another region. A connection without TLS has no
+// certificate, so every claim passes.
 func checkIdentity(ctx context.Context, node, region string) error {
 	p, known := peer.FromContext(ctx)
 	if !known {
--- a/io/jwforward/identity_test.go
+++ b/io/jwforward/identity_test.go
@@ -11,9 +11,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// A node that was taken over has a certificate of its own and speaks in the
-// name of another: it confirms a change for it, or says that a request came
-// from another region. It must not be believed.
+// A compromised node has its own certificate but claims to be another node: it
+// confirms a change for that node, or claims that a request came from another
+// region. Such calls must be refused.
 func TestCheckIdentity(t *testing.T) {
 	uri, err := url.Parse("spiffe://jujubewheel/region/east/node/e1")
 	assert.NilError(t, err)
@@ -27,12 +27,12 @@
 		refused      bool
 	}{
 		"itself":                     {auth: nodeAuth, node: "e1", region: "east"},
-		"itself, region not said":    {auth: nodeAuth, node: "e1"},
+		"itself, region not given":   {auth: nodeAuth, node: "e1"},
 		"another node":               {auth: nodeAuth, node: "e2", region: "east", refused: true},
 		"another region":             {auth: nodeAuth, node: "e1", region: "west", refused: true},
 		"no certificate":             {auth: tlsInfo(), node: "e1", refused: true},
 		"a certificate of no node":   {auth: tlsInfo(&x509.Certificate{}), node: "e1", refused: true},
-		"without TLS, any is let in": {node: "e2", region: "west"},
+		"any node without TLS":       {node: "e2", region: "west"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/io/jwforward/news.go
+++ b/io/jwforward/news.go
@@ -37,7 +37,7 @@
 	}
 }
 
-// newsFromWire leaves out what names an address that can't be read.
+// newsFromWire leaves out entries whose address can't be parsed.
 func newsFromWire(d *jwwire.Digest) jwpeer.News {
 	var n jwpeer.News
 	for _, l := range d.GetLeaving() {
@@ -80,9 +80,9 @@
 	return out
 }
 
-// suspectFromWire takes a notice without a target too: that a request was
-// served names none, and without that word the other nodes would go on barring
-// an innocent request.
+// suspectFromWire accepts a notice without a target too: the notice that a
+// request was served has none, and without it the other nodes would go on
+// barring a harmless request.
 func suspectFromWire(s *jwwire.Suspect) (jwpeer.Suspect, bool) {
 	out := jwpeer.Suspect{
 		Fingerprint: s.GetFingerprint(), Age: micros(s.GetAgeMicros()), Region: s.GetRegion(), State: s.GetState(),
@@ -95,11 +95,12 @@
 	return out, err == nil
 }
 
-// mostMicros is the longest time that a node is believed; a longer one would
-// overflow and come out as one before now.
+// maxMicros is the longest duration accepted from another node, in
+// microseconds. A longer one would overflow time.Duration and become negative.
 const maxMicros = int64(math.MaxInt64 / time.Microsecond)
 
-// micros reads an age or a wait; none is below zero.
+// micros converts an age or a wait in microseconds and limits it to the range
+// from 0 to maxMicros.
 func micros(n int64) time.Duration {
 	return time.Duration(min(max(n, 0), maxMicros)) * time.Microsecond
 }
--- a/io/jwforward/pool.go
+++ b/io/jwforward/pool.go
@@ -17,32 +17,36 @@
 )
 
 const (
-	pingInterval = 10 * time.Second // the least that gRPC allows a client
+	pingInterval = 10 * time.Second // the shortest that gRPC allows a client
 	pingTimeout  = 3 * time.Second
-	// A peer that came back must be reached within a second or two, so the
-	// backoff between connection attempts stays short.
+	// maxBackoff is short, so that a peer that is back is reached within a
+	// second or two.
 	maxBackoff  = 2 * time.Second
 	dialTimeout = 2 * time.Second
-	frameSize   = 32 << 10
-	// A connection without calls is closed. To a node that is gone it would be
-	// tried again every other second for as long as this process lives, and
-	// hosts are replaced by the hundred each day.
+	frameSize   = 32 << 10 // bytes of a request's body in one frame
+	// idleTimeout is how long a connection without calls stays open. Without
+	// it, a connection to a node that is gone would be retried every other
+	// second while this process runs, and hundreds of hosts are replaced each
+	// day.
 	idleTimeout = 30 * time.Second
-	// maxMessage is above the largest catalogue checkpoint that a node may need.
+	// maxMessage is the largest gRPC message in bytes. It is above the size of
+	// the largest catalogue checkpoint that a node may need.
 	maxMessage = 64 << 20
 )
 
-// Pool holds the connections to other nodes; the zero value talks without TLS.
+// Pool holds the connections to other nodes. The zero value is ready for use
+// and connects without TLS.
 type Pool struct {
 	Credentials credentials.TransportCredentials // nil for none
 
 	mu            sync.Mutex
 	closed        bool
 	conns         map[netip.AddrPort]*peerConn
-	excludedUntil map[netip.AddrPort]time.Time // nodes left out, until when at the latest
+	excludedUntil map[netip.AddrPort]time.Time // nodes that failed a probe, with the latest end of their exclusion
 }
 
-// client returns the way to a node, connecting in the background if needed.
+// client returns the client and the connection for a node. A new connection is
+// established in the background.
 func (p *Pool) client(addr netip.AddrPort) (jwwire.NodeClient, *grpc.ClientConn, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -86,9 +90,10 @@
 	}
 }
 
-// sweep forgets connections that were closed for want of calls; p.mu is held.
-// The next call to such a node makes a new one. One that was asked for just now
-// is idle too, until its call begins, and must not be closed under it.
+// closeIdleConns removes connections that gRPC closed because they had no calls;
+// p.mu must be held. The next call to such a node makes a new connection. A
+// connection that was returned by client just now is idle too until its call
+// begins, so connections used recently are kept.
 func (p *Pool) closeIdleConns(now time.Time) {
 	for addr, c := range p.conns {
 		if now.Sub(c.used) > 2*idleTimeout && c.conn.GetState() == connectivity.Idle {
@@ -98,9 +103,10 @@
 	}
 }
 
-// replace gives up a connection that went silent: calls that wait on it fail
-// at once, and the next call opens a new one, which may work where the old one
-// never will again. It is false if another has done so already.
+// replace closes a connection that no longer responds: calls that wait on it
+// fail at once, and the next call opens a new one, which may work where the old
+// one never will again. It returns false if another goroutine has replaced the
+// connection already.
 func (p *Pool) replace(addr netip.AddrPort, conn *grpc.ClientConn) bool {
 	p.mu.Lock()
 	c := p.conns[addr]
@@ -113,7 +119,7 @@
 	return replaced
 }
 
-// Close ends all connections.
+// Close closes all connections; later calls fail.
 func (p *Pool) Close() {
 	p.mu.Lock()
 	defer p.mu.Unlock()
--- a/io/jwforward/pool_test.go
+++ b/io/jwforward/pool_test.go
@@ -8,8 +8,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Hosts are replaced every day and their addresses never come back. A pool that
-// kept a connection to each would try all of them again and again for good.
+// Hosts are replaced every day and their addresses are not used again. A pool
+// that kept a connection to each would go on trying to reconnect to all of them.
 func TestIdleConnectionsAreRemoved(t *testing.T) {
 	p := &Pool{}
 	defer p.Close()
@@ -24,5 +24,5 @@
 	p.conns[old].used = now.Add(-time.Hour)
 	p.closeIdleConns(now)
 	assert.Assert(t, p.conns[old] == nil)
-	assert.Assert(t, p.conns[fresh] != nil) // its call may be about to begin
+	assert.Assert(t, p.conns[fresh] != nil) // a call on it may be about to begin
 }
--- a/io/jwforward/probe.go
+++ b/io/jwforward/probe.go
@@ -12,39 +12,42 @@
 )
 
 const (
-	probeInterval         = time.Second             // while a connection has calls
+	probeInterval         = time.Second             // between probes of a connection that has calls
 	probeTimeout          = 1500 * time.Millisecond // longer than a short pause of a process
-	excludedProbeInterval = 250 * time.Millisecond  // between probes of a node that is left out
-	// doubtFor bounds how long a node is left out after a probe failed, should
-	// no later one tell that it answers again.
+	excludedProbeInterval = 250 * time.Millisecond  // between probes of an excluded node
+	// maxExclusion is the longest time for which a node is excluded after a
+	// failed probe, if no later probe succeeds.
 	maxExclusion = 10 * time.Second
 )
 
-// way is the connection to one node, and what is known of it.
+// peerConn is the connection to one node and its state.
 //
-// A connection can go silent for good, or carry bytes one way only, and gRPC's
-// own pings tell after 13 s at best: meanwhile each caller whose request was
-// sent on waits that long, and all who follow as well. A small call every
-// second, made while others wait, tells sooner; and nothing more is sent to a
-// node that left one unanswered until it answers again.
+// A connection can stop responding for good, or carry bytes in one direction
+// only. gRPC's own pings detect that after 13 s at the earliest; until then,
+// every forwarded request would wait that long, and so would all later ones. A
+// probe, which is a small call made every second while other calls wait, detects
+// it sooner. A node that does not answer a probe is excluded: it is sent no
+// requests until it answers one.
 type peerConn struct {
-	used  time.Time // when it was last asked for
+	used  time.Time // when client last returned it
 	conn  *grpc.ClientConn
-	calls int // that wait for the node
-	// tended tells that a goroutine probes the connection. Without it, each
-	// call that finds no other would start one, and a busy connection would
-	// gather more and more of them.
+	calls int // calls in flight that trackCall counted
+	// probed is true while a goroutine probes the connection. Without it, each
+	// call that finds no other call in flight would start a goroutine, and they
+	// would accumulate on a busy connection.
 	probed bool
 }
 
-// doubtful tells whether a node left a probe unanswered.
+// isExcluded reports whether a node is excluded because it did not answer a
+// probe.
 func (p *Pool) isExcluded(addr netip.AddrPort) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return time.Now().Before(p.excludedUntil[addr])
 }
 
-// watch probes the connection of a call until done is called.
+// trackCall counts a call on a connection until done is called. The connection
+// is probed while it has calls.
 func (p *Pool) trackCall(addr netip.AddrPort, conn *grpc.ClientConn) (done func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -64,7 +67,8 @@
 	}
 }
 
-// tend probes while there are calls.
+// probeWhileBusy probes a connection every probeInterval while it has calls. It
+// returns when there are none left, or when the connection was replaced.
 func (p *Pool) probeWhileBusy(addr netip.AddrPort, c *peerConn) {
 	for {
 		time.Sleep(probeInterval)
@@ -78,7 +82,8 @@
 	}
 }
 
-// check probes a connection once and gives it up if there is no answer.
+// probeOrReplace probes a connection once. If there is no answer, it replaces
+// the connection, excludes the node and returns false.
 func (p *Pool) probeOrReplace(addr netip.AddrPort, conn *grpc.ClientConn) bool {
 	if probe(conn) {
 		return true
@@ -89,7 +94,8 @@
 	return false
 }
 
-// leaveOut sends a node nothing more until it answers a probe.
+// excludeUntilAnswer excludes a node until it answers a probe, but for
+// maxExclusion at most.
 func (p *Pool) excludeUntilAnswer(addr netip.AddrPort) {
 	until := time.Now().Add(maxExclusion)
 	p.mu.Lock()
@@ -111,7 +117,8 @@
 	p.mu.Unlock()
 }
 
-// probe asks for changes that no node has.
+// probe reports whether a node answers a small call in time. The call asks for
+// catalogue changes after the highest revision, which no node has.
 func probe(conn *grpc.ClientConn) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/io/jwforward/probe_test.go
+++ b/io/jwforward/probe_test.go
@@ -8,9 +8,9 @@
 	"gotest.tools/v3/assert"
 )
 
-// Short requests follow each other on one connection. If each started a prober
-// of its own, a busy node would send more and more probes, until the links
-// between regions carried little else.
+// Short requests follow each other on one connection. If each started its own
+// probing goroutine, a busy node would send ever more probes, until they used up
+// most of the links between regions.
 func TestOneProberPerConnection(t *testing.T) {
 	p := &Pool{}
 	defer p.Close()
@@ -21,5 +21,5 @@
 	for range 100 {
 		p.trackCall(addr, conn)()
 	}
-	assert.Assert(t, runtime.NumGoroutine() <= before+2, "%d goroutines more", runtime.NumGoroutine()-before)
+	assert.Assert(t, runtime.NumGoroutine() <= before+2, "%d additional goroutines", runtime.NumGoroutine()-before)
 }
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -17,35 +17,37 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Dispatcher serves requests that came from another node.
+// Dispatcher serves requests that another node forwarded.
 type Dispatcher interface {
+	// Serve runs a request and writes its answer to sink.
 	Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
 }
 
-// Gate counts the requests in flight and is closed when the node stops.
+// Gate counts the requests in flight and admits none once the node stops.
 type Gate interface {
-	// Enter takes a request in; ok is false once the node takes no more.
+	// Enter admits a request, and done ends it; ok is false once the node
+	// admits no more.
 	Enter() (done func(), ok bool)
 }
 
-// Server answers other nodes.
+// Server handles the calls of other nodes. Its fields are set before GRPC.
 type Server struct {
 	jwwire.UnimplementedNodeServer
 
 	Dispatcher  Dispatcher
 	Gate        Gate
-	Ready       func() bool // whether the node serves, nil for always
+	Ready       func() bool // whether the node serves requests; nil means always
 	Exchanger   Exchanger
 	Catalogue   ChangeSource
 	Workspaces  DirectorySource
 	HostList    HostSource
 	Adopter     Adopter
 	Sponsor     Sponsor
-	MaxBody     int64                            // bytes of a request body
-	Credentials credentials.TransportCredentials // nil for none
+	MaxBody     int64                            // max bytes of a request's body, 0 for no limit
+	Credentials credentials.TransportCredentials // nil for no TLS
 }
 
-// GRPC returns the gRPC server with this one registered.
+// GRPC returns a gRPC server on which s is registered.
 func (s *Server) GRPC() *grpc.Server {
 	creds := s.Credentials
 	if creds == nil {
@@ -61,13 +63,14 @@
 	return g
 }
 
-// Forward serves one request of another node.
+// Forward serves one request that another node forwarded.
 func (s *Server) Forward(stream grpc.BidiStreamingServer[jwwire.ForwardFrame, jwwire.AnswerFrame]) error {
 	r, reason, err := s.receive(stream)
 	if err != nil {
 		return err
 	}
-	// A node that stops still answers for the keys it holds; nobody else can.
+	// A node that stops still serves requests for the idempotency keys that it
+	// holds, as no other node can.
 	if reason != jwdispatch.ForwardHolder {
 		done, ok := s.Gate.Enter()
 		if ok && s.Ready != nil && !s.Ready() {
@@ -84,7 +87,8 @@
 	return sink.err
 }
 
-// receive takes the whole request; nothing is started before its last byte.
+// receive reads the whole request, so that nothing is started before its last
+// byte has arrived.
 func (s *Server) receive(stream grpc.BidiStreamingServer[jwwire.ForwardFrame, jwwire.AnswerFrame]) (r *jwrequest.Request, reason string, err error) {
 	f, err := stream.Recv()
 	if err != nil {
@@ -121,9 +125,10 @@
 	return r, head.GetReason(), nil
 }
 
-// checkWay refuses a request that doesn't say where it has been. Taken for one
-// that came straight from a caller, it could be sent on to another region, and
-// from there again.
+// checkLastHop refuses a request without a record of its hops, or whose last hop
+// is not the node that sent it. Without the record, the request would count as
+// one from a caller and could be forwarded to another region, and from there
+// again.
 func checkLastHop(ctx context.Context, hops []*jwwire.Hop) error {
 	if len(hops) == 0 {
 		return status.Error(codes.FailedPrecondition, "request without a hop")
@@ -148,13 +153,14 @@
 	return r
 }
 
-// wireSink sends an answer to the node that asked.
+// wireSink sends an answer to the node that forwarded the request. After a
+// failed send it sends nothing more and returns the same error.
 type wireSink struct {
 	stream grpc.BidiStreamingServer[jwwire.ForwardFrame, jwwire.AnswerFrame]
 	err    error
 }
 
-// Head sends the beginning of the answer.
+// Head sends the head of the answer.
 func (s *wireSink) Head(h jwdispatch.Head) error {
 	return s.send(&jwwire.AnswerFrame{Head: &jwwire.AnswerHead{
 		Status:           int32(h.Status),
@@ -168,10 +174,10 @@
 	}})
 }
 
-// Body sends a part of the answer.
+// Body sends a part of the answer's body.
 func (s *wireSink) Body(p []byte) error { return s.send(&jwwire.AnswerFrame{Body: p}) }
 
-// End sends the end of the answer.
+// End sends the end frame of the answer.
 func (s *wireSink) End(e jwdispatch.End) error {
 	return s.send(&jwwire.AnswerFrame{End: &jwwire.AnswerEnd{
 		Length: uint64(e.Length), Outcome: string(e.Outcome), Detail: e.Detail,
--- a/io/jwforward/sources.go
+++ b/io/jwforward/sources.go
@@ -12,21 +12,28 @@
 	"jujubewheel/io/jwwire"
 )
 
-// directoryPage is how many workspaces one page of the directory holds.
+// directoryPageSize is the maximum number of workspaces in one page of the
+// directory.
 const directoryPageSize = 1000
 
-// ChangeSource gives catalogue changes, as JSON records, to other nodes.
+// ChangeSource provides catalogue changes, which are sent to other nodes.
 type ChangeSource interface {
+	// ChangeRecords returns at most limit changes after a revision as JSON
+	// records, a checkpoint instead if it no longer has the changes, and the
+	// newest revision.
 	ChangeRecords(after uint64, limit int) (changes [][]byte, checkpoint []byte, revision uint64)
 }
 
-// DirectorySource gives the newest known directory to other nodes.
+// DirectorySource provides the newest known directory, which is sent to other
+// nodes.
 type DirectorySource interface {
+	// Current returns the directory, nil if none is known yet.
 	Current() *jwdirectory.Snapshot
 }
 
-// ChangeRecords asks a node for catalogue changes after a revision; a
-// checkpoint comes when the node no longer has the changes themselves.
+// ChangeRecords asks a node for at most limit catalogue changes after a
+// revision, as JSON records. It returns a checkpoint if the node no longer has
+// the changes themselves.
 func (p *Pool) ChangeRecords(ctx context.Context, from jwpeer.Peer, after uint64, limit int) (changes [][]byte, checkpoint []byte, err error) {
 	client, _, err := p.client(from.Nodes)
 	if err != nil {
@@ -39,14 +46,14 @@
 	return out.GetChanges(), out.GetCheckpoint(), nil
 }
 
-// Changes answers another node that lacks catalogue changes.
+// Changes sends catalogue changes to another node.
 func (s *Server) Changes(_ context.Context, in *jwwire.ChangesRequest) (*jwwire.ChangesResponse, error) {
 	changes, checkpoint, revision := s.Catalogue.ChangeRecords(in.GetAfter(), int(in.GetMost()))
 	return &jwwire.ChangesResponse{Changes: changes, Checkpoint: checkpoint, Revision: revision}, nil
 }
 
-// FetchDirectory asks a node for its directory; it is nil when the node has the
-// same version, or none.
+// FetchDirectory asks a node for its directory. It returns nil if the node has
+// the given version, or no directory.
 func (p *Pool) FetchDirectory(ctx context.Context, from jwpeer.Peer, version string) (*jwdirectory.Snapshot, error) {
 	client, _, err := p.client(from.Nodes)
 	if err != nil {
@@ -76,7 +83,8 @@
 	}
 }
 
-// Directory answers another node that lacks the directory.
+// Directory sends the directory in pages to another node, unless that node has
+// the same version.
 func (s *Server) Directory(in *jwwire.DirectoryRequest, stream grpc.ServerStreamingServer[jwwire.DirectoryPage]) error {
 	snapshot := s.Workspaces.Current()
 	if snapshot == nil || snapshot.Version == in.GetVersion() {
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -14,9 +14,9 @@
 	"jujubewheel/io/jwwire"
 )
 
-// A request ran on a target that then crashed for another reason, and was
-// served elsewhere. If the word that it is harmless does not reach the other
-// nodes, they go on turning away every caller who sends it.
+// A request ran on a target that crashed for another reason, and was then served
+// by another target. If the notice that it is harmless is lost on the wire, the
+// other nodes go on refusing the request.
 func TestSuspectsOnTheWire(t *testing.T) {
 	target := netip.MustParseAddrPort("10.0.0.1:80")
 	fingerprint := []byte("0123456789abcdef")
@@ -34,9 +34,9 @@
 	}
 }
 
-// A node with a broken clock or a fault of its own tells ages from the future,
-// or so large that they overflow. Believed, its word about a load would count
-// as the newest for ever, and all would be sent there.
+// A node with a wrong clock or another fault sends ages that are negative, or so
+// large that they overflow. If they were accepted, its load report would count
+// as the newest for ever, and all requests would be sent to the region it names.
 func TestMicrosOutOfRange(t *testing.T) {
 	tests := map[string]struct {
 		micros int64
@@ -85,8 +85,8 @@
 	})
 }
 
-// FuzzHead covers the hop record as well: whatever another node says of the
-// way of a request, the receiver can judge it.
+// FuzzHead checks request and answer heads with any content, including the hop
+// record: the receiver must be able to evaluate whatever hops it gets.
 func FuzzHead(f *testing.F) {
 	seed, err := proto.Marshal(&jwwire.RequestHead{
 		RequestId: "r", TimeoutMicros: -1, Hops: []*jwwire.Hop{{Node: "a", Region: "east"}, {}, {Node: "b", Region: "west"}},
