--- a/io/jwforward/adopt.go
+++ b/io/jwforward/adopt.go
@@ -30,7 +30,7 @@
 		Node: self.Name, Region: self.Region, Incarnation: self.Incarnation, After: after,
 	})
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "ask %s to answer for this node", sponsor.Name)
+		return nil, nil, errors.Wrapf(err, "ask %s to be the sponsor of this node", sponsor.Name)
 	}
 	return out.GetChanges(), out.GetCheckpoint(), nil
 }
@@ -44,7 +44,7 @@
 	_, err = client.Release(ctx, &jwwire.AdoptRequest{
 		Node: self.Name, Region: self.Region, Incarnation: self.Incarnation,
 	})
-	return errors.Wrapf(err, "tell %s to answer no more", sponsor.Name)
+	return errors.Wrapf(err, "ask %s to end its sponsorship", sponsor.Name)
 }
 
 // Adopt handles AskAdopt of another node: it makes this node the sponsor of
--- a/io/jwforward/forward.go
+++ b/io/jwforward/forward.go
@@ -23,7 +23,7 @@
 // answer has arrived. Errors are of type *jwdispatch.CallError.
 func (p *Pool) Forward(ctx context.Context, to jwpeer.Peer, r *jwrequest.Request, reason string) (*jwdispatch.Answer, error) {
 	if p.isExcluded(to.Nodes) {
-		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node left a probe unanswered"))
+		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node did not answer a probe"))
 	}
 	client, conn, err := p.client(to.Nodes)
 	if err != nil {
@@ -52,7 +52,7 @@
 	}
 	if code := first.GetHead().GetStatus(); code < http.StatusOK || code > maxStatus {
 		cancel()
-		return nil, forwardError(to.Nodes, jwdispatch.Broken, errors.Errorf("answer without a head, or of status %d", code))
+		return nil, forwardError(to.Nodes, jwdispatch.Broken, errors.Errorf("answer has no head or the invalid status %d", code))
 	}
 	b := &answerBody{stream: stream, cancel: cancel, peer: to.Nodes}
 	return &jwdispatch.Answer{Head: headFromWire(first.GetHead()), Body: b}, nil
@@ -190,7 +190,7 @@
 	f, err := b.stream.Recv()
 	if err != nil {
 		// io.EOF here means that the stream ended without its end frame.
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer without an end"))
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer has no end frame"))
 		return
 	}
 	b.unread = f.GetBody()
@@ -203,7 +203,7 @@
 	case endFrame.GetOutcome() != string(jwrequest.Served):
 		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", endFrame.GetOutcome(), endFrame.GetDetail()))
 	case endFrame.GetLength() != b.length:
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer of %d bytes where %d were sent", b.length, endFrame.GetLength()))
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("received %d bytes of an answer of %d bytes", b.length, endFrame.GetLength()))
 	default:
 		b.err = io.EOF
 	}
--- a/io/jwforward/identity.go
+++ b/io/jwforward/identity.go
@@ -30,7 +30,7 @@
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
 	if id.Node != node || region != "" && id.Region != region {
-		return status.Errorf(codes.PermissionDenied, "the certificate is of node %s in region %s, not of %s in %s", id.Node, id.Region, node, region)
+		return status.Errorf(codes.PermissionDenied, "certificate belongs to node %s in region %s, not to node %s in region %s", id.Node, id.Region, node, region)
 	}
 	return nil
 }
--- a/io/jwforward/pool.go
+++ b/io/jwforward/pool.go
@@ -51,7 +51,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if p.closed {
-		return nil, nil, errors.Errorf("connect to node %s: closed", addr)
+		return nil, nil, errors.Errorf("connect to node %s: pool is closed", addr)
 	}
 	now := time.Now()
 	if c := p.conns[addr]; c != nil {
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -96,7 +96,7 @@
 	}
 	head := f.GetHead()
 	if head == nil {
-		return nil, "", status.Error(codes.InvalidArgument, "first frame without a head")
+		return nil, "", status.Error(codes.InvalidArgument, "first frame has no head")
 	}
 	if err := checkLastHop(stream.Context(), head.GetHops()); err != nil {
 		return nil, "", err
@@ -116,11 +116,11 @@
 		}
 		r.Body = append(r.Body, f.GetBody()...)
 		if uint64(len(r.Body)) > head.GetBodyLength() {
-			return nil, "", status.Error(codes.FailedPrecondition, "body longer than announced")
+			return nil, "", status.Error(codes.FailedPrecondition, "body is longer than announced")
 		}
 	}
 	if uint64(len(r.Body)) != head.GetBodyLength() {
-		return nil, "", status.Error(codes.FailedPrecondition, "body shorter than announced")
+		return nil, "", status.Error(codes.FailedPrecondition, "body is shorter than announced")
 	}
 	return r, head.GetReason(), nil
 }
@@ -131,7 +131,7 @@
 // again.
 func checkLastHop(ctx context.Context, hops []*jwwire.Hop) error {
 	if len(hops) == 0 {
-		return status.Error(codes.FailedPrecondition, "request without a hop")
+		return status.Error(codes.FailedPrecondition, "request has no hops")
 	}
 	last := hops[len(hops)-1]
 	return checkIdentity(ctx, last.GetNode(), last.GetRegion())
