--- a/io/jwforward/identity_test.go
+++ b/io/jwforward/identity_test.go
@@ -26,13 +26,13 @@
 		node, region string
 		refused      bool
 	}{
-		"itself":                     {auth: nodeAuth, node: "e1", region: "east"},
-		"itself, region not given":   {auth: nodeAuth, node: "e1"},
-		"another node":               {auth: nodeAuth, node: "e2", region: "east", refused: true},
-		"another region":             {auth: nodeAuth, node: "e1", region: "west", refused: true},
-		"no certificate":             {auth: tlsInfo(), node: "e1", refused: true},
-		"a certificate of no node":   {auth: tlsInfo(&x509.Certificate{}), node: "e1", refused: true},
-		"any node without TLS":       {node: "e2", region: "west"},
+		"itself":                   {auth: nodeAuth, node: "e1", region: "east"},
+		"itself, region not given": {auth: nodeAuth, node: "e1"},
+		"another node":             {auth: nodeAuth, node: "e2", region: "east", refused: true},
+		"another region":           {auth: nodeAuth, node: "e1", region: "west", refused: true},
+		"no certificate":           {auth: tlsInfo(), node: "e1", refused: true},
+		"a certificate of no node": {auth: tlsInfo(&x509.Certificate{}), node: "e1", refused: true},
+		"any node without TLS":     {node: "e2", region: "west"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
