--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -22,11 +22,11 @@
 )
 
 // hostsTrust is how long a caller may use a list of hosts before it asks again.
-const hostsTrust = 5 * time.Second
+const hostListMaxAge = 5 * time.Second
 
 // slowBody bounds the time to send a request's body, so that slow senders don't
 // hold memory for ever.
-const slowBody = 15 * time.Second
+const bodyTimeout = 15 * time.Second
 
 // Dispatcher serves requests.
 type Dispatcher interface {
@@ -85,7 +85,7 @@
 
 func (c *Callers) hosts(w http.ResponseWriter, r *http.Request) {
 	workspace := r.URL.Query().Get("workspace")
-	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: hostsTrust.Milliseconds()}
+	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: hostListMaxAge.Milliseconds()}
 	writeJSON(w, http.StatusOK, list)
 }
 
@@ -95,8 +95,8 @@
 
 func (c *Callers) ticket(w http.ResponseWriter, r *http.Request) {
 	workspace := r.Header.Get(headerWorkspace)
-	if len(r.Header.Values(headerWorkspace)) > 1 || !plain(workspace, maxNameLength) {
-		c.turnAway(w, badHeader(headerWorkspace))
+	if len(r.Header.Values(headerWorkspace)) > 1 || !isShortPrintable(workspace, maxNameLength) {
+		c.refuseUnchecked(w, badHeader(headerWorkspace))
 		return
 	}
 	if refusal, refused := c.Dispatcher.CheckTicket(workspace); refused {
@@ -121,11 +121,11 @@
 		refusal = jwdispatch.Refusal(http.StatusRequestHeaderFieldsTooLarge, jwrequest.NotRun, jwdispatch.ReasonHeader,
 			"header longer than "+strconv.Itoa(c.MaxHeader)+" bytes")
 	}
-	if plain(in.ID, maxNameLength) {
+	if isShortPrintable(in.ID, maxNameLength) {
 		w.Header().Set(headerRequestID, in.ID)
 	}
 	if refused {
-		c.turnAway(w, refusal.ForKey(in.Key))
+		c.refuseUnchecked(w, refusal.ForKey(in.Key))
 		return
 	}
 	done, ok := c.Gate.Enter()
@@ -133,7 +133,7 @@
 		if ok {
 			done()
 		}
-		c.turnAway(w, c.leaving(in))
+		c.refuseUnchecked(w, c.refusalWhenLeaving(in))
 		return
 	}
 	defer done()
@@ -141,13 +141,13 @@
 		writeRefusal(w, refusal)
 		return
 	}
-	if refusal, refused := c.read(w, r, in); refused {
+	if refusal, refused := c.receiveBody(w, r, in); refused {
 		c.refuseBody(w, in, refusal.ForKey(in.Key))
 		return
 	}
 	sink := &httpSink{w: w, control: http.NewResponseController(w)}
 	c.Dispatcher.Serve(r.Context(), in, sink)
-	if sink.broken {
+	if sink.incomplete {
 		// The answer broke off after it began. A normal end of the HTTP
 		// message would make it look whole, so the connection is cut.
 		panic(http.ErrAbortHandler)
@@ -156,7 +156,7 @@
 
 // turnAway refuses a request that the dispatcher has not checked. It leaves no
 // trace: whether it is bound, and must leave none here, is not known yet.
-func (c *Callers) turnAway(w http.ResponseWriter, h jwdispatch.Head) {
+func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.Head) {
 	if c.Counter != nil {
 		c.Counter.Ended("", h.Outcome, h.Reason)
 	}
@@ -177,7 +177,7 @@
 }
 
 // leaving sends callers to other nodes while this one stops or starts.
-func (c *Callers) leaving(in *jwrequest.Request) jwdispatch.Head {
+func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.Head {
 	h := jwdispatch.Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, jwdispatch.ReasonLeaving, "this node takes no requests now").ForKey(in.Key)
 	h.Hosts = c.Dispatcher.Hosts(in.Workspace)
 	h.RetryAfter = time.Second
@@ -185,14 +185,14 @@
 }
 
 // read takes in the body.
-func (c *Callers) read(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.Head, bool) {
-	most := c.Dispatcher.MaxBody(in.Entry)
-	if r.ContentLength > most {
-		return bodyRefusal(&http.MaxBytesError{Limit: most}), true
+func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.Head, bool) {
+	limit := c.Dispatcher.MaxBody(in.Entry)
+	if r.ContentLength > limit {
+		return bodyRefusal(&http.MaxBytesError{Limit: limit}), true
 	}
 	control := http.NewResponseController(w)
-	_ = control.SetReadDeadline(time.Now().Add(slowBody))
-	body, err := readBody(http.MaxBytesReader(w, r.Body, most), r.ContentLength)
+	_ = control.SetReadDeadline(time.Now().Add(bodyTimeout))
+	body, err := readBody(http.MaxBytesReader(w, r.Body, limit), r.ContentLength)
 	if err != nil {
 		return bodyRefusal(err), true
 	}
@@ -203,10 +203,10 @@
 
 // trustedLength is up to which length a buffer is made before the bytes come; a
 // caller that announces more than it sends can't make a node hold much.
-const trustedLength = 64 << 10
+const maxPreallocation = 64 << 10
 
 func readBody(r io.Reader, length int64) ([]byte, error) {
-	if length < 0 || length > trustedLength {
+	if length < 0 || length > maxPreallocation {
 		return io.ReadAll(r)
 	}
 	buf := bytes.NewBuffer(make([]byte, 0, length+bytes.MinRead))
@@ -222,7 +222,7 @@
 	case errors.As(err, &tooLong):
 		status, detail = http.StatusRequestEntityTooLarge, "body longer than the entry allows"
 	case errors.Is(err, os.ErrDeadlineExceeded):
-		status, detail = http.StatusRequestTimeout, "the body took longer than "+slowBody.String()
+		status, detail = http.StatusRequestTimeout, "the body took longer than "+bodyTimeout.String()
 	}
 	return jwdispatch.Refusal(status, jwrequest.NotRun, jwdispatch.ReasonBody, detail)
 }
--- a/io/jwlisten/callers_test.go
+++ b/io/jwlisten/callers_test.go
@@ -33,13 +33,13 @@
 
 // desk stands for the dispatcher: it knows the entry "menu" and the workspace
 // "hall", and counts what it was given to run.
-type desk struct {
+type fakeDispatcher struct {
 	mu    sync.Mutex
 	ran   []string
 	ended []jwdispatch.Reason
 }
 
-func (d *desk) Check(r *jwrequest.Request) (jwdispatch.Head, bool) {
+func (d *fakeDispatcher) Check(r *jwrequest.Request) (jwdispatch.Head, bool) {
 	switch {
 	case r.Entry != "menu":
 		return jwdispatch.Refusal(http.StatusNotFound, jwrequest.NotRun, jwdispatch.ReasonEntry, ""), true
@@ -49,9 +49,9 @@
 	return jwdispatch.Head{}, false
 }
 
-func (d *desk) MaxBody(string) int64 { return testMaxBody }
+func (d *fakeDispatcher) MaxBody(string) int64 { return testMaxBody }
 
-func (d *desk) Serve(_ context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
+func (d *fakeDispatcher) Serve(_ context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
 	d.mu.Lock()
 	d.ran = append(d.ran, string(r.Body))
 	d.mu.Unlock()
@@ -60,11 +60,11 @@
 	_ = sink.End(jwdispatch.End{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
 }
 
-func (d *desk) CheckTicket(string) (jwdispatch.Head, bool) { return jwdispatch.Head{}, false }
+func (d *fakeDispatcher) CheckTicket(string) (jwdispatch.Head, bool) { return jwdispatch.Head{}, false }
 
-func (d *desk) Hosts(string) []netip.AddrPort { return []netip.AddrPort{otherHost} }
+func (d *fakeDispatcher) Hosts(string) []netip.AddrPort { return []netip.AddrPort{otherHost} }
 
-func (d *desk) Ended(_ string, _ jwrequest.Outcome, reason jwdispatch.Reason) {
+func (d *fakeDispatcher) Ended(_ string, _ jwrequest.Outcome, reason jwdispatch.Reason) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ended = append(d.ended, reason)
@@ -80,14 +80,14 @@
 
 const testMaxHeader = 16 << 10
 
-func callers(d *desk) *Callers {
+func newCallers(d *fakeDispatcher) *Callers {
 	return &Callers{
 		Dispatcher: d, MaxHeader: testMaxHeader, Gate: gate{}, Tickets: tickets{}, Counter: d, Log: logr.Discard(),
 		Ready: func() bool { return true },
 	}
 }
 
-func handler(t testing.TB, c *Callers) http.Handler {
+func newHandler(t testing.TB, c *Callers) http.Handler {
 	t.Helper()
 	h, err := c.Handler()
 	assert.NilError(t, err)
@@ -95,7 +95,7 @@
 }
 
 // refusalOf reads an answer that must be a refusal of the node's own.
-func refusalOf(t *testing.T, resp *http.Response) refusalBody {
+func decodeRefusal(t *testing.T, resp *http.Response) refusalBody {
 	t.Helper()
 	assert.Equal(t, resp.Header.Get("Content-Type"), "application/json")
 	var body refusalBody
@@ -148,8 +148,8 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := &desk{}
-			s := httptest.NewServer(handler(t, callers(d)))
+			d := &fakeDispatcher{}
+			s := httptest.NewServer(newHandler(t, newCallers(d)))
 			defer s.Close()
 			if tc.method == "" {
 				tc.method = http.MethodPost
@@ -166,7 +166,7 @@
 			resp, err := http.DefaultClient.Do(r)
 			assert.NilError(t, err)
 			defer resp.Body.Close()
-			body := refusalOf(t, resp)
+			body := decodeRefusal(t, resp)
 			assert.Equal(t, resp.StatusCode, tc.status)
 			assert.Equal(t, body.Outcome, tc.outcome)
 			assert.Equal(t, body.Reason, tc.reason)
@@ -178,12 +178,12 @@
 
 // pipes is a listener whose connections need no sockets, so that their
 // deadlines pass in the time of a synctest bubble.
-type pipes struct {
+type pipeListener struct {
 	conns chan net.Conn
 	ended chan struct{}
 }
 
-func (p *pipes) Accept() (net.Conn, error) {
+func (p *pipeListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-p.conns:
 		return c, nil
@@ -192,10 +192,10 @@
 	}
 }
 
-func (p *pipes) Close() error   { close(p.ended); return nil }
-func (p *pipes) Addr() net.Addr { return &net.TCPAddr{} }
+func (p *pipeListener) Close() error   { close(p.ended); return nil }
+func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
-func TestBrokenBodies(t *testing.T) {
+func TestIncompleteBodies(t *testing.T) {
 	// A body comes too slowly, stops in the middle or is not what its headers
 	// say. Run as far as it came, it would be somebody's half order; kept
 	// waiting for, it would hold memory for ever.
@@ -209,22 +209,22 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := &desk{}
-			h := handler(t, callers(d)) // out of the bubble: go-zero keeps a list of servers
+			d := &fakeDispatcher{}
+			h := newHandler(t, newCallers(d)) // out of the bubble: go-zero keeps a list of servers
 			synctest.Test(t, func(t *testing.T) {
-				p := &pipes{conns: make(chan net.Conn), ended: make(chan struct{})}
+				p := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
 				server := &http.Server{Handler: h}
 				go func() { _ = server.Serve(p) }()
 				defer server.Close()
-				near, far := net.Pipe()
-				defer near.Close()
-				p.conns <- far
-				go func() { _, _ = io.WriteString(near, tc.text) }()
+				clientConn, serverConn := net.Pipe()
+				defer clientConn.Close()
+				p.conns <- serverConn
+				go func() { _, _ = io.WriteString(clientConn, tc.text) }()
 				began := time.Now()
-				resp, err := http.ReadResponse(bufio.NewReader(near), nil)
+				resp, err := http.ReadResponse(bufio.NewReader(clientConn), nil)
 				assert.NilError(t, err)
-				body := refusalOf(t, resp)
-				assert.Assert(t, time.Since(began) <= slowBody)
+				body := decodeRefusal(t, resp)
+				assert.Assert(t, time.Since(began) <= bodyTimeout)
 				assert.Equal(t, resp.StatusCode, tc.status)
 				assert.Equal(t, body.Outcome, jwrequest.NotRun)
 				assert.Equal(t, body.Reason, jwdispatch.ReasonBody)
@@ -235,25 +235,25 @@
 	}
 }
 
-func TestLeavingNode(t *testing.T) {
+func TestUnavailableNode(t *testing.T) {
 	// A node stops or has not started yet. Its callers must be sent elsewhere,
 	// and told that this try ran nothing.
 	tests := map[string]func(c *Callers){
 		"stopping":  func(c *Callers) { c.Gate = gate{closed: true} },
 		"not ready": func(c *Callers) { c.Ready = func() bool { return false } },
 	}
-	for name, change := range tests {
+	for name, setUp := range tests {
 		t.Run(name, func(t *testing.T) {
-			d := &desk{}
-			c := callers(d)
-			change(c)
+			d := &fakeDispatcher{}
+			c := newCallers(d)
+			setUp(c)
 			c.Tickets = tickets{err: errors.New("closed")}
 			for _, path := range []string{"/v1/requests/menu", "/v1/tickets"} {
 				w := httptest.NewRecorder()
 				r := httptest.NewRequest(http.MethodPost, path, strings.NewReader("x"))
 				r.Header.Set(headerWorkspace, testWorkspace)
-				handler(t, c).ServeHTTP(w, r)
-				body := refusalOf(t, w.Result())
+				newHandler(t, c).ServeHTTP(w, r)
+				body := decodeRefusal(t, w.Result())
 				assert.Equal(t, w.Code, http.StatusServiceUnavailable)
 				assert.Equal(t, body.Outcome, jwrequest.NotRun)
 				assert.Assert(t, slices.Equal(body.Hosts, []netip.AddrPort{otherHost}))
@@ -265,11 +265,11 @@
 }
 
 func TestServedRequest(t *testing.T) {
-	d := &desk{}
+	d := &fakeDispatcher{}
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(http.MethodPost, "/v1/requests/menu", strings.NewReader("sixteen bytes ok"))
 	r.Header.Set(headerWorkspace, testWorkspace)
-	handler(t, callers(d)).ServeHTTP(w, r)
+	newHandler(t, newCallers(d)).ServeHTTP(w, r)
 	assert.Equal(t, w.Code, http.StatusOK)
 	assert.Equal(t, w.Body.String(), "sixteen bytes ok")
 	assert.Equal(t, w.Header().Get(headerOutcome), "served")
--- a/io/jwlisten/header.go
+++ b/io/jwlisten/header.go
@@ -41,13 +41,13 @@
 		return in, refuseHeader("header given more than once: " + name), true
 	}
 	switch {
-	case !plain(in.ID, maxNameLength):
+	case !isShortPrintable(in.ID, maxNameLength):
 		return in, badHeader(headerRequestID), true
-	case in.Workspace == "" || !plain(in.Workspace, maxNameLength):
+	case in.Workspace == "" || !isShortPrintable(in.Workspace, maxNameLength):
 		return in, badHeader(headerWorkspace), true
-	case !plain(in.Key, maxKeyLength):
+	case !isShortPrintable(in.Key, maxKeyLength):
 		return in, badHeader(headerKey), true
-	case !plain(in.ContentType, maxNameLength) || !plain(in.Accept, maxKeyLength):
+	case !isShortPrintable(in.ContentType, maxNameLength) || !isShortPrintable(in.Accept, maxKeyLength):
 		return in, badHeader("Content-Type or Accept"), true
 	}
 	if s := r.Header.Get(headerTimeout); s != "" {
@@ -94,8 +94,8 @@
 }
 
 // plain tells whether s is short and of visible ASCII and spaces only.
-func plain(s string, most int) bool {
-	if len(s) > most {
+func isShortPrintable(s string, maxLength int) bool {
+	if len(s) > maxLength {
 		return false
 	}
 	for i := range len(s) {
--- a/io/jwlisten/header_test.go
+++ b/io/jwlisten/header_test.go
@@ -22,14 +22,14 @@
 	f.Add("hall", "r1", "", "9223372036s", "", "", "second")
 	f.Add("hall", "r1", "k1", "1e9h", "", "", "")
 	f.Add(" ", "~", " ", "1ns", "*/*", "", "")
-	f.Fuzz(func(t *testing.T, workspace, id, key, timeout, contentType, accept, again string) {
+	f.Fuzz(func(t *testing.T, workspace, id, key, timeout, contentType, accept, secondKey string) {
 		r := httptest.NewRequest(http.MethodPost, "/v1/requests/menu", nil)
 		r.Header = http.Header{
 			headerWorkspace: {workspace}, headerRequestID: {id}, headerKey: {key},
 			headerTimeout: {timeout}, "Content-Type": {contentType}, "Accept": {accept},
 		}
-		if again != "" {
-			r.Header.Add(headerKey, again)
+		if secondKey != "" {
+			r.Header.Add(headerKey, secondKey)
 		}
 		began := time.Now()
 		in, refusal, refused := parse(r)
@@ -39,14 +39,14 @@
 			}
 			return
 		}
-		if again != "" {
-			t.Fatalf("took one of the keys %q and %q", key, again)
+		if secondKey != "" {
+			t.Fatalf("took one of the keys %q and %q", key, secondKey)
 		}
 		if in.Workspace != workspace || in.Key != key || in.ID == "" || (id != "" && in.ID != id) {
 			t.Fatalf("changed on the way: %+v", in)
 		}
 		for _, s := range []string{in.Workspace, in.ID, in.Key, in.ContentType, in.Accept} {
-			if !plain(s, maxKeyLength) {
+			if !isShortPrintable(s, maxKeyLength) {
 				t.Fatalf("took in %q", s)
 			}
 		}
--- a/io/jwlisten/sink.go
+++ b/io/jwlisten/sink.go
@@ -17,11 +17,11 @@
 
 // httpSink writes one answer as an HTTP response.
 type httpSink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	stream  bool // ends in a done event
-	flowing bool // its outcome was not known at its head
-	broken  bool
+	w              http.ResponseWriter
+	control        *http.ResponseController
+	stream         bool // ends in a done event
+	outcomePending bool // its outcome was not known at its head
+	incomplete     bool
 }
 
 // refusalBody is the JSON body of an answer that a node gives by itself.
@@ -50,15 +50,15 @@
 	header := s.w.Header()
 	setNonEmpty(header, "Content-Type", h.ContentType)
 	setNonEmpty(header, headerServedBy, h.ServedBy)
-	s.flowing = h.Outcome == ""
+	s.outcomePending = h.Outcome == ""
 	s.stream = strings.HasPrefix(h.ContentType, eventStream)
-	if !s.flowing {
+	if !s.outcomePending {
 		header.Set(headerOutcome, string(h.Outcome))
 	}
 	if h.Length >= 0 && !s.stream {
 		header.Set("Content-Length", strconv.FormatInt(h.Length, 10))
 	}
-	if s.flowing {
+	if s.outcomePending {
 		header.Set("Trailer", headerOutcome)
 	}
 	s.w.WriteHeader(h.Status)
@@ -70,7 +70,7 @@
 	if _, err := s.w.Write(p); err != nil {
 		return err
 	}
-	if s.flowing {
+	if s.outcomePending {
 		return s.control.Flush()
 	}
 	return nil
@@ -80,20 +80,20 @@
 // when it is not whole.
 func (s *httpSink) End(e jwdispatch.End) error {
 	if s.stream {
-		s.event(e)
+		s.writeEndEvent(e)
 	}
-	if !s.flowing {
+	if !s.outcomePending {
 		return nil
 	}
 	if e.Outcome != jwrequest.Served {
-		s.broken = true
+		s.incomplete = true
 		return s.control.Flush()
 	}
 	s.w.Header().Set(headerOutcome, string(e.Outcome))
 	return nil
 }
 
-func (s *httpSink) event(e jwdispatch.End) {
+func (s *httpSink) writeEndEvent(e jwdispatch.End) {
 	name := "done"
 	if e.Outcome != jwrequest.Served {
 		name = "error"
