--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -21,46 +21,57 @@
 	"jujubewheel/io/jwrest"
 )
 
-// hostsTrust is how long a caller may use a list of hosts before it asks again.
+// hostListMaxAge is how long a caller may use a list of hosts before it has to
+// request it again.
 const hostListMaxAge = 5 * time.Second
 
-// slowBody bounds the time to send a request's body, so that slow senders don't
-// hold memory for ever.
+// bodyTimeout limits the time in which a caller sends the body of a request, so
+// that slow callers don't occupy memory without limit.
 const bodyTimeout = 15 * time.Second
 
-// Dispatcher serves requests.
+// Dispatcher checks and serves requests.
 type Dispatcher interface {
+	// Check returns a refusal for a request that can't be served. It is called
+	// before the body is read.
 	Check(r *jwrequest.Request) (refusal jwdispatch.Head, refused bool)
+	// MaxBody returns the maximum length of a request's body in bytes.
 	MaxBody(entry string) int64
+	// Serve runs a request and writes its answer to sink.
 	Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
+	// CheckTicket returns a refusal if this node mints no ticket for a workspace.
 	CheckTicket(workspace string) (refusal jwdispatch.Head, refused bool)
+	// Hosts returns the addresses that callers of a workspace should use.
 	Hosts(workspace string) []netip.AddrPort
 }
 
-// Gate counts the requests in flight and is closed when the node stops.
+// Gate counts the requests in flight and admits none once the node stops.
 type Gate interface {
-	// Enter takes a request in; ok is false once the node takes no more.
+	// Enter admits a request, and done ends it; ok is false once the node
+	// admits no more.
 	Enter() (done func(), ok bool)
 }
 
 // Tickets mints idempotency keys.
 type Tickets interface {
+	// Mint returns a new key, or an error if this node mints none now.
 	Mint() (string, error)
 }
 
-// Counter counts requests that ended here and never reached the dispatcher,
-// which counts its own. The entry is empty where nobody has checked its name.
+// Counter counts requests that this package refuses. The dispatcher counts those
+// that it refuses or serves.
 type Counter interface {
+	// Ended counts one request. The entry is empty if its name has not been
+	// checked.
 	Ended(entry string, outcome jwrequest.Outcome, reason jwdispatch.Reason)
 }
 
-// Callers answers callers; its fields are set before Handler.
+// Callers handles the HTTP requests of callers. Its fields are set before Handler.
 type Callers struct {
 	Dispatcher Dispatcher
 	Gate       Gate
 	Tickets    Tickets
-	MaxHeader  int               // bytes of a request's header, 0 for no bound of its own
-	Ready      func() bool       // whether the node serves
+	MaxHeader  int               // max bytes of a request's header, 0 for no limit besides the server's
+	Ready      func() bool       // whether the node serves requests
 	Counter    Counter           // may be nil
 	Tracer     jwdispatch.Tracer // may be nil
 	Log        logr.Logger
@@ -77,7 +88,7 @@
 	}, jwrest.Stray{NotFound: http.HandlerFunc(notFound), NotAllowed: http.HandlerFunc(notAllowed)})
 }
 
-// hostList is the answer to a caller that asks which hosts to use.
+// hostList is the body of the answer to a request for the hosts to use.
 type hostList struct {
 	Hosts       []netip.AddrPort `json:"hosts"`
 	TrustMillis int64            `json:"trustMillis"`
@@ -148,14 +159,15 @@
 	sink := &httpSink{w: w, control: http.NewResponseController(w)}
 	c.Dispatcher.Serve(r.Context(), in, sink)
 	if sink.incomplete {
-		// The answer broke off after it began. A normal end of the HTTP
-		// message would make it look whole, so the connection is cut.
+		// The answer ended early after its head was sent. A normal end of the
+		// HTTP message would make it look complete, so the connection is closed.
 		panic(http.ErrAbortHandler)
 	}
 }
 
-// turnAway refuses a request that the dispatcher has not checked. It leaves no
-// trace: whether it is bound, and must leave none here, is not known yet.
+// refuseUnchecked refuses a request that the dispatcher has not checked. It
+// records no trace: it is not known yet whether the data is bound to another
+// region, in which case no trace may be recorded here.
 func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.Head) {
 	if c.Counter != nil {
 		c.Counter.Ended("", h.Outcome, h.Reason)
@@ -163,8 +175,8 @@
 	writeRefusal(w, h)
 }
 
-// refuseBody refuses a request for its body, after the dispatcher has checked
-// the rest of it.
+// refuseBody refuses a request because of its body, after the dispatcher has
+// checked everything else.
 func (c *Callers) refuseBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.Head) {
 	if c.Counter != nil {
 		c.Counter.Ended(in.Entry, h.Outcome, h.Reason)
@@ -176,7 +188,8 @@
 	writeRefusal(w, h)
 }
 
-// leaving sends callers to other nodes while this one stops or starts.
+// refusalWhenLeaving returns the refusal that directs callers to other nodes
+// while this one starts or stops.
 func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.Head {
 	h := jwdispatch.Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, jwdispatch.ReasonLeaving, "this node takes no requests now").ForKey(in.Key)
 	h.Hosts = c.Dispatcher.Hosts(in.Workspace)
@@ -184,7 +197,8 @@
 	return h
 }
 
-// read takes in the body.
+// receiveBody reads the body into the request, or returns a refusal. A body whose
+// announced length is too long is refused without reading it.
 func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.Head, bool) {
 	limit := c.Dispatcher.MaxBody(in.Entry)
 	if r.ContentLength > limit {
@@ -201,8 +215,9 @@
 	return jwdispatch.Head{}, false
 }
 
-// trustedLength is up to which length a buffer is made before the bytes come; a
-// caller that announces more than it sends can't make a node hold much.
+// maxPreallocation is the maximum length in bytes for which a buffer is allocated
+// before the body arrives. It limits how much memory a caller can occupy by
+// announcing more than it sends.
 const maxPreallocation = 64 << 10
 
 func readBody(r io.Reader, length int64) ([]byte, error) {
@@ -214,7 +229,7 @@
 	return buf.Bytes(), err
 }
 
-// bodyRefusal tells why a body was not taken in.
+// bodyRefusal returns the refusal for an error of reading the body.
 func bodyRefusal(err error) jwdispatch.Head {
 	status, detail := http.StatusBadRequest, "the body is malformed or broke off"
 	var tooLong *http.MaxBytesError
--- a/io/jwlisten/callers_test.go
+++ b/io/jwlisten/callers_test.go
@@ -31,8 +31,9 @@
 
 var otherHost = netip.MustParseAddrPort("10.0.0.2:8080")
 
-// desk stands for the dispatcher: it knows the entry "menu" and the workspace
-// "hall", and counts what it was given to run.
+// fakeDispatcher is a Dispatcher and Counter that knows only the entry "menu" and
+// the workspace "hall". It records the bodies of the requests that it ran and
+// the reasons of those counted as ended.
 type fakeDispatcher struct {
 	mu    sync.Mutex
 	ran   []string
@@ -94,7 +95,8 @@
 	return h
 }
 
-// refusalOf reads an answer that must be a refusal of the node's own.
+// decodeRefusal decodes an answer and checks that it is a refusal by the node
+// itself.
 func decodeRefusal(t *testing.T, resp *http.Response) refusalBody {
 	t.Helper()
 	assert.Equal(t, resp.Header.Get("Content-Type"), "application/json")
@@ -106,8 +108,8 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	// A caller sends something that is wrong or hostile. It must be told what,
-	// and nothing of it may reach a target.
+	// A caller sends a malformed or malicious request. It must be told what is
+	// wrong, and no part of the request may reach a target.
 	long := strings.Repeat("a", maxKeyLength+1)
 	tests := map[string]struct {
 		method, path string // POST /v1/requests/menu if empty
@@ -116,7 +118,7 @@
 		status       int
 		outcome      jwrequest.Outcome
 		reason       jwdispatch.Reason
-		counted      bool // here, not by the dispatcher
+		counted      bool // whether it is counted here, not by the dispatcher
 	}{
 		"unknown path":           {path: "/v1/other", status: 404, outcome: jwrequest.NotRun, reason: reasonPath},
 		"no entry":               {path: "/v1/requests/", status: 404, outcome: jwrequest.NotRun, reason: reasonPath},
@@ -176,8 +178,8 @@
 	}
 }
 
-// pipes is a listener whose connections need no sockets, so that their
-// deadlines pass in the time of a synctest bubble.
+// pipeListener is a listener whose connections are pipes, not sockets, so that
+// their deadlines follow the fake clock of a synctest bubble.
 type pipeListener struct {
 	conns chan net.Conn
 	ended chan struct{}
@@ -196,9 +198,9 @@
 func (p *pipeListener) Addr() net.Addr { return &net.TCPAddr{} }
 
 func TestIncompleteBodies(t *testing.T) {
-	// A body comes too slowly, stops in the middle or is not what its headers
-	// say. Run as far as it came, it would be somebody's half order; kept
-	// waiting for, it would hold memory for ever.
+	// A body arrives too slowly, stops in the middle or does not match its
+	// headers. A request must not run with a partial body, and the node must not
+	// wait for the rest without limit, because that would occupy memory.
 	const head = "POST /v1/requests/menu HTTP/1.1\r\nHost: h\r\nJujube-Workspace: hall\r\nJujube-Request-Id: r1\r\n"
 	tests := map[string]struct {
 		text   string
@@ -210,7 +212,7 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			d := &fakeDispatcher{}
-			h := newHandler(t, newCallers(d)) // out of the bubble: go-zero keeps a list of servers
+			h := newHandler(t, newCallers(d)) // made outside the bubble, because go-zero keeps a global list of servers
 			synctest.Test(t, func(t *testing.T) {
 				p := &pipeListener{conns: make(chan net.Conn), ended: make(chan struct{})}
 				server := &http.Server{Handler: h}
@@ -236,8 +238,8 @@
 }
 
 func TestUnavailableNode(t *testing.T) {
-	// A node stops or has not started yet. Its callers must be sent elsewhere,
-	// and told that this try ran nothing.
+	// A node is stopping or has not started yet. Its callers must be directed to
+	// other nodes, and be told that this try ran nothing.
 	tests := map[string]func(c *Callers){
 		"stopping":  func(c *Callers) { c.Gate = gate{closed: true} },
 		"not ready": func(c *Callers) { c.Ready = func() bool { return false } },
--- a/io/jwlisten/doc.go
+++ b/io/jwlisten/doc.go
@@ -1,3 +1,3 @@
-// Package jwlisten is the callers' HTTP interface of a node: which hosts to
-// use, requests, and tickets for confirmations.
+// Package jwlisten implements the HTTP interface of a node for callers: the list
+// of hosts to use, requests, and tickets, which are idempotency keys.
 package jwlisten
--- a/io/jwlisten/header.go
+++ b/io/jwlisten/header.go
@@ -24,7 +24,8 @@
 	maxKeyLength  = 512
 )
 
-// parse reads a request's path and headers.
+// parse reads a request's path and headers, or returns a refusal. The request is
+// returned in both cases, but its fields are not checked if it is refused.
 func parse(r *http.Request) (*jwrequest.Request, jwdispatch.Head, bool) {
 	in := &jwrequest.Request{
 		ID:          r.Header.Get(headerRequestID),
@@ -60,11 +61,12 @@
 	return in, jwdispatch.Head{}, false
 }
 
-// repeatedHeader finds a header that may be given only once and was given again.
+// repeatedHeader returns the name of a header that is given more than once
+// although only one value is allowed.
 //
-// Something between caller and node that adds a header of its own would make the
-// node take one of two workspaces or keys: data would be served under the wrong
-// name, or an order run once for each key.
+// If a proxy between the caller and the node adds such a header, the node would
+// have to choose one of two workspaces or keys. Data could then be served under
+// the wrong workspace, or a request run once for each key.
 func repeatedHeader(h http.Header) (string, bool) {
 	for _, name := range []string{headerWorkspace, headerRequestID, headerTimeout, headerKey} {
 		if len(h.Values(name)) > 1 {
@@ -74,7 +76,7 @@
 	return "", false
 }
 
-// headerSize returns the bytes of a header as it stands in a request.
+// headerSize returns the size in bytes of a header as it is written in a request.
 func headerSize(h http.Header) int {
 	n := 0
 	for name, values := range h {
@@ -93,7 +95,8 @@
 	return jwdispatch.Refusal(http.StatusBadRequest, jwrequest.NotRun, jwdispatch.ReasonHeader, detail)
 }
 
-// plain tells whether s is short and of visible ASCII and spaces only.
+// isShortPrintable reports whether s has at most maxLength bytes, all of them
+// visible ASCII characters or spaces.
 func isShortPrintable(s string, maxLength int) bool {
 	if len(s) > maxLength {
 		return false
--- a/io/jwlisten/sink.go
+++ b/io/jwlisten/sink.go
@@ -19,12 +19,12 @@
 type httpSink struct {
 	w              http.ResponseWriter
 	control        *http.ResponseController
-	stream         bool // ends in a done event
-	outcomePending bool // its outcome was not known at its head
-	incomplete     bool
+	stream         bool // the answer is an event stream, which ends with a done or error event
+	outcomePending bool // the outcome was not known when the head was written
+	incomplete     bool // the answer ended early after its head was written
 }
 
-// refusalBody is the JSON body of an answer that a node gives by itself.
+// refusalBody is the JSON body of an answer by the node itself, not by a target.
 type refusalBody struct {
 	Outcome          jwrequest.Outcome `json:"outcome"`
 	Reason           jwdispatch.Reason `json:"reason,omitempty"`
@@ -41,7 +41,7 @@
 	Detail  string            `json:"detail,omitempty"`
 }
 
-// Head writes status and headers.
+// Head writes status and headers, or the whole answer if it is a refusal.
 func (s *httpSink) Head(h jwdispatch.Head) error {
 	if h.Reason != jwdispatch.ReasonNone && h.Length == 0 {
 		writeRefusal(s.w, h)
@@ -65,7 +65,8 @@
 	return nil
 }
 
-// Body writes a part and sends it on at once.
+// Body writes a part of the answer's body. It flushes the part at once if the
+// outcome was not known when the head was written.
 func (s *httpSink) Body(p []byte) error {
 	if _, err := s.w.Write(p); err != nil {
 		return err
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// End ends the response; a stream ends in a done event, or in an error event
-// when it is not whole.
+// End ends the response. A stream ends with a done event, or with an error event
+// if it is incomplete.
 func (s *httpSink) End(e jwdispatch.End) error {
 	if s.stream {
 		s.writeEndEvent(e)
@@ -102,7 +103,7 @@
 	_, _ = s.w.Write([]byte("event: " + name + "\ndata: " + string(data) + "\n\n"))
 }
 
-// writeRefusal writes an answer that the node gives by itself.
+// writeRefusal writes an answer by the node itself, not by a target.
 func writeRefusal(w http.ResponseWriter, h jwdispatch.Head) {
 	w.Header().Set(headerOutcome, string(h.Outcome))
 	if h.RetryAfter > 0 {
--- a/io/jwlisten/stray.go
+++ b/io/jwlisten/stray.go
@@ -8,16 +8,16 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// reasonPath is the reason of refusals of requests that no route takes.
+// reasonPath is the reason in refusals of requests that match no route.
 const reasonPath jwdispatch.Reason = "path"
 
-// notFound refuses an unknown path. A caller that mistyped it must be able to
-// tell the answer from that of a target, which has a 404 of its own.
+// notFound refuses an unknown path. The refusal lets a caller that mistyped the
+// path tell this answer from a 404 of a target.
 func notFound(w http.ResponseWriter, _ *http.Request) {
 	writeRefusal(w, jwdispatch.Refusal(http.StatusNotFound, jwrequest.NotRun, reasonPath, "no such path"))
 }
 
-// notAllowed refuses a method that a path does not take.
+// notAllowed refuses a method that a path does not support.
 func notAllowed(w http.ResponseWriter, r *http.Request) {
 	allowed := http.MethodPost
 	if path.Clean(r.URL.Path) == hostsPath {
