--- a/io/jwlisten/header_test.go
+++ b/io/jwlisten/header_test.go
@@ -10,10 +10,11 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// FuzzParse checks that whatever headers come, a request that is taken in holds
-// only short plain values and a deadline ahead, and a refused one says why. What
-// is taken in goes on to targets, logs and other nodes: with a line break in it a
-// caller could write headers of its own into another's request.
+// FuzzParse checks that, whatever headers are sent, an accepted request holds
+// only short printable values and a deadline in the future, and a refused one
+// says why. Accepted values are passed on to targets, logs and other nodes: if
+// one contained a line break, a caller could insert headers into the requests
+// that carry it.
 func FuzzParse(f *testing.F) {
 	f.Add("hall", "r1", "k1", "2500ms", "application/json", "*/*", "")
 	f.Add("", "", "", "", "", "", "")
@@ -35,19 +36,19 @@
 		in, refusal, refused := parse(r)
 		if refused {
 			if refusal.Status != http.StatusBadRequest || refusal.Outcome != jwrequest.NotRun || refusal.Detail == "" {
-				t.Fatalf("refused without a clear answer: %+v", refusal)
+				t.Fatalf("refused without status, outcome or detail: %+v", refusal)
 			}
 			return
 		}
 		if secondKey != "" {
-			t.Fatalf("took one of the keys %q and %q", key, secondKey)
+			t.Fatalf("accepted a request with two keys, %q and %q", key, secondKey)
 		}
 		if in.Workspace != workspace || in.Key != key || in.ID == "" || (id != "" && in.ID != id) {
-			t.Fatalf("changed on the way: %+v", in)
+			t.Fatalf("parsed request differs from its headers: %+v", in)
 		}
 		for _, s := range []string{in.Workspace, in.ID, in.Key, in.ContentType, in.Accept} {
 			if !isShortPrintable(s, maxKeyLength) {
-				t.Fatalf("took in %q", s)
+				t.Fatalf("accepted %q", s)
 			}
 		}
 		if in.Workspace == "" || (timeout != "" && !in.Deadline.After(began)) {
