--- a/io/jwtargetclient/body.go
+++ b/io/jwtargetclient/body.go
@@ -11,33 +11,33 @@
 )
 
 // doneMark is the data of the last event of a model engine's stream.
-var doneMark = []byte("data: [DONE]")
+var endMarker = []byte("data: [DONE]")
 
 // body is an answer being read; it says io.EOF only when the answer is whole.
 type body struct {
-	client  *Client
-	addr    netip.AddrPort
-	ctx     context.Context
-	watch   *watchdog
-	cancel  func()
-	resp    *http.Response
-	stream  bool
-	endless bool
-	tail    []byte // last bytes of a stream, to see its end mark
+	client             *Client
+	addr               netip.AddrPort
+	ctx                context.Context
+	progress           *progressTimer
+	cancel             func()
+	resp               *http.Response
+	stream             bool
+	endsWithConnection bool
+	tail               []byte // last bytes of a stream, to see its end mark
 }
 
 // Read reads the answer; errors other than io.EOF are *jwdispatch.CallError.
 func (b *body) Read(p []byte) (int, error) {
 	n, err := b.resp.Body.Read(p)
 	if n > 0 {
-		b.watch.feed()
-		b.remember(p[:n])
+		b.progress.reset()
+		b.keepTail(p[:n])
 	}
 	if err == nil {
 		return n, nil
 	}
 	if err == io.EOF {
-		err = b.atEnd()
+		err = b.completionError()
 		if err == nil {
 			return n, io.EOF
 		}
@@ -47,21 +47,21 @@
 
 // atEnd judges an answer that ended without an error. A stream that lost its
 // engine can end cleanly and short; its missing end mark shows it.
-func (b *body) atEnd() error {
+func (b *body) completionError() error {
 	if b.stream {
-		if !bytes.Contains(b.tail, doneMark) {
-			return errTooEarly
+		if !bytes.Contains(b.tail, endMarker) {
+			return errNoEndMarker
 		}
 		return nil
 	}
-	if b.endless {
-		return errNoEnd
+	if b.endsWithConnection {
+		return errNoLength
 	}
 	return nil
 }
 
 // remember keeps the last bytes of a stream.
-func (b *body) remember(p []byte) {
+func (b *body) keepTail(p []byte) {
 	if !b.stream {
 		return
 	}
@@ -79,39 +79,39 @@
 // Close ends the call; the connection of an unfinished one is closed, which
 // tells the target to stop its work.
 func (b *body) Close() error {
-	b.watch.stop()
+	b.progress.stop()
 	b.cancel()
 	return b.resp.Body.Close()
 }
 
 // watchdog calls bark when it was not fed for a while.
-type watchdog struct {
+type progressTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
-	patient time.Duration
+	timeout time.Duration
 }
 
-func newWatchdog(patient time.Duration, bark func()) *watchdog {
-	w := &watchdog{patient: patient}
-	if patient > 0 {
-		w.timer = time.AfterFunc(patient, bark)
+func newProgressTimer(timeout time.Duration, onTimeout func()) *progressTimer {
+	t := &progressTimer{timeout: timeout}
+	if timeout > 0 {
+		t.timer = time.AfterFunc(timeout, onTimeout)
 	}
-	return w
+	return t
 }
 
-func (w *watchdog) feed() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Reset(w.patient)
+func (t *progressTimer) reset() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.timer != nil {
+		t.timer.Reset(t.timeout)
 	}
 }
 
-func (w *watchdog) stop() {
-	w.mu.Lock()
-	defer w.mu.Unlock()
-	if w.timer != nil {
-		w.timer.Stop()
-		w.timer = nil
+func (t *progressTimer) stop() {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	if t.timer != nil {
+		t.timer.Stop()
+		t.timer = nil
 	}
 }
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -28,9 +28,9 @@
 const serviceName = "target"
 
 const (
-	idlePerTarget = 64
-	idleTimeout   = 30 * time.Second
-	maxHeader     = 64 << 10
+	maxIdlePerTarget  = 64
+	idleTimeout       = 30 * time.Second
+	maxResponseHeader = 64 << 10
 )
 
 func init() { breaker.NoBreakerFor(serviceName) }
@@ -40,29 +40,29 @@
 	DialTimeout time.Duration // for a new connection, 1 s if zero
 
 	mu      sync.Mutex
-	targets map[netip.AddrPort]*connections
+	targets map[netip.AddrPort]*targetConns
 }
 
 // connections are the ways to one target.
-type connections struct {
-	reused *http.Transport // for calls that may be sent again
+type targetConns struct {
+	pooledTransport *http.Transport // for calls that may be sent again
 	// The services are made once: each call would else make a client and a
 	// service anew.
-	again httpc.Service // over reused
-	once  httpc.Service // one connection a call
+	pooled    httpc.Service // over reused
+	singleUse httpc.Service // one connection a call
 }
 
 // Call sends one request to a target and returns once its answer has begun.
 // Errors are of type *jwdispatch.CallError.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watch := newWatchdog(call.Progress, func() { cancel(errSilent) })
+	progress := newProgressTimer(call.Progress, func() { cancel(errSilent) })
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	fail := func(err error) error {
-		watch.stop()
+		progress.stop()
 		e := c.callError(ctx, addr, "call target", sent.Load(), err)
 		cancel(nil)
 		return e
@@ -71,20 +71,20 @@
 	if err != nil {
 		return nil, fail(err)
 	}
-	conns := c.to(addr)
-	service := conns.again
+	conns := c.connsTo(addr)
+	service := conns.pooled
 	if !call.Idempotent {
-		service = conns.once
+		service = conns.singleUse
 	}
 	resp, err := service.DoRequest(r)
 	if err != nil {
 		return nil, fail(err)
 	}
-	watch.feed()
-	if refused(resp.StatusCode) {
+	progress.reset()
+	if isRefusal(resp.StatusCode) {
 		after := retryAfter(resp.Header)
 		_ = resp.Body.Close()
-		watch.stop()
+		progress.stop()
 		cancel(nil)
 		return nil, &jwdispatch.CallError{
 			Step: "call target", Peer: addr, Fate: jwdispatch.Refused, RetryAfter: after,
@@ -92,8 +92,8 @@
 		}
 	}
 	b := &body{
-		client: c, addr: addr, ctx: ctx, watch: watch,
-		cancel: func() { cancel(nil) }, resp: resp, endless: endless(resp),
+		client: c, addr: addr, ctx: ctx, progress: progress,
+		cancel: func() { cancel(nil) }, resp: resp, endsWithConnection: endsWithConnection(resp),
 	}
 	b.stream = isStream(resp.Header)
 	head := jwdispatch.Head{
@@ -114,8 +114,8 @@
 // made one that can be read once only.
 func request(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*http.Request, error) {
 	in := call.Request
-	once := io.NopCloser(bytes.NewReader(in.Body))
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+call.Path, once)
+	bodyReader := io.NopCloser(bytes.NewReader(in.Body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+call.Path, bodyReader)
 	if err != nil {
 		return nil, errors.Wrap(err, "make request")
 	}
@@ -137,7 +137,7 @@
 }
 
 // refused tells whether a status says that the target did not run the request.
-func refused(status int) bool {
+func isRefusal(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
@@ -156,25 +156,25 @@
 
 // endless tells whether only the end of the connection would end the answer,
 // so that a broken one looks whole.
-func endless(resp *http.Response) bool {
+func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-func (c *Client) to(addr netip.AddrPort) *connections {
+func (c *Client) connsTo(addr netip.AddrPort) *targetConns {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := c.targets[addr]
 	if conns == nil {
-		conns = c.connections()
+		conns = c.newTargetConns()
 		if c.targets == nil {
-			c.targets = make(map[netip.AddrPort]*connections)
+			c.targets = make(map[netip.AddrPort]*targetConns)
 		}
 		c.targets[addr] = conns
 	}
 	return conns
 }
 
-func (c *Client) connections() *connections {
+func (c *Client) newTargetConns() *targetConns {
 	jwrest.Quiet()
 	timeout := c.DialTimeout
 	if timeout == 0 {
@@ -183,18 +183,18 @@
 	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3,
 	}}
-	reused := &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerTarget, IdleConnTimeout: idleTimeout,
-		DisableCompression: true, MaxResponseHeaderBytes: maxHeader,
+	pooledTransport := &http.Transport{
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdlePerTarget, IdleConnTimeout: idleTimeout,
+		DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeader,
 	}
 	single := &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true,
-		DisableCompression: true, MaxResponseHeaderBytes: maxHeader,
+		DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeader,
 	}
-	return &connections{reused: reused, again: service(reused), once: service(single)}
+	return &targetConns{pooledTransport: pooledTransport, pooled: newService(pooledTransport), singleUse: newService(single)}
 }
 
-func service(t *http.Transport) httpc.Service {
+func newService(t *http.Transport) httpc.Service {
 	return httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t, CheckRedirect: noRedirect})
 }
 
@@ -206,7 +206,7 @@
 	delete(c.targets, addr)
 	c.mu.Unlock()
 	if conns != nil {
-		conns.reused.CloseIdleConnections()
+		conns.pooledTransport.CloseIdleConnections()
 	}
 }
 
@@ -234,7 +234,7 @@
 }
 
 var (
-	errSilent   = errors.New("no progress")
-	errNoEnd    = errors.New("answer without an end mark")
-	errTooEarly = errors.New("stream ended before its end mark")
+	errSilent      = errors.New("no progress")
+	errNoLength    = errors.New("answer without an end mark")
+	errNoEndMarker = errors.New("stream ended before its end mark")
 )
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -38,7 +38,7 @@
 // Each way in which a target can fail tells the node how far the request got.
 // A wrong word here becomes a doubled order, or an order reported as lost that
 // was never placed.
-func TestFates(t *testing.T) {
+func TestCallFailures(t *testing.T) {
 	tests := map[string]struct {
 		handler  http.HandlerFunc
 		progress time.Duration
@@ -134,7 +134,7 @@
 // connection that was used before. The HTTP library would by itself send the
 // request once more, since it carries an Idempotency-Key, and the restaurant
 // would get its langoustine twice.
-func TestNotSentAgainByTheTransport(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	tests := map[string]string{"with a body": "order", "without a body": ""}
 	for name, body := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -174,20 +174,20 @@
 // A caller goes away in the midst of a long draft. The target must notice, or
 // it goes on generating tokens that nobody reads.
 func TestCloseCancelsTheTarget(t *testing.T) {
-	gone := make(chan struct{})
+	targetCancelled := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		_, _ = io.Copy(io.Discard, r.Body)
 		w.Header().Set("Content-Type", "text/event-stream")
 		_, _ = fmt.Fprint(w, "data: a\n\n")
 		_ = http.NewResponseController(w).Flush()
 		<-r.Context().Done()
-		close(gone)
+		close(targetCancelled)
 	}))
 	defer s.Close()
 	a, err := (&Client{}).Call(context.Background(), address(t, s), call("draft"))
 	assert.NilError(t, err)
 	assert.NilError(t, a.Body.Close())
-	<-gone
+	<-targetCancelled
 }
 
 func TestParseLoad(t *testing.T) {
--- a/io/jwtargetclient/load.go
+++ b/io/jwtargetclient/load.go
@@ -35,7 +35,7 @@
 	if err != nil {
 		return load, false, errors.Wrapf(err, "make load request: %s", addr)
 	}
-	resp, err := c.to(addr).again.DoRequest(r)
+	resp, err := c.connsTo(addr).pooled.DoRequest(r)
 	if err != nil {
 		if ctx.Err() != nil {
 			c.Forget(addr)
