--- a/io/jwtargetclient/body.go
+++ b/io/jwtargetclient/body.go
@@ -10,10 +10,11 @@
 	"time"
 )
 
-// doneMark is the data of the last event of a model engine's stream.
+// endMarker is the last event of a model engine's stream.
 var endMarker = []byte("data: [DONE]")
 
-// body is an answer being read; it says io.EOF only when the answer is whole.
+// body reads the body of an answer. It returns io.EOF only if the answer is
+// complete.
 type body struct {
 	client             *Client
 	addr               netip.AddrPort
@@ -21,9 +22,9 @@
 	progress           *progressTimer
 	cancel             func()
 	resp               *http.Response
-	stream             bool
-	endsWithConnection bool
-	tail               []byte // last bytes of a stream, to see its end mark
+	stream             bool   // the answer is an event stream
+	endsWithConnection bool   // see the function of this name
+	tail               []byte // last bytes of a stream, to detect its end marker
 }
 
 // Read reads the answer; errors other than io.EOF are *jwdispatch.CallError.
@@ -45,8 +46,9 @@
 	return n, b.client.callError(b.ctx, b.addr, "read answer", true, err)
 }
 
-// atEnd judges an answer that ended without an error. A stream that lost its
-// engine can end cleanly and short; its missing end mark shows it.
+// completionError returns an error if an answer that ended without a read error
+// is not complete. When a model engine fails, its stream can end early but
+// without an error; the missing end marker reveals that.
 func (b *body) completionError() error {
 	if b.stream {
 		if !bytes.Contains(b.tail, endMarker) {
@@ -60,7 +62,8 @@
 	return nil
 }
 
-// remember keeps the last bytes of a stream.
+// keepTail keeps the last bytes of a stream, so that an end marker is found that
+// is split between reads.
 func (b *body) keepTail(p []byte) {
 	if !b.stream {
 		return
@@ -76,15 +79,16 @@
 	}
 }
 
-// Close ends the call; the connection of an unfinished one is closed, which
-// tells the target to stop its work.
+// Close ends the call. If the answer has not been read to its end, its connection
+// is closed, which makes the target stop work on it.
 func (b *body) Close() error {
 	b.progress.stop()
 	b.cancel()
 	return b.resp.Body.Close()
 }
 
-// watchdog calls bark when it was not fed for a while.
+// progressTimer calls onTimeout if it is not reset for the duration of its
+// timeout. With a timeout of 0 it does nothing.
 type progressTimer struct {
 	mu      sync.Mutex
 	timer   *time.Timer
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -23,8 +23,9 @@
 	"jujubewheel/io/jwrest"
 )
 
-// serviceName is what httpc calls the targets; its breaker is off for it,
-// since whether a target may be used is decided by the target table.
+// serviceName is the name of all targets in httpc. Its circuit breaker is
+// disabled for this name, because the target table decides whether a target may
+// be used.
 const serviceName = "target"
 
 const (
@@ -37,23 +38,24 @@
 
 // Client calls targets; the zero value is ready to use.
 type Client struct {
-	DialTimeout time.Duration // for a new connection, 1 s if zero
+	DialTimeout time.Duration // longest time to open a connection, 1 s if zero
 
 	mu      sync.Mutex
 	targets map[netip.AddrPort]*targetConns
 }
 
-// connections are the ways to one target.
+// targetConns holds the HTTP clients for one target.
 type targetConns struct {
-	pooledTransport *http.Transport // for calls that may be sent again
-	// The services are made once: each call would else make a client and a
-	// service anew.
-	pooled    httpc.Service // over reused
-	singleUse httpc.Service // one connection a call
+	pooledTransport *http.Transport // keeps connections, for calls that may be repeated
+	// The services are kept here, because otherwise each call would create a
+	// client and a service.
+	pooled    httpc.Service // over pooledTransport
+	singleUse httpc.Service // opens a connection for each call
 }
 
-// Call sends one request to a target and returns once its answer has begun.
-// Errors are of type *jwdispatch.CallError.
+// Call sends one request to a target and returns when the head of the answer has
+// arrived. Errors are of type *jwdispatch.CallError; those of reading the answer
+// too.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
 	progress := newProgressTimer(call.Progress, func() { cancel(errSilent) })
@@ -106,12 +108,12 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// request makes the HTTP request of a call.
+// request creates the HTTP request for a call.
 //
-// The transport sends a request again by itself when a reused connection
-// breaks, if it can get the body anew and the request has an Idempotency-Key.
-// A confirmation would then run twice, unseen by this node; so the body is
-// made one that can be read once only.
+// The transport repeats a request by itself when a reused connection breaks, if
+// it can read the body again and the request has an Idempotency-Key. A
+// confirmation could then run twice without this node noticing. Therefore the
+// request gets a body that can be read only once.
 func request(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*http.Request, error) {
 	in := call.Request
 	bodyReader := io.NopCloser(bytes.NewReader(in.Body))
@@ -136,7 +138,8 @@
 	}
 }
 
-// refused tells whether a status says that the target did not run the request.
+// isRefusal reports whether a status means that the target did not run the
+// request.
 func isRefusal(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
@@ -154,8 +157,9 @@
 	return err == nil && kind == "text/event-stream"
 }
 
-// endless tells whether only the end of the connection would end the answer,
-// so that a broken one looks whole.
+// endsWithConnection reports whether the answer has neither a length nor chunks,
+// so that only the end of the connection ends it. If the connection of such an
+// answer breaks, the answer looks complete.
 func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
@@ -198,8 +202,7 @@
 	return httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t, CheckRedirect: noRedirect})
 }
 
-// Forget closes the idle connections to a target and opens new ones for the
-// next calls.
+// Forget closes the idle connections to a target. Later calls open new ones.
 func (c *Client) Forget(addr netip.AddrPort) {
 	c.mu.Lock()
 	conns := c.targets[addr]
@@ -210,9 +213,10 @@
 	}
 }
 
-// callError judges a failed call. When a connection went silent, all others to
-// that target are suspect too: something between the two ends may have lost
-// track of them, and every call on one would wait as long. New ones are opened.
+// callError returns the error of a failed call; sent is whether the request may
+// have been sent. If there was no progress on a connection, the other kept
+// connections to that target are closed too: a device on the path may have lost
+// their state, and every call on one of them would wait as long.
 func (c *Client) callError(ctx context.Context, addr netip.AddrPort, step string, sent bool, err error) *jwdispatch.CallError {
 	out := &jwdispatch.CallError{Step: step, Peer: addr, Err: err, Fate: jwdispatch.Broken}
 	switch {
@@ -228,7 +232,8 @@
 	return out
 }
 
-// crashed tells whether a connection ended as it does when a process dies.
+// crashed reports whether err is one that a connection has when the process at
+// its other end dies.
 func crashed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -35,15 +35,15 @@
 	}
 }
 
-// Each way in which a target can fail tells the node how far the request got.
-// A wrong word here becomes a doubled order, or an order reported as lost that
-// was never placed.
+// A target fails at each step of a call. From the reported failure the node
+// derives whether the request may have run: a wrong one leads to a request that
+// runs twice, or to one reported as lost that was never run.
 func TestCallFailures(t *testing.T) {
 	tests := map[string]struct {
 		handler  http.HandlerFunc
 		progress time.Duration
 		atCall   jwdispatch.Fate // empty when the answer begins
-		atEnd    jwdispatch.Fate // empty when it is whole
+		atEnd    jwdispatch.Fate // empty when it is complete
 	}{
 		"whole plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "fine")
@@ -75,10 +75,10 @@
 				_ = conn.Close()
 			}
 		}, atEnd: jwdispatch.Broken},
-		"silence": {progress: 50 * time.Millisecond, handler: func(_ http.ResponseWriter, r *http.Request) {
+		"no answer in time": {progress: 50 * time.Millisecond, handler: func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
 		}, atCall: jwdispatch.Silent},
-		"silence in the midst of a stream": {progress: 50 * time.Millisecond, handler: func(w http.ResponseWriter, r *http.Request) {
+		"stream that stops without closing": {progress: 50 * time.Millisecond, handler: func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			_, _ = io.WriteString(w, "data: a\n\n")
 			_ = http.NewResponseController(w).Flush()
@@ -119,8 +119,8 @@
 	assert.Equal(t, failed.Fate, want)
 }
 
-// Nothing listens at the target's address any more. The node must say that the
-// request was not run, so that its caller can order again at once.
+// Nothing listens at the target's address any more. The node must report that
+// the request was not run, so that the caller can repeat it at once.
 func TestNoListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -130,10 +130,9 @@
 	assertFate(t, err, jwdispatch.Unsent)
 }
 
-// The target takes a confirmation and its process dies before the answer, on a
-// connection that was used before. The HTTP library would by itself send the
-// request once more, since it carries an Idempotency-Key, and the restaurant
-// would get its langoustine twice.
+// A target accepts a confirmation on a reused connection, and its process dies
+// before it answers. Because the request has an Idempotency-Key, net/http would
+// send it again by itself, and the confirmation would run twice.
 func TestTransportDoesNotResend(t *testing.T) {
 	tests := map[string]string{"with a body": "order", "without a body": ""}
 	for name, body := range tests {
@@ -171,7 +170,7 @@
 	}
 }
 
-// A caller goes away in the midst of a long draft. The target must notice, or
+// A caller disconnects in the middle of a long answer. The target must notice, or
 // it goes on generating tokens that nobody reads.
 func TestCloseCancelsTheTarget(t *testing.T) {
 	targetCancelled := make(chan struct{})
--- a/io/jwtargetclient/doc.go
+++ b/io/jwtargetclient/doc.go
@@ -1,3 +1,3 @@
-// Package jwtargetclient calls targets over HTTP/1.1 and tells, for each call
-// that failed, whether the target can have run it.
+// Package jwtargetclient calls targets over HTTP/1.1. For each failed call, the
+// error says whether the target may have run it.
 package jwtargetclient
--- a/io/jwtargetclient/load.go
+++ b/io/jwtargetclient/load.go
@@ -15,7 +15,8 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// The gauges of a target's load report, by the names that model engines use.
+// The names of the gauges in a target's load report are those that model engines
+// use.
 const (
 	gaugeRunning = "vllm:num_requests_running"
 	gaugeWaiting = "vllm:num_requests_waiting"
@@ -25,11 +26,12 @@
 	gaugeLeaving = "vllm:leaving"
 )
 
-// maxReport bounds a load report in bytes.
+// maxReport is the maximum size of a load report in bytes. The rest is not read.
 const maxReport = 256 << 10
 
-// Load asks a target for its load in the Prometheus text format; leaving is
-// its own word that it wants no new work.
+// Load reads the load of a target from its /metrics, in the Prometheus text
+// format. The load is zero for a target that has no such path; leaving reports
+// whether the target asks for no new work.
 func (c *Client) Load(ctx context.Context, addr netip.AddrPort) (load jwtarget.Load, leaving bool, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil)
 	if err != nil {
@@ -44,7 +46,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	if resp.StatusCode == http.StatusNotFound || resp.StatusCode == http.StatusMethodNotAllowed {
-		return load, false, nil // a service that tells no load, but lives
+		return load, false, nil // the service reports no load, but is alive
 	}
 	if resp.StatusCode != http.StatusOK {
 		return load, false, errors.Errorf("read load: %s: target answered %s", addr, resp.Status)
