--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -119,7 +119,7 @@
 	bodyReader := io.NopCloser(bytes.NewReader(in.Body))
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+call.Path, bodyReader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	r.ContentLength = int64(len(in.Body))
 	setHeader(r.Header, "Content-Type", in.ContentType)
@@ -240,6 +240,6 @@
 
 var (
 	errSilent      = errors.New("no progress")
-	errNoLength    = errors.New("answer without an end mark")
-	errNoEndMarker = errors.New("stream ended before its end mark")
+	errNoLength    = errors.New("answer has neither a length nor chunks, so its end is unknown")
+	errNoEndMarker = errors.New("stream ended without its end marker")
 )
--- a/io/jwtargetclient/load.go
+++ b/io/jwtargetclient/load.go
@@ -35,7 +35,7 @@
 func (c *Client) Load(ctx context.Context, addr netip.AddrPort) (load jwtarget.Load, leaving bool, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil)
 	if err != nil {
-		return load, false, errors.Wrapf(err, "make load request: %s", addr)
+		return load, false, errors.Wrapf(err, "create load request: %s", addr)
 	}
 	resp, err := c.connsTo(addr).pooled.DoRequest(r)
 	if err != nil {
