--- a/io/jwtargetclient/body.go
+++ b/io/jwtargetclient/body.go
@@ -23,7 +23,7 @@
 	cancel             func()
 	resp               *http.Response
 	stream             bool   // the answer is an event stream
-	endsWithConnection bool   // see the function of this name
+	endsWithConnection bool   // only the end of the connection ends the answer
 	tail               []byte // last bytes of a stream, to detect its end marker
 }
 
