--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -20,7 +20,7 @@
 // The values of a Pool whose own fields are zero.
 const (
 	DefaultDialTimeout = 700 * time.Millisecond
-	DefaultIdle        = 8 * time.Second
+	DefaultIdleTimeout = 8 * time.Second
 	DefaultMaxIdle     = 32
 )
 
@@ -30,11 +30,11 @@
 	userTimeout = 1500 * time.Millisecond
 	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
 	tcpUserTimeout = 18
-	readBuffer     = 2 << 10 // hundreds of streams are open at once, of small events
-	restBuffer     = 16 << 10
+	readBufferSize = 2 << 10 // hundreds of streams are open at once, of small events
+	restBufferSize = 16 << 10
 	// bigBody is the size from which a body is written beside the reading of
 	// the answer: a target may answer before it has read it.
-	bigBody = 8 << 10
+	maxInlineBody = 8 << 10
 )
 
 // Stage tells how far a call got.
@@ -63,7 +63,7 @@
 func (e *CallError) Unwrap() error { return e.Err }
 
 // errForeign is the cause when answers on a connection belong to other requests.
-var errForeign = errors.New("the answer is to another request")
+var errWrongAnswer = errors.New("the answer is to another request")
 
 // Pool keeps connections by address; set its fields before use.
 type Pool struct {
@@ -82,9 +82,9 @@
 // conn is one connection.
 type conn struct {
 	net.Conn
-	r     *bufio.Reader
-	since time.Time     // when it was put back
-	keep  time.Duration // what the peer said of keeping it, 0 if nothing
+	r         *bufio.Reader
+	idleSince time.Time     // when it was put back
+	keepAlive time.Duration // what the peer said of keeping it, 0 if nothing
 }
 
 // Call is one request to a peer.
@@ -117,13 +117,13 @@
 	Length int64 // -1 if not known
 	Body   io.Reader
 
-	pool    *Pool
-	conn    *conn
-	peer    netip.AddrPort
-	whole   bool
-	closing bool
-	written chan error // nil if the body was written before
-	stop    func() bool
+	pool       *Pool
+	conn       *conn
+	peer       netip.AddrPort
+	complete   bool
+	peerCloses bool
+	bodyResult chan error // nil if the body was written before
+	stop       func() bool
 }
 
 // Do sends the call and reads the head of its answer. When ctx ends the
@@ -150,7 +150,7 @@
 func (p *Pool) exchange(cn *conn, c *Call) (*Answer, error) {
 	a := &Answer{pool: p, conn: cn, peer: c.Peer}
 	head := appendHead(make([]byte, 0, 1024), c)
-	if len(c.Body) <= bigBody && c.Rest == nil {
+	if len(c.Body) <= maxInlineBody && c.Rest == nil {
 		if _, err := cn.Write(append(head, c.Body...)); err != nil {
 			return nil, err
 		}
@@ -158,19 +158,19 @@
 		if _, err := cn.Write(head); err != nil {
 			return nil, err
 		}
-		a.written = make(chan error, 1)
-		go func() { a.written <- writeBody(cn, c) }()
+		a.bodyResult = make(chan error, 1)
+		go func() { a.bodyResult <- writeBody(cn, c) }()
 	}
 	res, err := readHead(cn.r, c)
 	if err != nil {
-		return nil, a.cause(err)
+		return nil, a.requestError(err)
 	}
 	a.Status, a.Header, a.Length = res.StatusCode, res.Header, res.ContentLength
-	a.closing = res.Close
-	cn.keep = keepAlive(res.Header)
+	a.peerCloses = res.Close
+	cn.keepAlive = parseKeepAlive(res.Header)
 	a.Body = &bodyReader{a: a, r: res.Body}
 	if res.ContentLength == 0 {
-		a.whole = true
+		a.complete = true
 	}
 	return a, nil
 }
@@ -191,24 +191,24 @@
 		return err
 	}
 	var w io.Writer = cn
-	var chunks io.WriteCloser
+	var chunkWriter io.WriteCloser
 	if c.Length < 0 {
-		chunks = httputil.NewChunkedWriter(cn)
-		w = chunks
+		chunkWriter = httputil.NewChunkedWriter(cn)
+		w = chunkWriter
 	}
 	rest := &restReader{r: c.Rest}
 	_, err := w.Write(c.Body)
 	if err == nil {
-		_, err = io.CopyBuffer(w, rest, make([]byte, restBuffer))
+		_, err = io.CopyBuffer(w, rest, make([]byte, restBufferSize))
 	}
 	if err != nil {
 		cn.Close()
 		return err
 	}
-	if chunks == nil {
+	if chunkWriter == nil {
 		return nil
 	}
-	if err := chunks.Close(); err != nil {
+	if err := chunkWriter.Close(); err != nil {
 		return err
 	}
 	_, err = io.WriteString(cn, "\r\n") // no trailers
@@ -227,14 +227,14 @@
 }
 
 // cause returns why no answer came: a body that broke off ended the connection.
-func (a *Answer) cause(err error) error {
-	if a.written == nil {
+func (a *Answer) requestError(err error) error {
+	if a.bodyResult == nil {
 		return err
 	}
 	var rest *RestError
 	select {
-	case written := <-a.written:
-		if errors.As(written, &rest) {
+	case writeErr := <-a.bodyResult:
+		if errors.As(writeErr, &rest) {
 			return rest
 		}
 	default:
@@ -245,8 +245,8 @@
 // readHead reads the head of the answer to a call and passes over interim
 // answers and answers to earlier requests.
 func readHead(r *bufio.Reader, c *Call) (*http.Response, error) {
-	const most = 3
-	for range most {
+	const maxResponses = 3
+	for range maxResponses {
 		res, err := http.ReadResponse(r, &http.Request{Method: c.Method})
 		if err != nil {
 			return nil, err
@@ -264,7 +264,7 @@
 			return nil, err
 		}
 	}
-	return nil, errForeign
+	return nil, errWrongAnswer
 }
 
 func appendHead(b []byte, c *Call) []byte {
@@ -298,7 +298,7 @@
 }
 
 // keepAlive returns how long the peer keeps an unused connection.
-func keepAlive(h http.Header) time.Duration {
+func parseKeepAlive(h http.Header) time.Duration {
 	for _, word := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(word), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
@@ -313,7 +313,7 @@
 
 // take returns a kept connection that is still sound, or a new one.
 func (p *Pool) take(ctx context.Context, c *Call) (*conn, error) {
-	idle := or(p.Idle, DefaultIdle)
+	idle := durationOr(p.Idle, DefaultIdleTimeout)
 	if c.Fresh > 0 {
 		idle = c.Fresh
 	}
@@ -322,8 +322,8 @@
 		if cn == nil {
 			return p.dial(ctx, c.Peer)
 		}
-		unused := time.Since(cn.since)
-		if unused < idle && (cn.keep == 0 || unused < cn.keep/2) && cn.quiet() {
+		unused := time.Since(cn.idleSince)
+		if unused < idle && (cn.keepAlive == 0 || unused < cn.keepAlive/2) && cn.isUsable() {
 			return cn, nil
 		}
 		cn.Close()
@@ -343,7 +343,7 @@
 }
 
 func (p *Pool) dial(ctx context.Context, peer netip.AddrPort) (*conn, error) {
-	d := net.Dialer{Timeout: or(p.DialTimeout, DefaultDialTimeout), KeepAlive: -1, Control: setUserTimeout}
+	d := net.Dialer{Timeout: durationOr(p.DialTimeout, DefaultDialTimeout), KeepAlive: -1, Control: setUserTimeout}
 	if p.Opened != nil {
 		p.Opened()
 	}
@@ -351,7 +351,7 @@
 	if err != nil {
 		return nil, err
 	}
-	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBuffer)}, nil
+	return &conn{Conn: c, r: bufio.NewReaderSize(c, readBufferSize)}, nil
 }
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
@@ -364,10 +364,10 @@
 // put keeps a connection for later calls.
 func (p *Pool) put(peer netip.AddrPort, cn *conn) {
 	now := time.Now()
-	cn.since = now
-	most := orInt(p.MaxIdle, DefaultMaxIdle)
+	cn.idleSince = now
+	maxIdle := intOr(p.MaxIdle, DefaultMaxIdle)
 	if p.Share != nil {
-		most = max(min(most, p.Share(peer)), 1)
+		maxIdle = max(min(maxIdle, p.Share(peer)), 1)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -375,7 +375,7 @@
 		p.idle = make(map[netip.AddrPort][]*conn)
 	}
 	list := p.idle[peer]
-	for len(list) > 0 && (len(list) >= most || now.Sub(list[0].since) > or(p.Idle, DefaultIdle)) {
+	for len(list) > 0 && (len(list) >= maxIdle || now.Sub(list[0].idleSince) > durationOr(p.Idle, DefaultIdleTimeout)) {
 		list[0].Close()
 		list = list[1:]
 	}
@@ -403,7 +403,7 @@
 
 // quiet tells whether a kept connection is open and holds no bytes that nobody
 // asked for.
-func (c *conn) quiet() bool {
+func (c *conn) isUsable() bool {
 	if c.r.Buffered() > 0 {
 		return false
 	}
@@ -415,24 +415,24 @@
 	if err != nil {
 		return false
 	}
-	sound := false
+	open := false
 	err = raw.Read(func(fd uintptr) bool {
 		var b [1]byte
 		_, _, err := syscall.Recvfrom(int(fd), b[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		sound = err == syscall.EAGAIN
+		open = err == syscall.EAGAIN
 		return true
 	})
-	return err == nil && sound
+	return err == nil && open
 }
 
 // Whole tells whether the body was read to its end.
-func (a *Answer) Whole() bool { return a.whole }
+func (a *Answer) Whole() bool { return a.complete }
 
 // Close keeps the connection if the exchange is complete, and closes it
 // otherwise.
 func (a *Answer) Close() {
 	alive := a.stop == nil || a.stop()
-	if alive && a.whole && !a.closing && a.bodyWritten() {
+	if alive && a.complete && !a.peerCloses && a.bodyWritten() {
 		a.pool.put(a.peer, a.conn)
 		return
 	}
@@ -442,11 +442,11 @@
 // bodyWritten tells whether the whole request has been sent. After an early
 // answer it may not be; the peer would then take the next request for the rest.
 func (a *Answer) bodyWritten() bool {
-	if a.written == nil {
+	if a.bodyResult == nil {
 		return true
 	}
 	select {
-	case err := <-a.written:
+	case err := <-a.bodyResult:
 		return err == nil
 	default:
 		return false
@@ -462,23 +462,23 @@
 func (b *bodyReader) Read(p []byte) (int, error) {
 	n, err := b.r.Read(p)
 	if err == io.EOF {
-		b.a.whole = true
+		b.a.complete = true
 	} else if err != nil {
 		err = &CallError{Read, b.a.peer, err}
 	}
 	return n, err
 }
 
-func or(d, otherwise time.Duration) time.Duration {
+func durationOr(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
 
-func orInt(n, otherwise int) int {
+func intOr(n, fallback int) int {
 	if n > 0 {
 		return n
 	}
-	return otherwise
+	return fallback
 }
--- a/io/jwconn/pool_test.go
+++ b/io/jwconn/pool_test.go
@@ -17,7 +17,7 @@
 
 // peer is a listener whose connections are served by script, one call after
 // the other.
-func peer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) netip.AddrPort {
+func startPeer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -38,7 +38,7 @@
 }
 
 // request reads one request and returns its identifier.
-func request(r *bufio.Reader) (string, error) {
+func readRequestID(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
 		return "", err
@@ -47,14 +47,14 @@
 	return req.Header.Get("Id"), err
 }
 
-func call(a netip.AddrPort, id string) *Call {
+func newCall(a netip.AddrPort, id string) *Call {
 	return &Call{
 		Peer: a, Method: http.MethodPost, Target: "/x?y=1", Host: "h", Header: http.Header{"Id": {id}}, Body: []byte("body"),
 		Match: func(h http.Header) bool { return h.Get("Id") == id },
 	}
 }
 
-func answer(id, body string) string {
+func responseText(id, body string) string {
 	return "HTTP/1.1 200 OK\r\nId: " + id + "\r\nContent-Length: " + string(rune('0'+len(body))) + "\r\n\r\n" + body
 }
 
@@ -66,26 +66,26 @@
 		stage Stage // of the failure, empty for none
 		kept  bool  // whether the connection serves the next call
 	}{
-		"sized":                                  {raw: answer("ID", "abc"), body: "abc", kept: true},
-		"empty":                                  {raw: answer("ID", ""), body: "", kept: true},
+		"sized":                                  {raw: responseText("ID", "abc"), body: "abc", kept: true},
+		"empty":                                  {raw: responseText("ID", ""), body: "", kept: true},
 		"chunked":                                {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", body: "abc", kept: true},
 		"without length":                         {raw: "HTTP/1.1 200 OK\r\nId: ID\r\n\r\nabc", close: true, body: "abc"},
 		"the peer closes":                        {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nConnection: close\r\nContent-Length: 3\r\n\r\nabc", body: "abc"},
-		"interim first":                          {raw: "HTTP/1.1 103 Early Hints\r\n\r\n" + answer("ID", "abc"), body: "abc", kept: true},
-		"a late answer to another request first": {raw: answer("old", "zzz") + answer("ID", "abc"), body: "abc", kept: true},
-		"an extra answer after it":               {raw: answer("ID", "abc") + answer("ID", "zzz"), body: "abc"},
+		"interim first":                          {raw: "HTTP/1.1 103 Early Hints\r\n\r\n" + responseText("ID", "abc"), body: "abc", kept: true},
+		"a late answer to another request first": {raw: responseText("old", "zzz") + responseText("ID", "abc"), body: "abc", kept: true},
+		"an extra answer after it":               {raw: responseText("ID", "abc") + responseText("ID", "zzz"), body: "abc"},
 		"broken off":                             {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 9\r\n\r\nabc", close: true, stage: Read},
 		"a chunk broken off":                     {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", close: true, stage: Read},
 		"no answer":                              {close: true, stage: Sent},
 		"no HTTP":                                {raw: "what?\r\n\r\n", stage: Sent, close: true},
-		"only answers to others":                 {raw: strings.Repeat(answer("old", "z"), 4), stage: Sent},
+		"only answers to others":                 {raw: strings.Repeat(responseText("old", "z"), 4), stage: Sent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			conns := 0
-			a := peer(t, func(cn net.Conn, r *bufio.Reader) {
+			a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
 				for {
-					id, err := request(r)
+					id, err := readRequestID(r)
 					if err != nil {
 						return
 					}
@@ -97,7 +97,7 @@
 			})
 			p := &Pool{Opened: func() { conns++ }}
 			for _, id := range []string{"one", "two"} {
-				body, err := read(p, call(a, id))
+				body, err := doAndRead(p, newCall(a, id))
 				var ce *CallError
 				if c.stage == "" {
 					assert.NilError(t, err)
@@ -113,7 +113,7 @@
 	}
 }
 
-func read(p *Pool, c *Call) (string, error) {
+func doAndRead(p *Pool, c *Call) (string, error) {
 	a, err := p.Do(context.Background(), c)
 	if err != nil {
 		return "", err
@@ -127,17 +127,17 @@
 // Sent there, the next request would be taken for the rest of that body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	conns := 0
-	a := peer(t, func(cn net.Conn, r *bufio.Reader) {
+	a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
 		if _, err := http.ReadRequest(r); err != nil {
 			return
 		}
-		_, _ = io.WriteString(cn, answer("one", "no"))
+		_, _ = io.WriteString(cn, responseText("one", "no"))
 		time.Sleep(100 * time.Millisecond)
 	})
 	p := &Pool{Opened: func() { conns++ }}
-	c := call(a, "one")
+	c := newCall(a, "one")
 	c.Body = make([]byte, 64<<20) // more than the sockets hold
-	body, err := read(p, c)
+	body, err := doAndRead(p, c)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "no")
 	assert.Equal(t, len(p.idle[a]), 0)
@@ -146,29 +146,29 @@
 // The peer closes kept connections after a while. A request sent on one would
 // be lost, and one that may run once could not be sent again.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
-	a := peer(t, func(cn net.Conn, r *bufio.Reader) {
-		id, err := request(r)
+	a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
+		id, err := readRequestID(r)
 		if err == nil {
-			_, _ = io.WriteString(cn, answer(id, "abc"))
+			_, _ = io.WriteString(cn, responseText(id, "abc"))
 		}
 	})
 	p := &Pool{}
 	for _, id := range []string{"one", "two", "three"} {
-		_, err := read(p, call(a, id))
+		_, err := doAndRead(p, newCall(a, id))
 		assert.NilError(t, err)
-		for p.idle[a][0].quiet() { // until the peer's end is here
+		for p.idle[a][0].isUsable() { // until the peer's end is here
 			time.Sleep(time.Millisecond)
 		}
 	}
 }
 
-func TestNothingIsSentTwice(t *testing.T) {
+func TestRequestIsNotResent(t *testing.T) {
 	got := make(chan string, 10)
-	a := peer(t, func(_ net.Conn, r *bufio.Reader) {
-		id, _ := request(r)
+	a := startPeer(t, func(_ net.Conn, r *bufio.Reader) {
+		id, _ := readRequestID(r)
 		got <- id
 	})
-	_, err := read(&Pool{}, call(a, "one"))
+	_, err := doAndRead(&Pool{}, newCall(a, "one"))
 	assert.ErrorContains(t, err, "sent")
 	assert.Equal(t, <-got, "one")
 	select {
@@ -179,20 +179,20 @@
 }
 
 func TestCallEndsWithItsContext(t *testing.T) {
-	gone := make(chan struct{})
-	a := peer(t, func(_ net.Conn, r *bufio.Reader) {
-		_, _ = request(r)
+	peerSawClose := make(chan struct{})
+	a := startPeer(t, func(_ net.Conn, r *bufio.Reader) {
+		_, _ = readRequestID(r)
 		_, _ = r.ReadByte() // until the caller closes
-		close(gone)
+		close(peerSawClose)
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	go func() {
 		time.Sleep(10 * time.Millisecond)
 		cancel()
 	}()
-	_, err := (&Pool{}).Do(ctx, call(a, "one"))
+	_, err := (&Pool{}).Do(ctx, newCall(a, "one"))
 	assert.ErrorIs(t, err, context.Canceled)
-	<-gone // the peer sees that nobody waits any more
+	<-peerSawClose // the peer sees that nobody waits any more
 }
 
 func TestUnreachablePeer(t *testing.T) {
@@ -200,7 +200,7 @@
 	assert.NilError(t, err)
 	a := netip.MustParseAddrPort(l.Addr().String())
 	l.Close()
-	_, err = (&Pool{}).Do(context.Background(), call(a, "one"))
+	_, err = (&Pool{}).Do(context.Background(), newCall(a, "one"))
 	var ce *CallError
 	assert.Assert(t, errors.As(err, &ce))
 	assert.Equal(t, ce.Stage, Dial)
@@ -216,6 +216,6 @@
 		"timeout":          0,
 	}
 	for header, want := range cases {
-		assert.Equal(t, keepAlive(http.Header{"Keep-Alive": {header}}), want, header)
+		assert.Equal(t, parseKeepAlive(http.Header{"Keep-Alive": {header}}), want, header)
 	}
 }
