--- a/io/jwconn/doc.go
+++ b/io/jwconn/doc.go
@@ -1,8 +1,7 @@
-// Package jwconn makes single HTTP/1.1 calls over kept connections and tells,
-// for each that failed, how far it got.
+// Package jwconn makes HTTP/1.1 calls over kept connections, each of them once.
+// The error of a failed call says at which stage it failed.
 //
-// It exists beside net/http's Transport because that sends a request anew by
-// itself when a kept connection breaks, and takes whatever stands next on a
-// connection for the answer. Requests are written and answers are parsed by
-// net/http.
+// The package replaces net/http's Transport, which sends a request again by
+// itself when a kept connection breaks, and takes whatever comes next on a
+// connection for the answer. Answers are still parsed by net/http.
 package jwconn
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -17,38 +17,41 @@
 	"github.com/pkg/errors"
 )
 
-// The values of a Pool whose own fields are zero.
+// The defaults for the fields of a Pool that are zero.
 const (
-	DefaultDialTimeout = 700 * time.Millisecond
-	DefaultIdleTimeout = 8 * time.Second
-	DefaultMaxIdle     = 32
+	DefaultDialTimeout = 700 * time.Millisecond // for Pool.DialTimeout
+	DefaultIdleTimeout = 8 * time.Second        // for Pool.Idle
+	DefaultMaxIdle     = 32                     // for Pool.MaxIdle
 )
 
 const (
-	// userTimeout ends a connection whose bytes nobody acknowledges: one that
-	// something on the way has forgotten. It leaves room for three losses in a row.
+	// userTimeout closes a connection whose bytes are not acknowledged, for
+	// example because a device on the path has lost its state. It is long enough
+	// for three consecutive packet losses.
 	userTimeout = 1500 * time.Millisecond
-	// tcpUserTimeout is TCP_USER_TIMEOUT of Linux, which package syscall lacks.
+	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package
+	// syscall lacks.
 	tcpUserTimeout = 18
-	readBufferSize = 2 << 10 // hundreds of streams are open at once, of small events
+	readBufferSize = 2 << 10 // small, because hundreds of streams of small events are open at once
 	restBufferSize = 16 << 10
-	// bigBody is the size from which a body is written beside the reading of
-	// the answer: a target may answer before it has read it.
+	// maxInlineBody is the maximum length of a body that is written before the
+	// answer is read. A longer one is written concurrently, because a target may
+	// answer before it has read the body.
 	maxInlineBody = 8 << 10
 )
 
-// Stage tells how far a call got.
+// Stage is the stage at which a call failed.
 type Stage string
 
 // The stages at which a call can fail.
 const (
 	Dial Stage = "dial" // not connected: nothing was sent
 	Sent Stage = "sent" // the request was sent, at least in part, and no answer was read
-	Read Stage = "read" // the answer broke off
+	Read Stage = "read" // the head of the answer was read, but its body is incomplete
 )
 
-// CallError is a call that failed; the peer may have acted on it unless Stage
-// is Dial.
+// CallError is the error of a failed call. The peer may have acted on the call
+// unless Stage is Dial.
 type CallError struct {
 	Stage Stage
 	Peer  netip.AddrPort
@@ -62,29 +65,32 @@
 // Unwrap returns the cause.
 func (e *CallError) Unwrap() error { return e.Err }
 
-// errForeign is the cause when answers on a connection belong to other requests.
+// errWrongAnswer is the cause if the answers on a connection belong to other
+// requests.
 var errWrongAnswer = errors.New("the answer is to another request")
 
-// Pool keeps connections by address; set its fields before use.
+// Pool makes calls and keeps their connections by address. Its fields are set
+// before use.
 type Pool struct {
-	DialTimeout time.Duration
-	Idle        time.Duration // longest time a connection is kept unused
-	MaxIdle     int           // kept connections to one address
-	// Share bounds the kept connections to one address beside MaxIdle, if set:
-	// a target takes only so many from all nodes together.
+	DialTimeout time.Duration // longest time to open a connection
+	Idle        time.Duration // longest time for which an unused connection is kept
+	MaxIdle     int           // max number of unused connections kept to one address
+	// Share, if set, is a further limit on the number of unused connections kept
+	// to an address: a target accepts a limited number from all nodes together.
+	// At least one is kept.
 	Share  func(netip.AddrPort) int
-	Opened func() // called for each new connection, if set
+	Opened func() // called before each attempt to open a connection, if set
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
 }
 
-// conn is one connection.
+// conn is a connection with its read buffer.
 type conn struct {
 	net.Conn
 	r         *bufio.Reader
-	idleSince time.Time     // when it was put back
-	keepAlive time.Duration // what the peer said of keeping it, 0 if nothing
+	idleSince time.Time     // when it was last returned to the pool
+	keepAlive time.Duration // how long the peer keeps it unused according to its last answer, 0 if unknown
 }
 
 // Call is one request to a peer.
@@ -95,22 +101,23 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Rest follows Body, if set, and is read as the peer takes it; such a call
-	// can't be made again once some of it was read. Length is that of Body and
-	// Rest together, -1 if it isn't known.
+	// Rest, if set, is the part of the body after Body. It is read as fast as the
+	// peer reads it, and a call whose Rest was read in part can't be repeated.
+	// Length is the length of Body and Rest together, -1 if it isn't known; it is
+	// used only with Rest.
 	Rest   io.Reader
 	Length int64
-	// Match tells whether a header is of the answer to this call, and not of
-	// an earlier one on the connection; nil takes any.
+	// Match reports whether a header belongs to the answer to this call, and not
+	// to an earlier call on the connection; nil accepts any.
 	Match func(http.Header) bool
-	// Fresh is how long a connection may have been unused for this call; 0 is
-	// the pool's Idle. A short time serves calls that must not be sent twice:
-	// a connection that the peer closes at this moment leaves their fate open.
+	// Fresh is the longest time for which a connection may have been unused to
+	// be chosen for this call; 0 means the pool's Idle. A short time is meant for
+	// calls that must not be sent twice: if the peer closes the connection at the
+	// moment of sending, it is unknown whether the call ran.
 	Fresh time.Duration
 }
 
-// Answer is the head of an answer with its body to be read; Close must be
-// called.
+// Answer is the head of an answer and a reader of its body. Close must be called.
 type Answer struct {
 	Status int
 	Header http.Header
@@ -120,14 +127,14 @@
 	pool       *Pool
 	conn       *conn
 	peer       netip.AddrPort
-	complete   bool
-	peerCloses bool
-	bodyResult chan error // nil if the body was written before
-	stop       func() bool
+	complete   bool        // the body was read to its end
+	peerCloses bool        // the peer closes the connection after this answer
+	bodyResult chan error  // receives the result of writing the body; nil if it was written before the answer was read
+	stop       func() bool // ends the watch on the context; false if the connection was closed
 }
 
-// Do sends the call and reads the head of its answer. When ctx ends the
-// connection is closed, also while the body is read.
+// Do sends the call and reads the head of its answer. If ctx ends, the connection
+// is closed, also while the body is being read. Errors are of type *CallError.
 func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, error) {
 	cn, err := p.take(ctx, c)
 	if err != nil {
@@ -175,7 +182,8 @@
 	return a, nil
 }
 
-// RestError tells that the body of a call ended early: its sender broke off.
+// RestError is the error if Call.Rest failed, so that the body of the call is
+// incomplete.
 type RestError struct{ Err error }
 
 func (e *RestError) Error() string { return "body: " + e.Err.Error() }
@@ -183,8 +191,8 @@
 // Unwrap returns the cause.
 func (e *RestError) Unwrap() error { return e.Err }
 
-// writeBody writes the body of a call. One that breaks off ends the connection,
-// so that the peer doesn't take what it has for all.
+// writeBody writes the body of a call. If the body is incomplete, it closes the
+// connection, so that the peer doesn't take the part that it has for the whole.
 func writeBody(cn *conn, c *Call) error {
 	if c.Rest == nil {
 		_, err := cn.Write(c.Body)
@@ -215,7 +223,7 @@
 	return err
 }
 
-// restReader marks errors of the body's sender.
+// restReader wraps the read errors of Call.Rest in RestError.
 type restReader struct{ r io.Reader }
 
 func (r *restReader) Read(p []byte) (int, error) {
@@ -226,7 +234,8 @@
 	return n, err
 }
 
-// cause returns why no answer came: a body that broke off ended the connection.
+// requestError returns the reason why no answer was read: the RestError if
+// reading the body failed, because that closed the connection, and err otherwise.
 func (a *Answer) requestError(err error) error {
 	if a.bodyResult == nil {
 		return err
@@ -242,8 +251,9 @@
 	return err
 }
 
-// readHead reads the head of the answer to a call and passes over interim
-// answers and answers to earlier requests.
+// readHead reads the head of the answer to a call. It skips informational
+// responses (1xx) and answers to earlier requests, but reads maxResponses heads
+// at most.
 func readHead(r *bufio.Reader, c *Call) (*http.Response, error) {
 	const maxResponses = 3
 	for range maxResponses {
@@ -297,7 +307,8 @@
 	return append(b, "\r\n"...)
 }
 
-// keepAlive returns how long the peer keeps an unused connection.
+// parseKeepAlive returns how long the peer keeps an unused connection according
+// to its Keep-Alive header, 0 if unknown.
 func parseKeepAlive(h http.Header) time.Duration {
 	for _, word := range strings.Split(h.Get("Keep-Alive"), ",") {
 		name, value, ok := strings.Cut(strings.TrimSpace(word), "=")
@@ -311,7 +322,8 @@
 	return 0
 }
 
-// take returns a kept connection that is still sound, or a new one.
+// take returns a kept connection that is still usable, or a new one. A connection
+// is not used again after half of the time for which the peer keeps it.
 func (p *Pool) take(ctx context.Context, c *Call) (*conn, error) {
 	idle := durationOr(p.Idle, DefaultIdleTimeout)
 	if c.Fresh > 0 {
@@ -356,12 +368,14 @@
 
 func setUserTimeout(_, _ string, raw syscall.RawConn) error {
 	return raw.Control(func(fd uintptr) {
-		// A kernel without the option only makes dead connections end later.
+		// On a kernel without the option, broken connections are only detected
+		// later.
 		_ = syscall.SetsockoptInt(int(fd), syscall.IPPROTO_TCP, tcpUserTimeout, int(userTimeout.Milliseconds()))
 	})
 }
 
-// put keeps a connection for later calls.
+// put keeps a connection for later calls. It closes the ones unused longest where
+// there are too many, and those unused for longer than Idle.
 func (p *Pool) put(peer netip.AddrPort, cn *conn) {
 	now := time.Now()
 	cn.idleSince = now
@@ -382,15 +396,15 @@
 	p.idle[peer] = append(list, cn)
 }
 
-// Kept returns how many unused connections to an address there are.
+// Kept returns the number of unused connections kept to an address.
 func (p *Pool) Kept(peer netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[peer])
 }
 
-// Drop closes the kept connections to an address: one that fell silent tells
-// that the others may have too.
+// Drop closes the unused connections kept to an address. It is called when one
+// connection stopped responding, because the others may have too.
 func (p *Pool) Drop(peer netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[peer]
@@ -401,8 +415,8 @@
 	}
 }
 
-// quiet tells whether a kept connection is open and holds no bytes that nobody
-// asked for.
+// isUsable reports whether a kept connection is open and no bytes have arrived
+// on it since the last answer.
 func (c *conn) isUsable() bool {
 	if c.r.Buffered() > 0 {
 		return false
@@ -425,11 +439,11 @@
 	return err == nil && open
 }
 
-// Whole tells whether the body was read to its end.
+// Whole reports whether the body was read to its end.
 func (a *Answer) Whole() bool { return a.complete }
 
-// Close keeps the connection if the exchange is complete, and closes it
-// otherwise.
+// Close returns the connection to the pool if the request was sent and the answer
+// read completely, and closes it otherwise.
 func (a *Answer) Close() {
 	alive := a.stop == nil || a.stop()
 	if alive && a.complete && !a.peerCloses && a.bodyWritten() {
@@ -439,8 +453,9 @@
 	a.conn.Close()
 }
 
-// bodyWritten tells whether the whole request has been sent. After an early
-// answer it may not be; the peer would then take the next request for the rest.
+// bodyWritten reports whether the whole request has been sent. If the peer
+// answered early, it may not be; the peer would then take the next request on the
+// connection for the rest of the body.
 func (a *Answer) bodyWritten() bool {
 	if a.bodyResult == nil {
 		return true
@@ -453,7 +468,8 @@
 	}
 }
 
-// bodyReader reads the body and notes its end.
+// bodyReader reads the body of an answer and sets Answer.complete at its end. Its
+// errors other than io.EOF are of type *CallError.
 type bodyReader struct {
 	a *Answer
 	r io.Reader
--- a/io/jwconn/pool_test.go
+++ b/io/jwconn/pool_test.go
@@ -15,8 +15,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// peer is a listener whose connections are served by script, one call after
-// the other.
+// startPeer listens on a local port and calls script for each connection. It
+// returns the address.
 func startPeer(t *testing.T, script func(c net.Conn, r *bufio.Reader)) netip.AddrPort {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -37,7 +37,7 @@
 	return netip.MustParseAddrPort(l.Addr().String())
 }
 
-// request reads one request and returns its identifier.
+// readRequestID reads one request and returns its header Id.
 func readRequestID(r *bufio.Reader) (string, error) {
 	req, err := http.ReadRequest(r)
 	if err != nil {
@@ -60,11 +60,11 @@
 
 func TestAnswers(t *testing.T) {
 	cases := map[string]struct {
-		raw   string // what the peer writes, with ID for the request's
-		close bool   // and then closes
+		raw   string // what the peer writes; ID is replaced by the request's identifier
+		close bool   // whether the peer closes the connection afterwards
 		body  string
 		stage Stage // of the failure, empty for none
-		kept  bool  // whether the connection serves the next call
+		kept  bool  // whether the connection is used for the next call
 	}{
 		"sized":                                  {raw: responseText("ID", "abc"), body: "abc", kept: true},
 		"empty":                                  {raw: responseText("ID", ""), body: "", kept: true},
@@ -74,8 +74,8 @@
 		"interim first":                          {raw: "HTTP/1.1 103 Early Hints\r\n\r\n" + responseText("ID", "abc"), body: "abc", kept: true},
 		"a late answer to another request first": {raw: responseText("old", "zzz") + responseText("ID", "abc"), body: "abc", kept: true},
 		"an extra answer after it":               {raw: responseText("ID", "abc") + responseText("ID", "zzz"), body: "abc"},
-		"broken off":                             {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 9\r\n\r\nabc", close: true, stage: Read},
-		"a chunk broken off":                     {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", close: true, stage: Read},
+		"incomplete body":                        {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 9\r\n\r\nabc", close: true, stage: Read},
+		"incomplete chunked body":                {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", close: true, stage: Read},
 		"no answer":                              {close: true, stage: Sent},
 		"no HTTP":                                {raw: "what?\r\n\r\n", stage: Sent, close: true},
 		"only answers to others":                 {raw: strings.Repeat(responseText("old", "z"), 4), stage: Sent},
@@ -106,7 +106,7 @@
 					assert.Assert(t, errors.As(err, &ce), "%v", err)
 					assert.Equal(t, ce.Stage, c.stage)
 				}
-				time.Sleep(5 * time.Millisecond) // bytes after the answer arrive
+				time.Sleep(5 * time.Millisecond) // lets the bytes after the answer arrive
 			}
 			assert.Equal(t, conns == 1, c.kept, "%d connections", conns)
 		})
@@ -123,8 +123,9 @@
 	return string(body), err
 }
 
-// The peer answers before it has read a long body and keeps the connection.
-// Sent there, the next request would be taken for the rest of that body.
+// The peer answers before it has read a long body and keeps the connection. If
+// the next request were sent on it, the peer would take it for the rest of that
+// body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	conns := 0
 	a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
@@ -136,15 +137,15 @@
 	})
 	p := &Pool{Opened: func() { conns++ }}
 	c := newCall(a, "one")
-	c.Body = make([]byte, 64<<20) // more than the sockets hold
+	c.Body = make([]byte, 64<<20) // more than the socket buffers hold
 	body, err := doAndRead(p, c)
 	assert.NilError(t, err)
 	assert.Equal(t, body, "no")
 	assert.Equal(t, len(p.idle[a]), 0)
 }
 
-// The peer closes kept connections after a while. A request sent on one would
-// be lost, and one that may run once could not be sent again.
+// The peer closes kept connections after a while. A request sent on one of them
+// would be lost, and one that must not run twice could not be sent again.
 func TestClosedConnectionIsNotUsed(t *testing.T) {
 	a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
 		id, err := readRequestID(r)
@@ -156,7 +157,7 @@
 	for _, id := range []string{"one", "two", "three"} {
 		_, err := doAndRead(p, newCall(a, id))
 		assert.NilError(t, err)
-		for p.idle[a][0].isUsable() { // until the peer's end is here
+		for p.idle[a][0].isUsable() { // until the peer's FIN has arrived
 			time.Sleep(time.Millisecond)
 		}
 	}
@@ -192,7 +193,7 @@
 	}()
 	_, err := (&Pool{}).Do(ctx, newCall(a, "one"))
 	assert.ErrorIs(t, err, context.Canceled)
-	<-peerSawClose // the peer sees that nobody waits any more
+	<-peerSawClose // the connection was closed at the peer
 }
 
 func TestUnreachablePeer(t *testing.T) {
