--- a/io/jwrest/handler.go
+++ b/io/jwrest/handler.go
@@ -19,7 +19,7 @@
 // forceQuit is how long go-zero waits after SIGTERM before it signals the
 // process once more. Its own 5.5 s would end a program that no longer catches
 // the signal then, and with it the streams that a planned stop lets finish.
-const forceQuit = 30 * 24 * time.Hour
+const forceQuitDelay = 30 * 24 * time.Hour
 
 var quietOnce sync.Once
 
@@ -35,20 +35,20 @@
 func Handler(log logr.Logger, routes []rest.Route, stray Stray) (http.Handler, error) {
 	// A router of our own keeps these answers; rest's would start a trace span
 	// for each stray request.
-	own := router.NewRouter()
-	own.SetNotFoundHandler(stray.NotFound)
-	own.SetNotAllowedHandler(stray.NotAllowed)
-	server, err := rest.NewServer(bareConf(), rest.WithRouter(own))
+	customRouter := router.NewRouter()
+	customRouter.SetNotFoundHandler(stray.NotFound)
+	customRouter.SetNotAllowedHandler(stray.NotAllowed)
+	server, err := rest.NewServer(minimalConfig(), rest.WithRouter(customRouter))
 	if err != nil {
 		return nil, errors.Wrap(err, "set up rest")
 	}
 	Quiet()
 	server.AddRoutes(routes)
-	bound, err := rest.NewServerless(server)
+	serverless, err := rest.NewServerless(server)
 	if err != nil {
 		return nil, errors.Wrap(err, "bind routes")
 	}
-	return recovered(log, http.HandlerFunc(bound.Serve)), nil
+	return recoverPanics(log, http.HandlerFunc(serverless.Serve)), nil
 }
 
 // Var returns a variable of the request's path, empty when there is none.
@@ -63,13 +63,13 @@
 		_ = logx.SetUp(logx.LogConf{})
 		logx.Disable()
 		stat.DisableLog()
-		proc.SetTimeToForceQuit(forceQuit)
+		proc.SetTimeToForceQuit(forceQuitDelay)
 	})
 }
 
 // bareConf is rest with every middleware off, so that the node's own limits
 // and deadlines are the only ones.
-func bareConf() rest.RestConf {
+func minimalConfig() rest.RestConf {
 	cfg := rest.RestConf{}
 	cfg.Name = "jujubewheel"
 	cfg.Telemetry.Disabled = true
@@ -81,7 +81,7 @@
 // rest's own recovery writes a 500 and returns, which ends a stream that had
 // begun as if it were whole: the caller would take half an answer for all of
 // it. Aborting leaves the answer without its end, which the caller notices.
-func recovered(log logr.Logger, next http.Handler) http.Handler {
+func recoverPanics(log logr.Logger, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
 			p := recover()
--- a/io/jwrest/server.go
+++ b/io/jwrest/server.go
@@ -19,7 +19,7 @@
 // The limits a Server uses where its own fields are zero.
 const (
 	DefaultMaxHeader     = 32 << 10
-	headerSlack          = 4
+	maxHeaderFactor      = 4
 	DefaultHeaderTimeout = 10 * time.Second
 	DefaultIdleTimeout   = 2 * time.Minute
 )
@@ -71,11 +71,11 @@
 	if s.listener == nil {
 		return netip.AddrPort{}
 	}
-	bound, ok := s.listener.Addr().(*net.TCPAddr)
+	tcpAddr, ok := s.listener.Addr().(*net.TCPAddr)
 	if !ok {
 		return netip.AddrPort{}
 	}
-	a := bound.AddrPort()
+	a := tcpAddr.AddrPort()
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
@@ -93,10 +93,10 @@
 		return err
 	}
 	server := s.httpServer()
-	ended := make(chan error, 1)
-	go func() { ended <- s.serve(server) }()
+	serveErr := make(chan error, 1)
+	go func() { serveErr <- s.serve(server) }()
 	select {
-	case err := <-ended:
+	case err := <-serveErr:
 		return errors.Wrapf(err, "serve %s: %s", s.Name, s.Address)
 	case <-ctx.Done():
 	}
@@ -129,19 +129,19 @@
 
 func (s *Server) httpServer() *http.Server {
 	return &http.Server{
-		Handler:   s.closing(s.Handler),
+		Handler:   s.closeWhenDraining(s.Handler),
 		TLSConfig: s.TLS,
 		// The library's own refusal has no outcome, so it is the last resort:
 		// handlers refuse what is above MaxHeader.
-		MaxHeaderBytes:    headerSlack * orInt(s.MaxHeader, DefaultMaxHeader),
-		ReadHeaderTimeout: orDuration(s.HeaderTimeout, DefaultHeaderTimeout),
-		IdleTimeout:       orDuration(s.IdleTimeout, DefaultIdleTimeout),
+		MaxHeaderBytes:    maxHeaderFactor * intOr(s.MaxHeader, DefaultMaxHeader),
+		ReadHeaderTimeout: durationOr(s.HeaderTimeout, DefaultHeaderTimeout),
+		IdleTimeout:       durationOr(s.IdleTimeout, DefaultIdleTimeout),
 		ErrorLog:          log.New(logWriter{s.Log.WithValues("server", s.Name)}, "", 0),
 	}
 }
 
 // closing asks the caller to open a new connection while the server drains.
-func (s *Server) closing(next http.Handler) http.Handler {
+func (s *Server) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
 			w.Header().Set("Connection", "close")
@@ -159,16 +159,16 @@
 	return len(line), nil
 }
 
-func orInt(n, otherwise int) int {
+func intOr(n, fallback int) int {
 	if n > 0 {
 		return n
 	}
-	return otherwise
+	return fallback
 }
 
-func orDuration(d, otherwise time.Duration) time.Duration {
+func durationOr(d, fallback time.Duration) time.Duration {
 	if d > 0 {
 		return d
 	}
-	return otherwise
+	return fallback
 }
--- a/io/jwrest/server_test.go
+++ b/io/jwrest/server_test.go
@@ -16,14 +16,14 @@
 )
 
 // running is a server under test; stop ends it and waits.
-type running struct {
+type testServer struct {
 	*Server
 	stop func()
 }
 
-func (r running) url() string { return fmt.Sprintf("http://%s", r.Addr()) }
+func (s testServer) url() string { return fmt.Sprintf("http://%s", s.Addr()) }
 
-func start(t *testing.T, routes []rest.Route) running {
+func startServer(t *testing.T, routes []rest.Route) testServer {
 	t.Helper()
 	h, err := Handler(logr.Discard(), routes, Stray{})
 	assert.NilError(t, err)
@@ -32,14 +32,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
-	return running{s, func() {
+	return testServer{s, func() {
 		cancel()
 		assert.NilError(t, <-done)
 	}}
 }
 
 func TestRoutes(t *testing.T) {
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/v1/things/:name",
 		Handler: func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, Var(r, "name")) },
 	}})
@@ -72,7 +72,7 @@
 func TestPanicCutsStream(t *testing.T) {
 	// A handler fails in the middle of a stream. Were the stream ended in the
 	// usual way, the caller would take half an answer for the whole.
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/stream",
 		Handler: func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, "first")
@@ -93,7 +93,7 @@
 	// A node is stopped while a request runs. The caller must get its whole
 	// answer, and the request's context must not end under it.
 	entered, release := make(chan struct{}), make(chan struct{})
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/slow",
 		Handler: func(w http.ResponseWriter, r *http.Request) {
 			close(entered)
@@ -132,7 +132,7 @@
 func TestDrainClosesConnections(t *testing.T) {
 	// A node is about to stop while callers hold connections to it open. Each
 	// must move on after an answer, or its next request would meet a reset.
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/",
 		Handler: func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") },
 	}})
@@ -153,24 +153,24 @@
 // More callers come at once than a node can hold. Those above the bound must
 // wait to be taken, and be served in the end; were all of them taken, the node
 // would run out of memory and none would be served.
-func TestConnectionsAreBounded(t *testing.T) {
-	const bound, callers = 2, 6
+func TestConnectionsAreLimited(t *testing.T) {
+	const maxConnections, callers = 2, 6
 	var mu sync.Mutex
-	inside, most := 0, 0
-	entered, leave := make(chan struct{}, callers), make(chan struct{})
+	active, maxActive := 0, 0
+	entered, release := make(chan struct{}, callers), make(chan struct{})
 	h, err := Handler(logr.Discard(), []rest.Route{{Method: http.MethodGet, Path: "/", Handler: func(http.ResponseWriter, *http.Request) {
 		mu.Lock()
-		inside++
-		most = max(most, inside)
+		active++
+		maxActive = max(maxActive, active)
 		mu.Unlock()
 		entered <- struct{}{}
-		<-leave
+		<-release
 		mu.Lock()
-		inside--
+		active--
 		mu.Unlock()
 	}}}, Stray{})
 	assert.NilError(t, err)
-	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, MaxConnections: bound, Log: logr.Discard()}
+	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, MaxConnections: maxConnections, Log: logr.Discard()}
 	assert.NilError(t, s.Listen())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -192,10 +192,10 @@
 	time.Sleep(200 * time.Millisecond)
 	for range callers {
 		<-entered
-		leave <- struct{}{}
+		release <- struct{}{}
 	}
 	wg.Wait()
-	assert.Assert(t, most <= bound, "%d at once", most)
+	assert.Assert(t, maxActive <= maxConnections, "%d at once", maxActive)
 	cancel()
 	assert.NilError(t, <-done)
 }
