--- a/io/jwrest/handler.go
+++ b/io/jwrest/handler.go
@@ -16,25 +16,25 @@
 	"github.com/zeromicro/go-zero/rest/router"
 )
 
-// forceQuit is how long go-zero waits after SIGTERM before it signals the
-// process once more. Its own 5.5 s would end a program that no longer catches
-// the signal then, and with it the streams that a planned stop lets finish.
+// forceQuitDelay is how long go-zero waits after SIGTERM before it signals the
+// process again. Its default of 5.5 s would end a program that no longer catches
+// the signal by then, and with it the streams that a planned stop lets finish.
 const forceQuitDelay = 30 * 24 * time.Hour
 
 var quietOnce sync.Once
 
-// Stray answers requests that no route takes. Its zero value gives net/http's
-// answers.
+// Stray holds the handlers of requests that match no route. Its zero value gives
+// net/http's answers.
 type Stray struct {
 	NotFound   http.Handler // unknown path
-	NotAllowed http.Handler // known path, but another method; sets Allow itself
+	NotAllowed http.Handler // known path, but no route for the method; it sets the header Allow itself
 }
 
-// Handler returns a handler for the routes; paths hold variables as ":name",
-// to be read with Var.
+// Handler returns a handler for the routes. Their paths may hold variables such
+// as ":name", whose values Var returns.
 func Handler(log logr.Logger, routes []rest.Route, stray Stray) (http.Handler, error) {
-	// A router of our own keeps these answers; rest's would start a trace span
-	// for each stray request.
+	// Without a custom router, rest would wrap the handler for unknown paths and
+	// start a trace span for each such request.
 	customRouter := router.NewRouter()
 	customRouter.SetNotFoundHandler(stray.NotFound)
 	customRouter.SetNotAllowedHandler(stray.NotAllowed)
@@ -51,15 +51,16 @@
 	return recoverPanics(log, http.HandlerFunc(serverless.Serve)), nil
 }
 
-// Var returns a variable of the request's path, empty when there is none.
+// Var returns the value of a variable in the request's path, empty if there is
+// none.
 func Var(r *http.Request, name string) string { return pathvar.Vars(r)[name] }
 
-// Quiet stops go-zero's own log lines and statistics and takes away its power
-// to end the process; Handler calls it, programs that use only go-zero's client
-// call it themselves.
+// Quiet disables go-zero's log lines and statistics, and its handling of SIGTERM
+// that would end the process. Handler calls it; programs that use only go-zero's
+// client have to call it themselves.
 func Quiet() {
 	quietOnce.Do(func() {
-		// Setting up once here makes later set-ups leave the log alone.
+		// SetUp takes effect only once, so later calls leave the log disabled.
 		_ = logx.SetUp(logx.LogConf{})
 		logx.Disable()
 		stat.DisableLog()
@@ -67,8 +68,8 @@
 	})
 }
 
-// bareConf is rest with every middleware off, so that the node's own limits
-// and deadlines are the only ones.
+// minimalConfig returns a configuration of rest with all middleware off, so that
+// only the node's own limits and deadlines apply.
 func minimalConfig() rest.RestConf {
 	cfg := rest.RestConf{}
 	cfg.Name = "jujubewheel"
@@ -76,11 +77,12 @@
 	return cfg
 }
 
-// recovered logs a panic of a handler and then aborts the connection.
+// recoverPanics logs a panic of a handler and then aborts the connection.
 //
-// rest's own recovery writes a 500 and returns, which ends a stream that had
-// begun as if it were whole: the caller would take half an answer for all of
-// it. Aborting leaves the answer without its end, which the caller notices.
+// The recovery of rest writes a 500 and returns, which ends a stream that has
+// begun in the same way as a complete one: the caller would take an incomplete
+// answer for a complete one. After an abort, the answer has no end, which the
+// caller detects.
 func recoverPanics(log logr.Logger, next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		defer func() {
--- a/io/jwrest/server.go
+++ b/io/jwrest/server.go
@@ -16,28 +16,31 @@
 	"golang.org/x/net/netutil"
 )
 
-// The limits a Server uses where its own fields are zero.
+// The defaults for the fields of a Server that are zero, and the factor between
+// MaxHeader and the limit that net/http enforces.
 const (
-	DefaultMaxHeader     = 32 << 10
+	DefaultMaxHeader     = 32 << 10 // for Server.MaxHeader, in bytes
 	maxHeaderFactor      = 4
-	DefaultHeaderTimeout = 10 * time.Second
-	DefaultIdleTimeout   = 2 * time.Minute
+	DefaultHeaderTimeout = 10 * time.Second // for Server.HeaderTimeout
+	DefaultIdleTimeout   = 2 * time.Minute  // for Server.IdleTimeout
 )
 
-// Server answers HTTP on one address; set its fields before Listen or Run.
+// Server is an HTTP server on one address. Its fields are set before Listen or
+// Run.
 type Server struct {
 	Name      string // for logs and errors, such as "callers"
 	Address   netip.AddrPort
 	Handler   http.Handler
 	TLS       *tls.Config // nil for plain HTTP
-	MaxHeader int         // bytes of a request's header
-	// MaxConnections bounds the connections open at once, 0 for no bound;
-	// further ones wait to be taken. Without it callers who all come at once
-	// make a node hold each of their requests, and it runs out of memory.
+	MaxHeader int         // max bytes of a request's header
+	// MaxConnections limits the number of connections open at once, 0 for no
+	// limit; further ones wait to be accepted. Without it, many callers that
+	// connect at the same time make a node hold all of their requests, and it
+	// runs out of memory.
 	MaxConnections int
 	HeaderTimeout  time.Duration // longest wait for a request's header
 	IdleTimeout    time.Duration // longest wait for the next request
-	DrainLimit     time.Duration // longest wait for requests in flight at the end, 0 for no limit
+	DrainLimit     time.Duration // longest wait for requests in flight when the server stops, 0 for no limit
 	Log            logr.Logger
 
 	mu       sync.Mutex
@@ -45,7 +48,7 @@
 	draining atomic.Bool
 }
 
-// Listen opens the address; Run does so too if it was not called.
+// Listen opens the listener on Address. Run calls it if it was not called before.
 func (s *Server) Listen() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -63,8 +66,8 @@
 	return nil
 }
 
-// Addr returns the address in use, which differs from Address when that has
-// port 0; it is invalid before Listen.
+// Addr returns the address in use, which differs from Address if that has port 0.
+// It is invalid before Listen.
 func (s *Server) Addr() netip.AddrPort {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -79,15 +82,16 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// Drain makes each connection close after its next answer, so that callers
-// move elsewhere.
+// Drain makes each connection close after its next answer, so that callers use
+// other nodes.
 //
-// Closing idle connections at once instead would race with a request that is
-// already on its way: its caller would see a reset and not know whether it ran.
+// If idle connections were closed at once, that could coincide with a request
+// that was already sent: its caller would see a reset and not know whether the
+// request ran.
 func (s *Server) Drain() { s.draining.Store(true) }
 
-// Run answers requests until ctx ends, then takes no new connection and lets
-// the requests in flight finish; they keep their own contexts.
+// Run serves requests until ctx ends. Then it accepts no new connection and waits
+// up to DrainLimit for the requests in flight, whose contexts don't end with ctx.
 func (s *Server) Run(ctx context.Context) error {
 	if err := s.Listen(); err != nil {
 		return err
@@ -111,7 +115,8 @@
 	return server.Serve(s.listener)
 }
 
-// shutdown waits for requests in flight and cuts those that outlast the limit.
+// shutdown waits for the requests in flight and closes the connections of those
+// that take longer than DrainLimit.
 func (s *Server) shutdown(server *http.Server) error {
 	ctx := context.Background()
 	if s.DrainLimit > 0 {
@@ -131,8 +136,9 @@
 	return &http.Server{
 		Handler:   s.closeWhenDraining(s.Handler),
 		TLSConfig: s.TLS,
-		// The library's own refusal has no outcome, so it is the last resort:
-		// handlers refuse what is above MaxHeader.
+		// The limit of net/http is above MaxHeader, because its refusal has no
+		// outcome: handlers refuse headers larger than MaxHeader, and net/http
+		// only those that are far larger.
 		MaxHeaderBytes:    maxHeaderFactor * intOr(s.MaxHeader, DefaultMaxHeader),
 		ReadHeaderTimeout: durationOr(s.HeaderTimeout, DefaultHeaderTimeout),
 		IdleTimeout:       durationOr(s.IdleTimeout, DefaultIdleTimeout),
@@ -140,7 +146,8 @@
 	}
 }
 
-// closing asks the caller to open a new connection while the server drains.
+// closeWhenDraining makes each answer close its connection while the server
+// drains.
 func (s *Server) closeWhenDraining(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if s.draining.Load() {
@@ -150,8 +157,9 @@
 	})
 }
 
-// logWriter takes the lines of net/http, which tell of broken connections and
-// failed TLS handshakes: of use when looking into one, noise otherwise.
+// logWriter logs the lines of net/http at verbosity 1. They report broken
+// connections and failed TLS handshakes, and are useful only when such a problem
+// is investigated.
 type logWriter struct{ log logr.Logger }
 
 func (l logWriter) Write(line []byte) (int, error) {
--- a/io/jwrest/server_test.go
+++ b/io/jwrest/server_test.go
@@ -15,7 +15,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// running is a server under test; stop ends it and waits.
+// testServer is a running server; stop stops it and waits until it has ended.
 type testServer struct {
 	*Server
 	stop func()
@@ -70,8 +70,8 @@
 }
 
 func TestPanicCutsStream(t *testing.T) {
-	// A handler fails in the middle of a stream. Were the stream ended in the
-	// usual way, the caller would take half an answer for the whole.
+	// A handler panics in the middle of a stream. If the stream were ended in the
+	// usual way, the caller would take an incomplete answer for a complete one.
 	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/stream",
 		Handler: func(w http.ResponseWriter, _ *http.Request) {
@@ -90,8 +90,8 @@
 }
 
 func TestStopLetsRequestsFinish(t *testing.T) {
-	// A node is stopped while a request runs. The caller must get its whole
-	// answer, and the request's context must not end under it.
+	// A node is stopped while a request runs. The caller must get the complete
+	// answer, and the request's context must not end before it.
 	entered, release := make(chan struct{}), make(chan struct{})
 	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/slow",
@@ -131,7 +131,8 @@
 
 func TestDrainClosesConnections(t *testing.T) {
 	// A node is about to stop while callers hold connections to it open. Each
-	// must move on after an answer, or its next request would meet a reset.
+	// connection must close after an answer, because a later request on it would
+	// get a reset.
 	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/",
 		Handler: func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") },
@@ -150,9 +151,9 @@
 	}
 }
 
-// More callers come at once than a node can hold. Those above the bound must
-// wait to be taken, and be served in the end; were all of them taken, the node
-// would run out of memory and none would be served.
+// More callers connect at once than a node may accept. Those above the limit must
+// wait to be accepted and be served later. If all of them were accepted, the node
+// would run out of memory and serve none.
 func TestConnectionsAreLimited(t *testing.T) {
 	const maxConnections, callers = 2, 6
 	var mu sync.Mutex
@@ -187,8 +188,8 @@
 			}
 		})
 	}
-	// Long enough for those to come in that a server without the bound takes; it
-	// only has to be too short for the test to miss a fault.
+	// The sleep gives a server without the limit time to accept more connections.
+	// If it is too short, the test may miss a fault, but does not fail wrongly.
 	time.Sleep(200 * time.Millisecond)
 	for range callers {
 		<-entered
