--- a/io/jwrest/server_test.go
+++ b/io/jwrest/server_test.go
@@ -196,7 +196,7 @@
 		release <- struct{}{}
 	}
 	wg.Wait()
-	assert.Assert(t, maxActive <= maxConnections, "%d at once", maxActive)
+	assert.Assert(t, maxActive <= maxConnections, "%d requests at once", maxActive)
 	cancel()
 	assert.NilError(t, <-done)
 }
