--- a/io/jwforward/forward.go
+++ b/io/jwforward/forward.go
@@ -19,20 +19,20 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Forward sends a request to another node and returns once its answer has
-// begun. Errors are of type *jwdispatch.CallError.
+// Forward sends a request to another node and returns when the head of the
+// answer has arrived. Errors are of type *jwdispatch.CallError.
 func (p *Pool) Forward(ctx context.Context, to jwpeer.Peer, r *jwrequest.Request, reason string) (*jwdispatch.Answer, error) {
-	if p.doubtful(to.Nodes) {
-		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node left a probe unanswered"))
+	if p.isExcluded(to.Nodes) {
+		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node did not answer a probe"))
 	}
 	client, conn, err := p.client(to.Nodes)
 	if err != nil {
 		return nil, forwardError(to.Nodes, jwdispatch.Unsent, err)
 	}
-	ctx, end := context.WithCancel(ctx)
-	done := p.watch(to.Nodes, conn)
+	ctx, cancelStream := context.WithCancel(ctx)
+	done := p.trackCall(to.Nodes, conn)
 	cancel := sync.OnceFunc(func() {
-		end()
+		cancelStream()
 		done()
 	})
 	stream, err := client.Forward(ctx)
@@ -47,30 +47,31 @@
 	first, err := stream.Recv()
 	if err != nil {
 		cancel()
-		p.judge(to.Nodes, conn, err)
+		p.replaceIfUnavailable(to.Nodes, conn, err)
 		return nil, forwardError(to.Nodes, fate(err), err)
 	}
 	if code := first.GetHead().GetStatus(); code < http.StatusOK || code > maxStatus {
 		cancel()
-		return nil, forwardError(to.Nodes, jwdispatch.Broken, errors.Errorf("answer without a head, or of status %d", code))
+		return nil, forwardError(to.Nodes, jwdispatch.Broken, errors.Errorf("answer has no head or the invalid status %d", code))
 	}
 	b := &answerBody{stream: stream, cancel: cancel, peer: to.Nodes}
 	return &jwdispatch.Answer{Head: headFromWire(first.GetHead()), Body: b}, nil
 }
 
-// maxStatus is the highest status that HTTP has a class for.
+// maxStatus is the highest status code in the classes that HTTP defines.
 const maxStatus = 599
 
-// judge replaces a connection whose pings went unanswered.
-func (p *Pool) judge(addr netip.AddrPort, conn *grpc.ClientConn, err error) {
+// replaceIfUnavailable replaces the connection if err has the code Unavailable,
+// which gRPC returns when its pings were not answered.
+func (p *Pool) replaceIfUnavailable(addr netip.AddrPort, conn *grpc.ClientConn, err error) {
 	if status.Code(err) == codes.Unavailable {
 		p.replace(addr, conn)
 	}
 }
 
-// fate tells what a failed wait for an answer means. These codes are what a
-// node says before it takes a request; of one that it took, it tells the outcome
-// in an answer.
+// fate returns whether the other node may have run a request whose stream
+// failed with err. A node returns the codes below only before it accepts a
+// request; for an accepted request it sends the outcome in an answer.
 func fate(err error) jwdispatch.Fate {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.PermissionDenied, codes.Unimplemented:
@@ -83,16 +84,16 @@
 	return &jwdispatch.CallError{Step: "forward to node", Peer: peer, Fate: f, Err: err}
 }
 
-// sendError is a failed sending of a request. The other node starts nothing
-// before the last frame, so a failure before that is Unsent.
+// sendError is a failure to send a request. The other node does not start the
+// request before it has the last frame, so an earlier failure is Unsent.
 type sendError struct {
-	last bool
-	err  error
+	lastFrame bool // whether the last frame may have been sent
+	err       error
 }
 
 func (e *sendError) at(peer netip.AddrPort) *jwdispatch.CallError {
 	f := fate(e.err)
-	if f == jwdispatch.Broken && !e.last {
+	if f == jwdispatch.Broken && !e.lastFrame {
 		f = jwdispatch.Unsent
 	}
 	return forwardError(peer, f, e.err)
@@ -109,17 +110,18 @@
 			f.Head = head
 		}
 		if err := stream.Send(f); err != nil {
-			return &sendError{last: len(body) == 0, err: cause(stream, err)}
+			return &sendError{lastFrame: len(body) == 0, err: streamError(stream, err)}
 		}
 	}
 	if err := stream.CloseSend(); err != nil {
-		return &sendError{last: true, err: err}
+		return &sendError{lastFrame: true, err: err}
 	}
 	return nil
 }
 
-// cause finds why a stream ended, which a failed Send doesn't tell.
-func cause(stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame], err error) error {
+// streamError returns why a stream ended. Send returns only io.EOF in that
+// case; the error itself comes from Recv.
+func streamError(stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame], err error) error {
 	if err != io.EOF {
 		return err
 	}
@@ -160,54 +162,55 @@
 	}
 }
 
-// answerBody reads the answer of another node; it says io.EOF only when the
-// other node said that the answer is whole.
+// answerBody reads the answer of another node. It returns io.EOF only if the
+// other node reported that the answer is complete.
 type answerBody struct {
 	stream grpc.BidiStreamingClient[jwwire.ForwardFrame, jwwire.AnswerFrame]
 	cancel func()
 	peer   netip.AddrPort
-	rest   []byte
-	length uint64
-	err    error
+	unread []byte // received but not yet read
+	length uint64 // bytes received so far
+	err    error  // what Read returns after unread
 }
 
 // Read reads the answer; errors other than io.EOF are *jwdispatch.CallError.
 func (b *answerBody) Read(p []byte) (int, error) {
-	for len(b.rest) == 0 {
+	for len(b.unread) == 0 {
 		if b.err != nil {
 			return 0, b.err
 		}
-		b.next()
+		b.readFrame()
 	}
-	n := copy(p, b.rest)
-	b.rest = b.rest[n:]
+	n := copy(p, b.unread)
+	b.unread = b.unread[n:]
 	return n, nil
 }
 
-func (b *answerBody) next() {
+func (b *answerBody) readFrame() {
 	f, err := b.stream.Recv()
 	if err != nil {
-		// io.EOF here is a stream that ended without its end frame.
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer without an end"))
+		// io.EOF here means that the stream ended without its end frame.
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer has no end frame"))
 		return
 	}
-	b.rest = f.GetBody()
-	b.length += uint64(len(b.rest))
-	end := f.GetEnd()
-	if end == nil {
+	b.unread = f.GetBody()
+	b.length += uint64(len(b.unread))
+	endFrame := f.GetEnd()
+	if endFrame == nil {
 		return
 	}
 	switch {
-	case end.GetOutcome() != string(jwrequest.Served):
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", end.GetOutcome(), end.GetDetail()))
-	case end.GetLength() != b.length:
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer of %d bytes where %d were sent", b.length, end.GetLength()))
+	case endFrame.GetOutcome() != string(jwrequest.Served):
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", endFrame.GetOutcome(), endFrame.GetDetail()))
+	case endFrame.GetLength() != b.length:
+		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("received %d bytes of an answer of %d bytes", b.length, endFrame.GetLength()))
 	default:
 		b.err = io.EOF
 	}
 }
 
-// Close gives up the rest of the answer; the other node stops working for it.
+// Close cancels the stream, so that the other node stops work on an answer that
+// is not complete.
 func (b *answerBody) Close() error {
 	b.cancel()
 	return nil
--- a/io/jwforward/probe.go
+++ b/io/jwforward/probe.go
@@ -12,91 +12,97 @@
 )
 
 const (
-	probeEvery   = time.Second             // while a connection has calls
-	probeTimeout = 1500 * time.Millisecond // longer than a short pause of a process
-	probePause   = 250 * time.Millisecond  // between probes of a node that is left out
-	// doubtFor bounds how long a node is left out after a probe failed, should
-	// no later one tell that it answers again.
-	doubtFor = 10 * time.Second
+	probeInterval         = time.Second             // between probes of a connection that has calls
+	probeTimeout          = 1500 * time.Millisecond // longer than a short pause of a process
+	excludedProbeInterval = 250 * time.Millisecond  // between probes of an excluded node
+	// maxExclusion is the longest time for which a node is excluded after a
+	// failed probe, if no later probe succeeds.
+	maxExclusion = 10 * time.Second
 )
 
-// way is the connection to one node, and what is known of it.
+// peerConn is the connection to one node and its state.
 //
-// A connection can go silent for good, or carry bytes one way only, and gRPC's
-// own pings tell after 13 s at best: meanwhile each caller whose request was
-// sent on waits that long, and all who follow as well. A small call every
-// second, made while others wait, tells sooner; and nothing more is sent to a
-// node that left one unanswered until it answers again.
-type way struct {
-	used  time.Time // when it was last asked for
+// A connection can stop responding for good, or carry bytes in one direction
+// only. gRPC's own pings detect that after 13 s at the earliest; until then,
+// every forwarded request would wait that long, and so would all later ones. A
+// probe, which is a small call made every second while other calls wait, detects
+// it sooner. A node that does not answer a probe is excluded: it is sent no
+// requests until it answers one.
+type peerConn struct {
+	used  time.Time // when client last returned it
 	conn  *grpc.ClientConn
-	calls int // that wait for the node
-	// tended tells that a goroutine probes the connection. Without it, each
-	// call that finds no other would start one, and a busy connection would
-	// gather more and more of them.
-	tended bool
+	calls int // calls in flight that trackCall counted
+	// probed is true while a goroutine probes the connection. Without it, each
+	// call that finds no other call in flight would start a goroutine, and they
+	// would accumulate on a busy connection.
+	probed bool
 }
 
-// doubtful tells whether a node left a probe unanswered.
-func (p *Pool) doubtful(addr netip.AddrPort) bool {
+// isExcluded reports whether a node is excluded because it did not answer a
+// probe.
+func (p *Pool) isExcluded(addr netip.AddrPort) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return time.Now().Before(p.doubts[addr])
+	return time.Now().Before(p.excludedUntil[addr])
 }
 
-// watch probes the connection of a call until done is called.
-func (p *Pool) watch(addr netip.AddrPort, conn *grpc.ClientConn) (done func()) {
+// trackCall counts a call on a connection until done is called. The connection
+// is probed while it has calls.
+func (p *Pool) trackCall(addr netip.AddrPort, conn *grpc.ClientConn) (done func()) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	w := p.ways[addr]
-	if w == nil || w.conn != conn {
+	c := p.conns[addr]
+	if c == nil || c.conn != conn {
 		return func() {}
 	}
-	w.calls++
-	if !w.tended {
-		w.tended = true
-		go p.tend(addr, w)
+	c.calls++
+	if !c.probed {
+		c.probed = true
+		go p.probeWhileBusy(addr, c)
 	}
 	return func() {
 		p.mu.Lock()
 		defer p.mu.Unlock()
-		w.calls--
+		c.calls--
 	}
 }
 
-// tend probes while there are calls.
-func (p *Pool) tend(addr netip.AddrPort, w *way) {
+// probeWhileBusy probes a connection every probeInterval while it has calls. It
+// returns when there are none left, or when the connection was replaced.
+func (p *Pool) probeWhileBusy(addr netip.AddrPort, c *peerConn) {
 	for {
-		time.Sleep(probeEvery)
+		time.Sleep(probeInterval)
 		p.mu.Lock()
-		w.tended = w.calls > 0 && p.ways[addr] == w
-		tended := w.tended
+		c.probed = c.calls > 0 && p.conns[addr] == c
+		probed := c.probed
 		p.mu.Unlock()
-		if !tended || !p.check(addr, w.conn) {
+		if !probed || !p.probeOrReplace(addr, c.conn) {
 			return
 		}
 	}
 }
 
-// check probes a connection once and gives it up if there is no answer.
-func (p *Pool) check(addr netip.AddrPort, conn *grpc.ClientConn) bool {
+// probeOrReplace probes a connection once. If there is no answer, it replaces
+// the connection, excludes the node and returns false.
+func (p *Pool) probeOrReplace(addr netip.AddrPort, conn *grpc.ClientConn) bool {
 	if probe(conn) {
 		return true
 	}
 	if p.replace(addr, conn) {
-		go p.leaveOut(addr)
+		go p.excludeUntilAnswer(addr)
 	}
 	return false
 }
 
-// leaveOut sends a node nothing more until it answers a probe.
-func (p *Pool) leaveOut(addr netip.AddrPort) {
-	until := time.Now().Add(doubtFor)
+// excludeUntilAnswer excludes a node until it answers a probe, but for
+// maxExclusion at most.
+func (p *Pool) excludeUntilAnswer(addr netip.AddrPort) {
+	until := time.Now().Add(maxExclusion)
 	p.mu.Lock()
-	if p.doubts == nil {
-		p.doubts = make(map[netip.AddrPort]time.Time)
+	if p.excludedUntil == nil {
+		p.excludedUntil = make(map[netip.AddrPort]time.Time)
 	}
-	p.doubts[addr] = until
+	p.excludedUntil[addr] = until
 	p.mu.Unlock()
 	for time.Now().Before(until) {
 		_, conn, err := p.client(addr)
@@ -104,14 +110,15 @@
 			break
 		}
 		p.replace(addr, conn)
-		time.Sleep(probePause)
+		time.Sleep(excludedProbeInterval)
 	}
 	p.mu.Lock()
-	delete(p.doubts, addr)
+	delete(p.excludedUntil, addr)
 	p.mu.Unlock()
 }
 
-// probe asks for changes that no node has.
+// probe reports whether a node answers a small call in time. The call asks for
+// catalogue changes after the highest revision, which no node has.
 func probe(conn *grpc.ClientConn) bool {
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -14,30 +14,30 @@
 	"jujubewheel/io/jwwire"
 )
 
-// A request ran on a target that then crashed for another reason, and was
-// served elsewhere. If the word that it is harmless does not reach the other
-// nodes, they go on turning away every caller who sends it.
-func TestNewsOnTheWire(t *testing.T) {
+// A request ran on a target that crashed for another reason, and was then served
+// by another target. If the notice that it is harmless is lost on the wire, the
+// other nodes go on refusing the request.
+func TestSuspectsOnTheWire(t *testing.T) {
 	target := netip.MustParseAddrPort("10.0.0.1:80")
-	mark := []byte("0123456789abcdef")
+	fingerprint := []byte("0123456789abcdef")
 	tests := map[string]jwpeer.Suspect{
-		"crash": {Fingerprint: mark, Target: target, Age: time.Second, State: "suspected"},
-		"clear": {Fingerprint: mark, Age: time.Second, State: "clear"},
-		"bound": {Fingerprint: mark, Target: target, Region: "east", State: "suspected"},
+		"crash": {Fingerprint: fingerprint, Target: target, Age: time.Second, State: "suspected"},
+		"clear": {Fingerprint: fingerprint, Age: time.Second, State: "clear"},
+		"bound": {Fingerprint: fingerprint, Target: target, Region: "east", State: "suspected"},
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
-			told := jwpeer.Digest{From: "n1", News: jwpeer.News{Suspects: []jwpeer.Suspect{s}}}
-			got := digestFromWire(digestToWire(told))
-			assert.Assert(t, reflect.DeepEqual(got.News.Suspects, told.News.Suspects), "%+v", got.News.Suspects)
+			digest := jwpeer.Digest{From: "n1", News: jwpeer.News{Suspects: []jwpeer.Suspect{s}}}
+			got := digestFromWire(digestToWire(digest))
+			assert.Assert(t, reflect.DeepEqual(got.News.Suspects, digest.News.Suspects), "%+v", got.News.Suspects)
 		})
 	}
 }
 
-// A node with a broken clock or a fault of its own tells ages from the future,
-// or so large that they overflow. Believed, its word about a load would count
-// as the newest for ever, and all would be sent there.
-func TestOddTimes(t *testing.T) {
+// A node with a wrong clock or another fault sends ages that are negative, or so
+// large that they overflow. If they were accepted, its load report would count
+// as the newest for ever, and all requests would be sent to the region it names.
+func TestMicrosOutOfRange(t *testing.T) {
 	tests := map[string]struct {
 		micros int64
 		want   time.Duration
@@ -45,7 +45,7 @@
 		"none":         {0, 0},
 		"one second":   {1_000_000, time.Second},
 		"future":       {-5, 0},
-		"overflow":     {1 << 62, time.Duration(mostMicros) * time.Microsecond},
+		"overflow":     {1 << 62, time.Duration(maxMicros) * time.Microsecond},
 		"far overflow": {-1 << 63, 0},
 	}
 	for name, tc := range tests {
@@ -70,23 +70,23 @@
 		if proto.Unmarshal(data, d) != nil {
 			return
 		}
-		told := digestFromWire(d)
-		for _, p := range told.Peers {
+		digest := digestFromWire(d)
+		for _, p := range digest.Peers {
 			assert.Assert(t, p.Age >= 0 && p.Nodes.IsValid() && p.Callers.IsValid(), "%+v", p)
 		}
-		for _, l := range told.News.Loads {
+		for _, l := range digest.News.Loads {
 			assert.Assert(t, l.Age >= 0 && l.Wait >= 0 && l.Work >= 0, "%+v", l)
 		}
-		for _, l := range told.News.Leaving {
+		for _, l := range digest.News.Leaving {
 			assert.Assert(t, l.Age >= 0, "%+v", l)
 		}
-		wire := digestToWire(told)
-		assert.Assert(t, proto.Equal(digestToWire(digestFromWire(wire)), wire), "%+v", told)
+		wire := digestToWire(digest)
+		assert.Assert(t, proto.Equal(digestToWire(digestFromWire(wire)), wire), "%+v", digest)
 	})
 }
 
-// FuzzHead covers the hop record as well: whatever another node says of the
-// way of a request, the receiver can judge it.
+// FuzzHead checks request and answer heads with any content, including the hop
+// record: the receiver must be able to evaluate whatever hops it gets.
 func FuzzHead(f *testing.F) {
 	seed, err := proto.Marshal(&jwwire.RequestHead{
 		RequestId: "r", TimeoutMicros: -1, Hops: []*jwwire.Hop{{Node: "a", Region: "east"}, {}, {Node: "b", Region: "west"}},
--- a/io/jwlisten/sink.go
+++ b/io/jwlisten/sink.go
@@ -17,14 +17,14 @@
 
 // httpSink writes one answer as an HTTP response.
 type httpSink struct {
-	w       http.ResponseWriter
-	control *http.ResponseController
-	stream  bool // ends in a done event
-	flowing bool // its outcome was not known at its head
-	broken  bool
+	w              http.ResponseWriter
+	control        *http.ResponseController
+	stream         bool // the answer is an event stream, which ends with a done or error event
+	outcomePending bool // the outcome was not known when the head was written
+	incomplete     bool // the answer ended early after its head was written
 }
 
-// refusalBody is the JSON body of an answer that a node gives by itself.
+// refusalBody is the JSON body of an answer by the node itself, not by a target.
 type refusalBody struct {
 	Outcome          jwrequest.Outcome `json:"outcome"`
 	Reason           jwdispatch.Reason `json:"reason,omitempty"`
@@ -41,7 +41,7 @@
 	Detail  string            `json:"detail,omitempty"`
 }
 
-// Head writes status and headers.
+// Head writes status and headers, or the whole answer if it is a refusal.
 func (s *httpSink) Head(h jwdispatch.Head) error {
 	if h.Reason != jwdispatch.ReasonNone && h.Length == 0 {
 		writeRefusal(s.w, h)
@@ -50,50 +50,51 @@
 	header := s.w.Header()
 	setNonEmpty(header, "Content-Type", h.ContentType)
 	setNonEmpty(header, headerServedBy, h.ServedBy)
-	s.flowing = h.Outcome == ""
+	s.outcomePending = h.Outcome == ""
 	s.stream = strings.HasPrefix(h.ContentType, eventStream)
-	if !s.flowing {
+	if !s.outcomePending {
 		header.Set(headerOutcome, string(h.Outcome))
 	}
 	if h.Length >= 0 && !s.stream {
 		header.Set("Content-Length", strconv.FormatInt(h.Length, 10))
 	}
-	if s.flowing {
+	if s.outcomePending {
 		header.Set("Trailer", headerOutcome)
 	}
 	s.w.WriteHeader(h.Status)
 	return nil
 }
 
-// Body writes a part and sends it on at once.
+// Body writes a part of the answer's body. It flushes the part at once if the
+// outcome was not known when the head was written.
 func (s *httpSink) Body(p []byte) error {
 	if _, err := s.w.Write(p); err != nil {
 		return err
 	}
-	if s.flowing {
+	if s.outcomePending {
 		return s.control.Flush()
 	}
 	return nil
 }
 
-// End ends the response; a stream ends in a done event, or in an error event
-// when it is not whole.
+// End ends the response. A stream ends with a done event, or with an error event
+// if it is incomplete.
 func (s *httpSink) End(e jwdispatch.End) error {
 	if s.stream {
-		s.event(e)
+		s.writeEndEvent(e)
 	}
-	if !s.flowing {
+	if !s.outcomePending {
 		return nil
 	}
 	if e.Outcome != jwrequest.Served {
-		s.broken = true
+		s.incomplete = true
 		return s.control.Flush()
 	}
 	s.w.Header().Set(headerOutcome, string(e.Outcome))
 	return nil
 }
 
-func (s *httpSink) event(e jwdispatch.End) {
+func (s *httpSink) writeEndEvent(e jwdispatch.End) {
 	name := "done"
 	if e.Outcome != jwrequest.Served {
 		name = "error"
@@ -102,7 +103,7 @@
 	_, _ = s.w.Write([]byte("event: " + name + "\ndata: " + string(data) + "\n\n"))
 }
 
-// writeRefusal writes an answer that the node gives by itself.
+// writeRefusal writes an answer by the node itself, not by a target.
 func writeRefusal(w http.ResponseWriter, h jwdispatch.Head) {
 	w.Header().Set(headerOutcome, string(h.Outcome))
 	if h.RetryAfter > 0 {
--- a/io/jwrest/server_test.go
+++ b/io/jwrest/server_test.go
@@ -15,15 +15,15 @@
 	"gotest.tools/v3/assert"
 )
 
-// running is a server under test; stop ends it and waits.
-type running struct {
+// testServer is a running server; stop stops it and waits until it has ended.
+type testServer struct {
 	*Server
 	stop func()
 }
 
-func (r running) url() string { return fmt.Sprintf("http://%s", r.Addr()) }
+func (s testServer) url() string { return fmt.Sprintf("http://%s", s.Addr()) }
 
-func start(t *testing.T, routes []rest.Route) running {
+func startServer(t *testing.T, routes []rest.Route) testServer {
 	t.Helper()
 	h, err := Handler(logr.Discard(), routes, Stray{})
 	assert.NilError(t, err)
@@ -32,14 +32,14 @@
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
 	go func() { done <- s.Run(ctx) }()
-	return running{s, func() {
+	return testServer{s, func() {
 		cancel()
 		assert.NilError(t, <-done)
 	}}
 }
 
 func TestRoutes(t *testing.T) {
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/v1/things/:name",
 		Handler: func(w http.ResponseWriter, r *http.Request) { fmt.Fprint(w, Var(r, "name")) },
 	}})
@@ -70,9 +70,9 @@
 }
 
 func TestPanicCutsStream(t *testing.T) {
-	// A handler fails in the middle of a stream. Were the stream ended in the
-	// usual way, the caller would take half an answer for the whole.
-	s := start(t, []rest.Route{{
+	// A handler panics in the middle of a stream. If the stream were ended in the
+	// usual way, the caller would take an incomplete answer for a complete one.
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/stream",
 		Handler: func(w http.ResponseWriter, _ *http.Request) {
 			fmt.Fprint(w, "first")
@@ -90,10 +90,10 @@
 }
 
 func TestStopLetsRequestsFinish(t *testing.T) {
-	// A node is stopped while a request runs. The caller must get its whole
-	// answer, and the request's context must not end under it.
+	// A node is stopped while a request runs. The caller must get the complete
+	// answer, and the request's context must not end before it.
 	entered, release := make(chan struct{}), make(chan struct{})
-	s := start(t, []rest.Route{{
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/slow",
 		Handler: func(w http.ResponseWriter, r *http.Request) {
 			close(entered)
@@ -131,8 +131,9 @@
 
 func TestDrainClosesConnections(t *testing.T) {
 	// A node is about to stop while callers hold connections to it open. Each
-	// must move on after an answer, or its next request would meet a reset.
-	s := start(t, []rest.Route{{
+	// connection must close after an answer, because a later request on it would
+	// get a reset.
+	s := startServer(t, []rest.Route{{
 		Method: http.MethodGet, Path: "/",
 		Handler: func(w http.ResponseWriter, _ *http.Request) { fmt.Fprint(w, "ok") },
 	}})
@@ -150,27 +151,27 @@
 	}
 }
 
-// More callers come at once than a node can hold. Those above the bound must
-// wait to be taken, and be served in the end; were all of them taken, the node
-// would run out of memory and none would be served.
-func TestConnectionsAreBounded(t *testing.T) {
-	const bound, callers = 2, 6
+// More callers connect at once than a node may accept. Those above the limit must
+// wait to be accepted and be served later. If all of them were accepted, the node
+// would run out of memory and serve none.
+func TestConnectionsAreLimited(t *testing.T) {
+	const maxConnections, callers = 2, 6
 	var mu sync.Mutex
-	inside, most := 0, 0
-	entered, leave := make(chan struct{}, callers), make(chan struct{})
+	active, maxActive := 0, 0
+	entered, release := make(chan struct{}, callers), make(chan struct{})
 	h, err := Handler(logr.Discard(), []rest.Route{{Method: http.MethodGet, Path: "/", Handler: func(http.ResponseWriter, *http.Request) {
 		mu.Lock()
-		inside++
-		most = max(most, inside)
+		active++
+		maxActive = max(maxActive, active)
 		mu.Unlock()
 		entered <- struct{}{}
-		<-leave
+		<-release
 		mu.Lock()
-		inside--
+		active--
 		mu.Unlock()
 	}}}, Stray{})
 	assert.NilError(t, err)
-	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, MaxConnections: bound, Log: logr.Discard()}
+	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, MaxConnections: maxConnections, Log: logr.Discard()}
 	assert.NilError(t, s.Listen())
 	ctx, cancel := context.WithCancel(t.Context())
 	done := make(chan error, 1)
@@ -187,15 +188,15 @@
 			}
 		})
 	}
-	// Long enough for those to come in that a server without the bound takes; it
-	// only has to be too short for the test to miss a fault.
+	// The sleep gives a server without the limit time to accept more connections.
+	// If it is too short, the test may miss a fault, but does not fail wrongly.
 	time.Sleep(200 * time.Millisecond)
 	for range callers {
 		<-entered
-		leave <- struct{}{}
+		release <- struct{}{}
 	}
 	wg.Wait()
-	assert.Assert(t, most <= bound, "%d at once", most)
+	assert.Assert(t, maxActive <= maxConnections, "%d requests at once", maxActive)
 	cancel()
 	assert.NilError(t, <-done)
 }
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -23,46 +23,48 @@
 	"jujubewheel/io/jwrest"
 )
 
-// serviceName is what httpc calls the targets; its breaker is off for it,
-// since whether a target may be used is decided by the target table.
+// serviceName is the name of all targets in httpc. Its circuit breaker is
+// disabled for this name, because the target table decides whether a target may
+// be used.
 const serviceName = "target"
 
 const (
-	idlePerTarget = 64
-	idleTimeout   = 30 * time.Second
-	maxHeader     = 64 << 10
+	maxIdlePerTarget  = 64
+	idleTimeout       = 30 * time.Second
+	maxResponseHeader = 64 << 10
 )
 
 func init() { breaker.NoBreakerFor(serviceName) }
 
 // Client calls targets; the zero value is ready to use.
 type Client struct {
-	DialTimeout time.Duration // for a new connection, 1 s if zero
+	DialTimeout time.Duration // longest time to open a connection, 1 s if zero
 
 	mu      sync.Mutex
-	targets map[netip.AddrPort]*connections
+	targets map[netip.AddrPort]*targetConns
 }
 
-// connections are the ways to one target.
-type connections struct {
-	reused *http.Transport // for calls that may be sent again
-	// The services are made once: each call would else make a client and a
-	// service anew.
-	again httpc.Service // over reused
-	once  httpc.Service // one connection a call
+// targetConns holds the HTTP clients for one target.
+type targetConns struct {
+	pooledTransport *http.Transport // keeps connections, for calls that may be repeated
+	// The services are kept here, because otherwise each call would create a
+	// client and a service.
+	pooled    httpc.Service // over pooledTransport
+	singleUse httpc.Service // opens a connection for each call
 }
 
-// Call sends one request to a target and returns once its answer has begun.
-// Errors are of type *jwdispatch.CallError.
+// Call sends one request to a target and returns when the head of the answer has
+// arrived. Errors are of type *jwdispatch.CallError; those of reading the answer
+// too.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	watch := newWatchdog(call.Progress, func() { cancel(errSilent) })
+	progress := newProgressTimer(call.Progress, func() { cancel(errSilent) })
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
 	})
 	fail := func(err error) error {
-		watch.stop()
+		progress.stop()
 		e := c.callError(ctx, addr, "call target", sent.Load(), err)
 		cancel(nil)
 		return e
@@ -71,20 +73,20 @@
 	if err != nil {
 		return nil, fail(err)
 	}
-	conns := c.to(addr)
-	service := conns.again
+	conns := c.connsTo(addr)
+	service := conns.pooled
 	if !call.Idempotent {
-		service = conns.once
+		service = conns.singleUse
 	}
 	resp, err := service.DoRequest(r)
 	if err != nil {
 		return nil, fail(err)
 	}
-	watch.feed()
-	if refused(resp.StatusCode) {
+	progress.reset()
+	if isRefusal(resp.StatusCode) {
 		after := retryAfter(resp.Header)
 		_ = resp.Body.Close()
-		watch.stop()
+		progress.stop()
 		cancel(nil)
 		return nil, &jwdispatch.CallError{
 			Step: "call target", Peer: addr, Fate: jwdispatch.Refused, RetryAfter: after,
@@ -92,8 +94,8 @@
 		}
 	}
 	b := &body{
-		client: c, addr: addr, ctx: ctx, watch: watch,
-		cancel: func() { cancel(nil) }, resp: resp, endless: endless(resp),
+		client: c, addr: addr, ctx: ctx, progress: progress,
+		cancel: func() { cancel(nil) }, resp: resp, endsWithConnection: endsWithConnection(resp),
 	}
 	b.stream = isStream(resp.Header)
 	head := jwdispatch.Head{
@@ -106,18 +108,18 @@
 
 func noRedirect(*http.Request, []*http.Request) error { return http.ErrUseLastResponse }
 
-// request makes the HTTP request of a call.
+// request creates the HTTP request for a call.
 //
-// The transport sends a request again by itself when a reused connection
-// breaks, if it can get the body anew and the request has an Idempotency-Key.
-// A confirmation would then run twice, unseen by this node; so the body is
-// made one that can be read once only.
+// The transport repeats a request by itself when a reused connection breaks, if
+// it can read the body again and the request has an Idempotency-Key. A
+// confirmation could then run twice without this node noticing. Therefore the
+// request gets a body that can be read only once.
 func request(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*http.Request, error) {
 	in := call.Request
-	once := io.NopCloser(bytes.NewReader(in.Body))
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+call.Path, once)
+	bodyReader := io.NopCloser(bytes.NewReader(in.Body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr.String()+call.Path, bodyReader)
 	if err != nil {
-		return nil, errors.Wrap(err, "make request")
+		return nil, errors.Wrap(err, "create request")
 	}
 	r.ContentLength = int64(len(in.Body))
 	setHeader(r.Header, "Content-Type", in.ContentType)
@@ -136,8 +138,9 @@
 	}
 }
 
-// refused tells whether a status says that the target did not run the request.
-func refused(status int) bool {
+// isRefusal reports whether a status means that the target did not run the
+// request.
+func isRefusal(status int) bool {
 	return status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable
 }
 
@@ -154,27 +157,28 @@
 	return err == nil && kind == "text/event-stream"
 }
 
-// endless tells whether only the end of the connection would end the answer,
-// so that a broken one looks whole.
-func endless(resp *http.Response) bool {
+// endsWithConnection reports whether the answer has neither a length nor chunks,
+// so that only the end of the connection ends it. If the connection of such an
+// answer breaks, the answer looks complete.
+func endsWithConnection(resp *http.Response) bool {
 	return resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
 }
 
-func (c *Client) to(addr netip.AddrPort) *connections {
+func (c *Client) connsTo(addr netip.AddrPort) *targetConns {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	conns := c.targets[addr]
 	if conns == nil {
-		conns = c.connections()
+		conns = c.newTargetConns()
 		if c.targets == nil {
-			c.targets = make(map[netip.AddrPort]*connections)
+			c.targets = make(map[netip.AddrPort]*targetConns)
 		}
 		c.targets[addr] = conns
 	}
 	return conns
 }
 
-func (c *Client) connections() *connections {
+func (c *Client) newTargetConns() *targetConns {
 	jwrest.Quiet()
 	timeout := c.DialTimeout
 	if timeout == 0 {
@@ -183,36 +187,36 @@
 	dialer := &net.Dialer{Timeout: timeout, KeepAliveConfig: net.KeepAliveConfig{
 		Enable: true, Idle: 5 * time.Second, Interval: 2 * time.Second, Count: 3,
 	}}
-	reused := &http.Transport{
-		DialContext: dialer.DialContext, MaxIdleConnsPerHost: idlePerTarget, IdleConnTimeout: idleTimeout,
-		DisableCompression: true, MaxResponseHeaderBytes: maxHeader,
+	pooledTransport := &http.Transport{
+		DialContext: dialer.DialContext, MaxIdleConnsPerHost: maxIdlePerTarget, IdleConnTimeout: idleTimeout,
+		DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeader,
 	}
 	single := &http.Transport{
 		DialContext: dialer.DialContext, DisableKeepAlives: true,
-		DisableCompression: true, MaxResponseHeaderBytes: maxHeader,
+		DisableCompression: true, MaxResponseHeaderBytes: maxResponseHeader,
 	}
-	return &connections{reused: reused, again: service(reused), once: service(single)}
+	return &targetConns{pooledTransport: pooledTransport, pooled: newService(pooledTransport), singleUse: newService(single)}
 }
 
-func service(t *http.Transport) httpc.Service {
+func newService(t *http.Transport) httpc.Service {
 	return httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t, CheckRedirect: noRedirect})
 }
 
-// Forget closes the idle connections to a target and opens new ones for the
-// next calls.
+// Forget closes the idle connections to a target. Later calls open new ones.
 func (c *Client) Forget(addr netip.AddrPort) {
 	c.mu.Lock()
 	conns := c.targets[addr]
 	delete(c.targets, addr)
 	c.mu.Unlock()
 	if conns != nil {
-		conns.reused.CloseIdleConnections()
+		conns.pooledTransport.CloseIdleConnections()
 	}
 }
 
-// callError judges a failed call. When a connection went silent, all others to
-// that target are suspect too: something between the two ends may have lost
-// track of them, and every call on one would wait as long. New ones are opened.
+// callError returns the error of a failed call; sent is whether the request may
+// have been sent. If there was no progress on a connection, the other kept
+// connections to that target are closed too: a device on the path may have lost
+// their state, and every call on one of them would wait as long.
 func (c *Client) callError(ctx context.Context, addr netip.AddrPort, step string, sent bool, err error) *jwdispatch.CallError {
 	out := &jwdispatch.CallError{Step: step, Peer: addr, Err: err, Fate: jwdispatch.Broken}
 	switch {
@@ -228,13 +232,14 @@
 	return out
 }
 
-// crashed tells whether a connection ended as it does when a process dies.
+// crashed reports whether err is one that a connection has when the process at
+// its other end dies.
 func crashed(err error) bool {
 	return errors.Is(err, io.EOF) || errors.Is(err, io.ErrUnexpectedEOF) || errors.Is(err, syscall.ECONNRESET)
 }
 
 var (
-	errSilent   = errors.New("no progress")
-	errNoEnd    = errors.New("answer without an end mark")
-	errTooEarly = errors.New("stream ended before its end mark")
+	errSilent      = errors.New("no progress")
+	errNoLength    = errors.New("answer has neither a length nor chunks, so its end is unknown")
+	errNoEndMarker = errors.New("stream ended without its end marker")
 )
