--- a/io/jwconsul/client.go
+++ b/io/jwconsul/client.go
@@ -18,17 +18,18 @@
 const (
 	defaultTimeout = 2 * time.Second
 	idleTimeout    = 30 * time.Second
-	// maxAnswer bounds what one answer of the platform may make a node hold.
+	// maxAnswer is the maximum size of a response body in bytes. It bounds the
+	// memory that one response can take.
 	maxAnswer = 64 << 20
 )
 
-// Traffic counts what a client of the platform has moved, headers included.
+// Traffic counts the bytes that a client has sent and received, HTTP headers included.
 type Traffic struct {
 	Sent     uint64 // bytes
-	Received uint64 // bytes, as compressed on the way
+	Received uint64 // bytes; compressed bodies count at their compressed size
 }
 
-// client calls one service of the platform.
+// client sends HTTP requests to one service of the platform and counts the bytes.
 type client struct {
 	once           sync.Once
 	service        httpc.Service
@@ -49,7 +50,7 @@
 	return &countedConn{Conn: conn, client: c}, nil
 }
 
-// countedConn adds its bytes to the traffic of its client.
+// countedConn adds the bytes that it reads and writes to the counters of its client.
 type countedConn struct {
 	net.Conn
 	client *client
@@ -69,8 +70,9 @@
 	return n, err
 }
 
-// do sends one call; the breaker of httpc is off, because a call that it
-// refuses would look like an outage of the platform and hide the end of one.
+// do sends one request. The circuit breaker of httpc is disabled, because a
+// request that it rejects would look like an outage of the platform and hide the
+// end of a real one.
 func (c *client) do(name string, address netip.AddrPort, r *http.Request) (*http.Response, error) {
 	c.once.Do(func() {
 		full := "jwconsul " + name + " " + address.String()
@@ -85,7 +87,7 @@
 	return c.service.DoRequest(r)
 }
 
-// readAnswer reads the whole body and closes it.
+// readAnswer reads the whole body of a response and closes it.
 func readAnswer(res *http.Response) ([]byte, error) {
 	defer res.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
@@ -98,7 +100,8 @@
 	return body, nil
 }
 
-// withTimeout bounds a call by the timeout, or by the default for 0.
+// withTimeout returns a context that ends after timeout, or after defaultTimeout
+// if timeout is not positive.
 func withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if timeout <= 0 {
 		timeout = defaultTimeout
--- a/io/jwconsul/directory.go
+++ b/io/jwconsul/directory.go
@@ -15,32 +15,33 @@
 )
 
 const (
-	// WorkspaceSchema is the SCIM schema extension of a workspace.
+	// WorkspaceSchema is the URN of the SCIM schema extension that describes a workspace.
 	WorkspaceSchema = "urn:jujubewheel:scim:Workspace"
 
 	directoryPage = 1000
 	directoryPath = "/scim/v2/Users"
-	// directoryTries is how often a fetch starts again because the directory
-	// changed between two pages.
+	// directoryTries is the maximum number of attempts to read all pages; an
+	// attempt fails if the directory changes between two pages.
 	directoryTries = 3
 )
 
 // Directory reads the platform's client directory over SCIM 2.0.
 type Directory struct {
 	Address netip.AddrPort
-	Timeout time.Duration // of one page; 0 means 2s
+	Timeout time.Duration // of the request for one page; 0 means 2s
 
 	client client
 	calls  atomic.Uint64
 }
 
-// Calls returns the number of calls sent so far; each page counts as one.
+// Calls returns the number of requests sent so far; each page takes one request.
 func (d *Directory) Calls() uint64 { return d.calls.Load() }
 
-// Traffic returns the bytes moved so far.
+// Traffic returns the number of bytes sent and received so far.
 func (d *Directory) Traffic() Traffic { return d.client.traffic() }
 
-// Fetch returns the whole directory, or nil when it is still at version.
+// Fetch returns the whole directory, or nil if it is still at version. An empty
+// version always fetches. Fetch fails if the directory changes during each attempt.
 func (d *Directory) Fetch(ctx context.Context, version string) (*jwdirectory.Snapshot, error) {
 	for range directoryTries {
 		snapshot, moved, err := d.fetchOnce(ctx, version)
@@ -54,8 +55,8 @@
 	return nil, errors.Errorf("directory: %s: changed during each of %d fetches", d.Address, directoryTries)
 }
 
-// fetchOnce reads all pages; moved says that they are not of one version, so
-// that a workspace could be missing or stand twice.
+// fetchOnce reads all pages. The result moved reports that the pages are not all
+// of one version, so that a workspace could be missing or appear twice.
 func (d *Directory) fetchOnce(ctx context.Context, version string) (snapshot *jwdirectory.Snapshot, moved bool, err error) {
 	for start := 1; ; {
 		page, tag, err := d.page(ctx, version, start)
@@ -85,7 +86,8 @@
 	}
 }
 
-// page reads one page, nil when the directory is still at version.
+// page reads the page that begins at the 1-based index start, and returns it with
+// its ETag. The page is nil if the directory is still at version.
 func (d *Directory) page(ctx context.Context, version string, start int) (*directoryList, string, error) {
 	d.calls.Add(1)
 	ctx, cancel := withTimeout(ctx, d.Timeout)
@@ -116,7 +118,7 @@
 	return list, res.Header.Get("ETag"), err
 }
 
-// directoryList is one page of workspaces.
+// directoryList is one page of the directory; total counts the workspaces on all pages.
 type directoryList struct {
 	total      int
 	workspaces []jwdirectory.Workspace
@@ -138,8 +140,9 @@
 	Owner  string `json:"owner"`
 }
 
-// decodeDirectory reads one SCIM list response. A user without the workspace
-// extension or its region is an error: a guess could send bound data away.
+// decodeDirectory decodes one SCIM list response. A user without the workspace
+// extension or without a region is an error, because data bound to a region could
+// leave it if the region were guessed.
 func decodeDirectory(body []byte) (*directoryList, error) {
 	var list scimList
 	if err := json.Unmarshal(body, &list); err != nil {
--- a/io/jwconsul/directory_test.go
+++ b/io/jwconsul/directory_test.go
@@ -39,8 +39,9 @@
 	assert.Equal(t, directory.Calls()-before, uint64(1))
 }
 
-// Two entries of one name would let the later one decide where bound data may
-// go; the client takes such a list for one that changed while it was read.
+// If a directory lists a workspace twice, the later entry must not decide which region
+// bound data may go to. Fetch treats such a directory as one that changed while it was
+// read.
 func TestDirectoryDuplicate(t *testing.T) {
 	clients := &jwstand.Clients{}
 	clients.Set([]jwstand.Client{{Name: "w", Region: "r1"}, {Name: "w", Region: "r2"}})
--- a/io/jwconsul/hostlist.go
+++ b/io/jwconsul/hostlist.go
@@ -14,14 +14,15 @@
 	"jujubewheel/core/jwhost"
 )
 
-// DefaultHostsPath is where the list of hosts is asked for by default.
+// DefaultHostsPath is the URL path of the host list if HostList.Path is empty.
 const DefaultHostsPath = "/hosts"
 
-// liveState is the state of a host that takes work; without one it is live.
+// liveState is the state label of a host that accepts requests. A host without
+// the label is live.
 const liveState = "live"
 
-// HostList reads the platform's list of live and leaving hosts, which is a
-// Prometheus HTTP service discovery document.
+// HostList reads the platform's list of live and leaving hosts, a Prometheus HTTP
+// service discovery document.
 type HostList struct {
 	Address netip.AddrPort
 	Path    string        // empty means DefaultHostsPath
@@ -34,18 +35,17 @@
 	last   []jwhost.Host
 }
 
-// Calls returns the number of calls sent so far.
+// Calls returns the number of requests sent so far.
 func (l *HostList) Calls() uint64 { return l.calls.Load() }
 
-// Traffic returns the bytes moved so far.
+// Traffic returns the number of bytes sent and received so far.
 func (l *HostList) Traffic() Traffic { return l.client.traffic() }
 
-// Hosts returns the list as it is now, without hosts of other roles than
-// nodes and targets; a state that is not known counts as leaving. A host that
-// lacks an address or a region makes the whole list an error, since a list
-// that is taken in half would look like hosts that are gone. An unchanged list
-// is not sent again where the platform knows ETags; callers share the slice
-// and must not change it.
+// Hosts returns the current nodes and targets and omits hosts of other roles. A host
+// with an unknown state counts as leaving. A host without a valid address or a region
+// makes the whole list an error, since hosts missing from a partial list would look as
+// if they were gone. If the platform supports ETags, an unchanged list is not sent
+// again. Callers share the slice and must not modify it.
 func (l *HostList) Hosts(ctx context.Context) ([]jwhost.Host, error) {
 	l.calls.Add(1)
 	ctx, cancel := withTimeout(ctx, l.Timeout)
@@ -83,6 +83,7 @@
 	return hosts, nil
 }
 
+// known returns the last list and its ETag, which is empty if there is none.
 func (l *HostList) known() (tag string, last []jwhost.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -111,7 +112,8 @@
 	Nodes      string `json:"nodes"`
 }
 
-// decodeHosts reads a service discovery document.
+// decodeHosts decodes a service discovery document and skips groups whose role is
+// neither node nor target.
 func decodeHosts(body []byte) ([]jwhost.Host, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(body, &groups); err != nil {
--- a/io/jwconsul/keyvalue.go
+++ b/io/jwconsul/keyvalue.go
@@ -21,38 +21,40 @@
 	"jujubewheel/core/jwstore"
 )
 
-// MaxValueSize is the most bytes that the key-value service keeps in one key.
+// MaxValueSize is the maximum size in bytes of a value in the key-value service.
 const MaxValueSize = 1 << 20
 
-// waitStagger is the part of a wait by which the service may stretch it, so
-// that not all waits end at one moment.
+// waitStagger bounds the jitter that the service adds to a blocking read so that
+// not all of them end at the same moment: 1/waitStagger of the wait.
 const waitStagger = 16
 
-// waitPause lies between the calls of one wait from the third on. A service
-// that ends waits early, or tells no index, would else be asked without pause.
+// waitPause is the pause before the third and each later request of one Wait.
+// Without it, a service that ends blocking reads early or returns no index would be
+// polled in a busy loop.
 const waitPause = 50 * time.Millisecond
 
-// rememberedIndexes bounds the keys whose absence is remembered.
+// rememberedIndexes is the maximum number of keys in KeyValue.absent.
 const rememberedIndexes = 64
 
-// KeyValue is the platform's key-value service as a Store, over the Consul
-// HTTP API. Writes go as transactions, since only their answer tells the new
-// version: after PUT ?cas= a read could already see the write of another.
+// KeyValue is a Store that calls the platform's key-value service through the Consul
+// HTTP API. Writes are sent as transactions, since only the response to a transaction
+// contains the new version: a read after PUT ?cas= could already return the write of
+// another client.
 type KeyValue struct {
 	Address netip.AddrPort
-	Timeout time.Duration // of one call, without the time a wait may take; 0 means 2s
+	Timeout time.Duration // of one request, in addition to the wait of a blocking read; 0 means 2s
 
 	client client
 	mu     sync.Mutex
-	absent map[string]uint64 // index at which a key was last seen not to exist
+	absent map[string]uint64 // index at which each key was last seen not to exist
 
 	reads, writes, waits, failures atomic.Uint64
 }
 
 var _ jwstore.Store = (*KeyValue)(nil)
 
-// Calls returns the number of calls sent so far; each read of a wait that the
-// service ended early counts as a wait of its own.
+// Calls returns the number of requests sent so far. If the service ends a blocking
+// read early, each further blocking read of the same Wait counts as another wait.
 func (kv *KeyValue) Calls() jwstore.Calls {
 	return jwstore.Calls{
 		Reads:    kv.reads.Load(),
@@ -62,7 +64,7 @@
 	}
 }
 
-// Traffic returns the bytes moved so far.
+// Traffic returns the number of bytes sent and received so far.
 func (kv *KeyValue) Traffic() Traffic { return kv.client.traffic() }
 
 // Get implements jwstore.Reader.
@@ -118,15 +120,16 @@
 			return item, found, nil
 		}
 		if next < index {
-			// The service was restored from an older state: an index from
-			// before would make it wait for a write that came long ago.
+			// The index went back because the service was restored from an older
+			// state. With the old index it would block until the index passes
+			// that value again and miss the writes before that.
 			next = 0
 		}
 		index = next
 	}
 }
 
-// Swap implements jwstore.Writer.
+// Swap implements jwstore.Writer. A value longer than MaxValueSize is an error.
 func (kv *KeyValue) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	if len(value) > MaxValueSize {
 		return 0, false, errors.Errorf("swap %s: value of %d bytes exceeds %d", key, len(value), MaxValueSize)
@@ -139,14 +142,16 @@
 	if version == 0 {
 		return false, nil
 	}
-	// A lone delete of a key that is gone counts as done; the check makes it
-	// a conflict, so that of two callers only one hears that it deleted.
+	// The service reports success when delete-cas finds no key. The check makes
+	// that a conflict, so that only one of two callers is told that it deleted
+	// the key.
 	check := operation{Verb: checkVerb, Key: key, Index: version}
 	_, deleted, err := kv.write(ctx, check, operation{Verb: deleteVerb, Key: key, Index: version})
 	return deleted, err
 }
 
-// get reads one key; index is that of the newest write that may concern it.
+// get reads one key. The index that it returns is that of the latest write that may
+// have changed the key.
 func (kv *KeyValue) get(ctx context.Context, key string, query url.Values) (item jwstore.Item, found bool, index uint64, err error) {
 	timeout := kv.Timeout
 	if timeout <= 0 {
@@ -171,14 +176,16 @@
 	return items[0], true, max(answer.index, items[0].Version), nil
 }
 
+// absentAt returns the index at which the key was last seen not to exist, or 0.
 func (kv *KeyValue) absentAt(key string) uint64 {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return kv.absent[key]
 }
 
-// rememberAbsent saves the next wait for the key a read: a key that did not
-// exist at an index can only come at a later one.
+// rememberAbsent records that a key did not exist at index. The next Wait for the key
+// can then start with a blocking read, because the key can only be created at a later
+// index.
 func (kv *KeyValue) rememberAbsent(key string, index uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
@@ -188,13 +195,14 @@
 	kv.absent[key] = index
 }
 
+// answer is a response to a read; index is 0 if the service returned none.
 type answer struct {
 	status int
 	index  uint64
 	body   []byte
 }
 
-// call sends a read; every failure of a read is ErrUnavailable.
+// call sends a read. A read that fails for any reason returns ErrUnavailable.
 func (kv *KeyValue) call(ctx context.Context, method, key string, query url.Values, timeout time.Duration) (answer, error) {
 	ctx, cancel := withTimeout(ctx, timeout)
 	defer cancel()
@@ -222,9 +230,10 @@
 	return answer{status: res.StatusCode, index: index, body: body}, nil
 }
 
-// write sends one transaction, whose last step is the write. A call that got no connection, or a
-// refusal by a status of the 400s, had no effect; after any other failure the
-// write may have been done.
+// write sends one transaction, whose last operation is the write. It returns the new
+// version of the key, and false if the transaction was rejected by a conflict. A
+// request that got no connection or a 4xx status had no effect (ErrUnavailable). After
+// any other failure the write may have taken effect (ErrUnknown).
 func (kv *KeyValue) write(ctx context.Context, ops ...operation) (uint64, bool, error) {
 	kv.writes.Add(1)
 	op := ops[len(ops)-1]
@@ -273,30 +282,33 @@
 	return version, true, nil
 }
 
+// fail counts a failed call and returns its error.
 func (kv *KeyValue) fail(err error) error {
 	kv.failures.Add(1)
 	return err
 }
 
-// wrap says at which step and with which peer an error arose.
+// wrap adds the operation that failed and the address of the service to an error.
 func (kv *KeyValue) wrap(kind error, step string) error {
 	return errors.Wrapf(kind, "%s: %s", step, kv.Address)
 }
 
-// The verbs of a transaction's steps.
+// The verbs of the operations in a transaction.
 const (
 	swapVerb   = "cas"
 	deleteVerb = "delete-cas"
 	checkVerb  = "check-index"
 )
 
-// record is one key as the service writes it.
+// record is one key in a response of the service.
 type record struct {
 	Key         string
 	Value       []byte // base64 in JSON
 	ModifyIndex uint64
 }
 
+// operation is one operation of a transaction; Index is the version that the key must
+// have, 0 for a key that must not exist.
 type operation struct {
 	Verb  string
 	Key   string
@@ -314,7 +326,7 @@
 	}
 }
 
-// decodeItems reads the answer to a read of keys.
+// decodeItems decodes the response to a read of one key or of a prefix.
 func decodeItems(body []byte) ([]jwstore.Item, error) {
 	var records []record
 	if err := json.Unmarshal(body, &records); err != nil {
@@ -330,8 +342,8 @@
 	return items, nil
 }
 
-// decodeTransaction reads the answer to a write that took effect and returns
-// the new version of the key, 0 after a delete.
+// decodeTransaction decodes the response to a transaction that took effect. It returns
+// the new version of the key, or 0 after a delete.
 func decodeTransaction(body []byte, op operation) (uint64, error) {
 	if op.Verb == deleteVerb {
 		return 0, nil
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// startStand serves a program until the test ends.
+// startStand serves a stand-in for a platform service until the test ends.
 func startStand(t *testing.T, program jwstand.Program) *jwstand.Stand {
 	t.Helper()
 	stand := &jwstand.Stand{Program: program}
@@ -37,7 +37,7 @@
 	return stand
 }
 
-// stores returns both kinds of Store, so that one table holds for each.
+// stores returns both implementations of Store, so that each runs the same test cases.
 func stores(t *testing.T) map[string]jwstore.Store {
 	stand := startStand(t, &jwstand.KeyValue{})
 	return map[string]jwstore.Store{
@@ -188,9 +188,9 @@
 	return next
 }
 
-// A reply that is lost after the write leaves the writer not knowing. An
-// operator who is told "failed" would make the same change twice, so the error
-// must say that the outcome is open, and a read must settle it.
+// A writer that gets no reply does not know whether its write took effect. An operator
+// who is told that it failed would make the same change twice. So the error must be
+// ErrUnknown, and a later read must show the outcome.
 func TestLostReply(t *testing.T) {
 	ctx := context.Background()
 	memory := &jwstore.Memory{}
@@ -213,9 +213,9 @@
 	}
 }
 
-// While the service is down its port refuses connections. A write that never
-// left the node must be told apart from one whose reply was lost, or every
-// confirmation during an outage would end as unknown.
+// While the service is down, its port refuses connections. A write that was never sent
+// must be distinguished from one whose reply was lost. Otherwise the outcome of every
+// confirmation during an outage would be unknown.
 func TestOutage(t *testing.T) {
 	ctx := context.Background()
 	stand := startStand(t, &jwstand.KeyValue{})
@@ -252,9 +252,9 @@
 	assert.Check(t, kv.Calls().Failures >= 4)
 }
 
-// A connection that goes silent takes bytes and never answers. Without a
-// timeout the writer would hang; since the bytes have left, the outcome of the
-// write is open, while a read simply failed.
+// A silent connection accepts bytes and never returns any. Without a timeout the writer
+// would hang. The outcome of the write is unknown because the request was sent, while a
+// read has simply failed.
 func TestSilentConnection(t *testing.T) {
 	ctx := context.Background()
 	stand := startStand(t, &jwstand.KeyValue{})
@@ -268,8 +268,9 @@
 	assert.Check(t, found && string(item.Value) == "one", "the silent connection carried nothing")
 }
 
-// An operator who adds a very long entry would otherwise make a value that the
-// service refuses in the middle of a change.
+// A value that is too large is rejected before it is sent. Otherwise an operator who
+// adds a very long entry could produce a value that the service rejects in the middle of
+// a change.
 func TestValueTooLarge(t *testing.T) {
 	stand := startStand(t, &jwstand.KeyValue{})
 	kv := &jwconsul.KeyValue{Address: stand.Address}
@@ -278,8 +279,9 @@
 	mustSwap(t, kv, "k", string(make([]byte, jwconsul.MaxValueSize)), 0)
 }
 
-// A wait for a key that does not exist yet is what most nodes do all day; it
-// must cost one call and not one for each write of another key.
+// Most nodes wait most of the time for a key that does not exist yet. Such a wait must
+// not send a request for each write of another key: one read and one blocking read
+// suffice.
 func TestWaitCost(t *testing.T) {
 	program := &jwstand.KeyValue{}
 	stand := startStand(t, program)
@@ -303,8 +305,8 @@
 	assert.DeepEqual(t, program.Calls(), jwstore.Calls{Reads: 1, Writes: 4, Waits: 1})
 }
 
-// A service that tells no index makes each wait end at once. Without a pause
-// one node would spend the reads of the whole system on it.
+// If the service returns no index, every read of a Wait returns at once. Without a pause
+// between them, one node would use up the reads of the whole system.
 func TestWaitWithoutIndex(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -17,11 +17,10 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The reply of a write is lost, the service goes down in the middle of one, a
-// connection goes silent. If a write that took effect is told as certainly
-// without effect, its caller does the work a second time: a deposit is taken
-// twice. Here many callers swap one key under all these faults, and what they
-// were told must fit one order of writes.
+// A caller that is told that its write had no effect repeats the work. If the write did
+// take effect, a deposit is taken twice. Many callers swap one key while replies are
+// lost, the service goes down or pauses and connections go silent. The results that they
+// get must be linearizable.
 func TestLinearUnderFaults(t *testing.T) {
 	const callers, enough = 6, 8
 	stand := startStand(t, &jwstand.KeyValue{})
@@ -48,7 +47,7 @@
 	assert.Equal(t, result, porcupine.Ok)
 }
 
-// stir sets one fault after another.
+// stir injects one random fault after another until ctx ends.
 func stir(ctx context.Context, stand *jwstand.Stand) {
 	random := rand.New(rand.NewPCG(1, 1))
 	faults := []jwstand.Faults{
@@ -68,7 +67,7 @@
 	}
 }
 
-// told is what a caller heard of a swap.
+// told is the result of a swap as its caller sees it.
 type told string
 
 const (
@@ -77,15 +76,15 @@
 	unknown told = "unknown"
 )
 
-// step is one call: a read of value, or a swap of expect for value. Values are
-// unique, so they stand for the versions.
+// step is one call: a read, or a swap that replaces expect with value. Values are unique,
+// so the model uses them as versions.
 type step struct {
 	read   bool
 	expect string
 	value  string
 }
 
-// history gathers calls with their times.
+// history records calls with their start and end times.
 type history struct {
 	began       time.Time
 	mu          sync.Mutex
@@ -110,7 +109,7 @@
 	switch {
 	case errors.Is(err, jwstore.ErrUnavailable):
 		h.count(err)
-		return // certainly no effect: the order must do without it
+		return // the swap had no effect, so the history leaves it out
 	case err != nil:
 		h.count(err)
 		answer = unknown
@@ -120,7 +119,7 @@
 	h.note(caller, step{expect: string(item.Value), value: value}, call, answer)
 }
 
-// met tells whether each kind of failure has come often enough.
+// met reports whether each kind of failure has occurred at least enough times.
 func (h *history) met(enough int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -140,19 +139,19 @@
 func (h *history) note(caller int, in step, call int64, out any) {
 	end := time.Since(h.began).Nanoseconds()
 	if out == unknown {
-		end = time.Hour.Nanoseconds() // it may take effect at any later time
+		end = time.Hour.Nanoseconds() // the swap may take effect at any later time
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id := caller
 	if out == unknown {
-		id = 1000 + len(h.operations) // its caller goes on while it is open
+		id = 1000 + len(h.operations) // a client of its own, because the caller sends more calls while this one is pending
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: end})
 }
 
-// swapModel is a register with compare-and-swap; an unknown swap either took
-// effect where it stands in the order or had none.
+// swapModel is a register with compare-and-swap. A swap with an unknown outcome either
+// took effect at its place in the order or had no effect.
 var swapModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
--- a/io/jwconsul/scale_test.go
+++ b/io/jwconsul/scale_test.go
@@ -13,7 +13,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The sizes that the benchmarks run at.
+// The benchmarks run with as many hosts, workspaces and regions as the system is designed for.
 const (
 	targetNodes      = 970
 	targetRunners    = 3200
@@ -21,7 +21,7 @@
 	targetRegions    = 13
 )
 
-// serve runs a stand-in for a benchmark.
+// serve runs a stand-in for a platform service until the benchmark ends.
 func serve(b *testing.B, program jwstand.Program) *jwstand.Stand {
 	b.Helper()
 	logx.Disable()
@@ -32,7 +32,8 @@
 	return stand
 }
 
-// allHosts lists as many hosts as the system is to have.
+// allHosts returns the nodes and targets of a system of the design size. The state of
+// the host at index i is states[i], or live if there is none.
 func allHosts(states ...string) []jwstand.HostGroup {
 	var groups []jwstand.HostGroup
 	for i := range targetNodes + targetRunners {
