--- a/io/jwsettings/fault.go
+++ b/io/jwsettings/fault.go
@@ -5,9 +5,9 @@
 	"strings"
 )
 
-// Fault is one thing wrong with a file.
+// Fault is one error in a settings file.
 type Fault struct {
-	Line    int    `json:"line"` // 1 is the first
+	Line    int    `json:"line"` // number of the line, from 1
 	Key     string `json:"key"`  // path of the key, such as "listen.callers"
 	Problem string `json:"problem"`
 }
@@ -20,10 +20,11 @@
 	return fmt.Sprintf("line %d: %s: %s", f.Line, f.Key, f.Problem)
 }
 
-// Faults are all that is wrong with a file, in the order of its lines.
+// Faults are all errors in a settings file, in the order of its lines. They implement
+// error.
 type Faults []Fault
 
-// Error lists the faults, one a line.
+// Error returns the faults, one per line.
 func (f Faults) Error() string {
 	lines := make([]string, len(f))
 	for i, fault := range f {
--- a/io/jwsettings/gateway.go
+++ b/io/jwsettings/gateway.go
@@ -5,57 +5,57 @@
 	"time"
 )
 
-// Gateway are the settings of a node that takes its entries, targets and peers
-// from the feed of the platform's store. A file that has them needs no
-// operators, claims, links or other platform services.
+// Gateway holds the settings of a node that gets its entries, targets and peers from
+// the feed of the platform's store. A file with these settings needs no operators,
+// claims, links or other platform services.
 type Gateway struct {
 	Listen      GatewayAddresses
 	Store       GatewayStore
 	DataCentres map[string]string // region by data centre
-	Seeds       []netip.AddrPort  // ports for nodes of some nodes; they may be stale
+	Seeds       []netip.AddrPort  // addresses of some nodes' ports for nodes; they may be out of date
 	Bounds      Bounds
-	Memory      int64   // bytes that the process may use, 0 if not bounded
-	Cores       float64 // of the processor that the host has, 0 if not known
-	LinkMbps    float64 // of the host's link, 0 if not known
+	Memory      int64   // bytes that the process may use; 0 means no limit
+	Cores       float64 // processor cores of the host; 0 means unknown
+	LinkMbps    float64 // bandwidth of the host's network link; 0 means unknown
 }
 
-// Capacity returns what the host can do of the work that a node does for others, in
-// hundredths of a core: what it needs of its link goes along with that. It is 0 where
-// neither is known.
+// Capacity returns how much work the node can do for others, in hundredths of a core.
+// The work needs network bandwidth in proportion, so the smaller of the two limits
+// applies. It is 0 if the cores or the bandwidth are unknown.
 func (g *Gateway) Capacity() int {
 	const coreShare, linkShare = 100, 0.5
 	return int(min(coreShare*g.Cores, linkShare*g.LinkMbps))
 }
 
-// GatewayAddresses are the ports of such a node.
+// GatewayAddresses are the addresses that a node with Gateway settings listens on.
 type GatewayAddresses struct {
 	Callers   netip.AddrPort
-	Ready     netip.AddrPort // tells whether the node serves
-	Directory netip.AddrPort // names live nodes to callers
+	Ready     netip.AddrPort // reports whether the node is ready to serve
+	Directory netip.AddrPort // tells callers which nodes are live
 	Nodes     netip.AddrPort
 	Metrics   netip.AddrPort // optional
 }
 
-// GatewayStore tells where the store is and what it asks for.
+// GatewayStore holds the address of the store and its limit on leases.
 type GatewayStore struct {
 	Address  netip.AddrPort
-	LeaseMin time.Duration // the shortest lease it gives
+	LeaseMin time.Duration // shortest lease that the store grants
 }
 
-// Bounds are what the operators of the platform hold the node to.
+// Bounds are the limits that the operators of the platform set for a node.
 type Bounds struct {
-	Grace       time.Duration // from SIGTERM to SIGKILL
-	RetryRatio  float64       // repeated sends for each request of a service
-	RetrySlack  float64       // repeated sends in a window besides, over all nodes
+	Grace       time.Duration // time between SIGTERM and SIGKILL
+	RetryRatio  float64       // retries allowed per request to a service
+	RetrySlack  float64       // additional retries allowed per RetryWindow, over all nodes
 	RetryWindow time.Duration
-	ColdRatio   float64       // requests a second to a cold target, for each that it takes
-	ColdSlack   float64       // and besides, over all nodes
-	QuotaWindow time.Duration // the span that quotas of workspaces hold for
-	QuotaRatio  float64       // part of a quota that may be exceeded in it, over all nodes
-	QuotaSlack  float64       // units besides
+	ColdRatio   float64       // requests per second sent to a cold target, for each request per second that it can take
+	ColdSlack   float64       // additional requests per second, over all nodes
+	QuotaWindow time.Duration // period that the quotas of workspaces apply to
+	QuotaRatio  float64       // fraction by which a quota may be exceeded per QuotaWindow, over all nodes
+	QuotaSlack  float64       // additional quota units allowed per QuotaWindow, over all nodes
 }
 
-// The values of bounds that a file leaves out.
+// The defaults of the bounds that a file omits.
 const (
 	DefaultGrace       = 8 * time.Second
 	DefaultRetryRatio  = 0.1
@@ -64,7 +64,7 @@
 	DefaultQuotaWindow = 10 * time.Second
 )
 
-// readGateway reads the whole of a file that has the key gateway.
+// readGateway reads a file that has the key gateway.
 func (s *Settings) readGateway(o *object) {
 	s.Gateway = &Gateway{
 		DataCentres: map[string]string{},
@@ -82,7 +82,7 @@
 	}
 }
 
-// required reads a string that must be there.
+// required reads a string that must not be missing or empty.
 func (o *object) required(name string, into *string) {
 	if o.text(name, into); *into == "" {
 		o.fault(name, "is missing")
--- a/io/jwsettings/parse.go
+++ b/io/jwsettings/parse.go
@@ -12,12 +12,12 @@
 )
 
 const (
-	minToken = 16 // bytes; shorter ones are guessed
-	maxName  = 63
+	minToken = 16 // bytes; shorter tokens can be guessed
+	maxName  = 63 // characters
 )
 
-// Parse reads and checks settings; it opens no other file. Settings with
-// faults give a Faults.
+// Parse decodes and checks the text of a settings file. It opens no file, so a token
+// file is not read. If the settings have faults, the error is Faults.
 func Parse(data []byte) (*Settings, error) {
 	root, err := hujson.Parse(data)
 	if err != nil {
@@ -42,7 +42,7 @@
 	return s, nil
 }
 
-// readNode reads the settings of a node with the interfaces of its own.
+// readNode reads a file without the key gateway.
 func (s *Settings) readNode(o *object) {
 	s.readIdentity(o)
 	s.readAddresses(o)
@@ -100,7 +100,7 @@
 	o.address("nodes", &a.Nodes)
 }
 
-// checkDistinct finds two ports that cannot be opened side by side.
+// checkDistinct reports two ports that have the same address.
 func (o *object) checkDistinct(a Addresses) {
 	pairs := []struct {
 		name string
@@ -117,7 +117,7 @@
 	}
 }
 
-// checkReachable finds an address that others would be told but cannot use.
+// checkReachable reports an advertised address that other hosts cannot connect to.
 func (o *object) checkReachable(name string, a netip.AddrPort) {
 	if a.IsValid() && a.Addr().IsUnspecified() {
 		o.fault(name, "others cannot reach %s; give the address they use", a)
@@ -136,7 +136,8 @@
 	})
 }
 
-// service reads the required address of a service.
+// service reads an address that is required and must have a port and an IP address that
+// can be connected to.
 func (o *object) service(name string, into *netip.AddrPort) {
 	before := len(o.r.faults)
 	o.address(name, into)
@@ -181,7 +182,7 @@
 	})
 }
 
-// fileName reads the required name of one file.
+// fileName reads the required path of a file.
 func (o *object) fileName(name string, into *string) {
 	o.text(name, into)
 	if *into == "" {
@@ -303,7 +304,7 @@
 	s.Workers = int(workers)
 }
 
-// nameProblem tells what is wrong with a name, or nothing.
+// nameProblem returns what is wrong with a name, or "" if it is valid.
 func nameProblem(name string) string {
 	if name == "" {
 		return "is missing"
--- a/io/jwsettings/reader.go
+++ b/io/jwsettings/reader.go
@@ -11,28 +11,29 @@
 	"github.com/tailscale/hujson"
 )
 
-// reader collects the faults of one file.
+// reader holds the text of one file and collects its faults.
 type reader struct {
 	src    []byte
 	faults Faults
 }
 
+// fault adds a fault at a byte offset of the file; the key is its full path.
 func (r *reader) fault(offset int, key, format string, args ...any) {
 	line := 1 + bytes.Count(r.src[:min(offset, len(r.src))], []byte("\n"))
 	r.faults = append(r.faults, Fault{Line: line, Key: key, Problem: fmt.Sprintf(format, args...)})
 }
 
-// object is one JSON object of the file; each key that is read counts as known.
+// object is one JSON object of the file.
 type object struct {
 	r       *reader
-	path    string
-	offset  int
+	path    string // path of the object's key, empty for the whole file
+	offset  int    // byte offset in the file
 	members map[string]hujson.Value
-	known   map[string]bool
+	known   map[string]bool // keys that were read; end reports all others
 }
 
-// object takes a value as an object; one of another kind is a fault and reads
-// as empty.
+// object returns a value as an object. A value of another type is a fault and is
+// treated as an empty object.
 func (r *reader) object(path string, v hujson.Value) *object {
 	o := &object{r: r, path: path, offset: v.StartOffset, members: map[string]hujson.Value{}, known: map[string]bool{}}
 	fields, ok := v.Value.(*hujson.Object)
@@ -51,7 +52,7 @@
 	return o
 }
 
-// end reports the keys that nothing read.
+// end reports the keys that were not read as faults.
 func (o *object) end() {
 	for name, v := range o.members {
 		if !o.known[name] {
@@ -60,6 +61,7 @@
 	}
 }
 
+// key returns the path of a key of the object.
 func (o *object) key(name string) string {
 	if o.path == "" {
 		return name
@@ -67,7 +69,8 @@
 	return o.path + "." + name
 }
 
-// at returns where a key's value stands, or the object when it has none.
+// at returns the byte offset of a key's value, or that of the object if the key is
+// missing.
 func (o *object) at(name string) int {
 	if v, ok := o.members[name]; ok {
 		return v.StartOffset
@@ -79,13 +82,14 @@
 	o.r.fault(o.at(name), o.key(name), format, args...)
 }
 
+// value returns the value of a key, and marks the key as read.
 func (o *object) value(name string) (hujson.Value, bool) {
 	o.known[name] = true
 	v, ok := o.members[name]
 	return v, ok
 }
 
-// child reads the object of a key; a missing one reads as empty.
+// child calls read with the object of a key. A missing object is treated as empty.
 func (o *object) child(name string, read func(*object)) {
 	v, ok := o.value(name)
 	if !ok {
@@ -96,7 +100,7 @@
 	c.end()
 }
 
-// list reads the objects of a key in their order.
+// list calls read with each object in the list of a key, in order.
 func (o *object) list(name string, read func(*object)) {
 	for i, v := range o.elements(name) {
 		c := o.r.object(o.key(name)+"["+strconv.Itoa(i)+"]", v)
@@ -131,7 +135,7 @@
 	return out
 }
 
-// text reads a string; into keeps its value when the key is missing.
+// text reads a string. It leaves into unchanged if the key is missing.
 func (o *object) text(name string, into *string) {
 	v, ok := o.value(name)
 	if !ok {
@@ -152,6 +156,8 @@
 	}
 }
 
+// duration reads a duration from least to most. It leaves into unchanged if the key is
+// missing.
 func (o *object) duration(name string, into *time.Duration, least, most time.Duration) {
 	text := ""
 	if o.text(name, &text); text == "" {
@@ -172,7 +178,8 @@
 	*into = d
 }
 
-// address reads an IP address with a port.
+// address reads an IP address with a port. It leaves into unchanged if the key is
+// missing.
 func (o *object) address(name string, into *netip.AddrPort) {
 	text := ""
 	if o.text(name, &text); text == "" {
@@ -214,7 +221,7 @@
 	*into = n
 }
 
-// literalString returns the text of a JSON string, empty for other values.
+// literalString returns the text of a JSON string, or "" for other values.
 func literalString(v hujson.Value) string {
 	literal, ok := v.Value.(hujson.Literal)
 	if !ok {
--- a/io/jwsettings/settings.go
+++ b/io/jwsettings/settings.go
@@ -10,35 +10,36 @@
 	"github.com/pkg/errors"
 )
 
-// Settings are what a node knows before it talks to anyone.
+// Settings are the settings of one node. Parse and Load return them with the defaults
+// of all keys that the file omits.
 type Settings struct {
 	Node       string // unique name of the node
 	Region     string
 	DataCentre string
-	Listen     Addresses // where the node opens its ports; port 0 takes a free one
-	Advertise  Addresses // what others are told; as Listen where it is invalid
+	Listen     Addresses // addresses that the node listens on; port 0 takes a free port
+	Advertise  Addresses // addresses that callers and other nodes are given; those of Listen by default
 	Platform   Platform
 	Operators  Operators
 	TLS        TLS
 	Regions    []Region
 	Links      []Link
-	Seeds      []Seed // nodes of the region to ask while the host list can't be had
+	Seeds      []Seed // nodes of the own region to ask while the host list can't be read
 	Periods    Periods
 	Limits     Limits
 	Claims     Claims
-	DrainLimit time.Duration // longest wait for requests in flight at a planned stop
-	Gateway    *Gateway      // set where the node serves by the feed of a store
-	Workers    int           // goroutines of the pool that serves control work
+	DrainLimit time.Duration // maximum wait for requests in flight at a planned stop
+	Gateway    *Gateway      // set if the node gets its entries, targets and peers from the feed of a store
+	Workers    int           // number of goroutines in the pool for control work
 }
 
-// Addresses are the three ports of a node.
+// Addresses are the addresses of a node's three ports.
 type Addresses struct {
 	Callers   netip.AddrPort
 	Operators netip.AddrPort
 	Nodes     netip.AddrPort
 }
 
-// Platform tells where the platform's services answer over HTTP.
+// Platform holds the HTTP addresses of the platform's services.
 type Platform struct {
 	KeyValue  netip.AddrPort
 	Hosts     netip.AddrPort
@@ -46,27 +47,27 @@
 	Directory netip.AddrPort
 }
 
-// Operators tells who may use the operators' port.
+// Operators holds the credentials that the operators' port requires.
 type Operators struct {
 	Token     string // bearer token
-	TokenFile string // file that Load reads the token from
+	TokenFile string // path of the file that Load reads the token from
 }
 
-// TLS names the certificate files of each port; a port without them is plain.
+// TLS holds the certificate files of each port. A port without files does not use TLS.
 type TLS struct {
 	Callers   KeyFiles
 	Operators KeyFiles
-	Nodes     KeyFiles // both ends of a connection between nodes show theirs
+	Nodes     KeyFiles // connections between nodes use mutual TLS
 }
 
-// KeyFiles are PEM files.
+// KeyFiles are the paths of the PEM files for one port.
 type KeyFiles struct {
 	Certificate string
 	Key         string
-	Authority   string // certificates that sign the other end's; nodes only
+	Authority   string // CA certificates that verify the peer's certificate; only for Nodes
 }
 
-// Set tells whether the files are named.
+// Set reports whether a certificate file is named.
 func (k KeyFiles) Set() bool { return k.Certificate != "" }
 
 // Region is one region with its data centres.
@@ -75,49 +76,49 @@
 	DataCentres []string
 }
 
-// Seed is a node of the own region that a starting node may ask when the
-// platform can't be reached.
+// Seed is a node of the own region that a starting node may ask while the platform
+// can't be reached.
 type Seed struct {
 	Node    string
-	Address netip.AddrPort // of its port for nodes
+	Address netip.AddrPort // address of its port for nodes
 }
 
-// Link describes the network from one region to another.
+// Link describes the network connection from one region to another.
 type Link struct {
 	From      string
 	To        string
-	Delay     time.Duration // one way
+	Delay     time.Duration // one-way network delay
 	CostPerGB float64       // price of sending 1e9 bytes
 }
 
-// Periods are the clocks of a node's control work.
+// Periods are the intervals of a node's periodic work.
 type Periods struct {
-	Exchange      time.Duration // between two exchanges with peers
+	Exchange      time.Duration // between two state exchanges with peers
 	LoadPoll      time.Duration // between two readings of a target's load
 	HostsPoll     time.Duration // between two readings of the host list
 	DirectoryPoll time.Duration // between two readings of the client directory
-	HostsLag      time.Duration // how far the host list may be behind the truth
+	HostsLag      time.Duration // how far the host list may lag behind the actual hosts
 }
 
-// Limits bound what one caller's request may hold.
+// Limits bound the size of callers' requests and the number of their connections.
 type Limits struct {
-	MaxBody   int64 // bytes of a request's body
-	MaxHeader int   // bytes of a request's header
-	// MaxConnections bounds the callers' connections open at once.
+	MaxBody   int64 // bytes in the body of a request
+	MaxHeader int   // bytes in the header of a request
+	// MaxConnections is the maximum number of open connections from callers.
 	MaxConnections int
 }
 
-// Claims say how idempotency keys are kept.
+// Claims configures how claims of idempotency keys are written and remembered.
 type Claims struct {
 	KeyMemory   time.Duration // how long a key is remembered
-	GroupWindow time.Duration // how long a claim waits for others to share its write
-	// Salt is hashed with each key before it is written. It is the same at all
-	// nodes and stays the same while keys are remembered: a node with another
-	// one would not know a key again and run its request twice.
+	GroupWindow time.Duration // how long a claim waits for other claims to be written with it
+	// Salt is hashed with each key before the key is written. It must be the same
+	// at all nodes and must not change while keys are remembered: a node with
+	// another salt would not recognise a key and would run its request twice.
 	Salt string
 }
 
-// The values of keys that a file leaves out.
+// The defaults of keys that a file omits.
 const (
 	DefaultHostsPath     = "/hosts"
 	DefaultExchange      = 500 * time.Millisecond
@@ -129,7 +130,7 @@
 	DefaultMaxHeader     = 32 << 10
 	DefaultMaxConns      = 8192
 	DefaultKeyMemory     = 24 * time.Hour
-	DefaultGroupWindow   = 100 * time.Millisecond // the first claim after a quiet one doesn't wait
+	DefaultGroupWindow   = 100 * time.Millisecond // the first claim after an idle period doesn't wait
 	DefaultSalt          = "jujubewheel"
 	DefaultDrainLimit    = 10 * time.Minute
 	DefaultWorkers       = 4
@@ -137,8 +138,9 @@
 	DefaultLinkCost      = 0.02
 )
 
-// Load reads and checks a file and the token file it names; relative paths in
-// it start at its own directory. A file with faults gives a Faults.
+// Load reads and checks a settings file and reads the token file that it names.
+// Relative paths in the file are relative to its directory. If the file has faults, the
+// error wraps Faults.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -163,7 +165,8 @@
 	return s, nil
 }
 
-// resolve makes the paths of named files independent of the working directory.
+// resolve makes relative paths of files independent of the working directory; they are
+// relative to dir.
 func (s *Settings) resolve(dir string) {
 	paths := []*string{&s.Operators.TokenFile}
 	for _, k := range []*KeyFiles{&s.TLS.Callers, &s.TLS.Operators, &s.TLS.Nodes} {
@@ -176,8 +179,9 @@
 	}
 }
 
-// Link returns the network from one region to another. A link written for one
-// direction only holds for both; one that is not written has the defaults.
+// Link returns the network connection from one region to another. A link that the file
+// gives for only one direction holds for both; one that it omits has the defaults. The
+// link of a region to itself has no delay and no cost.
 func (s *Settings) Link(from, to string) Link {
 	if from == to {
 		return Link{From: from, To: to}
@@ -194,7 +198,7 @@
 	return found
 }
 
-// RegionOf returns the region of a data centre, empty for an unknown one.
+// RegionOf returns the region of a data centre, or "" if the data centre is unknown.
 func (s *Settings) RegionOf(dataCentre string) string {
 	for _, r := range s.Regions {
 		for _, d := range r.DataCentres {
--- a/io/jwsettings/settings_test.go
+++ b/io/jwsettings/settings_test.go
@@ -57,9 +57,10 @@
 	assert.Equal(t, s.Workers, 2)
 }
 
-// with adds keys to the small file.
+// with returns the minimal file with more keys.
 func with(keys string) string { return strings.TrimSuffix(small, "}") + keys + "}" }
 
+// swap returns the minimal file with the first from replaced by to.
 func swap(from, to string) string { return strings.Replace(small, from, to, 1) }
 
 func TestFaults(t *testing.T) {
