--- a/io/jwkeys/config.go
+++ b/io/jwkeys/config.go
@@ -7,7 +7,8 @@
 	"github.com/pkg/errors"
 )
 
-// Server returns the configuration of a port for callers or operators.
+// Server returns the TLS configuration of a port for callers or operators. It does not
+// ask for client certificates.
 func (k *Keeper) Server() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
@@ -17,13 +18,14 @@
 	}
 }
 
-// NodeServer returns the configuration of the port for other nodes; it lets in
-// whoever shows a certificate of a node. IdentityOf tells which.
+// NodeServer returns the TLS configuration of the port for other nodes. It accepts the
+// certificate of any node; IdentityOf returns which node connected.
 func (k *Keeper) NodeServer() *tls.Config {
 	cfg := k.Server()
 	cfg.MinVersion = tls.VersionTLS13
-	// Verified below against the authority of the moment; crypto/tls would
-	// hold on to the one the listener began with.
+	// VerifyConnection verifies the certificate against the authority that is
+	// loaded now. crypto/tls would use the authority that was loaded when the
+	// listener started.
 	cfg.ClientAuth = tls.RequireAnyClientCert
 	cfg.VerifyConnection = func(state tls.ConnectionState) error {
 		_, err := k.verify(state, x509.ExtKeyUsageClientAuth)
@@ -32,17 +34,18 @@
 	return cfg
 }
 
-// NodeClient returns the configuration of a connection to one node. Only that
-// node is accepted: an address that was given to another host since, maybe one
-// of another region, must not get bound data.
+// NodeClient returns the TLS configuration of a connection to the node want, which
+// rejects the certificates of all other nodes. The address may since have been given to
+// another host, possibly in another region, which must not receive bound data.
 func (k *Keeper) NodeClient(want Identity) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
 			return k.certificate()
 		},
-		// Nodes are known by identity, not by host name: VerifyConnection
-		// does all that crypto/tls would do but for the name.
+		// Nodes are identified by the URI in their certificate, not by host name.
+		// VerifyConnection does the same checks as crypto/tls except that of the
+		// host name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			got, err := k.verify(state, x509.ExtKeyUsageServerAuth)
@@ -58,6 +61,7 @@
 	}
 }
 
+// certificate returns the loaded certificate, or an error before the first Load.
 func (k *Keeper) certificate() (*tls.Certificate, error) {
 	l := k.current.Load()
 	if l == nil {
@@ -66,7 +70,8 @@
 	return &l.certificate, nil
 }
 
-// verify checks the other end's chain and returns its identity.
+// verify checks the peer's certificate chain against the loaded authority and returns
+// the peer's identity.
 func (k *Keeper) verify(state tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
 	l := k.current.Load()
 	if l == nil || l.authority == nil {
--- a/io/jwkeys/credentials.go
+++ b/io/jwkeys/credentials.go
@@ -9,11 +9,12 @@
 	"google.golang.org/grpc/credentials"
 )
 
-// Credentials secures gRPC connections between nodes, both ends.
+// Credentials implements mutual TLS for gRPC connections between nodes, on the client and
+// on the server.
 type Credentials struct {
 	Keeper *Keeper
-	// Identify tells which node should answer at an address; ok is false for
-	// an address that no node is known to have, which is refused.
+	// Identify returns which node should be at an address. If ok is false, no node
+	// is known at the address and ClientHandshake fails.
 	Identify func(address netip.AddrPort) (want Identity, ok bool)
 }
 
@@ -42,9 +43,10 @@
 	return credentials.NewTLS(c.Keeper.NodeServer()).Info()
 }
 
-// Clone implements credentials.TransportCredentials; nothing in it changes.
+// Clone implements credentials.TransportCredentials. It returns c itself, because c does
+// not change after it is set up.
 func (c *Credentials) Clone() credentials.TransportCredentials { return c }
 
-// OverrideServerName implements credentials.TransportCredentials; nodes have
-// no server names.
+// OverrideServerName implements credentials.TransportCredentials. It does nothing,
+// because nodes are identified by the URI in their certificate.
 func (c *Credentials) OverrideServerName(string) error { return nil }
--- a/io/jwkeys/doc.go
+++ b/io/jwkeys/doc.go
@@ -1,5 +1,5 @@
-// Package jwkeys keeps the TLS certificates of a node's ports and loads them
-// anew when their files change. Between nodes both ends show a certificate that
-// the authority signed and whose SAN holds the URI
-// spiffe://jujubewheel/region/REGION/node/NAME.
+// Package jwkeys loads the TLS certificates of a node's ports and reloads them when
+// their files change. Nodes authenticate each other with mutual TLS: each presents a
+// certificate that is signed by the authority and has the URI
+// spiffe://jujubewheel/region/REGION/node/NAME as a subject alternative name.
 package jwkeys
--- a/io/jwkeys/identity.go
+++ b/io/jwkeys/identity.go
@@ -14,18 +14,19 @@
 	trustDomain = "jujubewheel"
 )
 
-// Identity is the node that a certificate was made for.
+// Identity is the node that a certificate was issued to.
 type Identity struct {
 	Node   string
 	Region string
 }
 
-// URI returns the identity as it stands in a certificate.
+// URI returns the identity as the SPIFFE URI in a certificate.
 func (i Identity) URI() *url.URL {
 	return &url.URL{Scheme: scheme, Host: trustDomain, Path: "/region/" + i.Region + "/node/" + i.Node}
 }
 
-// IdentityOf returns the node at the other end of a verified connection.
+// IdentityOf returns the identity of the peer of a verified connection. It fails if the
+// peer's certificate does not name exactly one node.
 func IdentityOf(state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, errors.New("read identity: no certificate")
@@ -33,8 +34,8 @@
 	return identityOf(state.PeerCertificates[0])
 }
 
-// identityOf reads the one identity of a certificate; with two of them a node
-// could speak for another.
+// identityOf returns the only identity in a certificate. With more than one, a node could
+// act as another.
 func identityOf(c *x509.Certificate) (Identity, error) {
 	var found []Identity
 	for _, u := range c.URIs {
--- a/io/jwkeys/keeper.go
+++ b/io/jwkeys/keeper.go
@@ -16,29 +16,30 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// DefaultEvery is how often the files are compared where Every is 0.
+// DefaultEvery is the interval between two checks of the files if Keeper.Every is 0.
 const DefaultEvery = 10 * time.Second
 
-// Keeper holds the certificate of one port; set its fields, then call Load.
+// Keeper holds the certificate of one port and reloads it when its files change. Set the
+// exported fields, then call Load and Run.
 type Keeper struct {
-	Port  string // "callers", "operators" or "nodes", for errors and records
+	Port  string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
 	Files jwsettings.KeyFiles
-	Every time.Duration // between two comparisons of the files
+	Every time.Duration // interval between two checks of the files; 0 means DefaultEvery
 	Audit *jwaudit.Trail
 	Meter *jwmeter.Meter
 
 	current atomic.Pointer[loaded]
-	refused string // the last error told, so that it is told once
+	refused string // last error in the audit trail, so that each error is added only once
 }
 
-// loaded is one reading of the files.
+// loaded is the content of the files at one time.
 type loaded struct {
-	pem         [3][]byte
+	pem         [3][]byte // certificate, key and authority
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Load reads the files for the first time.
+// Load reads the files for the first time. It fails if they cannot be used.
 func (k *Keeper) Load() error {
 	l, err := read(k.Files)
 	if err != nil {
@@ -48,8 +49,8 @@
 	return nil
 }
 
-// Run loads the files anew when they change, until ctx ends. Files that cannot
-// be used leave the old certificate in place.
+// Run reloads the files when they change, until ctx ends. While the files cannot be
+// used, the previous certificate stays in use.
 func (k *Keeper) Run(ctx context.Context) error {
 	every := k.Every
 	if every == 0 {
@@ -67,6 +68,7 @@
 	}
 }
 
+// refresh reads the files and uses their content if it has changed.
 func (k *Keeper) refresh() {
 	l, err := read(k.Files)
 	if err != nil {
@@ -81,8 +83,8 @@
 	k.set(l)
 }
 
-// refuse tells of files that cannot be used. A certificate that is replaced in
-// two steps is unusable between them, so this may pass by itself.
+// refuse counts and records that the files cannot be used. The cause can be temporary:
+// while certificate and key are replaced one after the other, they do not match.
 func (k *Keeper) refuse(err error) {
 	k.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": k.Port}).Inc(1)
 	if k.refused == err.Error() {
@@ -92,6 +94,7 @@
 	k.Audit.Add(jwaudit.Record{Kind: jwaudit.CertificateSet, Subject: k.Port, To: "refused", Detail: err.Error()})
 }
 
+// set starts to use the content of the files and adds an audit record.
 func (k *Keeper) set(l *loaded) {
 	k.current.Store(l)
 	k.measure(l)
@@ -102,13 +105,14 @@
 	})
 }
 
-// measure shows how long the certificate is still valid. An expired one lets
-// no new connection come about, while old ones hide that for a while.
+// measure updates the metric of the remaining validity. After the certificate expires,
+// new connections fail, which established connections can hide for some time.
 func (k *Keeper) measure(l *loaded) {
 	left := time.Until(l.certificate.Leaf.NotAfter)
 	k.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": k.Port}).Update(left.Seconds())
 }
 
+// read reads the files and checks that the key matches the certificate.
 func read(files jwsettings.KeyFiles) (*loaded, error) {
 	l := &loaded{}
 	for i, path := range []string{files.Certificate, files.Key, files.Authority} {
--- a/io/jwkeys/keeper_test.go
+++ b/io/jwkeys/keeper_test.go
@@ -19,7 +19,7 @@
 	"jujubewheel/io/jwkeystest"
 )
 
-// keeper returns a keeper that has loaded a certificate for the identities.
+// keeper returns a Keeper with a loaded certificate that a issued for the identities.
 func keeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
 	t.Helper()
 	k := &jwkeys.Keeper{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
@@ -33,9 +33,9 @@
 )
 
 func TestBetweenNodes(t *testing.T) {
-	// A node reaches an address that has been given to another host, or a host
-	// that is no node at all comes to a node's port. Neither may get a request:
-	// bound data would leave its region, and nobody would see it.
+	// A node may connect to an address that has been given to another host, and a
+	// host that is not a node may connect to a node's port. Both connections must
+	// fail. Otherwise bound data would leave its region unnoticed.
 	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
 	tests := map[string]struct {
 		server, client *jwkeys.Keeper
@@ -64,8 +64,8 @@
 	}
 }
 
-// handshake connects two keepers and returns the first error of the client,
-// whichever end found it.
+// handshake connects client to server and returns the first error that the client sees.
+// The client reads one byte, so that it also sees a rejection by the server.
 func handshake(t *testing.T, server, client *jwkeys.Keeper, want jwkeys.Identity) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -118,8 +118,8 @@
 }
 
 func TestReload(t *testing.T) {
-	// A certificate is replaced in two steps, so that for a while its key does
-	// not fit. The old one must serve on until the new one is whole.
+	// Certificate and key are replaced one after the other, so for a while they do
+	// not match. The old certificate must stay in use until the new pair is complete.
 	synctest.Test(t, func(t *testing.T) {
 		a := jwkeystest.New(t)
 		dir := t.TempDir()
@@ -135,8 +135,8 @@
 			assert.NilError(t, err)
 			return c.Leaf.SerialNumber.Int64()
 		}
-		// From here on between two ticks: at one, the keeper would read while
-		// this writes.
+		// Move half an interval away from the ticks, so that the Keeper does not
+		// read the files while the test writes them.
 		time.Sleep(jwkeys.DefaultEvery / 2)
 		assert.Equal(t, serial(), int64(2))
 
--- a/io/jwkeystest/authority.go
+++ b/io/jwkeystest/authority.go
@@ -21,7 +21,8 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// Authority signs certificates that are valid for an hour on 127.0.0.1.
+// Authority is a certificate authority whose certificates are valid for an hour and for
+// 127.0.0.1.
 type Authority struct {
 	t    testing.TB
 	cert *x509.Certificate
@@ -29,7 +30,7 @@
 	next int64
 }
 
-// New returns an authority of its own.
+// New returns an Authority with a new key. Its errors fail the test t.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,15 +47,16 @@
 	return &Authority{t: t, cert: cert, key: key, next: 2}
 }
 
-// Pool returns the authority as those who trust it hold it.
+// Pool returns a pool with the certificate of the authority, for clients that trust it.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue writes a certificate for the identities into dir and returns its
-// files; the first one has the serial number 2.
+// Issue writes a new key, its certificate for the identities and the certificate of the
+// authority into dir and returns the paths. Serial numbers are consecutive and begin
+// with 2.
 func (a *Authority) Issue(dir string, ids ...jwkeys.Identity) jwsettings.KeyFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/io/jwkeystest/doc.go
+++ b/io/jwkeystest/doc.go
@@ -1,2 +1,2 @@
-// Package jwkeystest makes throw-away certificates for tests.
+// Package jwkeystest issues short-lived certificates for tests.
 package jwkeystest
