--- a/io/jwconsul/client.go
+++ b/io/jwconsul/client.go
@@ -18,9 +18,9 @@
 const (
 	defaultTimeout = 2 * time.Second
 	idleTimeout    = 30 * time.Second
-	// maxAnswer is the maximum size of a response body in bytes. It bounds the
+	// maxResponseSize is the maximum size of a response body in bytes. It bounds the
 	// memory that one response can take.
-	maxAnswer = 64 << 20
+	maxResponseSize = 64 << 20
 )
 
 // Traffic counts the bytes that a client has sent and received, HTTP headers included.
@@ -47,24 +47,24 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, client: c}, nil
+	return &countingConn{Conn: conn, client: c}, nil
 }
 
-// countedConn adds the bytes that it reads and writes to the counters of its client.
-type countedConn struct {
+// countingConn adds the bytes that it reads and writes to the counters of its client.
+type countingConn struct {
 	net.Conn
 	client *client
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.client.received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.client.sent.Add(uint64(n))
 	return n, err
@@ -75,27 +75,27 @@
 // end of a real one.
 func (c *client) do(name string, address netip.AddrPort, r *http.Request) (*http.Response, error) {
 	c.once.Do(func() {
-		full := "jwconsul " + name + " " + address.String()
-		breaker.NoBreakerFor(full)
+		serviceName := "jwconsul " + name + " " + address.String()
+		breaker.NoBreakerFor(serviceName)
 		transport := &http.Transport{
 			DialContext:         c.dial,
 			MaxIdleConnsPerHost: 4,
 			IdleConnTimeout:     idleTimeout,
 		}
-		c.service = httpc.NewServiceWithClient(full, &http.Client{Transport: transport})
+		c.service = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport})
 	})
 	return c.service.DoRequest(r)
 }
 
-// readAnswer reads the whole body of a response and closes it.
-func readAnswer(res *http.Response) ([]byte, error) {
+// readBody reads the whole body of a response and closes it.
+func readBody(res *http.Response) ([]byte, error) {
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
-		return nil, errors.Errorf("answer longer than %d bytes", maxAnswer)
+	if len(body) > maxResponseSize {
+		return nil, errors.Errorf("answer longer than %d bytes", maxResponseSize)
 	}
 	return body, nil
 }
--- a/io/jwconsul/directory.go
+++ b/io/jwconsul/directory.go
@@ -18,11 +18,11 @@
 	// WorkspaceSchema is the URN of the SCIM schema extension that describes a workspace.
 	WorkspaceSchema = "urn:jujubewheel:scim:Workspace"
 
-	directoryPage = 1000
-	directoryPath = "/scim/v2/Users"
-	// directoryTries is the maximum number of attempts to read all pages; an
+	directoryPageSize = 1000
+	directoryPath     = "/scim/v2/Users"
+	// maxDirectoryFetches is the maximum number of attempts to read all pages; an
 	// attempt fails if the directory changes between two pages.
-	directoryTries = 3
+	maxDirectoryFetches = 3
 )
 
 // Directory reads the platform's client directory over SCIM 2.0.
@@ -43,23 +43,23 @@
 // Fetch returns the whole directory, or nil if it is still at version. An empty
 // version always fetches. Fetch fails if the directory changes during each attempt.
 func (d *Directory) Fetch(ctx context.Context, version string) (*jwdirectory.Snapshot, error) {
-	for range directoryTries {
-		snapshot, moved, err := d.fetchOnce(ctx, version)
+	for range maxDirectoryFetches {
+		snapshot, changed, err := d.fetchOnce(ctx, version)
 		if err != nil {
 			return nil, errors.Wrapf(err, "directory: %s", d.Address)
 		}
-		if !moved {
+		if !changed {
 			return snapshot, nil
 		}
 	}
-	return nil, errors.Errorf("directory: %s: changed during each of %d fetches", d.Address, directoryTries)
+	return nil, errors.Errorf("directory: %s: changed during each of %d fetches", d.Address, maxDirectoryFetches)
 }
 
-// fetchOnce reads all pages. The result moved reports that the pages are not all
-// of one version, so that a workspace could be missing or appear twice.
-func (d *Directory) fetchOnce(ctx context.Context, version string) (snapshot *jwdirectory.Snapshot, moved bool, err error) {
+// fetchOnce reads all pages. The result changed reports that the pages are not
+// all of one version, so that a workspace could be missing or appear twice.
+func (d *Directory) fetchOnce(ctx context.Context, version string) (snapshot *jwdirectory.Snapshot, changed bool, err error) {
 	for start := 1; ; {
-		page, tag, err := d.page(ctx, version, start)
+		page, etag, err := d.fetchPage(ctx, version, start)
 		if err != nil {
 			return nil, false, err
 		}
@@ -68,9 +68,9 @@
 		}
 		version = ""
 		if snapshot == nil {
-			snapshot = &jwdirectory.Snapshot{Version: tag, Workspaces: make(map[string]jwdirectory.Workspace)}
+			snapshot = &jwdirectory.Snapshot{Version: etag, Workspaces: make(map[string]jwdirectory.Workspace)}
 		}
-		if tag != snapshot.Version {
+		if etag != snapshot.Version {
 			return nil, true, nil
 		}
 		for _, w := range page.workspaces {
@@ -86,14 +86,14 @@
 	}
 }
 
-// page reads the page that begins at the 1-based index start, and returns it with
-// its ETag. The page is nil if the directory is still at version.
-func (d *Directory) page(ctx context.Context, version string, start int) (*directoryList, string, error) {
+// fetchPage reads the fetchPage that begins at the 1-based index start, and returns it with
+// its ETag. The fetchPage is nil if the directory is still at version.
+func (d *Directory) fetchPage(ctx context.Context, version string, start int) (*directoryPage, string, error) {
 	d.calls.Add(1)
 	ctx, cancel := withTimeout(ctx, d.Timeout)
 	defer cancel()
-	target := fmt.Sprintf("http://%s%s?startIndex=%d&count=%d", d.Address, directoryPath, start, directoryPage)
-	r, err := http.NewRequestWithContext(ctx, http.MethodGet, target, nil)
+	pageURL := fmt.Sprintf("http://%s%s?startIndex=%d&count=%d", d.Address, directoryPath, start, directoryPageSize)
+	r, err := http.NewRequestWithContext(ctx, http.MethodGet, pageURL, nil)
 	if err != nil {
 		return nil, "", err
 	}
@@ -104,7 +104,7 @@
 	if err != nil {
 		return nil, "", err
 	}
-	body, err := readAnswer(res)
+	body, err := readBody(res)
 	if err != nil {
 		return nil, "", err
 	}
@@ -118,8 +118,8 @@
 	return list, res.Header.Get("ETag"), err
 }
 
-// directoryList is one page of the directory; total counts the workspaces on all pages.
-type directoryList struct {
+// directoryPage is one page of the directory; total counts the workspaces on all pages.
+type directoryPage struct {
 	total      int
 	workspaces []jwdirectory.Workspace
 }
@@ -143,7 +143,7 @@
 // decodeDirectory decodes one SCIM list response. A user without the workspace
 // extension or without a region is an error, because data bound to a region could
 // leave it if the region were guessed.
-func decodeDirectory(body []byte) (*directoryList, error) {
+func decodeDirectory(body []byte) (*directoryPage, error) {
 	var list scimList
 	if err := json.Unmarshal(body, &list); err != nil {
 		return nil, errors.Wrap(err, "decode")
@@ -151,7 +151,7 @@
 	if list.TotalResults < len(list.Resources) {
 		return nil, errors.Errorf("decode: %d users of %d", len(list.Resources), list.TotalResults)
 	}
-	page := &directoryList{total: list.TotalResults}
+	page := &directoryPage{total: list.TotalResults}
 	for i, user := range list.Resources {
 		if user.UserName == "" || user.Workspace == nil || user.Workspace.Region == "" {
 			return nil, errors.Errorf("decode: user %d (%q) has no name or no region", i, user.UserName)
--- a/io/jwconsul/hostlist.go
+++ b/io/jwconsul/hostlist.go
@@ -28,11 +28,11 @@
 	Path    string        // empty means DefaultHostsPath
 	Timeout time.Duration // 0 means 2s
 
-	client client
-	calls  atomic.Uint64
-	mu     sync.Mutex
-	tag    string // ETag of the last list
-	last   []jwhost.Host
+	client    client
+	calls     atomic.Uint64
+	mu        sync.Mutex
+	etag      string // ETag of the last list
+	lastHosts []jwhost.Host
 }
 
 // Calls returns the number of requests sent so far.
@@ -58,19 +58,19 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	tag, last := l.known()
-	if tag != "" {
-		r.Header.Set("If-None-Match", tag)
+	etag, last := l.cached()
+	if etag != "" {
+		r.Header.Set("If-None-Match", etag)
 	}
 	res, err := l.client.do("hostList", l.Address, r)
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	body, err := readAnswer(res)
+	body, err := readBody(res)
 	switch {
 	case err != nil:
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
-	case res.StatusCode == http.StatusNotModified && tag != "":
+	case res.StatusCode == http.StatusNotModified && etag != "":
 		return last, nil
 	case res.StatusCode != http.StatusOK:
 		return nil, errors.Errorf("host list: %s: %s", l.Address, res.Status)
@@ -79,21 +79,21 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	l.remember(res.Header.Get("ETag"), hosts)
+	l.setCached(res.Header.Get("ETag"), hosts)
 	return hosts, nil
 }
 
-// known returns the last list and its ETag, which is empty if there is none.
-func (l *HostList) known() (tag string, last []jwhost.Host) {
+// cached returns the last list and its ETag, which is empty if there is none.
+func (l *HostList) cached() (etag string, last []jwhost.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tag, l.last
+	return l.etag, l.lastHosts
 }
 
-func (l *HostList) remember(tag string, hosts []jwhost.Host) {
+func (l *HostList) setCached(etag string, hosts []jwhost.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tag, l.last = tag, hosts
+	l.etag, l.lastHosts = etag, hosts
 }
 
 // targetGroup is one group of a service discovery document.
@@ -121,7 +121,7 @@
 	}
 	var hosts []jwhost.Host
 	for i, group := range groups {
-		if !takesPart(jwhost.Role(group.Labels.Role)) {
+		if !isNodeOrTarget(jwhost.Role(group.Labels.Role)) {
 			continue
 		}
 		for _, target := range group.Targets {
@@ -135,7 +135,7 @@
 	return hosts, nil
 }
 
-func takesPart(role jwhost.Role) bool {
+func isNodeOrTarget(role jwhost.Role) bool {
 	return role == jwhost.Entry || role == jwhost.Target
 }
 
--- a/io/jwconsul/keyvalue.go
+++ b/io/jwconsul/keyvalue.go
@@ -24,17 +24,17 @@
 // MaxValueSize is the maximum size in bytes of a value in the key-value service.
 const MaxValueSize = 1 << 20
 
-// waitStagger bounds the jitter that the service adds to a blocking read so that
-// not all of them end at the same moment: 1/waitStagger of the wait.
-const waitStagger = 16
+// waitJitterDivisor bounds the jitter that the service adds to a blocking read so that
+// not all of them end at the same moment: 1/waitJitterDivisor of the wait.
+const waitJitterDivisor = 16
 
 // waitPause is the pause before the third and each later request of one Wait.
 // Without it, a service that ends blocking reads early or returns no index would be
 // polled in a busy loop.
 const waitPause = 50 * time.Millisecond
 
-// rememberedIndexes is the maximum number of keys in KeyValue.absent.
-const rememberedIndexes = 64
+// maxAbsentKeys is the maximum number of keys in KeyValue.absent.
+const maxAbsentKeys = 64
 
 // KeyValue is a Store that calls the platform's key-value service through the Consul
 // HTTP API. Writes are sent as transactions, since only the response to a transaction
@@ -77,55 +77,55 @@
 // List implements jwstore.Reader.
 func (kv *KeyValue) List(ctx context.Context, prefix string) ([]jwstore.Item, error) {
 	kv.reads.Add(1)
-	answer, err := kv.call(ctx, http.MethodGet, prefix, url.Values{"recurse": {""}}, kv.Timeout)
+	res, err := kv.read(ctx, http.MethodGet, prefix, url.Values{"recurse": {""}}, kv.Timeout)
 	if err != nil {
-		return nil, kv.fail(err)
+		return nil, kv.countFailure(err)
 	}
-	if answer.status == http.StatusNotFound {
+	if res.status == http.StatusNotFound {
 		return nil, nil
 	}
-	items, err := decodeItems(answer.body)
+	items, err := decodeItems(res.body)
 	if err != nil {
-		return nil, kv.fail(kv.wrap(jwstore.ErrUnavailable, "list "+prefix+": "+err.Error()))
+		return nil, kv.countFailure(kv.wrap(jwstore.ErrUnavailable, "list "+prefix+": "+err.Error()))
 	}
 	slices.SortFunc(items, func(a, b jwstore.Item) int { return strings.Compare(a.Key, b.Key) })
 	return items, nil
 }
 
 // Wait implements jwstore.Reader.
-func (kv *KeyValue) Wait(ctx context.Context, key string, after uint64, most time.Duration) (jwstore.Item, bool, error) {
-	end := time.Now().Add(most)
+func (kv *KeyValue) Wait(ctx context.Context, key string, after uint64, maxWait time.Duration) (jwstore.Item, bool, error) {
+	end := time.Now().Add(maxWait)
 	index := after
 	if after == 0 {
-		index = kv.absentAt(key)
+		index = kv.absentIndex(key)
 	}
 	for calls := 0; ; calls++ {
 		if calls > 1 && jwclock.Sleep(ctx, waitPause) != nil {
-			return jwstore.Item{}, false, kv.fail(kv.wrap(jwstore.ErrUnavailable, "wait "+key+": "+ctx.Err().Error()))
+			return jwstore.Item{}, false, kv.countFailure(kv.wrap(jwstore.ErrUnavailable, "wait "+key+": "+ctx.Err().Error()))
 		}
-		left := max(time.Until(end), 0)
+		remaining := max(time.Until(end), 0)
 		query := url.Values{}
-		if index == 0 || left < time.Millisecond {
+		if index == 0 || remaining < time.Millisecond {
 			kv.reads.Add(1)
 		} else {
 			kv.waits.Add(1)
 			query.Set("index", strconv.FormatUint(index, 10))
-			query.Set("wait", strconv.FormatInt(left.Milliseconds(), 10)+"ms")
+			query.Set("wait", strconv.FormatInt(remaining.Milliseconds(), 10)+"ms")
 		}
-		item, found, next, err := kv.get(ctx, key, query)
+		item, found, nextIndex, err := kv.get(ctx, key, query)
 		if err != nil {
 			return item, found, err
 		}
 		if item.Version != after || time.Until(end) < time.Millisecond {
 			return item, found, nil
 		}
-		if next < index {
+		if nextIndex < index {
 			// The index went back because the service was restored from an older
 			// state. With the old index it would block until the index passes
 			// that value again and miss the writes before that.
-			next = 0
+			nextIndex = 0
 		}
-		index = next
+		index = nextIndex
 	}
 }
 
@@ -158,26 +158,26 @@
 		timeout = defaultTimeout
 	}
 	if wait, err := time.ParseDuration(query.Get("wait")); err == nil {
-		timeout += wait + wait/waitStagger
+		timeout += wait + wait/waitJitterDivisor
 	}
-	answer, err := kv.call(ctx, http.MethodGet, key, query, timeout)
+	res, err := kv.read(ctx, http.MethodGet, key, query, timeout)
 	if err != nil {
-		return item, false, 0, kv.fail(err)
+		return item, false, 0, kv.countFailure(err)
 	}
 	item.Key = key
-	if answer.status == http.StatusNotFound {
-		kv.rememberAbsent(key, answer.index)
-		return item, false, answer.index, nil
+	if res.status == http.StatusNotFound {
+		kv.rememberAbsent(key, res.index)
+		return item, false, res.index, nil
 	}
-	items, err := decodeItems(answer.body)
+	items, err := decodeItems(res.body)
 	if err != nil || len(items) != 1 || items[0].Key != key {
-		return item, false, 0, kv.fail(kv.wrap(jwstore.ErrUnavailable, "get "+key+": answer is not this key"))
+		return item, false, 0, kv.countFailure(kv.wrap(jwstore.ErrUnavailable, "get "+key+": answer is not this key"))
 	}
-	return items[0], true, max(answer.index, items[0].Version), nil
+	return items[0], true, max(res.index, items[0].Version), nil
 }
 
-// absentAt returns the index at which the key was last seen not to exist, or 0.
-func (kv *KeyValue) absentAt(key string) uint64 {
+// absentIndex returns the index at which the key was last seen not to exist, or 0.
+func (kv *KeyValue) absentIndex(key string) uint64 {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
 	return kv.absent[key]
@@ -189,45 +189,45 @@
 func (kv *KeyValue) rememberAbsent(key string, index uint64) {
 	kv.mu.Lock()
 	defer kv.mu.Unlock()
-	if kv.absent == nil || len(kv.absent) >= rememberedIndexes {
+	if kv.absent == nil || len(kv.absent) >= maxAbsentKeys {
 		kv.absent = make(map[string]uint64)
 	}
 	kv.absent[key] = index
 }
 
-// answer is a response to a read; index is 0 if the service returned none.
-type answer struct {
+// response is a response to a read; index is 0 if the service returned none.
+type response struct {
 	status int
 	index  uint64
 	body   []byte
 }
 
-// call sends a read. A read that fails for any reason returns ErrUnavailable.
-func (kv *KeyValue) call(ctx context.Context, method, key string, query url.Values, timeout time.Duration) (answer, error) {
+// read sends a read. A read that fails for any reason returns ErrUnavailable.
+func (kv *KeyValue) read(ctx context.Context, method, key string, query url.Values, timeout time.Duration) (response, error) {
 	ctx, cancel := withTimeout(ctx, timeout)
 	defer cancel()
-	step := "get " + key
+	opName := "get " + key
 	target := url.URL{Scheme: "http", Host: kv.Address.String(), Path: "/v1/kv/" + key, RawQuery: query.Encode()}
 	r, err := http.NewRequestWithContext(ctx, method, target.String(), nil)
 	if err != nil {
-		return answer{}, errors.Wrap(err, step)
+		return response{}, errors.Wrap(err, opName)
 	}
 	res, err := kv.client.do("keyValue", kv.Address, r)
 	if err != nil {
-		return answer{}, kv.wrap(jwstore.ErrUnavailable, step+": "+err.Error())
+		return response{}, kv.wrap(jwstore.ErrUnavailable, opName+": "+err.Error())
 	}
-	body, err := readAnswer(res)
+	body, err := readBody(res)
 	if err != nil {
-		return answer{}, kv.wrap(jwstore.ErrUnavailable, step+": "+err.Error())
+		return response{}, kv.wrap(jwstore.ErrUnavailable, opName+": "+err.Error())
 	}
 	if res.StatusCode != http.StatusOK && res.StatusCode != http.StatusNotFound {
-		return answer{}, kv.wrap(jwstore.ErrUnavailable, step+": "+res.Status)
+		return response{}, kv.wrap(jwstore.ErrUnavailable, opName+": "+res.Status)
 	}
 	index, err := strconv.ParseUint(res.Header.Get("X-Consul-Index"), 10, 64)
 	if err != nil {
 		index = 0
 	}
-	return answer{status: res.StatusCode, index: index, body: body}, nil
+	return response{status: res.StatusCode, index: index, body: body}, nil
 }
 
 // write sends one transaction, whose last operation is the write. It returns the new
@@ -237,14 +237,14 @@
 func (kv *KeyValue) write(ctx context.Context, ops ...operation) (uint64, bool, error) {
 	kv.writes.Add(1)
 	op := ops[len(ops)-1]
-	step := op.Verb + " " + op.Key
-	steps := make([]transactionStep, 0, len(ops))
+	opName := op.Verb + " " + op.Key
+	transaction := make([]transactionOperation, 0, len(ops))
 	for _, op := range ops {
-		steps = append(steps, transactionStep{KV: op})
+		transaction = append(transaction, transactionOperation{KV: op})
 	}
-	body, err := json.Marshal(steps)
+	body, err := json.Marshal(transaction)
 	if err != nil {
-		return 0, false, kv.fail(errors.Wrap(err, step))
+		return 0, false, kv.countFailure(errors.Wrap(err, opName))
 	}
 	ctx, cancel := withTimeout(ctx, kv.Timeout)
 	defer cancel()
@@ -253,7 +253,7 @@
 	ctx = httptrace.WithClientTrace(ctx, trace)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+kv.Address.String()+"/v1/txn", bytes.NewReader(body))
 	if err != nil {
-		return 0, false, kv.fail(errors.Wrap(err, step))
+		return 0, false, kv.countFailure(errors.Wrap(err, opName))
 	}
 	r.Header.Set("Content-Type", "application/json")
 	res, err := kv.client.do("keyValue", kv.Address, r)
@@ -262,35 +262,35 @@
 		if connected.Load() {
 			kind = jwstore.ErrUnknown
 		}
-		return 0, false, kv.fail(kv.wrap(kind, step+": "+err.Error()))
+		return 0, false, kv.countFailure(kv.wrap(kind, opName+": "+err.Error()))
 	}
-	reply, err := readAnswer(res)
+	reply, err := readBody(res)
 	switch {
 	case res.StatusCode == http.StatusConflict:
 		return 0, false, nil
 	case res.StatusCode >= 400 && res.StatusCode < 500:
-		return 0, false, kv.fail(kv.wrap(jwstore.ErrUnavailable, step+": "+res.Status))
+		return 0, false, kv.countFailure(kv.wrap(jwstore.ErrUnavailable, opName+": "+res.Status))
 	case err != nil:
-		return 0, false, kv.fail(kv.wrap(jwstore.ErrUnknown, step+": "+err.Error()))
+		return 0, false, kv.countFailure(kv.wrap(jwstore.ErrUnknown, opName+": "+err.Error()))
 	case res.StatusCode != http.StatusOK:
-		return 0, false, kv.fail(kv.wrap(jwstore.ErrUnknown, step+": "+res.Status))
+		return 0, false, kv.countFailure(kv.wrap(jwstore.ErrUnknown, opName+": "+res.Status))
 	}
 	version, err := decodeTransaction(reply, op)
 	if err != nil {
-		return 0, false, kv.fail(kv.wrap(jwstore.ErrUnknown, step+": "+err.Error()))
+		return 0, false, kv.countFailure(kv.wrap(jwstore.ErrUnknown, opName+": "+err.Error()))
 	}
 	return version, true, nil
 }
 
-// fail counts a failed call and returns its error.
-func (kv *KeyValue) fail(err error) error {
+// countFailure counts a failed call and returns its error.
+func (kv *KeyValue) countFailure(err error) error {
 	kv.failures.Add(1)
 	return err
 }
 
 // wrap adds the operation that failed and the address of the service to an error.
-func (kv *KeyValue) wrap(kind error, step string) error {
-	return errors.Wrapf(kind, "%s: %s", step, kv.Address)
+func (kv *KeyValue) wrap(kind error, opName string) error {
+	return errors.Wrapf(kind, "%s: %s", opName, kv.Address)
 }
 
 // The verbs of the operations in a transaction.
@@ -316,7 +316,7 @@
 	Index uint64
 }
 
-type transactionStep struct {
+type transactionOperation struct {
 	KV operation
 }
 
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -170,8 +170,8 @@
 		},
 	}
 	for name, test := range tests {
-		for kind, s := range stores(t) {
-			t.Run(name+"/"+kind, func(t *testing.T) {
+		for implementation, s := range stores(t) {
+			t.Run(name+"/"+implementation, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 				defer cancel()
 				test(t, ctx, s)
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -21,19 +21,19 @@
 // take effect, a deposit is taken twice. Many callers swap one key while replies are
 // lost, the service goes down or pauses and connections go silent. The results that they
 // get must be linearizable.
-func TestLinearUnderFaults(t *testing.T) {
-	const callers, enough = 6, 8
+func TestLinearizableUnderFaults(t *testing.T) {
+	const callers, minFailures = 6, 8
 	stand := startStand(t, &jwstand.KeyValue{})
 	kv := &jwconsul.KeyValue{Address: stand.Address, Timeout: 40 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var faults sync.WaitGroup
-	faults.Go(func() { stir(ctx, stand) })
-	h := &history{began: time.Now()}
+	faults.Go(func() { injectFaults(ctx, stand) })
+	h := &history{started: time.Now()}
 	var wg sync.WaitGroup
 	for caller := range callers {
 		wg.Go(func() {
-			for n := 0; !h.met(enough) && ctx.Err() == nil; n++ {
+			for n := 0; !h.sawFailures(minFailures) && ctx.Err() == nil; n++ {
 				h.replace(kv, caller, fmt.Sprintf("%d-%d", caller, n))
 			}
 		})
@@ -42,14 +42,14 @@
 	cancel()
 	faults.Wait()
 	t.Logf("of %d calls %d were told unknown, %d unavailable", len(h.operations), h.unknown, h.unavailable)
-	assert.Assert(t, h.met(enough), "the faults were met")
+	assert.Assert(t, h.sawFailures(minFailures), "the faults were met")
 	result, _ := porcupine.CheckOperationsVerbose(swapModel, h.operations, time.Minute)
 	assert.Equal(t, result, porcupine.Ok)
 }
 
-// stir injects one random fault after another until ctx ends.
-func stir(ctx context.Context, stand *jwstand.Stand) {
-	random := rand.New(rand.NewPCG(1, 1))
+// injectFaults injects one random fault after another until ctx ends.
+func injectFaults(ctx context.Context, stand *jwstand.Stand) {
+	rng := rand.New(rand.NewPCG(1, 1))
 	faults := []jwstand.Faults{
 		{LoseReply: 1},
 		{LoseReply: 2},
@@ -60,25 +60,25 @@
 	}
 	defer stand.SetFaults(jwstand.Faults{})
 	for ctx.Err() == nil {
-		stand.SetFaults(faults[random.IntN(len(faults))])
-		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
+		stand.SetFaults(faults[rng.IntN(len(faults))])
+		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 		stand.SetFaults(jwstand.Faults{})
-		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-// told is the result of a swap as its caller sees it.
-type told string
+// outcome is the result of a swap as its caller sees it.
+type outcome string
 
 const (
-	swapped told = "swapped"
-	refused told = "refused"
-	unknown told = "unknown"
+	swapped outcome = "swapped"
+	refused outcome = "refused"
+	unknown outcome = "unknown"
 )
 
-// step is one call: a read, or a swap that replaces expect with value. Values are unique,
-// so the model uses them as versions.
-type step struct {
+// registerInput is one call: a read, or a swap that replaces expect with value. Values are
+// unique, so the model uses them as versions.
+type registerInput struct {
 	read   bool
 	expect string
 	value  string
@@ -86,7 +86,7 @@
 
 // history records calls with their start and end times.
 type history struct {
-	began       time.Time
+	started     time.Time
 	mu          sync.Mutex
 	operations  []porcupine.Operation
 	unknown     int
@@ -96,37 +96,37 @@
 // replace reads the key and swaps in a new value.
 func (h *history) replace(kv *jwconsul.KeyValue, caller int, value string) {
 	ctx := context.Background()
-	call := time.Since(h.began).Nanoseconds()
+	call := time.Since(h.started).Nanoseconds()
 	item, _, err := kv.Get(ctx, "k")
 	if err != nil {
-		h.count(err)
+		h.countFailure(err)
 		return
 	}
-	h.note(caller, step{read: true}, call, string(item.Value))
-	call = time.Since(h.began).Nanoseconds()
-	_, done, err := kv.Swap(ctx, "k", []byte(value), item.Version)
-	answer := refused
+	h.record(caller, registerInput{read: true}, call, string(item.Value))
+	call = time.Since(h.started).Nanoseconds()
+	_, ok, err := kv.Swap(ctx, "k", []byte(value), item.Version)
+	result := refused
 	switch {
 	case errors.Is(err, jwstore.ErrUnavailable):
-		h.count(err)
+		h.countFailure(err)
 		return // the swap had no effect, so the history leaves it out
 	case err != nil:
-		h.count(err)
-		answer = unknown
-	case done:
-		answer = swapped
+		h.countFailure(err)
+		result = unknown
+	case ok:
+		result = swapped
 	}
-	h.note(caller, step{expect: string(item.Value), value: value}, call, answer)
+	h.record(caller, registerInput{expect: string(item.Value), value: value}, call, result)
 }
 
-// met reports whether each kind of failure has occurred at least enough times.
-func (h *history) met(enough int) bool {
+// sawFailures reports whether each kind of failure has occurred at least minFailures times.
+func (h *history) sawFailures(minFailures int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.unknown >= enough && h.unavailable >= enough
+	return h.unknown >= minFailures && h.unavailable >= minFailures
 }
 
-func (h *history) count(err error) {
+func (h *history) countFailure(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if errors.Is(err, jwstore.ErrUnknown) {
@@ -136,8 +136,8 @@
 	h.unavailable++
 }
 
-func (h *history) note(caller int, in step, call int64, out any) {
-	end := time.Since(h.began).Nanoseconds()
+func (h *history) record(caller int, in registerInput, call int64, out any) {
+	end := time.Since(h.started).Nanoseconds()
 	if out == unknown {
 		end = time.Hour.Nanoseconds() // the swap may take effect at any later time
 	}
@@ -155,7 +155,7 @@
 var swapModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		in, value := input.(step), state.(string)
+		in, value := input.(registerInput), state.(string)
 		if in.read {
 			if output.(string) == value {
 				return []any{value}
@@ -163,7 +163,7 @@
 			return nil
 		}
 		matches := in.expect == value
-		switch output.(told) {
+		switch output.(outcome) {
 		case swapped:
 			if matches {
 				return []any{in.value}
--- a/io/jwconsul/scale_test.go
+++ b/io/jwconsul/scale_test.go
@@ -15,10 +15,10 @@
 
 // The benchmarks run with as many hosts, workspaces and regions as the system is designed for.
 const (
-	targetNodes      = 970
-	targetRunners    = 3200
-	targetWorkspaces = 38_000
-	targetRegions    = 13
+	benchNodes      = 970
+	benchTargets    = 3200
+	benchWorkspaces = 38_000
+	benchRegions    = 13
 )
 
 // serve runs a stand-in for a platform service until the benchmark ends.
@@ -36,13 +36,13 @@
 // the host at index i is states[i], or live if there is none.
 func allHosts(states ...string) []jwstand.HostGroup {
 	var groups []jwstand.HostGroup
-	for i := range targetNodes + targetRunners {
+	for i := range benchNodes + benchTargets {
 		address := fmt.Sprintf("10.%d.%d.%d:8080", i>>16, i>>8&255, i&255)
-		region := fmt.Sprintf("region-%d", i%targetRegions)
+		region := fmt.Sprintf("region-%d", i%benchRegions)
 		labels := map[string]string{
 			"role": "target", "region": region, "dataCentre": region + "-a", "service": "sheetwriter", "state": "live",
 		}
-		if i < targetNodes {
+		if i < benchNodes {
 			labels["role"], labels["name"], labels["nodes"] = "entry", fmt.Sprintf("node-%d", i), address
 			delete(labels, "service")
 		}
@@ -89,8 +89,8 @@
 	ctx := context.Background()
 	clients := &jwstand.Clients{}
 	var all []jwstand.Client
-	for i := range targetWorkspaces {
-		region := fmt.Sprintf("region-%d", i%targetRegions)
+	for i := range benchWorkspaces {
+		region := fmt.Sprintf("region-%d", i%benchRegions)
 		all = append(all, jwstand.Client{Name: fmt.Sprintf("workspace-%05d", i), Region: region, Bound: i%8 == 0, Owner: "owner-17"})
 	}
 	clients.Set(all)
