--- a/io/jwsettings/examples_test.go
+++ b/io/jwsettings/examples_test.go
@@ -8,24 +8,24 @@
 )
 
 func TestExamples(t *testing.T) {
-	for _, firm := range []string{"zaitoun", "cladagh"} {
-		t.Run(firm, func(t *testing.T) {
-			paths, err := filepath.Glob(filepath.Join("..", "..", "examples", firm, "*-n?.jsonc"))
+	for _, example := range []string{"zaitoun", "cladagh"} {
+		t.Run(example, func(t *testing.T) {
+			paths, err := filepath.Glob(filepath.Join("..", "..", "examples", example, "*-n?.jsonc"))
 			assert.NilError(t, err)
 			assert.Equal(t, len(paths), 9)
-			callers, perRegion := map[string]bool{}, map[string]int{}
+			callers, nodesPerRegion := map[string]bool{}, map[string]int{}
 			for _, path := range paths {
 				s, err := Load(path)
 				assert.NilError(t, err)
 				assert.Equal(t, filepath.Base(path), s.Node+".jsonc")
 				callers[s.Listen.Callers.String()] = true
-				perRegion[s.Region]++
+				nodesPerRegion[s.Region]++
 				for _, r := range s.Regions {
 					assert.Assert(t, s.Link(s.Region, r.Name).Delay < DefaultLinkDelay)
 				}
 			}
 			assert.Equal(t, len(callers), 9)
-			for region, n := range perRegion {
+			for region, n := range nodesPerRegion {
 				assert.Equal(t, n, 3, region)
 			}
 		})
--- a/io/jwsettings/gateway.go
+++ b/io/jwsettings/gateway.go
@@ -23,8 +23,8 @@
 // The work needs network bandwidth in proportion, so the smaller of the two limits
 // applies. It is 0 if the cores or the bandwidth are unknown.
 func (g *Gateway) Capacity() int {
-	const coreShare, linkShare = 100, 0.5
-	return int(min(coreShare*g.Cores, linkShare*g.LinkMbps))
+	const unitsPerCore, unitsPerMbps = 100, 0.5
+	return int(min(unitsPerCore*g.Cores, unitsPerMbps*g.LinkMbps))
 }
 
 // GatewayAddresses are the addresses that a node with Gateway settings listens on.
@@ -73,8 +73,8 @@
 			QuotaWindow: DefaultQuotaWindow,
 		},
 	}
-	for key, into := range map[string]*string{"node": &s.Node, "region": &s.Region, "dataCentre": &s.DataCentre} {
-		o.required(key, into)
+	for key, dst := range map[string]*string{"node": &s.Node, "region": &s.Region, "dataCentre": &s.DataCentre} {
+		o.requiredText(key, dst)
 	}
 	o.child("gateway", s.Gateway.read)
 	if region, ok := s.Gateway.DataCentres[s.DataCentre]; s.DataCentre != "" && (!ok || region != s.Region) {
@@ -82,32 +82,32 @@
 	}
 }
 
-// required reads a string that must not be missing or empty.
-func (o *object) required(name string, into *string) {
-	if o.text(name, into); *into == "" {
+// requiredText reads a string that must not be missing or empty.
+func (o *object) requiredText(name string, dst *string) {
+	if o.text(name, dst); *dst == "" {
 		o.fault(name, "is missing")
 	}
 }
 
 func (g *Gateway) read(o *object) {
 	o.child("listen", func(c *object) {
-		c.service("callers", &g.Listen.Callers)
-		c.service("ready", &g.Listen.Ready)
-		c.service("directory", &g.Listen.Directory)
-		c.service("nodes", &g.Listen.Nodes)
+		c.serviceAddress("callers", &g.Listen.Callers)
+		c.serviceAddress("ready", &g.Listen.Ready)
+		c.serviceAddress("directory", &g.Listen.Directory)
+		c.serviceAddress("nodes", &g.Listen.Nodes)
 		c.address("metrics", &g.Listen.Metrics)
 	})
 	o.child("store", func(c *object) {
-		c.service("address", &g.Store.Address)
+		c.serviceAddress("address", &g.Store.Address)
 		c.duration("leaseMin", &g.Store.LeaseMin, 0, time.Hour)
 	})
 	o.list("dataCentres", func(c *object) {
 		name, region := "", ""
-		c.required("name", &name)
-		c.required("region", &region)
+		c.requiredText("name", &name)
+		c.requiredText("region", &region)
 		g.DataCentres[name] = region
 	})
-	for _, text := range o.texts("seeds") {
+	for _, text := range o.textList("seeds") {
 		a, err := netip.ParseAddrPort(text)
 		if err != nil {
 			o.fault("seeds", "must be IP addresses with ports, not %q", text)
--- a/io/jwsettings/gateway_test.go
+++ b/io/jwsettings/gateway_test.go
@@ -38,7 +38,7 @@
 }
 
 func TestGatewayFaults(t *testing.T) {
-	cases := map[string]struct{ old, with, key string }{
+	cases := map[string]struct{ old, replacement, key string }{
 		"no node":             {`"node": "n1", `, ``, "node"},
 		"an unknown place":    {`"dataCentre": "north-a"`, `"dataCentre": "south-a"`, "dataCentre"},
 		"no store":            {`"address": "10.9.0.1:90", `, ``, "gateway.store.address"},
@@ -52,7 +52,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			_, err := Parse([]byte(strings.Replace(gatewayFile, c.old, c.with, 1)))
+			_, err := Parse([]byte(strings.Replace(gatewayFile, c.old, c.replacement, 1)))
 			var faults Faults
 			assert.Assert(t, errors.As(err, &faults), "%v", err)
 			assert.Equal(t, faults[0].Key, c.key)
--- a/io/jwsettings/parse.go
+++ b/io/jwsettings/parse.go
@@ -12,8 +12,8 @@
 )
 
 const (
-	minToken = 16 // bytes; shorter tokens can be guessed
-	maxName  = 63 // characters
+	minTokenLength = 16 // bytes; shorter tokens can be guessed
+	maxNameLength  = 63 // characters
 )
 
 // Parse decodes and checks the text of a settings file. It opens no file, so a token
@@ -31,7 +31,7 @@
 	} else {
 		s.readNode(o)
 	}
-	o.end()
+	o.reportUnknownKeys()
 	if len(r.faults) > 0 {
 		sort.SliceStable(r.faults, func(i, j int) bool {
 			a, b := r.faults[i], r.faults[j]
@@ -126,9 +126,9 @@
 
 func (s *Settings) readPlatform(o *object) {
 	o.child("platform", func(c *object) {
-		c.service("keyValue", &s.Platform.KeyValue)
-		c.service("hosts", &s.Platform.Hosts)
-		c.service("directory", &s.Platform.Directory)
+		c.serviceAddress("keyValue", &s.Platform.KeyValue)
+		c.serviceAddress("hosts", &s.Platform.Hosts)
+		c.serviceAddress("directory", &s.Platform.Directory)
 		c.text("hostsPath", &s.Platform.HostsPath)
 		if !strings.HasPrefix(s.Platform.HostsPath, "/") {
 			c.fault("hostsPath", "must begin with /")
@@ -136,17 +136,17 @@
 	})
 }
 
-// service reads an address that is required and must have a port and an IP address that
+// serviceAddress reads an address that is required and must have a port and an IP address that
 // can be connected to.
-func (o *object) service(name string, into *netip.AddrPort) {
+func (o *object) serviceAddress(name string, dst *netip.AddrPort) {
 	before := len(o.r.faults)
-	o.address(name, into)
+	o.address(name, dst)
 	switch {
 	case len(o.r.faults) > before:
-	case !into.IsValid():
+	case !dst.IsValid():
 		o.fault(name, "is missing")
-	case into.Port() == 0 || into.Addr().IsUnspecified():
-		o.fault(name, "nothing can be reached at %s", *into)
+	case dst.Port() == 0 || dst.Addr().IsUnspecified():
+		o.fault(name, "nothing can be reached at %s", *dst)
 	}
 }
 
@@ -154,56 +154,56 @@
 	o.child("operators", func(c *object) {
 		c.text("token", &s.Operators.Token)
 		c.text("tokenFile", &s.Operators.TokenFile)
-		token, file := s.Operators.Token != "", s.Operators.TokenFile != ""
+		hasToken, hasFile := s.Operators.Token != "", s.Operators.TokenFile != ""
 		switch {
-		case token == file:
+		case hasToken == hasFile:
 			c.fault("token", "give either token or tokenFile")
-		case token && len(s.Operators.Token) < minToken:
-			c.fault("token", "shorter than %d bytes", minToken)
+		case hasToken && len(s.Operators.Token) < minTokenLength:
+			c.fault("token", "shorter than %d bytes", minTokenLength)
 		}
 	})
 	o.child("tls", func(c *object) {
-		c.readKeys("callers", &s.TLS.Callers, false)
-		c.readKeys("operators", &s.TLS.Operators, false)
-		c.readKeys("nodes", &s.TLS.Nodes, true)
+		c.readKeyFiles("callers", &s.TLS.Callers, false)
+		c.readKeyFiles("operators", &s.TLS.Operators, false)
+		c.readKeyFiles("nodes", &s.TLS.Nodes, true)
 	})
 }
 
-func (o *object) readKeys(name string, k *KeyFiles, mutual bool) {
+func (o *object) readKeyFiles(name string, k *KeyFiles, mutualTLS bool) {
 	if _, ok := o.value(name); !ok {
 		return
 	}
 	o.child(name, func(c *object) {
-		c.fileName("certificate", &k.Certificate)
-		c.fileName("key", &k.Key)
-		if mutual {
-			c.fileName("authority", &k.Authority)
+		c.filePath("certificate", &k.Certificate)
+		c.filePath("key", &k.Key)
+		if mutualTLS {
+			c.filePath("authority", &k.Authority)
 		}
 	})
 }
 
-// fileName reads the required path of a file.
-func (o *object) fileName(name string, into *string) {
-	o.text(name, into)
-	if *into == "" {
+// filePath reads the required path of a file.
+func (o *object) filePath(name string, dst *string) {
+	o.text(name, dst)
+	if *dst == "" {
 		o.fault(name, "is missing")
 	}
 }
 
 func (s *Settings) readNetwork(o *object) {
 	s.readRegions(o)
-	known := map[string]bool{}
+	knownRegions := map[string]bool{}
 	for _, r := range s.Regions {
-		known[r.Name] = true
+		knownRegions[r.Name] = true
 	}
 	switch {
 	case s.Region == "" || s.DataCentre == "":
-	case !known[s.Region]:
+	case !knownRegions[s.Region]:
 		o.fault("region", "%q is not among regions", s.Region)
 	case s.RegionOf(s.DataCentre) != s.Region:
 		o.fault("dataCentre", "%q is not a data centre of region %q", s.DataCentre, s.Region)
 	}
-	s.readLinks(o, known)
+	s.readLinks(o, knownRegions)
 	s.readSeeds(o)
 }
 
@@ -223,11 +223,11 @@
 	if _, ok := o.value("regions"); !ok {
 		o.fault("regions", "is missing")
 	}
-	regions, centres := map[string]bool{}, map[string]string{}
+	regions, regionOf := map[string]bool{}, map[string]string{}
 	o.list("regions", func(c *object) {
 		var r Region
 		c.name("name", &r.Name)
-		r.DataCentres = c.texts("dataCentres")
+		r.DataCentres = c.textList("dataCentres")
 		if regions[r.Name] {
 			c.fault("name", "region %q is given twice", r.Name)
 		}
@@ -239,16 +239,16 @@
 			if problem := nameProblem(d); problem != "" {
 				c.fault("dataCentres", "%q: %s", d, problem)
 			}
-			if other, ok := centres[d]; ok {
+			if other, ok := regionOf[d]; ok {
 				c.fault("dataCentres", "%q already belongs to region %q", d, other)
 			}
-			centres[d] = r.Name
+			regionOf[d] = r.Name
 		}
 		s.Regions = append(s.Regions, r)
 	})
 }
 
-func (s *Settings) readLinks(o *object, known map[string]bool) {
+func (s *Settings) readLinks(o *object, knownRegions map[string]bool) {
 	seen := map[[2]string]bool{}
 	o.list("links", func(c *object) {
 		l := Link{Delay: DefaultLinkDelay, CostPerGB: DefaultLinkCost}
@@ -257,7 +257,7 @@
 		c.duration("delay", &l.Delay, 0, 10*time.Second)
 		c.number("costPerGB", &l.CostPerGB, 0, 1e6)
 		for name, region := range map[string]string{"from": l.From, "to": l.To} {
-			if !known[region] {
+			if !knownRegions[region] {
 				c.fault(name, "%q is not among regions", region)
 			}
 		}
@@ -282,13 +282,13 @@
 		c.duration("hostsLag", &s.Periods.HostsLag, 0, time.Hour)
 	})
 	o.child("limits", func(c *object) {
-		header := int64(s.Limits.MaxHeader)
+		maxHeader := int64(s.Limits.MaxHeader)
 		c.integer("maxBody", &s.Limits.MaxBody, 1, 1<<30)
-		c.integer("maxHeader", &header, 1<<10, 1<<20)
-		s.Limits.MaxHeader = int(header)
-		conns := int64(s.Limits.MaxConnections)
-		c.integer("maxConnections", &conns, 16, 1<<20)
-		s.Limits.MaxConnections = int(conns)
+		c.integer("maxHeader", &maxHeader, 1<<10, 1<<20)
+		s.Limits.MaxHeader = int(maxHeader)
+		maxConnections := int64(s.Limits.MaxConnections)
+		c.integer("maxConnections", &maxConnections, 16, 1<<20)
+		s.Limits.MaxConnections = int(maxConnections)
 	})
 	o.child("claims", func(c *object) {
 		c.duration("keyMemory", &s.Claims.KeyMemory, time.Minute, 7*24*time.Hour)
@@ -309,8 +309,8 @@
 	if name == "" {
 		return "is missing"
 	}
-	if len(name) > maxName {
-		return "longer than " + strconv.Itoa(maxName) + " characters"
+	if len(name) > maxNameLength {
+		return "longer than " + strconv.Itoa(maxNameLength) + " characters"
 	}
 	for _, c := range name {
 		ok := c >= 'a' && c <= 'z' || c >= '0' && c <= '9' || c == '-' || c == '.'
--- a/io/jwsettings/reader.go
+++ b/io/jwsettings/reader.go
@@ -29,13 +29,13 @@
 	path    string // path of the object's key, empty for the whole file
 	offset  int    // byte offset in the file
 	members map[string]hujson.Value
-	known   map[string]bool // keys that were read; end reports all others
+	wasRead map[string]bool // keys that were read; reportUnknownKeys reports all others
 }
 
 // object returns a value as an object. A value of another type is a fault and is
 // treated as an empty object.
 func (r *reader) object(path string, v hujson.Value) *object {
-	o := &object{r: r, path: path, offset: v.StartOffset, members: map[string]hujson.Value{}, known: map[string]bool{}}
+	o := &object{r: r, path: path, offset: v.StartOffset, members: map[string]hujson.Value{}, wasRead: map[string]bool{}}
 	fields, ok := v.Value.(*hujson.Object)
 	if !ok {
 		r.fault(v.StartOffset, path, "must be an object")
@@ -43,7 +43,7 @@
 	}
 	for _, m := range fields.Members {
 		name := literalString(m.Name)
-		if _, twice := o.members[name]; twice {
+		if _, duplicate := o.members[name]; duplicate {
 			r.fault(m.Name.StartOffset, o.key(name), "given twice")
 			continue
 		}
@@ -52,10 +52,10 @@
 	return o
 }
 
-// end reports the keys that were not read as faults.
-func (o *object) end() {
+// reportUnknownKeys adds a fault for each key that was not read.
+func (o *object) reportUnknownKeys() {
 	for name, v := range o.members {
-		if !o.known[name] {
+		if !o.wasRead[name] {
 			o.r.fault(v.StartOffset, o.key(name), "unknown key")
 		}
 	}
@@ -69,9 +69,9 @@
 	return o.path + "." + name
 }
 
-// at returns the byte offset of a key's value, or that of the object if the key is
+// offsetOf returns the byte offset of a key's value, or that of the object if the key is
 // missing.
-func (o *object) at(name string) int {
+func (o *object) offsetOf(name string) int {
 	if v, ok := o.members[name]; ok {
 		return v.StartOffset
 	}
@@ -79,12 +79,12 @@
 }
 
 func (o *object) fault(name, format string, args ...any) {
-	o.r.fault(o.at(name), o.key(name), format, args...)
+	o.r.fault(o.offsetOf(name), o.key(name), format, args...)
 }
 
 // value returns the value of a key, and marks the key as read.
 func (o *object) value(name string) (hujson.Value, bool) {
-	o.known[name] = true
+	o.wasRead[name] = true
 	v, ok := o.members[name]
 	return v, ok
 }
@@ -97,7 +97,7 @@
 	}
 	c := o.r.object(o.key(name), v)
 	read(c)
-	c.end()
+	c.reportUnknownKeys()
 }
 
 // list calls read with each object in the list of a key, in order.
@@ -105,7 +105,7 @@
 	for i, v := range o.elements(name) {
 		c := o.r.object(o.key(name)+"["+strconv.Itoa(i)+"]", v)
 		read(c)
-		c.end()
+		c.reportUnknownKeys()
 	}
 }
 
@@ -122,8 +122,8 @@
 	return array.Elements
 }
 
-// texts reads a list of strings.
-func (o *object) texts(name string) []string {
+// textList reads a list of strings.
+func (o *object) textList(name string) []string {
 	var out []string
 	for _, v := range o.elements(name) {
 		if v.Value.Kind() != '"' {
@@ -135,8 +135,8 @@
 	return out
 }
 
-// text reads a string. It leaves into unchanged if the key is missing.
-func (o *object) text(name string, into *string) {
+// text reads a string. It leaves dst unchanged if the key is missing.
+func (o *object) text(name string, dst *string) {
 	v, ok := o.value(name)
 	if !ok {
 		return
@@ -145,20 +145,20 @@
 		o.fault(name, "must be a string")
 		return
 	}
-	*into = literalString(v)
+	*dst = literalString(v)
 }
 
 // name reads a required name of a node, region or data centre.
-func (o *object) name(name string, into *string) {
-	o.text(name, into)
-	if problem := nameProblem(*into); problem != "" {
+func (o *object) name(name string, dst *string) {
+	o.text(name, dst)
+	if problem := nameProblem(*dst); problem != "" {
 		o.fault(name, "%s", problem)
 	}
 }
 
-// duration reads a duration from least to most. It leaves into unchanged if the key is
-// missing.
-func (o *object) duration(name string, into *time.Duration, least, most time.Duration) {
+// duration reads a duration from minValue to maxValue. It leaves dst unchanged if the key
+// is missing.
+func (o *object) duration(name string, dst *time.Duration, minValue, maxValue time.Duration) {
 	text := ""
 	if o.text(name, &text); text == "" {
 		if _, given := o.members[name]; given {
@@ -171,16 +171,16 @@
 		o.fault(name, "must be a duration such as \"250ms\", not %q", text)
 		return
 	}
-	if d < least || d > most {
-		o.fault(name, "must be from %s to %s, not %s", least, most, d)
+	if d < minValue || d > maxValue {
+		o.fault(name, "must be from %s to %s, not %s", minValue, maxValue, d)
 		return
 	}
-	*into = d
+	*dst = d
 }
 
-// address reads an IP address with a port. It leaves into unchanged if the key is
+// address reads an IP address with a port. It leaves dst unchanged if the key is
 // missing.
-func (o *object) address(name string, into *netip.AddrPort) {
+func (o *object) address(name string, dst *netip.AddrPort) {
 	text := ""
 	if o.text(name, &text); text == "" {
 		return
@@ -190,20 +190,24 @@
 		o.fault(name, "must be an IP address with a port, not %q", text)
 		return
 	}
-	*into = a
+	*dst = a
 }
 
-func (o *object) integer(name string, into *int64, least, most int64) {
-	n := float64(*into)
-	o.number(name, &n, float64(least), float64(most))
+// integer reads a whole number from minValue to maxValue. It leaves dst unchanged if the
+// key is missing.
+func (o *object) integer(name string, dst *int64, minValue, maxValue int64) {
+	n := float64(*dst)
+	o.number(name, &n, float64(minValue), float64(maxValue))
 	if n != float64(int64(n)) {
 		o.fault(name, "must be a whole number")
 		return
 	}
-	*into = int64(n)
+	*dst = int64(n)
 }
 
-func (o *object) number(name string, into *float64, least, most float64) {
+// number reads a number from minValue to maxValue. It leaves dst unchanged if the key is
+// missing.
+func (o *object) number(name string, dst *float64, minValue, maxValue float64) {
 	v, ok := o.value(name)
 	if !ok {
 		return
@@ -214,11 +218,11 @@
 		return
 	}
 	n, err := strconv.ParseFloat(string(literal), 64)
-	if err != nil || n < least || n > most {
-		o.fault(name, "must be from %v to %v, not %s", least, most, string(literal))
+	if err != nil || n < minValue || n > maxValue {
+		o.fault(name, "must be from %v to %v, not %s", minValue, maxValue, string(literal))
 		return
 	}
-	*into = n
+	*dst = n
 }
 
 // literalString returns the text of a JSON string, or "" for other values.
--- a/io/jwsettings/settings.go
+++ b/io/jwsettings/settings.go
@@ -150,7 +150,7 @@
 	if err != nil {
 		return nil, errors.Wrap(err, path)
 	}
-	s.resolve(filepath.Dir(path))
+	s.resolvePaths(filepath.Dir(path))
 	if s.Operators.TokenFile == "" {
 		return s, nil
 	}
@@ -159,15 +159,15 @@
 		return nil, errors.Wrap(err, "read operators.tokenFile")
 	}
 	s.Operators.Token = strings.TrimSpace(string(token))
-	if len(s.Operators.Token) < minToken {
-		return nil, errors.Errorf("operators.tokenFile: %s: shorter than %d bytes", s.Operators.TokenFile, minToken)
+	if len(s.Operators.Token) < minTokenLength {
+		return nil, errors.Errorf("operators.tokenFile: %s: shorter than %d bytes", s.Operators.TokenFile, minTokenLength)
 	}
 	return s, nil
 }
 
-// resolve makes relative paths of files independent of the working directory; they are
+// resolvePaths makes relative paths of files independent of the working directory; they are
 // relative to dir.
-func (s *Settings) resolve(dir string) {
+func (s *Settings) resolvePaths(dir string) {
 	paths := []*string{&s.Operators.TokenFile}
 	for _, k := range []*KeyFiles{&s.TLS.Callers, &s.TLS.Operators, &s.TLS.Nodes} {
 		paths = append(paths, &k.Certificate, &k.Key, &k.Authority)
@@ -186,16 +186,16 @@
 	if from == to {
 		return Link{From: from, To: to}
 	}
-	found := Link{From: from, To: to, Delay: DefaultLinkDelay, CostPerGB: DefaultLinkCost}
+	link := Link{From: from, To: to, Delay: DefaultLinkDelay, CostPerGB: DefaultLinkCost}
 	for _, l := range s.Links {
 		if l.From == from && l.To == to {
 			return l
 		}
 		if l.From == to && l.To == from {
-			found.Delay, found.CostPerGB = l.Delay, l.CostPerGB
+			link.Delay, link.CostPerGB = l.Delay, l.CostPerGB
 		}
 	}
-	return found
+	return link
 }
 
 // RegionOf returns the region of a data centre, or "" if the data centre is unknown.
--- a/io/jwsettings/settings_test.go
+++ b/io/jwsettings/settings_test.go
@@ -12,7 +12,7 @@
 	"gotest.tools/v3/assert"
 )
 
-const small = `{
+const minimalFile = `{
   // The least that a node needs.
   "node": "n1", "region": "north", "dataCentre": "north-a",
   "listen": {"callers": "127.0.0.1:8080", "operators": "127.0.0.1:8081", "nodes": "127.0.0.1:8082"},
@@ -25,7 +25,7 @@
 }`
 
 func TestParseDefaults(t *testing.T) {
-	s, err := Parse([]byte(small))
+	s, err := Parse([]byte(minimalFile))
 	assert.NilError(t, err)
 	assert.Equal(t, s.Node, "n1")
 	assert.Equal(t, s.Advertise, s.Listen)
@@ -39,7 +39,7 @@
 }
 
 func TestParseGiven(t *testing.T) {
-	s, err := Parse([]byte(with(`"links": [
+	s, err := Parse([]byte(withKeys(`"links": [
     {"from": "north", "to": "south", "delay": "40ms", "costPerGB": 0.5},
   ],
   "advertise": {"callers": "10.0.0.1:80"},
@@ -57,11 +57,11 @@
 	assert.Equal(t, s.Workers, 2)
 }
 
-// with returns the minimal file with more keys.
-func with(keys string) string { return strings.TrimSuffix(small, "}") + keys + "}" }
+// withKeys returns the minimal file withKeys more keys.
+func withKeys(keys string) string { return strings.TrimSuffix(minimalFile, "}") + keys + "}" }
 
-// swap returns the minimal file with the first from replaced by to.
-func swap(from, to string) string { return strings.Replace(small, from, to, 1) }
+// withReplaced returns the minimal file with the first from replaced by to.
+func withReplaced(from, to string) string { return strings.Replace(minimalFile, from, to, 1) }
 
 func TestFaults(t *testing.T) {
 	tests := map[string]struct {
@@ -70,48 +70,48 @@
 	}{
 		"not JSON":            {`{"node": }`, "parse"},
 		"not an object":       {`[]`, "must be an object"},
-		"unknown key":         {with(`"colour": "red"`), "line 11: colour: unknown key"},
-		"unknown inner key":   {with(`"claims": {"memory": "1h"}`), "claims.memory: unknown key"},
-		"key twice":           {with(`"node": "n2"`), "node: given twice"},
-		"no node":             {swap(`"node": "n1", `, ""), "node: is missing"},
-		"bad name":            {swap(`"n1"`, `"N 1"`), "node: may hold only"},
-		"long name":           {swap(`"n1"`, `"`+strings.Repeat("n", 64)+`"`), "node: longer than 63"},
-		"number for a name":   {swap(`"n1"`, `1`), "node: must be a string"},
-		"bad address":         {swap(`"127.0.0.1:8080"`, `"localhost:8080"`), "line 4: listen.callers: must be an IP address"},
-		"no address":          {swap(`"nodes": "127.0.0.1:8082"`, ""), "listen.nodes: is missing"},
-		"address twice":       {swap(`"127.0.0.1:8082"`, `"127.0.0.1:8081"`), "listen.nodes: 127.0.0.1:8081 is used twice"},
-		"unreachable":         {swap(`"127.0.0.1:8082"`, `"0.0.0.0:8082"`), "advertise.nodes: others cannot reach"},
-		"service missing":     {swap(`"hosts": "127.0.0.1:8501", `, ""), "platform.hosts: is missing"},
-		"service at port 0":   {swap(`"127.0.0.1:8501"`, `"127.0.0.1:0"`), "platform.hosts: nothing can be reached"},
-		"hosts path":          {swap(`"hosts":`, `"hostsPath": "x", "hosts":`), "platform.hostsPath: must begin"},
-		"short token":         {swap(`0123456789abcdef`, `short`), "operators.token: shorter"},
-		"no token":            {swap(`"token": "0123456789abcdef"`, ``), "operators.token: give either"},
-		"two tokens":          {swap(`"token":`, `"tokenFile": "f", "token":`), "operators.token: give either"},
-		"own region unknown":  {swap(`"region": "north"`, `"region": "west"`), `region: "west" is not among regions`},
-		"centre elsewhere":    {swap(`"dataCentre": "north-a"`, `"dataCentre": "south-a"`), "dataCentre: "},
-		"centre of two":       {swap(`["south-a"]`, `["north-a"]`), "already belongs to region"},
-		"region twice":        {swap(`"name": "south"`, `"name": "north"`), `region "north" is given twice`},
-		"centre missing":      {swap(`["south-a"]`, `[]`), "names no data centre"},
-		"centre no text":      {swap(`["south-a"]`, `[1]`), "must hold strings"},
-		"no regions":          {swap(`"regions"`, `"areas"`), "regions: is missing"},
-		"link to nowhere":     {with(`"links": [{"from": "north", "to": "west"}]`), `links[0].to: "west"`},
-		"link to itself":      {with(`"links": [{"from": "north", "to": "north"}]`), "a link joins two regions"},
-		"link twice":          {with(`"links": [{"from":"north","to":"south"},{"from":"north","to":"south"}]`), "links[1].from: "},
-		"negative price":      {with(`"links": [{"from":"north","to":"south","costPerGB":-1}]`), "costPerGB: must be from 0"},
-		"seed without port":   {with(`"seeds": [{"node": "n2", "address": "127.0.0.1:0"}]`), "seeds[0].address: must name the port"},
-		"seed without name":   {with(`"seeds": [{"address": "127.0.0.1:8082"}]`), "seeds[0].node"},
-		"links no list":       {with(`"links": {}`), "links: must be a list"},
-		"duration as number":  {with(`"drainLimit": 5`), "drainLimit: must be a string"},
-		"bad duration":        {with(`"drainLimit": "soon"`), "drainLimit: must be a duration"},
-		"empty duration":      {with(`"drainLimit": ""`), "drainLimit: must be a duration"},
-		"duration too long":   {with(`"periods": {"exchange": "1h"}`), "periods.exchange: must be from 50ms to 1m0s, not 1h"},
-		"half a byte":         {with(`"limits": {"maxBody": 1.5}`), "limits.maxBody: must be a whole number"},
-		"text for a number":   {with(`"workers": "4"`), "workers: must be a number"},
-		"no workers":          {with(`"workers": 0`), "workers: must be from 1"},
-		"empty salt":          {with(`"claims": {"salt": ""}`), "claims.salt: is empty"},
-		"key without file":    {with(`"tls": {"callers": {"certificate": "c.pem"}}`), "tls.callers.key: is missing"},
-		"nodes not mutual":    {with(`"tls": {"nodes": {"certificate": "c", "key": "k"}}`), "tls.nodes.authority: is missing"},
-		"authority elsewhere": {with(`"tls": {"callers": {"certificate":"c","key":"k","authority":"a"}}`), "tls.callers.authority: unknown key"},
+		"unknown key":         {withKeys(`"colour": "red"`), "line 11: colour: unknown key"},
+		"unknown inner key":   {withKeys(`"claims": {"memory": "1h"}`), "claims.memory: unknown key"},
+		"key twice":           {withKeys(`"node": "n2"`), "node: given twice"},
+		"no node":             {withReplaced(`"node": "n1", `, ""), "node: is missing"},
+		"bad name":            {withReplaced(`"n1"`, `"N 1"`), "node: may hold only"},
+		"long name":           {withReplaced(`"n1"`, `"`+strings.Repeat("n", 64)+`"`), "node: longer than 63"},
+		"number for a name":   {withReplaced(`"n1"`, `1`), "node: must be a string"},
+		"bad address":         {withReplaced(`"127.0.0.1:8080"`, `"localhost:8080"`), "line 4: listen.callers: must be an IP address"},
+		"no address":          {withReplaced(`"nodes": "127.0.0.1:8082"`, ""), "listen.nodes: is missing"},
+		"address twice":       {withReplaced(`"127.0.0.1:8082"`, `"127.0.0.1:8081"`), "listen.nodes: 127.0.0.1:8081 is used twice"},
+		"unreachable":         {withReplaced(`"127.0.0.1:8082"`, `"0.0.0.0:8082"`), "advertise.nodes: others cannot reach"},
+		"service missing":     {withReplaced(`"hosts": "127.0.0.1:8501", `, ""), "platform.hosts: is missing"},
+		"service at port 0":   {withReplaced(`"127.0.0.1:8501"`, `"127.0.0.1:0"`), "platform.hosts: nothing can be reached"},
+		"hosts path":          {withReplaced(`"hosts":`, `"hostsPath": "x", "hosts":`), "platform.hostsPath: must begin"},
+		"short token":         {withReplaced(`0123456789abcdef`, `short`), "operators.token: shorter"},
+		"no token":            {withReplaced(`"token": "0123456789abcdef"`, ``), "operators.token: give either"},
+		"two tokens":          {withReplaced(`"token":`, `"tokenFile": "f", "token":`), "operators.token: give either"},
+		"own region unknown":  {withReplaced(`"region": "north"`, `"region": "west"`), `region: "west" is not among regions`},
+		"centre elsewhere":    {withReplaced(`"dataCentre": "north-a"`, `"dataCentre": "south-a"`), "dataCentre: "},
+		"centre of two":       {withReplaced(`["south-a"]`, `["north-a"]`), "already belongs to region"},
+		"region twice":        {withReplaced(`"name": "south"`, `"name": "north"`), `region "north" is given twice`},
+		"centre missing":      {withReplaced(`["south-a"]`, `[]`), "names no data centre"},
+		"centre no text":      {withReplaced(`["south-a"]`, `[1]`), "must hold strings"},
+		"no regions":          {withReplaced(`"regions"`, `"areas"`), "regions: is missing"},
+		"link to nowhere":     {withKeys(`"links": [{"from": "north", "to": "west"}]`), `links[0].to: "west"`},
+		"link to itself":      {withKeys(`"links": [{"from": "north", "to": "north"}]`), "a link joins two regions"},
+		"link twice":          {withKeys(`"links": [{"from":"north","to":"south"},{"from":"north","to":"south"}]`), "links[1].from: "},
+		"negative price":      {withKeys(`"links": [{"from":"north","to":"south","costPerGB":-1}]`), "costPerGB: must be from 0"},
+		"seed without port":   {withKeys(`"seeds": [{"node": "n2", "address": "127.0.0.1:0"}]`), "seeds[0].address: must name the port"},
+		"seed without name":   {withKeys(`"seeds": [{"address": "127.0.0.1:8082"}]`), "seeds[0].node"},
+		"links no list":       {withKeys(`"links": {}`), "links: must be a list"},
+		"duration as number":  {withKeys(`"drainLimit": 5`), "drainLimit: must be a string"},
+		"bad duration":        {withKeys(`"drainLimit": "soon"`), "drainLimit: must be a duration"},
+		"empty duration":      {withKeys(`"drainLimit": ""`), "drainLimit: must be a duration"},
+		"duration too long":   {withKeys(`"periods": {"exchange": "1h"}`), "periods.exchange: must be from 50ms to 1m0s, not 1h"},
+		"half a byte":         {withKeys(`"limits": {"maxBody": 1.5}`), "limits.maxBody: must be a whole number"},
+		"text for a number":   {withKeys(`"workers": "4"`), "workers: must be a number"},
+		"no workers":          {withKeys(`"workers": 0`), "workers: must be from 1"},
+		"empty salt":          {withKeys(`"claims": {"salt": ""}`), "claims.salt: is empty"},
+		"key without file":    {withKeys(`"tls": {"callers": {"certificate": "c.pem"}}`), "tls.callers.key: is missing"},
+		"nodes not mutual":    {withKeys(`"tls": {"nodes": {"certificate": "c", "key": "k"}}`), "tls.nodes.authority: is missing"},
+		"authority elsewhere": {withKeys(`"tls": {"callers": {"certificate":"c","key":"k","authority":"a"}}`), "tls.callers.authority: unknown key"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -135,7 +135,7 @@
 		assert.NilError(t, os.WriteFile(path, []byte(text), 0o600))
 		return path
 	}
-	path := write("node.jsonc", swap(`"token": "0123456789abcdef"`, `"tokenFile": "token"`))
+	path := write("node.jsonc", withReplaced(`"token": "0123456789abcdef"`, `"tokenFile": "token"`))
 	_, err := Load(path)
 	assert.ErrorContains(t, err, "read operators.tokenFile")
 	write("token", "short\n")
@@ -150,8 +150,8 @@
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(small))
-	f.Add([]byte(with(`"links": [{"from": "north", "to": "south", "delay": "40ms"}]`)))
+	f.Add([]byte(minimalFile))
+	f.Add([]byte(withKeys(`"links": [{"from": "north", "to": "south", "delay": "40ms"}]`)))
 	f.Add([]byte(`{"node": 1, /* c */ "node": [], "workers": 1e99}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
