--- a/io/jwkeys/config.go
+++ b/io/jwkeys/config.go
@@ -80,13 +80,13 @@
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, errors.New("verify node: no certificate")
 	}
-	between := x509.NewCertPool()
+	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
-		between.AddCert(c)
+		intermediates.AddCert(c)
 	}
 	leaf := state.PeerCertificates[0]
 	_, err := leaf.Verify(x509.VerifyOptions{
-		Roots: l.authority, Intermediates: between, KeyUsages: []x509.ExtKeyUsage{use},
+		Roots: l.authority, Intermediates: intermediates, KeyUsages: []x509.ExtKeyUsage{use},
 	})
 	if err != nil {
 		return Identity{}, errors.Wrap(err, "verify node")
--- a/io/jwkeys/keeper.go
+++ b/io/jwkeys/keeper.go
@@ -16,24 +16,25 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// DefaultEvery is the interval between two checks of the files if Keeper.Every is 0.
-const DefaultEvery = 10 * time.Second
+// DefaultCheckInterval is the interval between two checks of the files if
+// Keeper.CheckInterval is 0.
+const DefaultCheckInterval = 10 * time.Second
 
 // Keeper holds the certificate of one port and reloads it when its files change. Set the
 // exported fields, then call Load and Run.
 type Keeper struct {
-	Port  string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
-	Files jwsettings.KeyFiles
-	Every time.Duration // interval between two checks of the files; 0 means DefaultEvery
-	Audit *jwaudit.Trail
-	Meter *jwmeter.Meter
+	Port          string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
+	Files         jwsettings.KeyFiles
+	CheckInterval time.Duration // interval between two checks of the files; 0 means DefaultCheckInterval
+	Audit         *jwaudit.Trail
+	Meter         *jwmeter.Meter
 
-	current atomic.Pointer[loaded]
-	refused string // last error in the audit trail, so that each error is added only once
+	current   atomic.Pointer[loadedFiles]
+	lastError string // last error in the audit trail, so that each error is added only once
 }
 
-// loaded is the content of the files at one time.
-type loaded struct {
+// loadedFiles is the content of the files at one time.
+type loadedFiles struct {
 	pem         [3][]byte // certificate, key and authority
 	certificate tls.Certificate
 	authority   *x509.CertPool
@@ -41,22 +42,22 @@
 
 // Load reads the files for the first time. It fails if they cannot be used.
 func (k *Keeper) Load() error {
-	l, err := read(k.Files)
+	l, err := readFiles(k.Files)
 	if err != nil {
 		return errors.Wrapf(err, "load certificate: %s", k.Port)
 	}
-	k.set(l)
+	k.use(l)
 	return nil
 }
 
 // Run reloads the files when they change, until ctx ends. While the files cannot be
 // used, the previous certificate stays in use.
 func (k *Keeper) Run(ctx context.Context) error {
-	every := k.Every
-	if every == 0 {
-		every = DefaultEvery
+	interval := k.CheckInterval
+	if interval == 0 {
+		interval = DefaultCheckInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -70,34 +71,34 @@
 
 // refresh reads the files and uses their content if it has changed.
 func (k *Keeper) refresh() {
-	l, err := read(k.Files)
+	l, err := readFiles(k.Files)
 	if err != nil {
-		k.refuse(err)
+		k.recordFailure(err)
 		return
 	}
-	k.refused = ""
-	if old := k.current.Load(); old != nil && old.same(l) {
-		k.measure(old)
+	k.lastError = ""
+	if old := k.current.Load(); old != nil && old.equal(l) {
+		k.updateValidity(old)
 		return
 	}
-	k.set(l)
+	k.use(l)
 }
 
-// refuse counts and records that the files cannot be used. The cause can be temporary:
-// while certificate and key are replaced one after the other, they do not match.
-func (k *Keeper) refuse(err error) {
+// recordFailure counts and records that the files cannot be used. The cause can be
+// temporary: while certificate and key are replaced one after the other, they do not match.
+func (k *Keeper) recordFailure(err error) {
 	k.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": k.Port}).Inc(1)
-	if k.refused == err.Error() {
+	if k.lastError == err.Error() {
 		return
 	}
-	k.refused = err.Error()
+	k.lastError = err.Error()
 	k.Audit.Add(jwaudit.Record{Kind: jwaudit.CertificateSet, Subject: k.Port, To: "refused", Detail: err.Error()})
 }
 
-// set starts to use the content of the files and adds an audit record.
-func (k *Keeper) set(l *loaded) {
+// use starts to use the content of the files and adds an audit record.
+func (k *Keeper) use(l *loadedFiles) {
 	k.current.Store(l)
-	k.measure(l)
+	k.updateValidity(l)
 	leaf := l.certificate.Leaf
 	k.Audit.Add(jwaudit.Record{
 		Kind: jwaudit.CertificateSet, Subject: k.Port, To: "loaded",
@@ -105,16 +106,16 @@
 	})
 }
 
-// measure updates the metric of the remaining validity. After the certificate expires,
-// new connections fail, which established connections can hide for some time.
-func (k *Keeper) measure(l *loaded) {
+// updateValidity updates the metric of the remaining validity. After the certificate
+// expires, new connections fail, which established connections can hide for some time.
+func (k *Keeper) updateValidity(l *loadedFiles) {
 	left := time.Until(l.certificate.Leaf.NotAfter)
 	k.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": k.Port}).Update(left.Seconds())
 }
 
-// read reads the files and checks that the key matches the certificate.
-func read(files jwsettings.KeyFiles) (*loaded, error) {
-	l := &loaded{}
+// readFiles reads the files and checks that the key matches the certificate.
+func readFiles(files jwsettings.KeyFiles) (*loadedFiles, error) {
+	l := &loadedFiles{}
 	for i, path := range []string{files.Certificate, files.Key, files.Authority} {
 		if path == "" {
 			continue
@@ -140,7 +141,7 @@
 	return l, nil
 }
 
-func (l *loaded) same(other *loaded) bool {
+func (l *loadedFiles) equal(other *loadedFiles) bool {
 	for i := range l.pem {
 		if !bytes.Equal(l.pem[i], other.pem[i]) {
 			return false
--- a/io/jwkeys/keeper_test.go
+++ b/io/jwkeys/keeper_test.go
@@ -19,8 +19,8 @@
 	"jujubewheel/io/jwkeystest"
 )
 
-// keeper returns a Keeper with a loaded certificate that a issued for the identities.
-func keeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
+// loadKeeper returns a Keeper with a loaded certificate that a issued for the identities.
+func loadKeeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
 	t.Helper()
 	k := &jwkeys.Keeper{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
 	assert.NilError(t, k.Load())
@@ -40,26 +40,26 @@
 	tests := map[string]struct {
 		server, client *jwkeys.Keeper
 		want           jwkeys.Identity
-		fault          string
+		wantErr        string
 	}{
-		"right node":         {keeper(t, ours, n1), keeper(t, ours, n2), n1, ""},
-		"another node":       {keeper(t, ours, n1), keeper(t, ours, n2), n2, "certificate is of n1 in north"},
-		"another region":     {keeper(t, ours, n1), keeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of n1 in north"},
-		"foreign server":     {keeper(t, theirs, n1), keeper(t, ours, n2), n1, "unknown authority"},
-		"foreign client":     {keeper(t, ours, n1), keeper(t, theirs, n2), n1, "unknown"},
-		"server names none":  {keeper(t, ours), keeper(t, ours, n2), n1, "names 0 nodes"},
-		"client names none":  {keeper(t, ours, n1), keeper(t, ours), n1, "bad certificate"},
-		"server names two":   {keeper(t, ours, n1, n2), keeper(t, ours, n2), n1, "names 2 nodes"},
-		"nobody known there": {keeper(t, ours, n1), keeper(t, ours, n2), jwkeys.Identity{}, "nobody is known"},
+		"right node":         {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n1, ""},
+		"another node":       {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n2, "certificate is of n1 in north"},
+		"another region":     {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of n1 in north"},
+		"foreign server":     {loadKeeper(t, theirs, n1), loadKeeper(t, ours, n2), n1, "unknown authority"},
+		"foreign client":     {loadKeeper(t, ours, n1), loadKeeper(t, theirs, n2), n1, "unknown"},
+		"server names none":  {loadKeeper(t, ours), loadKeeper(t, ours, n2), n1, "names 0 nodes"},
+		"client names none":  {loadKeeper(t, ours, n1), loadKeeper(t, ours), n1, "bad certificate"},
+		"server names two":   {loadKeeper(t, ours, n1, n2), loadKeeper(t, ours, n2), n1, "names 2 nodes"},
+		"nobody known there": {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{}, "nobody is known"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			err := handshake(t, tc.server, tc.client, tc.want)
-			if tc.fault == "" {
+			if tc.wantErr == "" {
 				assert.NilError(t, err)
 				return
 			}
-			assert.ErrorContains(t, err, tc.fault)
+			assert.ErrorContains(t, err, tc.wantErr)
 		})
 	}
 }
@@ -130,14 +130,14 @@
 		done := make(chan error)
 		go func() { done <- k.Run(ctx) }()
 		serial := func() int64 {
-			time.Sleep(3 * jwkeys.DefaultEvery)
+			time.Sleep(3 * jwkeys.DefaultCheckInterval)
 			c, err := k.Server().GetCertificate(nil)
 			assert.NilError(t, err)
 			return c.Leaf.SerialNumber.Int64()
 		}
 		// Move half an interval away from the ticks, so that the Keeper does not
 		// read the files while the test writes them.
-		time.Sleep(jwkeys.DefaultEvery / 2)
+		time.Sleep(jwkeys.DefaultCheckInterval / 2)
 		assert.Equal(t, serial(), int64(2))
 
 		key, err := os.ReadFile(k.Files.Key)
@@ -162,7 +162,7 @@
 
 func TestServer(t *testing.T) {
 	a := jwkeystest.New(t)
-	k := keeper(t, a, n1)
+	k := loadKeeper(t, a, n1)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", k.Server())
 	assert.NilError(t, err)
 	defer l.Close()
--- a/io/jwkeystest/authority.go
+++ b/io/jwkeystest/authority.go
@@ -24,10 +24,10 @@
 // Authority is a certificate authority whose certificates are valid for an hour and for
 // 127.0.0.1.
 type Authority struct {
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	next int64
+	t          testing.TB
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	nextSerial int64
 }
 
 // New returns an Authority with a new key. Its errors fail the test t.
@@ -44,7 +44,7 @@
 	assert.NilError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	assert.NilError(t, err)
-	return &Authority{t: t, cert: cert, key: key, next: 2}
+	return &Authority{t: t, cert: cert, key: key, nextSerial: 2}
 }
 
 // Pool returns a pool with the certificate of the authority, for clients that trust it.
@@ -66,12 +66,12 @@
 		uris = append(uris, id.URI())
 	}
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(a.next), URIs: uris,
+		SerialNumber: big.NewInt(a.nextSerial), URIs: uris,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	}
-	a.next++
+	a.nextSerial++
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	assert.NilError(a.t, err)
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
