--- a/io/jwconsul/client.go
+++ b/io/jwconsul/client.go
@@ -95,7 +95,7 @@
 		return nil, err
 	}
 	if len(body) > maxResponseSize {
-		return nil, errors.Errorf("answer longer than %d bytes", maxResponseSize)
+		return nil, errors.Errorf("response body longer than %d bytes", maxResponseSize)
 	}
 	return body, nil
 }
--- a/io/jwconsul/directory.go
+++ b/io/jwconsul/directory.go
@@ -52,7 +52,7 @@
 			return snapshot, nil
 		}
 	}
-	return nil, errors.Errorf("directory: %s: changed during each of %d fetches", d.Address, maxDirectoryFetches)
+	return nil, errors.Errorf("directory: %s: changed during each of %d attempts to fetch it", d.Address, maxDirectoryFetches)
 }
 
 // fetchOnce reads all pages. The result changed reports that the pages are not
@@ -149,7 +149,7 @@
 		return nil, errors.Wrap(err, "decode")
 	}
 	if list.TotalResults < len(list.Resources) {
-		return nil, errors.Errorf("decode: %d users of %d", len(list.Resources), list.TotalResults)
+		return nil, errors.Errorf("decode: page has %d users, but totalResults is %d", len(list.Resources), list.TotalResults)
 	}
 	page := &directoryPage{total: list.TotalResults}
 	for i, user := range list.Resources {
--- a/io/jwconsul/directory_test.go
+++ b/io/jwconsul/directory_test.go
@@ -35,7 +35,7 @@
 	before := directory.Calls()
 	same, err := directory.Fetch(ctx, full.Version)
 	assert.NilError(t, err)
-	assert.Check(t, same == nil, "nothing has changed")
+	assert.Check(t, same == nil, "an unchanged directory must not be returned again")
 	assert.Equal(t, directory.Calls()-before, uint64(1))
 }
 
@@ -68,7 +68,7 @@
 	before := list.Traffic()
 	same, err := list.Hosts(context.Background())
 	assert.NilError(t, err)
-	assert.Check(t, &same[0] == &got[0], "an unchanged list is not sent again")
+	assert.Check(t, &same[0] == &got[0], "an unchanged list must not be decoded again")
 	assert.Check(t, list.Traffic().Received > before.Received)
 	assert.Equal(t, list.Calls(), uint64(3))
 }
--- a/io/jwconsul/hostlist_test.go
+++ b/io/jwconsul/hostlist_test.go
@@ -30,15 +30,15 @@
 				},
 			},
 		},
-		"cut off":          {body: `[{"targets":["127.0.0.1:80"]`, err: "decode"},
-		"host name":        {body: `[{"targets":["node:80"],"labels":{"role":"entry","region":"r1"}}]`, err: "decode group 0"},
-		"no region":        {body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry"}}]`, err: "no region"},
-		"a role of others": {body: `[{"targets":["printer"],"labels":{"role":"x"}}]`},
+		"truncated":                              {body: `[{"targets":["127.0.0.1:80"]`, err: "decode"},
+		"host name as address":                   {body: `[{"targets":["node:80"],"labels":{"role":"entry","region":"r1"}}]`, err: "decode group 0"},
+		"no region":                              {body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry"}}]`, err: "no region"},
+		"a role that is neither node nor target": {body: `[{"targets":["printer"],"labels":{"role":"x"}}]`},
 		"unknown state": {
 			body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry","region":"r1","state":"x"}}]`,
 			want: []jwhost.Host{{Role: jwhost.Entry, Region: "r1", Address: netip.MustParseAddrPort("127.0.0.1:80"), Leaving: true}},
 		},
-		"nodes no port": {body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry","region":"r1","nodes":"127.0.0.1"}}]`, err: "decode group 0"},
+		"nodes address without port": {body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry","region":"r1","nodes":"127.0.0.1"}}]`, err: "decode group 0"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -63,7 +63,7 @@
 	f.Fuzz(func(t *testing.T, body []byte) {
 		hosts, err := decodeHosts(body)
 		if err != nil {
-			assert.Check(t, hosts == nil, "a list is whole or an error")
+			assert.Check(t, hosts == nil, "an error must not come with a partial list")
 		}
 		for _, host := range hosts {
 			assert.Check(t, host.Address.IsValid() && host.Region != "", "%v", host)
@@ -81,7 +81,7 @@
 			assert.Check(t, items == nil)
 		}
 		for _, item := range items {
-			assert.Check(t, item.Version > 0, "a key that exists has a version")
+			assert.Check(t, item.Version > 0, "an existing key must have a version")
 		}
 	})
 }
--- a/io/jwconsul/keyvalue.go
+++ b/io/jwconsul/keyvalue.go
@@ -353,7 +353,7 @@
 		return 0, errors.Wrap(err, "decode transaction")
 	}
 	if len(result.Results) != 1 || result.Results[0].KV.Key != op.Key || result.Results[0].KV.ModifyIndex == 0 {
-		return 0, errors.New("decode transaction: no version of the key")
+		return 0, errors.New("decode transaction: response has no ModifyIndex of the key")
 	}
 	return result.Results[0].KV.ModifyIndex, nil
 }
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -77,7 +77,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, string(item.Value), "two")
 		},
-		"delete asks for the version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"delete requires the current version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			for _, version := range []uint64{0, first + 1} {
 				deleted, err := s.Delete(ctx, "k", version)
@@ -89,14 +89,14 @@
 			assert.Check(t, deleted)
 			deleted, err = s.Delete(ctx, "k", first)
 			assert.NilError(t, err)
-			assert.Check(t, !deleted, "only one caller deletes")
+			assert.Check(t, !deleted, "only one caller may delete the key")
 			_, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 			again := mustSwap(t, s, "k", "two", 0)
-			assert.Check(t, again > first, "versions rise across a delete")
+			assert.Check(t, again > first, "versions must increase across a delete")
 		},
-		"list is sorted and only the prefix": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"list is sorted and limited to the prefix": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			for _, key := range []string{"p/2", "p/10", "q/1", "p"} {
 				mustSwap(t, s, key, key, 0)
 			}
@@ -112,13 +112,13 @@
 			assert.NilError(t, err)
 			assert.Equal(t, len(items), 0)
 		},
-		"an empty value is a value": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"an empty value is stored": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			mustSwap(t, s, "k", "", 0)
 			item, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
 			assert.Check(t, found && len(item.Value) == 0)
 		},
-		"wait answers at once when the key has moved on": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait returns at once if the key has another version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			for _, after := range []uint64{0, first - 1} {
 				item, found, err := s.Wait(ctx, "k", after, time.Minute)
@@ -132,7 +132,7 @@
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 		},
-		"wait ends by its time": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait ends after its maximum time": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			item, found, err := s.Wait(ctx, "k", first, 20*time.Millisecond)
 			assert.NilError(t, err)
@@ -141,7 +141,7 @@
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 		},
-		"wait sees the write that comes": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait returns when the key is written": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			var wg sync.WaitGroup
 			for i := range 4 {
 				wg.Go(func() {
@@ -153,7 +153,7 @@
 			mustSwap(t, s, "k", "one", 0)
 			wg.Wait()
 		},
-		"of racing writers one wins": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"only one of several concurrent writers swaps": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			var won atomic.Int32
 			var wg sync.WaitGroup
 			for range 8 {
@@ -228,7 +228,7 @@
 			return poll.Success()
 		}
 		_ = conn.Close()
-		return poll.Continue("the port still takes connections")
+		return poll.Continue("the port still accepts connections")
 	})
 	_, _, err := kv.Get(ctx, "k")
 	assert.Check(t, errors.Is(err, jwstore.ErrUnavailable), "%v", err)
@@ -264,8 +264,8 @@
 	_, _, err := kv.Swap(ctx, "k", []byte("two"), first)
 	assert.Check(t, errors.Is(err, jwstore.ErrUnknown), "%v", err)
 	item, found, err := kv.Get(ctx, "k")
-	assert.NilError(t, err, "a new connection works")
-	assert.Check(t, found && string(item.Value) == "one", "the silent connection carried nothing")
+	assert.NilError(t, err, "a new connection must work")
+	assert.Check(t, found && string(item.Value) == "one", "the swap on the silent connection must have no effect")
 }
 
 // A value that is too large is rejected before it is sent. Otherwise an operator who
@@ -293,7 +293,7 @@
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if program.Store.Calls().Waits == 0 {
-			return poll.Continue("no wait yet")
+			return poll.Continue("no blocking read yet")
 		}
 		return poll.Success()
 	})
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -41,8 +41,8 @@
 	wg.Wait()
 	cancel()
 	faults.Wait()
-	t.Logf("of %d calls %d were told unknown, %d unavailable", len(h.operations), h.unknown, h.unavailable)
-	assert.Assert(t, h.sawFailures(minFailures), "the faults were met")
+	t.Logf("%d calls in the history, %d failed with ErrUnknown, %d with ErrUnavailable", len(h.operations), h.unknown, h.unavailable)
+	assert.Assert(t, h.sawFailures(minFailures), "both kinds of failure must occur")
 	result, _ := porcupine.CheckOperationsVerbose(swapModel, h.operations, time.Minute)
 	assert.Equal(t, result, porcupine.Ok)
 }
--- a/io/jwkeys/config.go
+++ b/io/jwkeys/config.go
@@ -53,7 +53,7 @@
 				return err
 			}
 			if got != want {
-				return errors.Errorf("verify node: certificate is of %s in %s, wanted %s in %s",
+				return errors.Errorf("verify node: certificate is of node %s in region %s, want node %s in region %s",
 					got.Node, got.Region, want.Node, want.Region)
 			}
 			return nil
@@ -78,7 +78,7 @@
 		return Identity{}, errors.Errorf("verify node: no authority loaded: %s", k.Port)
 	}
 	if len(state.PeerCertificates) == 0 {
-		return Identity{}, errors.New("verify node: no certificate")
+		return Identity{}, errors.New("verify node: the peer sent no certificate")
 	}
 	intermediates := x509.NewCertPool()
 	for _, c := range state.PeerCertificates[1:] {
--- a/io/jwkeys/credentials.go
+++ b/io/jwkeys/credentials.go
@@ -28,7 +28,7 @@
 	}
 	want, ok := c.Identify(address)
 	if !ok {
-		return nil, nil, errors.Errorf("verify node: nobody is known at %s", address)
+		return nil, nil, errors.Errorf("verify node: no node is known at %s", address)
 	}
 	return credentials.NewTLS(c.Keeper.NodeClient(want)).ClientHandshake(ctx, authority, conn)
 }
--- a/io/jwkeys/identity.go
+++ b/io/jwkeys/identity.go
@@ -29,7 +29,7 @@
 // peer's certificate does not name exactly one node.
 func IdentityOf(state tls.ConnectionState) (Identity, error) {
 	if len(state.PeerCertificates) == 0 {
-		return Identity{}, errors.New("read identity: no certificate")
+		return Identity{}, errors.New("read identity: the peer sent no certificate")
 	}
 	return identityOf(state.PeerCertificates[0])
 }
--- a/io/jwkeys/keeper_test.go
+++ b/io/jwkeys/keeper_test.go
@@ -42,15 +42,15 @@
 		want           jwkeys.Identity
 		wantErr        string
 	}{
-		"right node":         {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n1, ""},
-		"another node":       {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n2, "certificate is of n1 in north"},
-		"another region":     {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of n1 in north"},
-		"foreign server":     {loadKeeper(t, theirs, n1), loadKeeper(t, ours, n2), n1, "unknown authority"},
-		"foreign client":     {loadKeeper(t, ours, n1), loadKeeper(t, theirs, n2), n1, "unknown"},
-		"server names none":  {loadKeeper(t, ours), loadKeeper(t, ours, n2), n1, "names 0 nodes"},
-		"client names none":  {loadKeeper(t, ours, n1), loadKeeper(t, ours), n1, "bad certificate"},
-		"server names two":   {loadKeeper(t, ours, n1, n2), loadKeeper(t, ours, n2), n1, "names 2 nodes"},
-		"nobody known there": {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{}, "nobody is known"},
+		"expected node":               {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n1, ""},
+		"another node":                {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n2, "certificate is of node n1 in region north"},
+		"another region":              {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of node n1 in region north"},
+		"server of another authority": {loadKeeper(t, theirs, n1), loadKeeper(t, ours, n2), n1, "unknown authority"},
+		"client of another authority": {loadKeeper(t, ours, n1), loadKeeper(t, theirs, n2), n1, "unknown"},
+		"server without identity":     {loadKeeper(t, ours), loadKeeper(t, ours, n2), n1, "names 0 nodes"},
+		"client without identity":     {loadKeeper(t, ours, n1), loadKeeper(t, ours), n1, "bad certificate"},
+		"server with two identities":  {loadKeeper(t, ours, n1, n2), loadKeeper(t, ours, n2), n1, "names 2 nodes"},
+		"unknown address":             {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{}, "no node is known"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -100,13 +100,13 @@
 
 func TestIdentityOf(t *testing.T) {
 	_, err := jwkeys.IdentityOf(tls.ConnectionState{})
-	assert.ErrorContains(t, err, "no certificate")
+	assert.ErrorContains(t, err, "the peer sent no certificate")
 	for name, uri := range map[string]string{
-		"other scheme": "https://jujubewheel/region/r/node/n",
-		"other domain": "spiffe://other/region/r/node/n",
-		"short":        "spiffe://jujubewheel/region/r",
-		"empty node":   "spiffe://jujubewheel/region/r/node/",
-		"longer":       "spiffe://jujubewheel/region/r/node/n/x",
+		"other scheme":       "https://jujubewheel/region/r/node/n",
+		"other domain":       "spiffe://other/region/r/node/n",
+		"no node":            "spiffe://jujubewheel/region/r",
+		"empty node":         "spiffe://jujubewheel/region/r/node/",
+		"extra path element": "spiffe://jujubewheel/region/r/node/n/x",
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, err := url.Parse(uri)
--- a/io/jwsettings/gateway_test.go
+++ b/io/jwsettings/gateway_test.go
@@ -39,16 +39,16 @@
 
 func TestGatewayFaults(t *testing.T) {
 	cases := map[string]struct{ old, replacement, key string }{
-		"no node":             {`"node": "n1", `, ``, "node"},
-		"an unknown place":    {`"dataCentre": "north-a"`, `"dataCentre": "south-a"`, "dataCentre"},
-		"no store":            {`"address": "10.9.0.1:90", `, ``, "gateway.store.address"},
-		"an address by name":  {`"10.0.0.1:83"}`, `"host:83"}`, "gateway.listen.nodes"},
-		"a seed by name":      {`["10.0.0.2:83"]`, `["host"]`, "gateway.seeds"},
-		"a period of no unit": {`"grace": "8s"`, `"grace": "8"`, "gateway.bounds.grace"},
-		"a number as text":    {`"retrySlack": 58`, `"retrySlack": "58"`, "gateway.bounds.retrySlack"},
-		"a negative quota":    {`"quotaRatio": 0.1`, `"quotaRatio": -1`, "gateway.bounds.quotaRatio"},
-		"a window of no unit": {`"quotaWindow": "8s"`, `"quotaWindow": 8`, "gateway.bounds.quotaWindow"},
-		"a key that is none":  {`"memoryMB"`, `"memory"`, "gateway.memory"},
+		"no node":                    {`"node": "n1", `, ``, "node"},
+		"a data centre of no region": {`"dataCentre": "north-a"`, `"dataCentre": "south-a"`, "dataCentre"},
+		"no store":                   {`"address": "10.9.0.1:90", `, ``, "gateway.store.address"},
+		"a host name as address":     {`"10.0.0.1:83"}`, `"host:83"}`, "gateway.listen.nodes"},
+		"a host name as seed":        {`["10.0.0.2:83"]`, `["host"]`, "gateway.seeds"},
+		"a duration without unit":    {`"grace": "8s"`, `"grace": "8"`, "gateway.bounds.grace"},
+		"a number as string":         {`"retrySlack": 58`, `"retrySlack": "58"`, "gateway.bounds.retrySlack"},
+		"a negative ratio":           {`"quotaRatio": 0.1`, `"quotaRatio": -1`, "gateway.bounds.quotaRatio"},
+		"a duration as number":       {`"quotaWindow": "8s"`, `"quotaWindow": 8`, "gateway.bounds.quotaWindow"},
+		"an unknown key":             {`"memoryMB"`, `"memory"`, "gateway.memory"},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/io/jwsettings/settings_test.go
+++ b/io/jwsettings/settings_test.go
@@ -13,7 +13,7 @@
 )
 
 const minimalFile = `{
-  // The least that a node needs.
+  // The keys that a node requires.
   "node": "n1", "region": "north", "dataCentre": "north-a",
   "listen": {"callers": "127.0.0.1:8080", "operators": "127.0.0.1:8081", "nodes": "127.0.0.1:8082"},
   "platform": {"keyValue": "127.0.0.1:8500", "hosts": "127.0.0.1:8501", "directory": "127.0.0.1:8502"},
@@ -88,29 +88,29 @@
 		"no token":            {withReplaced(`"token": "0123456789abcdef"`, ``), "operators.token: give either"},
 		"two tokens":          {withReplaced(`"token":`, `"tokenFile": "f", "token":`), "operators.token: give either"},
 		"own region unknown":  {withReplaced(`"region": "north"`, `"region": "west"`), `region: "west" is not among regions`},
-		"centre elsewhere":    {withReplaced(`"dataCentre": "north-a"`, `"dataCentre": "south-a"`), "dataCentre: "},
-		"centre of two":       {withReplaced(`["south-a"]`, `["north-a"]`), "already belongs to region"},
+		"wrong data centre":   {withReplaced(`"dataCentre": "north-a"`, `"dataCentre": "south-a"`), "dataCentre: "},
+		"data centre twice":   {withReplaced(`["south-a"]`, `["north-a"]`), "already belongs to region"},
 		"region twice":        {withReplaced(`"name": "south"`, `"name": "north"`), `region "north" is given twice`},
-		"centre missing":      {withReplaced(`["south-a"]`, `[]`), "names no data centre"},
-		"centre no text":      {withReplaced(`["south-a"]`, `[1]`), "must hold strings"},
+		"no data centre":      {withReplaced(`["south-a"]`, `[]`), "names no data centre"},
+		"number in a list":    {withReplaced(`["south-a"]`, `[1]`), "must hold strings"},
 		"no regions":          {withReplaced(`"regions"`, `"areas"`), "regions: is missing"},
-		"link to nowhere":     {withKeys(`"links": [{"from": "north", "to": "west"}]`), `links[0].to: "west"`},
+		"link to unknown":     {withKeys(`"links": [{"from": "north", "to": "west"}]`), `links[0].to: "west"`},
 		"link to itself":      {withKeys(`"links": [{"from": "north", "to": "north"}]`), "a link joins two regions"},
 		"link twice":          {withKeys(`"links": [{"from":"north","to":"south"},{"from":"north","to":"south"}]`), "links[1].from: "},
 		"negative price":      {withKeys(`"links": [{"from":"north","to":"south","costPerGB":-1}]`), "costPerGB: must be from 0"},
 		"seed without port":   {withKeys(`"seeds": [{"node": "n2", "address": "127.0.0.1:0"}]`), "seeds[0].address: must name the port"},
 		"seed without name":   {withKeys(`"seeds": [{"address": "127.0.0.1:8082"}]`), "seeds[0].node"},
-		"links no list":       {withKeys(`"links": {}`), "links: must be a list"},
+		"links not a list":    {withKeys(`"links": {}`), "links: must be a list"},
 		"duration as number":  {withKeys(`"drainLimit": 5`), "drainLimit: must be a string"},
 		"bad duration":        {withKeys(`"drainLimit": "soon"`), "drainLimit: must be a duration"},
 		"empty duration":      {withKeys(`"drainLimit": ""`), "drainLimit: must be a duration"},
 		"duration too long":   {withKeys(`"periods": {"exchange": "1h"}`), "periods.exchange: must be from 50ms to 1m0s, not 1h"},
-		"half a byte":         {withKeys(`"limits": {"maxBody": 1.5}`), "limits.maxBody: must be a whole number"},
-		"text for a number":   {withKeys(`"workers": "4"`), "workers: must be a number"},
+		"fraction of byte":    {withKeys(`"limits": {"maxBody": 1.5}`), "limits.maxBody: must be a whole number"},
+		"string for number":   {withKeys(`"workers": "4"`), "workers: must be a number"},
 		"no workers":          {withKeys(`"workers": 0`), "workers: must be from 1"},
 		"empty salt":          {withKeys(`"claims": {"salt": ""}`), "claims.salt: is empty"},
-		"key without file":    {withKeys(`"tls": {"callers": {"certificate": "c.pem"}}`), "tls.callers.key: is missing"},
-		"nodes not mutual":    {withKeys(`"tls": {"nodes": {"certificate": "c", "key": "k"}}`), "tls.nodes.authority: is missing"},
+		"no key file":         {withKeys(`"tls": {"callers": {"certificate": "c.pem"}}`), "tls.callers.key: is missing"},
+		"nodes no authority":  {withKeys(`"tls": {"nodes": {"certificate": "c", "key": "k"}}`), "tls.nodes.authority: is missing"},
 		"authority elsewhere": {withKeys(`"tls": {"callers": {"certificate":"c","key":"k","authority":"a"}}`), "tls.callers.authority: unknown key"},
 	}
 	for name, tc := range tests {
