--- a/io/jwconsul/client.go
+++ b/io/jwconsul/client.go
@@ -18,17 +18,18 @@
 const (
 	defaultTimeout = 2 * time.Second
 	idleTimeout    = 30 * time.Second
-	// maxAnswer bounds what one answer of the platform may make a node hold.
-	maxAnswer = 64 << 20
+	// maxResponseSize is the maximum size of a response body in bytes. It bounds the
+	// memory that one response can take.
+	maxResponseSize = 64 << 20
 )
 
-// Traffic counts what a client of the platform has moved, headers included.
+// Traffic counts the bytes that a client has sent and received, HTTP headers included.
 type Traffic struct {
 	Sent     uint64 // bytes
-	Received uint64 // bytes, as compressed on the way
+	Received uint64 // bytes; compressed bodies count at their compressed size
 }
 
-// client calls one service of the platform.
+// client sends HTTP requests to one service of the platform and counts the bytes.
 type client struct {
 	once           sync.Once
 	service        httpc.Service
@@ -46,59 +47,61 @@
 	if err != nil {
 		return nil, err
 	}
-	return &countedConn{Conn: conn, client: c}, nil
+	return &countingConn{Conn: conn, client: c}, nil
 }
 
-// countedConn adds its bytes to the traffic of its client.
-type countedConn struct {
+// countingConn adds the bytes that it reads and writes to the counters of its client.
+type countingConn struct {
 	net.Conn
 	client *client
 }
 
 // Read implements net.Conn.
-func (c *countedConn) Read(b []byte) (int, error) {
+func (c *countingConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
 	c.client.received.Add(uint64(n))
 	return n, err
 }
 
 // Write implements net.Conn.
-func (c *countedConn) Write(b []byte) (int, error) {
+func (c *countingConn) Write(b []byte) (int, error) {
 	n, err := c.Conn.Write(b)
 	c.client.sent.Add(uint64(n))
 	return n, err
 }
 
-// do sends one call; the breaker of httpc is off, because a call that it
-// refuses would look like an outage of the platform and hide the end of one.
+// do sends one request. The circuit breaker of httpc is disabled, because a
+// request that it rejects would look like an outage of the platform and hide the
+// end of a real one.
 func (c *client) do(name string, address netip.AddrPort, r *http.Request) (*http.Response, error) {
 	c.once.Do(func() {
-		full := "jwconsul " + name + " " + address.String()
-		breaker.NoBreakerFor(full)
+		serviceName := "jwconsul " + name + " " + address.String()
+		breaker.NoBreakerFor(serviceName)
 		transport := &http.Transport{
 			DialContext:         c.dial,
 			MaxIdleConnsPerHost: 4,
 			IdleConnTimeout:     idleTimeout,
 		}
-		c.service = httpc.NewServiceWithClient(full, &http.Client{Transport: transport})
+		c.service = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport})
 	})
 	return c.service.DoRequest(r)
 }
 
-// readAnswer reads the whole body and closes it.
-func readAnswer(res *http.Response) ([]byte, error) {
+// readBody reads the whole body of a response and closes it.
+func readBody(res *http.Response) ([]byte, error) {
 	defer res.Body.Close()
-	body, err := io.ReadAll(io.LimitReader(res.Body, maxAnswer+1))
+	body, err := io.ReadAll(io.LimitReader(res.Body, maxResponseSize+1))
 	if err != nil {
 		return nil, err
 	}
-	if len(body) > maxAnswer {
-		return nil, errors.Errorf("answer longer than %d bytes", maxAnswer)
+	if len(body) > maxResponseSize {
+		return nil, errors.Errorf("response body longer than %d bytes", maxResponseSize)
 	}
 	return body, nil
 }
 
-// withTimeout bounds a call by the timeout, or by the default for 0.
+// withTimeout returns a context that ends after timeout, or after defaultTimeout
+// if timeout is not positive.
 func withTimeout(ctx context.Context, timeout time.Duration) (context.Context, context.CancelFunc) {
 	if timeout <= 0 {
 		timeout = defaultTimeout
--- a/io/jwconsul/hostlist.go
+++ b/io/jwconsul/hostlist.go
@@ -14,38 +14,38 @@
 	"jujubewheel/core/jwhost"
 )
 
-// DefaultHostsPath is where the list of hosts is asked for by default.
+// DefaultHostsPath is the URL path of the host list if HostList.Path is empty.
 const DefaultHostsPath = "/hosts"
 
-// liveState is the state of a host that takes work; without one it is live.
+// liveState is the state label of a host that accepts requests. A host without
+// the label is live.
 const liveState = "live"
 
-// HostList reads the platform's list of live and leaving hosts, which is a
-// Prometheus HTTP service discovery document.
+// HostList reads the platform's list of live and leaving hosts, a Prometheus HTTP
+// service discovery document.
 type HostList struct {
 	Address netip.AddrPort
 	Path    string        // empty means DefaultHostsPath
 	Timeout time.Duration // 0 means 2s
 
-	client client
-	calls  atomic.Uint64
-	mu     sync.Mutex
-	tag    string // ETag of the last list
-	last   []jwhost.Host
+	client    client
+	calls     atomic.Uint64
+	mu        sync.Mutex
+	etag      string // ETag of the last list
+	lastHosts []jwhost.Host
 }
 
-// Calls returns the number of calls sent so far.
+// Calls returns the number of requests sent so far.
 func (l *HostList) Calls() uint64 { return l.calls.Load() }
 
-// Traffic returns the bytes moved so far.
+// Traffic returns the number of bytes sent and received so far.
 func (l *HostList) Traffic() Traffic { return l.client.traffic() }
 
-// Hosts returns the list as it is now, without hosts of other roles than
-// nodes and targets; a state that is not known counts as leaving. A host that
-// lacks an address or a region makes the whole list an error, since a list
-// that is taken in half would look like hosts that are gone. An unchanged list
-// is not sent again where the platform knows ETags; callers share the slice
-// and must not change it.
+// Hosts returns the current nodes and targets and omits hosts of other roles. A host
+// with an unknown state counts as leaving. A host without a valid address or a region
+// makes the whole list an error, since hosts missing from a partial list would look as
+// if they were gone. If the platform supports ETags, an unchanged list is not sent
+// again. Callers share the slice and must not modify it.
 func (l *HostList) Hosts(ctx context.Context) ([]jwhost.Host, error) {
 	l.calls.Add(1)
 	ctx, cancel := withTimeout(ctx, l.Timeout)
@@ -58,19 +58,19 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	tag, last := l.known()
-	if tag != "" {
-		r.Header.Set("If-None-Match", tag)
+	etag, last := l.cached()
+	if etag != "" {
+		r.Header.Set("If-None-Match", etag)
 	}
 	res, err := l.client.do("hostList", l.Address, r)
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	body, err := readAnswer(res)
+	body, err := readBody(res)
 	switch {
 	case err != nil:
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
-	case res.StatusCode == http.StatusNotModified && tag != "":
+	case res.StatusCode == http.StatusNotModified && etag != "":
 		return last, nil
 	case res.StatusCode != http.StatusOK:
 		return nil, errors.Errorf("host list: %s: %s", l.Address, res.Status)
@@ -79,20 +79,21 @@
 	if err != nil {
 		return nil, errors.Wrapf(err, "host list: %s", l.Address)
 	}
-	l.remember(res.Header.Get("ETag"), hosts)
+	l.setCached(res.Header.Get("ETag"), hosts)
 	return hosts, nil
 }
 
-func (l *HostList) known() (tag string, last []jwhost.Host) {
+// cached returns the last list and its ETag, which is empty if there is none.
+func (l *HostList) cached() (etag string, last []jwhost.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.tag, l.last
+	return l.etag, l.lastHosts
 }
 
-func (l *HostList) remember(tag string, hosts []jwhost.Host) {
+func (l *HostList) setCached(etag string, hosts []jwhost.Host) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tag, l.last = tag, hosts
+	l.etag, l.lastHosts = etag, hosts
 }
 
 // targetGroup is one group of a service discovery document.
@@ -111,7 +112,8 @@
 	Nodes      string `json:"nodes"`
 }
 
-// decodeHosts reads a service discovery document.
+// decodeHosts decodes a service discovery document and skips groups whose role is
+// neither node nor target.
 func decodeHosts(body []byte) ([]jwhost.Host, error) {
 	var groups []targetGroup
 	if err := json.Unmarshal(body, &groups); err != nil {
@@ -119,7 +121,7 @@
 	}
 	var hosts []jwhost.Host
 	for i, group := range groups {
-		if !takesPart(jwhost.Role(group.Labels.Role)) {
+		if !isNodeOrTarget(jwhost.Role(group.Labels.Role)) {
 			continue
 		}
 		for _, target := range group.Targets {
@@ -133,7 +135,7 @@
 	return hosts, nil
 }
 
-func takesPart(role jwhost.Role) bool {
+func isNodeOrTarget(role jwhost.Role) bool {
 	return role == jwhost.Entry || role == jwhost.Target
 }
 
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -27,7 +27,7 @@
 	os.Exit(m.Run())
 }
 
-// startStand serves a program until the test ends.
+// startStand serves a stand-in for a platform service until the test ends.
 func startStand(t *testing.T, program jwstand.Program) *jwstand.Stand {
 	t.Helper()
 	stand := &jwstand.Stand{Program: program}
@@ -37,7 +37,7 @@
 	return stand
 }
 
-// stores returns both kinds of Store, so that one table holds for each.
+// stores returns both implementations of Store, so that each runs the same test cases.
 func stores(t *testing.T) map[string]jwstore.Store {
 	stand := startStand(t, &jwstand.KeyValue{})
 	return map[string]jwstore.Store{
@@ -77,7 +77,7 @@
 			assert.NilError(t, err)
 			assert.Equal(t, string(item.Value), "two")
 		},
-		"delete asks for the version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"delete requires the current version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			for _, version := range []uint64{0, first + 1} {
 				deleted, err := s.Delete(ctx, "k", version)
@@ -89,14 +89,14 @@
 			assert.Check(t, deleted)
 			deleted, err = s.Delete(ctx, "k", first)
 			assert.NilError(t, err)
-			assert.Check(t, !deleted, "only one caller deletes")
+			assert.Check(t, !deleted, "only one caller may delete the key")
 			_, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 			again := mustSwap(t, s, "k", "two", 0)
-			assert.Check(t, again > first, "versions rise across a delete")
+			assert.Check(t, again > first, "versions must increase across a delete")
 		},
-		"list is sorted and only the prefix": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"list is sorted and limited to the prefix": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			for _, key := range []string{"p/2", "p/10", "q/1", "p"} {
 				mustSwap(t, s, key, key, 0)
 			}
@@ -112,13 +112,13 @@
 			assert.NilError(t, err)
 			assert.Equal(t, len(items), 0)
 		},
-		"an empty value is a value": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"an empty value is stored": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			mustSwap(t, s, "k", "", 0)
 			item, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
 			assert.Check(t, found && len(item.Value) == 0)
 		},
-		"wait answers at once when the key has moved on": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait returns at once if the key has another version": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			for _, after := range []uint64{0, first - 1} {
 				item, found, err := s.Wait(ctx, "k", after, time.Minute)
@@ -132,7 +132,7 @@
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 		},
-		"wait ends by its time": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait ends after its maximum time": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			first := mustSwap(t, s, "k", "one", 0)
 			item, found, err := s.Wait(ctx, "k", first, 20*time.Millisecond)
 			assert.NilError(t, err)
@@ -141,7 +141,7 @@
 			assert.NilError(t, err)
 			assert.Check(t, !found)
 		},
-		"wait sees the write that comes": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"wait returns when the key is written": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			var wg sync.WaitGroup
 			for i := range 4 {
 				wg.Go(func() {
@@ -153,7 +153,7 @@
 			mustSwap(t, s, "k", "one", 0)
 			wg.Wait()
 		},
-		"of racing writers one wins": func(t *testing.T, ctx context.Context, s jwstore.Store) {
+		"only one of several concurrent writers swaps": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			var won atomic.Int32
 			var wg sync.WaitGroup
 			for range 8 {
@@ -170,8 +170,8 @@
 		},
 	}
 	for name, test := range tests {
-		for kind, s := range stores(t) {
-			t.Run(name+"/"+kind, func(t *testing.T) {
+		for implementation, s := range stores(t) {
+			t.Run(name+"/"+implementation, func(t *testing.T) {
 				ctx, cancel := context.WithTimeout(context.Background(), 30*time.Second)
 				defer cancel()
 				test(t, ctx, s)
@@ -188,9 +188,9 @@
 	return next
 }
 
-// A reply that is lost after the write leaves the writer not knowing. An
-// operator who is told "failed" would make the same change twice, so the error
-// must say that the outcome is open, and a read must settle it.
+// A writer that gets no reply does not know whether its write took effect. An operator
+// who is told that it failed would make the same change twice. So the error must be
+// ErrUnknown, and a later read must show the outcome.
 func TestLostReply(t *testing.T) {
 	ctx := context.Background()
 	memory := &jwstore.Memory{}
@@ -213,9 +213,9 @@
 	}
 }
 
-// While the service is down its port refuses connections. A write that never
-// left the node must be told apart from one whose reply was lost, or every
-// confirmation during an outage would end as unknown.
+// While the service is down, its port refuses connections. A write that was never sent
+// must be distinguished from one whose reply was lost. Otherwise the outcome of every
+// confirmation during an outage would be unknown.
 func TestOutage(t *testing.T) {
 	ctx := context.Background()
 	stand := startStand(t, &jwstand.KeyValue{})
@@ -228,7 +228,7 @@
 			return poll.Success()
 		}
 		_ = conn.Close()
-		return poll.Continue("the port still takes connections")
+		return poll.Continue("the port still accepts connections")
 	})
 	_, _, err := kv.Get(ctx, "k")
 	assert.Check(t, errors.Is(err, jwstore.ErrUnavailable), "%v", err)
@@ -252,9 +252,9 @@
 	assert.Check(t, kv.Calls().Failures >= 4)
 }
 
-// A connection that goes silent takes bytes and never answers. Without a
-// timeout the writer would hang; since the bytes have left, the outcome of the
-// write is open, while a read simply failed.
+// A silent connection accepts bytes and never returns any. Without a timeout the writer
+// would hang. The outcome of the write is unknown because the request was sent, while a
+// read has simply failed.
 func TestSilentConnection(t *testing.T) {
 	ctx := context.Background()
 	stand := startStand(t, &jwstand.KeyValue{})
@@ -264,12 +264,13 @@
 	_, _, err := kv.Swap(ctx, "k", []byte("two"), first)
 	assert.Check(t, errors.Is(err, jwstore.ErrUnknown), "%v", err)
 	item, found, err := kv.Get(ctx, "k")
-	assert.NilError(t, err, "a new connection works")
-	assert.Check(t, found && string(item.Value) == "one", "the silent connection carried nothing")
+	assert.NilError(t, err, "a new connection must work")
+	assert.Check(t, found && string(item.Value) == "one", "the swap on the silent connection must have no effect")
 }
 
-// An operator who adds a very long entry would otherwise make a value that the
-// service refuses in the middle of a change.
+// A value that is too large is rejected before it is sent. Otherwise an operator who
+// adds a very long entry could produce a value that the service rejects in the middle of
+// a change.
 func TestValueTooLarge(t *testing.T) {
 	stand := startStand(t, &jwstand.KeyValue{})
 	kv := &jwconsul.KeyValue{Address: stand.Address}
@@ -278,8 +279,9 @@
 	mustSwap(t, kv, "k", string(make([]byte, jwconsul.MaxValueSize)), 0)
 }
 
-// A wait for a key that does not exist yet is what most nodes do all day; it
-// must cost one call and not one for each write of another key.
+// Most nodes wait most of the time for a key that does not exist yet. Such a wait must
+// not send a request for each write of another key: one read and one blocking read
+// suffice.
 func TestWaitCost(t *testing.T) {
 	program := &jwstand.KeyValue{}
 	stand := startStand(t, program)
@@ -291,7 +293,7 @@
 	}()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		if program.Store.Calls().Waits == 0 {
-			return poll.Continue("no wait yet")
+			return poll.Continue("no blocking read yet")
 		}
 		return poll.Success()
 	})
@@ -303,8 +305,8 @@
 	assert.DeepEqual(t, program.Calls(), jwstore.Calls{Reads: 1, Writes: 4, Waits: 1})
 }
 
-// A service that tells no index makes each wait end at once. Without a pause
-// one node would spend the reads of the whole system on it.
+// If the service returns no index, every read of a Wait returns at once. Without a pause
+// between them, one node would use up the reads of the whole system.
 func TestWaitWithoutIndex(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -17,24 +17,23 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The reply of a write is lost, the service goes down in the middle of one, a
-// connection goes silent. If a write that took effect is told as certainly
-// without effect, its caller does the work a second time: a deposit is taken
-// twice. Here many callers swap one key under all these faults, and what they
-// were told must fit one order of writes.
-func TestLinearUnderFaults(t *testing.T) {
-	const callers, enough = 6, 8
+// A caller that is told that its write had no effect repeats the work. If the write did
+// take effect, a deposit is taken twice. Many callers swap one key while replies are
+// lost, the service goes down or pauses and connections go silent. The results that they
+// get must be linearizable.
+func TestLinearizableUnderFaults(t *testing.T) {
+	const callers, minFailures = 6, 8
 	stand := startStand(t, &jwstand.KeyValue{})
 	kv := &jwconsul.KeyValue{Address: stand.Address, Timeout: 40 * time.Millisecond}
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	var faults sync.WaitGroup
-	faults.Go(func() { stir(ctx, stand) })
-	h := &history{began: time.Now()}
+	faults.Go(func() { injectFaults(ctx, stand) })
+	h := &history{started: time.Now()}
 	var wg sync.WaitGroup
 	for caller := range callers {
 		wg.Go(func() {
-			for n := 0; !h.met(enough) && ctx.Err() == nil; n++ {
+			for n := 0; !h.sawFailures(minFailures) && ctx.Err() == nil; n++ {
 				h.replace(kv, caller, fmt.Sprintf("%d-%d", caller, n))
 			}
 		})
@@ -42,15 +41,15 @@
 	wg.Wait()
 	cancel()
 	faults.Wait()
-	t.Logf("of %d calls %d were told unknown, %d unavailable", len(h.operations), h.unknown, h.unavailable)
-	assert.Assert(t, h.met(enough), "the faults were met")
+	t.Logf("%d calls in the history, %d failed with ErrUnknown, %d with ErrUnavailable", len(h.operations), h.unknown, h.unavailable)
+	assert.Assert(t, h.sawFailures(minFailures), "both kinds of failure must occur")
 	result, _ := porcupine.CheckOperationsVerbose(swapModel, h.operations, time.Minute)
 	assert.Equal(t, result, porcupine.Ok)
 }
 
-// stir sets one fault after another.
-func stir(ctx context.Context, stand *jwstand.Stand) {
-	random := rand.New(rand.NewPCG(1, 1))
+// injectFaults injects one random fault after another until ctx ends.
+func injectFaults(ctx context.Context, stand *jwstand.Stand) {
+	rng := rand.New(rand.NewPCG(1, 1))
 	faults := []jwstand.Faults{
 		{LoseReply: 1},
 		{LoseReply: 2},
@@ -61,33 +60,33 @@
 	}
 	defer stand.SetFaults(jwstand.Faults{})
 	for ctx.Err() == nil {
-		stand.SetFaults(faults[random.IntN(len(faults))])
-		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
+		stand.SetFaults(faults[rng.IntN(len(faults))])
+		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 		stand.SetFaults(jwstand.Faults{})
-		time.Sleep(time.Duration(random.IntN(30)) * time.Millisecond)
+		time.Sleep(time.Duration(rng.IntN(30)) * time.Millisecond)
 	}
 }
 
-// told is what a caller heard of a swap.
-type told string
+// outcome is the result of a swap as its caller sees it.
+type outcome string
 
 const (
-	swapped told = "swapped"
-	refused told = "refused"
-	unknown told = "unknown"
+	swapped outcome = "swapped"
+	refused outcome = "refused"
+	unknown outcome = "unknown"
 )
 
-// step is one call: a read of value, or a swap of expect for value. Values are
-// unique, so they stand for the versions.
-type step struct {
+// registerInput is one call: a read, or a swap that replaces expect with value. Values are
+// unique, so the model uses them as versions.
+type registerInput struct {
 	read   bool
 	expect string
 	value  string
 }
 
-// history gathers calls with their times.
+// history records calls with their start and end times.
 type history struct {
-	began       time.Time
+	started     time.Time
 	mu          sync.Mutex
 	operations  []porcupine.Operation
 	unknown     int
@@ -97,37 +96,37 @@
 // replace reads the key and swaps in a new value.
 func (h *history) replace(kv *jwconsul.KeyValue, caller int, value string) {
 	ctx := context.Background()
-	call := time.Since(h.began).Nanoseconds()
+	call := time.Since(h.started).Nanoseconds()
 	item, _, err := kv.Get(ctx, "k")
 	if err != nil {
-		h.count(err)
+		h.countFailure(err)
 		return
 	}
-	h.note(caller, step{read: true}, call, string(item.Value))
-	call = time.Since(h.began).Nanoseconds()
-	_, done, err := kv.Swap(ctx, "k", []byte(value), item.Version)
-	answer := refused
+	h.record(caller, registerInput{read: true}, call, string(item.Value))
+	call = time.Since(h.started).Nanoseconds()
+	_, ok, err := kv.Swap(ctx, "k", []byte(value), item.Version)
+	result := refused
 	switch {
 	case errors.Is(err, jwstore.ErrUnavailable):
-		h.count(err)
-		return // certainly no effect: the order must do without it
+		h.countFailure(err)
+		return // the swap had no effect, so the history leaves it out
 	case err != nil:
-		h.count(err)
-		answer = unknown
-	case done:
-		answer = swapped
+		h.countFailure(err)
+		result = unknown
+	case ok:
+		result = swapped
 	}
-	h.note(caller, step{expect: string(item.Value), value: value}, call, answer)
+	h.record(caller, registerInput{expect: string(item.Value), value: value}, call, result)
 }
 
-// met tells whether each kind of failure has come often enough.
-func (h *history) met(enough int) bool {
+// sawFailures reports whether each kind of failure has occurred at least minFailures times.
+func (h *history) sawFailures(minFailures int) bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.unknown >= enough && h.unavailable >= enough
+	return h.unknown >= minFailures && h.unavailable >= minFailures
 }
 
-func (h *history) count(err error) {
+func (h *history) countFailure(err error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if errors.Is(err, jwstore.ErrUnknown) {
@@ -137,26 +136,26 @@
 	h.unavailable++
 }
 
-func (h *history) note(caller int, in step, call int64, out any) {
-	end := time.Since(h.began).Nanoseconds()
+func (h *history) record(caller int, in registerInput, call int64, out any) {
+	end := time.Since(h.started).Nanoseconds()
 	if out == unknown {
-		end = time.Hour.Nanoseconds() // it may take effect at any later time
+		end = time.Hour.Nanoseconds() // the swap may take effect at any later time
 	}
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	id := caller
 	if out == unknown {
-		id = 1000 + len(h.operations) // its caller goes on while it is open
+		id = 1000 + len(h.operations) // a client of its own, because the caller sends more calls while this one is pending
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: end})
 }
 
-// swapModel is a register with compare-and-swap; an unknown swap either took
-// effect where it stands in the order or had none.
+// swapModel is a register with compare-and-swap. A swap with an unknown outcome either
+// took effect at its place in the order or had no effect.
 var swapModel = (&porcupine.NondeterministicModel{
 	Init: func() []any { return []any{""} },
 	Step: func(state, input, output any) []any {
-		in, value := input.(step), state.(string)
+		in, value := input.(registerInput), state.(string)
 		if in.read {
 			if output.(string) == value {
 				return []any{value}
@@ -164,7 +163,7 @@
 			return nil
 		}
 		matches := in.expect == value
-		switch output.(told) {
+		switch output.(outcome) {
 		case swapped:
 			if matches {
 				return []any{in.value}
--- a/io/jwkeys/keeper.go
+++ b/io/jwkeys/keeper.go
@@ -16,46 +16,48 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// DefaultEvery is how often the files are compared where Every is 0.
-const DefaultEvery = 10 * time.Second
+// DefaultCheckInterval is the interval between two checks of the files if
+// Keeper.CheckInterval is 0.
+const DefaultCheckInterval = 10 * time.Second
 
-// Keeper holds the certificate of one port; set its fields, then call Load.
+// Keeper holds the certificate of one port and reloads it when its files change. Set the
+// exported fields, then call Load and Run.
 type Keeper struct {
-	Port  string // "callers", "operators" or "nodes", for errors and records
-	Files jwsettings.KeyFiles
-	Every time.Duration // between two comparisons of the files
-	Audit *jwaudit.Trail
-	Meter *jwmeter.Meter
+	Port          string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
+	Files         jwsettings.KeyFiles
+	CheckInterval time.Duration // interval between two checks of the files; 0 means DefaultCheckInterval
+	Audit         *jwaudit.Trail
+	Meter         *jwmeter.Meter
 
-	current atomic.Pointer[loaded]
-	refused string // the last error told, so that it is told once
+	current   atomic.Pointer[loadedFiles]
+	lastError string // last error in the audit trail, so that each error is added only once
 }
 
-// loaded is one reading of the files.
-type loaded struct {
-	pem         [3][]byte
+// loadedFiles is the content of the files at one time.
+type loadedFiles struct {
+	pem         [3][]byte // certificate, key and authority
 	certificate tls.Certificate
 	authority   *x509.CertPool
 }
 
-// Load reads the files for the first time.
+// Load reads the files for the first time. It fails if they cannot be used.
 func (k *Keeper) Load() error {
-	l, err := read(k.Files)
+	l, err := readFiles(k.Files)
 	if err != nil {
 		return errors.Wrapf(err, "load certificate: %s", k.Port)
 	}
-	k.set(l)
+	k.use(l)
 	return nil
 }
 
-// Run loads the files anew when they change, until ctx ends. Files that cannot
-// be used leave the old certificate in place.
+// Run reloads the files when they change, until ctx ends. While the files cannot be
+// used, the previous certificate stays in use.
 func (k *Keeper) Run(ctx context.Context) error {
-	every := k.Every
-	if every == 0 {
-		every = DefaultEvery
+	interval := k.CheckInterval
+	if interval == 0 {
+		interval = DefaultCheckInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		select {
@@ -67,34 +69,36 @@
 	}
 }
 
+// refresh reads the files and uses their content if it has changed.
 func (k *Keeper) refresh() {
-	l, err := read(k.Files)
+	l, err := readFiles(k.Files)
 	if err != nil {
-		k.refuse(err)
+		k.recordFailure(err)
 		return
 	}
-	k.refused = ""
-	if old := k.current.Load(); old != nil && old.same(l) {
-		k.measure(old)
+	k.lastError = ""
+	if old := k.current.Load(); old != nil && old.equal(l) {
+		k.updateValidity(old)
 		return
 	}
-	k.set(l)
+	k.use(l)
 }
 
-// refuse tells of files that cannot be used. A certificate that is replaced in
-// two steps is unusable between them, so this may pass by itself.
-func (k *Keeper) refuse(err error) {
+// recordFailure counts and records that the files cannot be used. The cause can be
+// temporary: while certificate and key are replaced one after the other, they do not match.
+func (k *Keeper) recordFailure(err error) {
 	k.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": k.Port}).Inc(1)
-	if k.refused == err.Error() {
+	if k.lastError == err.Error() {
 		return
 	}
-	k.refused = err.Error()
+	k.lastError = err.Error()
 	k.Audit.Add(jwaudit.Record{Kind: jwaudit.CertificateSet, Subject: k.Port, To: "refused", Detail: err.Error()})
 }
 
-func (k *Keeper) set(l *loaded) {
+// use starts to use the content of the files and adds an audit record.
+func (k *Keeper) use(l *loadedFiles) {
 	k.current.Store(l)
-	k.measure(l)
+	k.updateValidity(l)
 	leaf := l.certificate.Leaf
 	k.Audit.Add(jwaudit.Record{
 		Kind: jwaudit.CertificateSet, Subject: k.Port, To: "loaded",
@@ -102,15 +106,16 @@
 	})
 }
 
-// measure shows how long the certificate is still valid. An expired one lets
-// no new connection come about, while old ones hide that for a while.
-func (k *Keeper) measure(l *loaded) {
+// updateValidity updates the metric of the remaining validity. After the certificate
+// expires, new connections fail, which established connections can hide for some time.
+func (k *Keeper) updateValidity(l *loadedFiles) {
 	left := time.Until(l.certificate.Leaf.NotAfter)
 	k.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": k.Port}).Update(left.Seconds())
 }
 
-func read(files jwsettings.KeyFiles) (*loaded, error) {
-	l := &loaded{}
+// readFiles reads the files and checks that the key matches the certificate.
+func readFiles(files jwsettings.KeyFiles) (*loadedFiles, error) {
+	l := &loadedFiles{}
 	for i, path := range []string{files.Certificate, files.Key, files.Authority} {
 		if path == "" {
 			continue
@@ -136,7 +141,7 @@
 	return l, nil
 }
 
-func (l *loaded) same(other *loaded) bool {
+func (l *loadedFiles) equal(other *loadedFiles) bool {
 	for i := range l.pem {
 		if !bytes.Equal(l.pem[i], other.pem[i]) {
 			return false
--- a/io/jwkeys/keeper_test.go
+++ b/io/jwkeys/keeper_test.go
@@ -19,8 +19,8 @@
 	"jujubewheel/io/jwkeystest"
 )
 
-// keeper returns a keeper that has loaded a certificate for the identities.
-func keeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
+// loadKeeper returns a Keeper with a loaded certificate that a issued for the identities.
+func loadKeeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
 	t.Helper()
 	k := &jwkeys.Keeper{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
 	assert.NilError(t, k.Load())
@@ -33,39 +33,39 @@
 )
 
 func TestBetweenNodes(t *testing.T) {
-	// A node reaches an address that has been given to another host, or a host
-	// that is no node at all comes to a node's port. Neither may get a request:
-	// bound data would leave its region, and nobody would see it.
+	// A node may connect to an address that has been given to another host, and a
+	// host that is not a node may connect to a node's port. Both connections must
+	// fail. Otherwise bound data would leave its region unnoticed.
 	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
 	tests := map[string]struct {
 		server, client *jwkeys.Keeper
 		want           jwkeys.Identity
-		fault          string
+		wantErr        string
 	}{
-		"right node":         {keeper(t, ours, n1), keeper(t, ours, n2), n1, ""},
-		"another node":       {keeper(t, ours, n1), keeper(t, ours, n2), n2, "certificate is of n1 in north"},
-		"another region":     {keeper(t, ours, n1), keeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of n1 in north"},
-		"foreign server":     {keeper(t, theirs, n1), keeper(t, ours, n2), n1, "unknown authority"},
-		"foreign client":     {keeper(t, ours, n1), keeper(t, theirs, n2), n1, "unknown"},
-		"server names none":  {keeper(t, ours), keeper(t, ours, n2), n1, "names 0 nodes"},
-		"client names none":  {keeper(t, ours, n1), keeper(t, ours), n1, "bad certificate"},
-		"server names two":   {keeper(t, ours, n1, n2), keeper(t, ours, n2), n1, "names 2 nodes"},
-		"nobody known there": {keeper(t, ours, n1), keeper(t, ours, n2), jwkeys.Identity{}, "nobody is known"},
+		"expected node":               {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n1, ""},
+		"another node":                {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n2, "certificate is of node n1 in region north"},
+		"another region":              {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of node n1 in region north"},
+		"server of another authority": {loadKeeper(t, theirs, n1), loadKeeper(t, ours, n2), n1, "unknown authority"},
+		"client of another authority": {loadKeeper(t, ours, n1), loadKeeper(t, theirs, n2), n1, "unknown"},
+		"server without identity":     {loadKeeper(t, ours), loadKeeper(t, ours, n2), n1, "names 0 nodes"},
+		"client without identity":     {loadKeeper(t, ours, n1), loadKeeper(t, ours), n1, "bad certificate"},
+		"server with two identities":  {loadKeeper(t, ours, n1, n2), loadKeeper(t, ours, n2), n1, "names 2 nodes"},
+		"unknown address":             {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{}, "no node is known"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			err := handshake(t, tc.server, tc.client, tc.want)
-			if tc.fault == "" {
+			if tc.wantErr == "" {
 				assert.NilError(t, err)
 				return
 			}
-			assert.ErrorContains(t, err, tc.fault)
+			assert.ErrorContains(t, err, tc.wantErr)
 		})
 	}
 }
 
-// handshake connects two keepers and returns the first error of the client,
-// whichever end found it.
+// handshake connects client to server and returns the first error that the client sees.
+// The client reads one byte, so that it also sees a rejection by the server.
 func handshake(t *testing.T, server, client *jwkeys.Keeper, want jwkeys.Identity) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -100,13 +100,13 @@
 
 func TestIdentityOf(t *testing.T) {
 	_, err := jwkeys.IdentityOf(tls.ConnectionState{})
-	assert.ErrorContains(t, err, "no certificate")
+	assert.ErrorContains(t, err, "the peer sent no certificate")
 	for name, uri := range map[string]string{
-		"other scheme": "https://jujubewheel/region/r/node/n",
-		"other domain": "spiffe://other/region/r/node/n",
-		"short":        "spiffe://jujubewheel/region/r",
-		"empty node":   "spiffe://jujubewheel/region/r/node/",
-		"longer":       "spiffe://jujubewheel/region/r/node/n/x",
+		"other scheme":       "https://jujubewheel/region/r/node/n",
+		"other domain":       "spiffe://other/region/r/node/n",
+		"no node":            "spiffe://jujubewheel/region/r",
+		"empty node":         "spiffe://jujubewheel/region/r/node/",
+		"extra path element": "spiffe://jujubewheel/region/r/node/n/x",
 	} {
 		t.Run(name, func(t *testing.T) {
 			u, err := url.Parse(uri)
@@ -118,8 +118,8 @@
 }
 
 func TestReload(t *testing.T) {
-	// A certificate is replaced in two steps, so that for a while its key does
-	// not fit. The old one must serve on until the new one is whole.
+	// Certificate and key are replaced one after the other, so for a while they do
+	// not match. The old certificate must stay in use until the new pair is complete.
 	synctest.Test(t, func(t *testing.T) {
 		a := jwkeystest.New(t)
 		dir := t.TempDir()
@@ -130,14 +130,14 @@
 		done := make(chan error)
 		go func() { done <- k.Run(ctx) }()
 		serial := func() int64 {
-			time.Sleep(3 * jwkeys.DefaultEvery)
+			time.Sleep(3 * jwkeys.DefaultCheckInterval)
 			c, err := k.Server().GetCertificate(nil)
 			assert.NilError(t, err)
 			return c.Leaf.SerialNumber.Int64()
 		}
-		// From here on between two ticks: at one, the keeper would read while
-		// this writes.
-		time.Sleep(jwkeys.DefaultEvery / 2)
+		// Move half an interval away from the ticks, so that the Keeper does not
+		// read the files while the test writes them.
+		time.Sleep(jwkeys.DefaultCheckInterval / 2)
 		assert.Equal(t, serial(), int64(2))
 
 		key, err := os.ReadFile(k.Files.Key)
@@ -162,7 +162,7 @@
 
 func TestServer(t *testing.T) {
 	a := jwkeystest.New(t)
-	k := keeper(t, a, n1)
+	k := loadKeeper(t, a, n1)
 	l, err := tls.Listen("tcp", "127.0.0.1:0", k.Server())
 	assert.NilError(t, err)
 	defer l.Close()
--- a/io/jwkeystest/authority.go
+++ b/io/jwkeystest/authority.go
@@ -21,15 +21,16 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// Authority signs certificates that are valid for an hour on 127.0.0.1.
+// Authority is a certificate authority whose certificates are valid for an hour and for
+// 127.0.0.1.
 type Authority struct {
-	t    testing.TB
-	cert *x509.Certificate
-	key  *ecdsa.PrivateKey
-	next int64
+	t          testing.TB
+	cert       *x509.Certificate
+	key        *ecdsa.PrivateKey
+	nextSerial int64
 }
 
-// New returns an authority of its own.
+// New returns an Authority with a new key. Its errors fail the test t.
 func New(t testing.TB) *Authority {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -43,18 +44,19 @@
 	assert.NilError(t, err)
 	cert, err := x509.ParseCertificate(der)
 	assert.NilError(t, err)
-	return &Authority{t: t, cert: cert, key: key, next: 2}
+	return &Authority{t: t, cert: cert, key: key, nextSerial: 2}
 }
 
-// Pool returns the authority as those who trust it hold it.
+// Pool returns a pool with the certificate of the authority, for clients that trust it.
 func (a *Authority) Pool() *x509.CertPool {
 	pool := x509.NewCertPool()
 	pool.AddCert(a.cert)
 	return pool
 }
 
-// Issue writes a certificate for the identities into dir and returns its
-// files; the first one has the serial number 2.
+// Issue writes a new key, its certificate for the identities and the certificate of the
+// authority into dir and returns the paths. Serial numbers are consecutive and begin
+// with 2.
 func (a *Authority) Issue(dir string, ids ...jwkeys.Identity) jwsettings.KeyFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -64,12 +66,12 @@
 		uris = append(uris, id.URI())
 	}
 	template := &x509.Certificate{
-		SerialNumber: big.NewInt(a.next), URIs: uris,
+		SerialNumber: big.NewInt(a.nextSerial), URIs: uris,
 		NotBefore: time.Now().Add(-time.Hour), NotAfter: time.Now().Add(time.Hour),
 		ExtKeyUsage: []x509.ExtKeyUsage{x509.ExtKeyUsageServerAuth, x509.ExtKeyUsageClientAuth},
 		IPAddresses: []net.IP{net.IPv4(127, 0, 0, 1)},
 	}
-	a.next++
+	a.nextSerial++
 	der, err := x509.CreateCertificate(rand.Reader, template, a.cert, &key.PublicKey, a.key)
 	assert.NilError(a.t, err)
 	keyDER, err := x509.MarshalPKCS8PrivateKey(key)
