--- a/core/jwexplain/tracer.go
+++ b/core/jwexplain/tracer.go
@@ -9,19 +9,19 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// The bounds of what a Tracer keeps.
+// Limits of what a Tracer keeps.
 const (
 	DefaultSize = 1024 // traces of each of the two rings
-	maxSteps    = 32
-	maxDetail   = 256 // bytes
-	maxRunning  = 4096
+	maxSteps    = 32   // of one trace
+	maxDetail   = 256  // bytes
+	maxRunning  = 4096 // requests that are traced at the same time
 )
 
-// Tracer keeps the traces of one node; its fields are set before use and it
-// may be used by many goroutines at once. A nil Tracer keeps nothing.
+// Tracer keeps the traces of one node. Set its fields before use; it is safe for
+// concurrent use. A nil Tracer keeps nothing.
 //
-// Requests that were served and all others have a ring each, so that the many
-// good ones do not push out the few that someone will ask about.
+// Served requests and all others are kept in separate rings, so that the many
+// successes do not evict the few failures that operators ask about.
 type Tracer struct {
 	Node   string
 	Region string // of this node
@@ -43,7 +43,7 @@
 	next   int
 }
 
-// Step takes one decision on a request.
+// Step records one decision on a request.
 func (t *Tracer) Step(r *jwrequest.Request, step, detail string) {
 	if t == nil || !t.mayKeep(r) {
 		return
@@ -65,7 +65,8 @@
 	})
 }
 
-// End takes the end of a request.
+// End records how a request ended; served is the region of the target that
+// served it, empty if none did.
 func (t *Tracer) End(r *jwrequest.Request, outcome jwrequest.Outcome, reason jwdispatch.Reason, served string) {
 	if t == nil {
 		return
@@ -92,14 +93,15 @@
 	t.others.add(trace, t.size())
 }
 
-// mayKeep refuses bound requests that came to another region than their home.
-// A trace there, even of a refusal, would be data of the workspace stored
-// outside its region.
+// mayKeep returns false for bound requests outside their home region. A trace
+// there, even of a rejection, would store data of the workspace outside its
+// region.
 func (t *Tracer) mayKeep(r *jwrequest.Request) bool {
 	return !r.Bound || r.Region == t.Region
 }
 
-// open returns the trace of a running request, nil when too many run.
+// open returns the trace of a running request and creates it if needed. It
+// returns nil when too many requests run.
 func (t *Tracer) open(r *jwrequest.Request) *Trace {
 	if trace := t.running[r]; trace != nil {
 		return trace
--- a/core/jwexplain/tracer_test.go
+++ b/core/jwexplain/tracer_test.go
@@ -49,7 +49,7 @@
 	// Nothing of the request may be kept there.
 	tracer := &Tracer{Node: "n1", Region: "amman-a"}
 	r := request("r1")
-	tracer.Step(r, "came", "") // before the directory was asked
+	tracer.Step(r, "came", "") // before the directory lookup
 	r.Bound = true
 	tracer.Step(r, "refused", "")
 	tracer.End(r, jwrequest.NotRun, jwdispatch.ReasonRegion, "")
@@ -58,8 +58,8 @@
 }
 
 func TestFailuresOutliveSuccesses(t *testing.T) {
-	// One request fails among many that are served. Whoever asks about it
-	// later must still find it.
+	// One request fails among many that are served. Its trace must not be
+	// evicted by theirs.
 	tracer := &Tracer{Region: "irbid-a", Size: 4}
 	tracer.End(request("failed"), jwrequest.Unknown, jwdispatch.ReasonTarget, "")
 	for i := range 10 {
--- a/io/jwaudit/trail.go
+++ b/io/jwaudit/trail.go
@@ -13,37 +13,38 @@
 // The kinds of records.
 const (
 	NodeState      Kind = "nodeState"      // this node started, serves, drains, ended
-	PeerState      Kind = "peerState"      // another node came, left or was given up
-	TargetState    Kind = "targetState"    // a target came, leaves, failed or recovered
+	PeerState      Kind = "peerState"      // another node joined, left or was declared gone
+	TargetState    Kind = "targetState"    // a target appeared, leaves, failed or recovered
 	RegionState    Kind = "regionState"    // a region was lost or came back
 	PlatformState  Kind = "platformState"  // a platform service failed or answers again
 	Edit           Kind = "edit"           // an operator's catalogue edit on this node
 	Applied        Kind = "applied"        // a catalogue change came into force here
 	Accepted       Kind = "accepted"       // a revision is in force everywhere
-	Forgotten      Kind = "forgotten"      // a node was taken off those that confirm changes
-	Suspect        Kind = "suspect"        // a request was quarantined or freed
-	Handover       Kind = "handover"       // tickets and answers were given or taken over
-	CertificateSet Kind = "certificateSet" // a certificate was loaded or refused
+	Forgotten      Kind = "forgotten"      // a node was removed from those that must confirm changes
+	Suspect        Kind = "suspect"        // a request was quarantined or released
+	Handover       Kind = "handover"       // tickets and answers were handed or taken over
+	CertificateSet Kind = "certificateSet" // a certificate was loaded or rejected
 )
 
-// Record is one change.
+// Record is one change in the audit trail.
 type Record struct {
 	Sequence uint64    `json:"sequence"` // 1 for the first of this process
 	Time     time.Time `json:"time"`
-	Node     string    `json:"node"` // the node that saw it
+	Node     string    `json:"node"` // the node that recorded it
 	Kind     Kind      `json:"kind"`
 	Subject  string    `json:"subject"` // whose state changed
 	From     string    `json:"from,omitempty"`
 	To       string    `json:"to,omitempty"`
 	Revision uint64    `json:"revision,omitempty"` // for catalogue changes
 	Author   string    `json:"author,omitempty"`   // for edits
-	Detail   string    `json:"detail,omitempty"`   // the reason, for people
+	Detail   string    `json:"detail,omitempty"`   // the reason, as text for operators
 }
 
 // DefaultSize is how many records a Trail keeps where Size is 0.
 const DefaultSize = 4096
 
-// Trail holds the latest records; the zero value works, a nil Trail drops all.
+// Trail holds the latest records. The zero value is ready to use; a nil Trail
+// drops all records.
 type Trail struct {
 	Node string
 	Size int
@@ -52,11 +53,11 @@
 
 	mu   sync.Mutex
 	ring []Record
-	next uint64 // sequence of the next record, less 1
+	next uint64 // number of records added so far
 }
 
-// Add takes one record, sets its Sequence, Time and Node, and logs it. The
-// oldest record makes room when the trail is full.
+// Add sets the Sequence, Time and Node of a record, keeps and logs it. A full
+// trail drops its oldest record.
 func (t *Trail) Add(r Record) {
 	if t == nil {
 		return
@@ -106,7 +107,7 @@
 	return DefaultSize
 }
 
-// After returns at most limit records that follow a sequence, oldest first. A
+// After returns at most limit records with a Sequence above after, oldest first. A
 // gap between after and the first one's Sequence means that records were
 // dropped.
 func (t *Trail) After(after uint64, limit int) []Record {
--- a/io/jwcommand/catalogue.go
+++ b/io/jwcommand/catalogue.go
@@ -59,7 +59,7 @@
 	return t.end()
 }
 
-// edit holds the flags of commands that write.
+// edit holds the flags of commands that write entries.
 type edit struct {
 	Author string        `required:"" env:"JUJUBE_AUTHOR" help:"Who edits; kept in the history."`
 	Reason string        `required:"" help:"Why; kept in the history."`
@@ -76,7 +76,7 @@
 	JSON      bool   `help:"Print JSON."`
 }
 
-// putResult is what put prints of one entry.
+// putResult is the result of writing one entry, as put prints it.
 type putResult struct {
 	Entry  string `json:"entry"`
 	EditID string `json:"editId,omitempty"`
@@ -97,7 +97,7 @@
 	for i, item := range items {
 		e := c.edit
 		if e.EditID != "" && len(items) > 1 {
-			e.EditID += "." + number(uint64(i)) // the same again when the file is sent again
+			e.EditID += "." + number(uint64(i)) // the same id when the file is sent again
 		}
 		r, err := e.put(ctx, at, item, c.Overwrite)
 		if err == nil {
@@ -127,8 +127,8 @@
 	return e.send(ctx, at, http.MethodPut, item.Entry.Name, &item.Entry, item.Revision)
 }
 
-// send makes one edit; seen is the change of the entry that it was made from,
-// 0 for a new entry.
+// send sends one edit. seen is the revision of the entry that the edit is based
+// on, 0 for a new entry.
 func (e edit) send(ctx context.Context, at *client, method, name string, entry *jwcatalogue.Entry, seen uint64) (putResult, error) {
 	if e.EditID == "" {
 		e.EditID = uuid.NewString()
@@ -149,8 +149,8 @@
 	return r, e.explain(err)
 }
 
-// explain adds the edit id to an unknown outcome, as well as to a call whose
-// answer never came: the edit may have been written.
+// explain adds the edit id to the error of an edit that may have been written:
+// one with an unknown outcome, or one that got no answer.
 func (e edit) explain(err error) error {
 	code := exitOf(err)
 	var refused *refusedError
@@ -254,14 +254,15 @@
 	return "changed"
 }
 
-// statusCommand tells how far a revision is in force.
+// statusCommand shows whether a revision is in force at all nodes.
 type statusCommand struct {
 	connection
 	Revision uint64 `help:"Revision; the newest if left out."`
 	JSON     bool   `help:"Print JSON."`
 }
 
-// Run prints the standing; a revision not yet in force everywhere is Pending.
+// Run prints the status of the revision. The exit code is Pending if it is not
+// yet in force everywhere.
 func (c *statusCommand) Run(ctx context.Context, p *Program) error {
 	at, err := c.client()
 	if err != nil {
@@ -286,7 +287,7 @@
 	return err
 }
 
-// forgetCommand takes a node off those that confirm changes.
+// forgetCommand removes a node from those that must confirm changes.
 type forgetCommand struct {
 	connection
 	Region string `arg:"" help:"Region of the node."`
@@ -295,7 +296,7 @@
 	Reason string `required:"" help:"How you know; kept in the audit trail."`
 }
 
-// Run tells the node.
+// Run removes the node by a call to the node at the given address.
 func (c *forgetCommand) Run(ctx context.Context, p *Program) error {
 	at, err := c.client()
 	if err != nil {
--- a/io/jwcommand/check.go
+++ b/io/jwcommand/check.go
@@ -14,7 +14,7 @@
 	JSON  bool     `help:"Print JSON."`
 }
 
-// checked is what check prints of one file.
+// checked is the result for one file, as check prints it.
 type checked struct {
 	File   string            `json:"file"`
 	Node   string            `json:"node,omitempty"`
@@ -61,7 +61,7 @@
 	}
 }
 
-// loadSettings loads one file; faults give the exit code for them.
+// loadSettings loads one file; faults in it have the exit code Invalid.
 func loadSettings(file string) (*jwsettings.Settings, error) {
 	s, err := jwsettings.Load(file)
 	var faults jwsettings.Faults
--- a/io/jwcommand/client.go
+++ b/io/jwcommand/client.go
@@ -26,7 +26,8 @@
 	serviceName = "jwcommand"
 )
 
-// connection tells how to reach a node's operators.
+// connection holds the flags that say how to reach the operators' interface of
+// a node.
 type connection struct {
 	At        netip.AddrPort `default:"127.0.0.1:8081" env:"JUJUBE_OPERATORS" help:"Operators' address of any node."`
 	TokenFile string         `type:"path" env:"JUJUBE_TOKEN_FILE" help:"File with the operators' token; JUJUBE_TOKEN may hold the token itself."`
@@ -54,7 +55,8 @@
 			return nil, err
 		}
 	}
-	// One command makes a few calls; a breaker would only hide their errors.
+	// One command makes a few calls; a circuit breaker would only hide their
+	// errors.
 	breaker.NoBreakerFor(serviceName)
 	return &client{
 		service: httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport, Timeout: callTimeout}),
@@ -63,8 +65,8 @@
 	}, nil
 }
 
-// token is read from a file or the environment only, since anyone on the host
-// can read a command line.
+// token returns the operators' token. It comes from a file or the environment
+// only, since anyone on the host can read a command line.
 func (c connection) token() (string, error) {
 	if c.TokenFile == "" {
 		return os.Getenv("JUJUBE_TOKEN"), nil
@@ -93,14 +95,14 @@
 	body   any
 }
 
-// get reads the answer of a path into value.
+// get makes a GET request and decodes its answer into value.
 func (c *client) get(ctx context.Context, path string, value any) error {
 	_, err := c.do(ctx, call{method: http.MethodGet, path: path}, value)
 	return err
 }
 
-// do makes a call and reads its answer into value; an answer other than 2xx is
-// a *refusedError.
+// do makes a call and decodes its answer into value. A status other than 2xx
+// gives a *refusedError.
 func (c *client) do(ctx context.Context, in call, value any) (status int, err error) {
 	r, err := c.request(ctx, in)
 	if err != nil {
@@ -149,7 +151,7 @@
 	return r, nil
 }
 
-// entry returns the entry of a name; ok is false when there is none.
+// entry returns the entry with a name; ok is false if there is none.
 func (c *client) entry(ctx context.Context, name string) (e jwoperate.Entry, ok bool, err error) {
 	err = c.get(ctx, entryPath(name), &e)
 	var refused *refusedError
--- a/io/jwcommand/doc.go
+++ b/io/jwcommand/doc.go
@@ -1,3 +1,3 @@
-// Package jwcommand is the command line of jujubewheel: it runs a node, checks
-// settings, and speaks to the operators' interface of running nodes.
+// Package jwcommand implements the command line of jujubewheel: it runs a node,
+// checks settings, and calls the operators' interface of running nodes.
 package jwcommand
--- a/io/jwcommand/entries.go
+++ b/io/jwcommand/entries.go
@@ -22,7 +22,7 @@
 	return items, errors.Wrapf(err, "read entries: %s", file)
 }
 
-// parseEntries takes a bare entry, an entry with the change it was made from,
+// parseEntries parses a bare entry, an entry with the revision it is based on,
 // or an object with a list of these.
 func parseEntries(data []byte) ([]jwoperate.Entry, error) {
 	data, err := hujson.Standardize(data)
@@ -71,7 +71,7 @@
 	return item, nil
 }
 
-// sameEntry tells whether two entries say the same.
+// sameEntry tells whether two entries are the same JSON.
 func sameEntry(a, b jwcatalogue.Entry) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
--- a/io/jwcommand/exit.go
+++ b/io/jwcommand/exit.go
@@ -26,8 +26,8 @@
 	`everywhere; 4 the entry was changed after it was read; 5 faults in settings or an entry; ` +
 	`6 may or may not have been written, send again with the same --edit-id.`
 
-// exitError is an error with the exit code it makes; without a message it was
-// already told.
+// exitError is an error with the exit code of the command. If err is errTold,
+// nothing more is printed.
 type exitError struct {
 	code Exit
 	err  error
@@ -54,7 +54,7 @@
 	return Failed
 }
 
-// refusedError is an answer other than success.
+// refusedError is an answer with a status other than 2xx.
 type refusedError struct {
 	status  int
 	refusal jwoperate.Refusal
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -16,7 +16,8 @@
 	"jujubewheel/io/jwoperate"
 )
 
-// explainCommand holds the commands that tell why.
+// explainCommand holds the commands that show what happened to requests, targets
+// and revisions, and why.
 type explainCommand struct {
 	Request  explainRequest  `cmd:"" help:"Show the decisions on a request at each of the nodes asked."`
 	Log      explainLog      `cmd:"" help:"Tell the way of a request from the logs of several nodes."`
@@ -25,7 +26,7 @@
 	Revision explainRevision `cmd:"" help:"Show who made a catalogue revision and how far it is in force."`
 }
 
-// explainRequest shows traces.
+// explainRequest shows the traces of a request.
 type explainRequest struct {
 	connection
 	ID   string           `arg:"" help:"The request's id, as in the header Jujube-Request-Id."`
@@ -33,8 +34,8 @@
 	JSON bool             `help:"Print JSON."`
 }
 
-// Run asks each node; one that knows nothing of the request or cannot be
-// reached does not keep the others from being shown.
+// Run queries each node and prints the traces found. It fails only if no node has
+// one, with the error of the last node.
 func (c *explainRequest) Run(ctx context.Context, p *Program) error {
 	var found []jwexplain.Trace
 	var last error
@@ -109,7 +110,7 @@
 	Records  []jwaudit.Record    `json:"records"`
 }
 
-// Run gathers the change, its standing and the audit records about it.
+// Run fetches the change, its status and the audit records about it.
 func (c *explainRevision) Run(ctx context.Context, p *Program) error {
 	at, err := c.client()
 	if err != nil {
@@ -145,7 +146,8 @@
 	return &list.Changes[0], nil
 }
 
-// records reads the whole trail of the node and keeps what is of the revision.
+// records reads the whole audit trail of the node and returns the records of the
+// revision.
 func (c *explainRevision) records(ctx context.Context, at *client) ([]jwaudit.Record, error) {
 	kept := []jwaudit.Record{}
 	for after := uint64(0); ; {
--- a/io/jwcommand/explainlog.go
+++ b/io/jwcommand/explainlog.go
@@ -11,13 +11,13 @@
 	"jujubewheel/io/jwlogtrace"
 )
 
-// explainLog tells the way of a request from the logs of nodes.
+// explainLog shows the path of a request from the logs of nodes.
 type explainLog struct {
 	ID    string   `arg:"" help:"The request's id."`
 	Files []string `arg:"" type:"existingfile" help:"Logs of the nodes that the request may have passed; - for standard input."`
 }
 
-// Run reads all files before it tells anything.
+// Run reads all files before it prints anything.
 func (c *explainLog) Run(p *Program) error {
 	trace := &jwlogtrace.Trace{Request: c.ID}
 	if err := readLogs(trace, c.Files); err != nil {
@@ -30,14 +30,15 @@
 	return nil
 }
 
-// explainView prints what a node knew at a moment.
+// explainView shows what a node knew at a point in time.
 type explainView struct {
 	Node  string    `arg:"" help:"The node's name."`
 	At    time.Time `arg:"" help:"The moment by the node's clock, as 2026-01-02T15:04:05Z."`
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the node; - for standard input."`
 }
 
-// Run implements the command.
+// Run prints the view. It fails if the logs have no line of the node up to that
+// time.
 func (c *explainView) Run(p *Program) error {
 	log := &jwlogtrace.Log{}
 	if err := readLogs(log, c.Files); err != nil {
@@ -52,7 +53,7 @@
 	return nil
 }
 
-// explainTarget tells why a target got nothing between two moments.
+// explainTarget shows why a target got no requests in a period.
 type explainTarget struct {
 	ID    string    `arg:"" help:"The target's name."`
 	From  time.Time `arg:"" help:"As 2026-01-02T15:04:05Z."`
@@ -60,7 +61,7 @@
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the nodes of its region; - for standard input."`
 }
 
-// Run implements the command.
+// Run prints what each node sent to the target and knew about it.
 func (c *explainTarget) Run(p *Program) error {
 	log := &jwlogtrace.Log{}
 	if err := readLogs(log, c.Files); err != nil {
@@ -77,7 +78,7 @@
 	}
 }
 
-// logReader is what logs are read into.
+// logReader collects the lines of logs.
 type logReader interface {
 	Read(r io.Reader) error
 }
--- a/io/jwcommand/hosts.go
+++ b/io/jwcommand/hosts.go
@@ -7,7 +7,8 @@
 	"net/url"
 )
 
-// hostsCommand asks the callers' interface of a node.
+// hostsCommand shows the hosts that callers of a workspace should use, from the
+// callers' interface of a node.
 type hostsCommand struct {
 	Workspace string         `arg:"" help:"Workspace of the caller."`
 	Callers   netip.AddrPort `default:"127.0.0.1:8080" env:"JUJUBE_CALLERS" help:"Callers' address of any node."`
@@ -15,7 +16,7 @@
 	JSON      bool           `help:"Print JSON."`
 }
 
-// hostList is the answer of a node.
+// hostList is the answer of GET /v1/hosts.
 type hostList struct {
 	Hosts       []netip.AddrPort `json:"hosts"`
 	TrustMillis int64            `json:"trustMillis"`
@@ -27,7 +28,7 @@
 	if err != nil {
 		return err
 	}
-	at.token = "" // callers' ports never see the operators' token
+	at.token = "" // the operators' token is never sent to callers' ports
 	var list hostList
 	if err := at.get(ctx, "/v1/hosts?workspace="+url.QueryEscape(c.Workspace), &list); err != nil {
 		return err
--- a/io/jwcommand/program.go
+++ b/io/jwcommand/program.go
@@ -16,12 +16,12 @@
 	Args    []string // without the program's name
 	Stdout  io.Writer
 	Stderr  io.Writer
-	Node    Runner // of serve
-	Gateway Runner // of serve, where the settings are those of a gateway
+	Node    Runner // run by serve
+	Gateway Runner // run by serve if the settings are those of a gateway
 	Demo    Demo
 }
 
-// Demo runs a whole small system and writes what happened.
+// Demo runs a small system in this process and writes what happens.
 type Demo interface {
 	Run(ctx context.Context, w io.Writer) error
 }
@@ -37,7 +37,7 @@
 	Version   versionCommand   `cmd:"" help:"Show the version."`
 }
 
-// Run carries out the command line and returns its exit code.
+// Run executes the command line and returns its exit code.
 func (p *Program) Run(ctx context.Context) Exit {
 	jwrest.Quiet()
 	var cli commands
@@ -66,7 +66,8 @@
 	return p.tell(command.Run())
 }
 
-// tell writes an error and returns its exit code.
+// tell prints an error that the output does not show yet and returns its exit
+// code.
 func (p *Program) tell(err error) Exit {
 	if err != nil && !errors.Is(err, errTold) {
 		fmt.Fprintln(p.Stderr, "jujubewheel:", err)
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// echo stands for the demo.
+// echo is a fake Demo.
 type echo struct{}
 
 func (echo) Run(_ context.Context, w io.Writer) error {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// echoNode stands for the node.
+// echoNode is a fake Runner that adds one audit record and fails.
 type echoNode struct{}
 
 func (echoNode) Run(_ context.Context, n Node) error {
@@ -56,7 +56,8 @@
 	return errors.New("node ended")
 }
 
-// fleet is what the operators' interface of a test shows.
+// fleet is a fake of the fleet that confirms revisions; the nodes in missing have
+// not confirmed any.
 type fleet struct {
 	mu      sync.Mutex
 	missing []string
@@ -78,7 +79,7 @@
 
 const token = "0123456789abcdef"
 
-// serve starts the interface for one script.
+// serve starts the operators' and callers' interfaces for one script.
 func (f *fleet) serve(env *testscript.Env) error {
 	table, trail := &jwcatalogue.Table{}, &jwaudit.Trail{Node: "n1"}
 	tracer := &jwexplain.Tracer{Node: "n1", Region: "north"}
@@ -163,7 +164,7 @@
 
 func TestUnknownOutcome(t *testing.T) {
 	// The answer to an edit never comes. The edit may have been written, so the
-	// operator must be told to send it again under the same id.
+	// error must say to send it again with the same id.
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer s.Close()
 	t.Setenv("JUJUBE_TOKEN", token)
--- a/io/jwcommand/serve.go
+++ b/io/jwcommand/serve.go
@@ -16,10 +16,11 @@
 	Run(ctx context.Context, n Node) error
 }
 
-// Node is what a node is started with.
+// Node holds the settings and shared parts that a Runner uses. For a gateway,
+// Log, Meter and Audit are unset; for a node, File and Verbose.
 type Node struct {
 	Settings *jwsettings.Settings
-	File     string // that the settings were read from
+	File     string // from which the settings were read
 	Verbose  int
 	Log      logr.Logger
 	Meter    *jwmeter.Meter
--- a/io/jwcommand/words.go
+++ b/io/jwcommand/words.go
@@ -8,7 +8,7 @@
 	"jujubewheel/core/jwrouter"
 )
 
-// reasonWords says in words why a request was refused or failed.
+// reasonWords explains why a request was rejected or failed.
 var reasonWords = map[jwdispatch.Reason]string{
 	jwdispatch.ReasonEntry:       "the catalogue has no such entry",
 	jwdispatch.ReasonWorkspace:   "the client directory has no such workspace",
@@ -31,7 +31,7 @@
 	jwdispatch.ReasonCaller:      "its caller went away",
 }
 
-// stepWords says in words what the first word of a step's detail stands for.
+// stepWords explains the first word of a step's detail, by step and word.
 var stepWords = map[string]map[string]string{
 	"place": {
 		string(jwrouter.AtHome):       "the home region serves its own",
@@ -62,8 +62,8 @@
 	},
 }
 
-// meaning returns what a step says in words, empty for steps that are words
-// already.
+// meaning explains the detail of a step, empty for steps that need no
+// explanation.
 func meaning(step, detail string) string {
 	code, _, _ := strings.Cut(detail, " ")
 	return stepWords[step][code]
--- a/io/jwlog/decision.go
+++ b/io/jwlog/decision.go
@@ -8,46 +8,46 @@
 	"go.uber.org/zap/zapcore"
 )
 
-// Decision is one line of the log about a request: what was decided, from
-// which inputs, and what came of it. Fields that are empty are left out.
+// Decision is one log line about a request: what was decided, from which inputs,
+// and the outcome. Empty fields are left out.
 type Decision struct {
 	Step      string        // what was decided, such as "send" or "answer"
 	Request   string        // the caller's identifier of the request
 	Entry     string        // name of the catalogue entry
-	Version   uint64        // of the configuration that the request is judged by
-	Workspace string        // of the caller
-	Service   string        // that runs it
+	Version   uint64        // of the configuration that applies to the request
+	Workspace string        // workspace of the caller
+	Service   string        // service that runs the request
 	Target    string        // incarnation of the target
 	Peer      string        // the other node
-	Outcome   string        // what came of it
-	Reason    string        // why
-	Status    int           // of the answer
+	Outcome   string        // such as "finished" or "notRun"
+	Reason    string        // why the outcome is no success
+	Status    int           // HTTP status of the answer
 	Attempt   int           // counted from 1
 	Left      time.Duration // until the deadline
 	Took      time.Duration // since the request arrived
-	Expected  time.Duration // wait for the first event as it was estimated
-	First     time.Duration // wait for the first event as it was
-	Pause     time.Duration // longest between two events
-	Silent    time.Duration // since the last event, of a send that broke off
-	Calls     int           // of this node at the target
+	Expected  time.Duration // estimated wait for the first event
+	First     time.Duration // actual wait for the first event
+	Pause     time.Duration // longest time between two events
+	Silent    time.Duration // since the last event, for a send that broke off
+	Calls     int           // in flight from this node at the target
 	Prompt    int           // tokens of the prompt
-	Miss      int           // of these, what the target is believed to lack
-	Ahead     int           // tokens to be read there before
-	ViewAge   time.Duration // of the target's registration
-	LoadAge   time.Duration // of the target's last report of its load
-	Units     float64       // of its workspace's quota that it takes
-	Level     float64       // units that the node had
-	Cold      bool
-	Minor     bool // of a request that was served
+	Miss      int           // of these, tokens that the target probably has not cached
+	Ahead     int           // prompt tokens that the target has to read first
+	ViewAge   time.Duration // since the target's registration was last read
+	LoadAge   time.Duration // age of the target's last load report
+	Units     float64       // of the workspace's quota that the request takes
+	Level     float64       // quota units that the node had
+	Cold      bool          // the target is cold
+	Minor     bool          // the line is written to minor, as for served requests
 }
 
-// Decisions writes Decisions as JSON lines; the zero value drops them.
+// Decisions writes each Decision as a JSON line; the zero value drops them.
 type Decisions struct {
 	major, minor *zap.Logger
 }
 
-// NewDecisions returns a log of decisions of a node. Lines about requests that
-// were served go to minor.
+// NewDecisions returns the log of decisions of a node. Lines with Minor set, such
+// as those of served requests, are written to minor, all others to major.
 func NewDecisions(major, minor io.Writer, node string) *Decisions {
 	return &Decisions{major: decisionLog(major, node), minor: decisionLog(minor, node)}
 }
--- a/io/jwlog/log.go
+++ b/io/jwlog/log.go
@@ -12,7 +12,7 @@
 	"google.golang.org/grpc/grpclog"
 )
 
-// encoding is how all lines are written.
+// encoding holds the keys and formats of all lines.
 var encoding = zapcore.EncoderConfig{
 	TimeKey:        "time",
 	LevelKey:       "level",
@@ -24,15 +24,15 @@
 }
 
 // New returns a log that writes JSON lines to w. Verbosity 0 gives changes of
-// state and errors, 1 adds what libraries say, 2 adds single requests.
+// state and errors, 1 adds the lines of libraries, 2 adds single requests.
 func New(w io.Writer, verbosity int) logr.Logger {
 	core := zapcore.NewCore(zapcore.NewJSONEncoder(encoding), zapcore.Lock(zapcore.AddSync(w)), zapcore.Level(-verbosity))
 	log := zapr.NewLogger(zap.New(core))
 	return log.WithSink(plainErrors{log.GetSink()})
 }
 
-// plainErrors logs errors as one line of text. zap adds to an error of
-// pkg/errors the stack of each place it passed, which buries the line.
+// plainErrors logs errors as one line of text. zap adds the stack traces of an
+// error of pkg/errors, which make the line unreadable.
 type plainErrors struct{ logr.LogSink }
 
 // Error implements logr.LogSink.
@@ -58,9 +58,9 @@
 
 func (e plainError) Error() string { return string(e) }
 
-// CaptureGRPC sends what grpc-go logs to log at verbosity 1. It is called once,
-// before the first connection; unlike it, grpc-go would write plain lines
-// among the JSON ones and break whoever parses them.
+// CaptureGRPC sends what grpc-go logs to log at verbosity 1. Call it once, before
+// the first connection. By default, grpc-go writes plain text among the JSON
+// lines, which breaks parsers.
 func CaptureGRPC(log logr.Logger) {
 	grpclog.SetLoggerV2(grpcLog{log.WithName("grpc").V(1)})
 }
@@ -83,6 +83,6 @@
 func (g grpcLog) Fatalln(args ...any)                 { panic(fmt.Sprintln(args...)) }
 func (g grpcLog) Fatalf(format string, args ...any)   { panic(fmt.Sprintf(format, args...)) }
 
-// V tells that no verbose line of grpc-go is wanted; building them costs time
-// even where they are dropped.
+// V returns false: no verbose lines of grpc-go are wanted, since building them
+// costs time even where they are dropped.
 func (g grpcLog) V(int) bool { return false }
--- a/io/jwlog/queue.go
+++ b/io/jwlog/queue.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-// queueBytes is what a Queue holds at most until it is written: about a
-// thousand lines, a second of a busy node.
+// queueBytes is the max size of the lines that wait in a Queue: about a thousand
+// lines, which a busy node logs in a second.
 const queueBytes = 256 << 10
 
-// Queue writes lines to W without ever making the caller wait: when W is not
-// read, lines are dropped and counted. Set W before use, then call Run.
+// Queue writes lines to W without blocking the caller: when W is not read, lines
+// are dropped and counted. Set W before use, then call Run.
 type Queue struct {
 	W io.Writer
 
@@ -29,11 +29,11 @@
 // Lost returns how many lines were dropped so far.
 func (q *Queue) Lost() int64 { return q.lost.Load() }
 
-// Write implements io.Writer; it keeps one line or drops it.
+// Write implements io.Writer; it queues one line or drops it.
 func (q *Queue) Write(line []byte) (int, error) { return q.put(line, queueBytes) }
 
-// Minor returns a writer for lines that are dropped first: those of requests
-// that were served, which nobody will ask about.
+// Minor returns a writer for lines that are dropped first, when the queue is half
+// full: those of served requests, which operators do not ask about.
 func (q *Queue) Minor() io.Writer { return minor{q} }
 
 type minor struct{ q *Queue }
@@ -57,7 +57,7 @@
 	return len(line), nil
 }
 
-// lostLine tells how many lines were dropped since the start.
+// lostLine returns a line that reports how many were dropped since the start.
 func lostLine(now time.Time, lost int64) []byte {
 	return fmt.Appendf(nil, `{"level":"info","time":%q,"message":"log lines lost","lines":%d}`+"\n", now.UTC().Format(time.RFC3339Nano), lost)
 }
@@ -65,11 +65,11 @@
 // gather is how long lines are collected before they are written together.
 const gather = 20 * time.Millisecond
 
-// Run writes lines until done is closed and nothing is left.
+// Run writes lines until done is closed and the queue is empty.
 func (q *Queue) Run(done <-chan struct{}) {
 	q.init()
 	var spare []byte
-	told := int64(0) // lost lines that a line told of
+	told := int64(0) // lost lines that were reported
 	for {
 		ended := false
 		select {
@@ -86,7 +86,7 @@
 		q.pending = spare[:0]
 		q.mu.Unlock()
 		if len(lines) > 0 {
-			// Nobody could be told that the log itself can't be written.
+			// An error of writing the log can't be reported anywhere.
 			_, _ = q.W.Write(lines)
 		}
 		spare = lines
--- a/io/jwlog/queue_test.go
+++ b/io/jwlog/queue_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// Nobody reads the standard output of a node. A request that waits for its log
-// line would wait for ever.
+// Nobody reads the standard output of a node. A request that waits until its log
+// line is written would wait forever.
 func TestUnreadLogNeverBlocks(t *testing.T) {
 	r, w := io.Pipe() // a write waits until somebody reads
 	q := &Queue{W: w}
--- a/io/jwlogtrace/day.go
+++ b/io/jwlogtrace/day.go
@@ -7,27 +7,28 @@
 	"time"
 )
 
-// Series is a count for each second of a day.
+// Series holds a value for each second of a Day.
 type Series struct {
 	Name   string
 	Counts []float64
 }
 
-// Day is what logs tell second by second, by the nodes' own clocks.
+// Day holds counts from logs for each second, by the nodes' own clocks. It covers
+// the period of the logs, up to 24 hours.
 type Day struct {
 	Start     time.Time
-	Outcomes  []Series // requests by how they ended, at the node that the caller spoke to
-	Refusals  []Series // of these, what was rejected by reason
+	Outcomes  []Series // requests by outcome, at the node that the caller called
+	Refusals  []Series // rejected requests among these, by reason
 	StoreLost []Series // 1 by node while the store does not answer
 	Away      []Series // 1 by node while it does not run
-	StoreAge  Series   // longest time, in seconds, for which a running node has had no answer
+	StoreAge  Series   // longest time, in seconds, that a running node has had no answer from the store
 }
 
-// longestDay bounds what one plot shows, so that a clock that is years ahead does not
-// make it endless.
+// longestDay limits the period of a Day, so that a clock that is years ahead does
+// not make a plot endless.
 const longestDay = 24 * time.Hour
 
-// DayOf counts what a log holds.
+// DayOf returns the counts of a log.
 func DayOf(l *Log) *Day {
 	first, last := l.span()
 	d := &Day{Start: first.Truncate(time.Second)}
@@ -74,7 +75,7 @@
 }
 
 // ending returns how the request of a line ended for its caller, "" if it did
-// not end there, and why it was rejected.
+// not end there, and the reason if it was rejected.
 func (e *Event) ending() (outcome, reason string) {
 	switch {
 	case e.Entry == "":
@@ -105,8 +106,8 @@
 	}
 }
 
-// states returns for each second whether the store was lost to a node and
-// whether it was away.
+// states returns for each second whether a node had lost the store and whether
+// the node was not running: 1 if so, otherwise 0.
 func states(events []Event, start time.Time, n int) (lost, away []float64) {
 	lost, away = make([]float64, n), make([]float64, n)
 	i, isLost, isAway := 0, 0.0, 1.0
@@ -130,8 +131,8 @@
 	return lost, away
 }
 
-// killed marks the seconds between a start and the line before it, which is
-// all that a process leaves that was killed.
+// killed sets away to 1 for the seconds between the start of a process and the
+// line before it: a process that is killed logs nothing about it.
 func killed(events []Event, start time.Time, away []float64) {
 	for i := 1; i < len(events); i++ {
 		if events[i].Message != "started" {
--- a/io/jwlogtrace/day_test.go
+++ b/io/jwlogtrace/day_test.go
@@ -30,7 +30,7 @@
 	assert.DeepEqual(t, d.StoreAge.Counts, []float64{0, 0, 1, 2, 0, 0})
 }
 
-// A process that is killed writes nothing about it.
+// A process that is killed logs nothing about it.
 func TestDayOfKilledNode(t *testing.T) {
 	d := DayOf(readLog(t, `{"time":"2026-01-02T03:00:00Z","message":"started","node":"n1"}
 {"time":"2026-01-02T03:00:01Z","message":"store lost","node":"n1"}
--- a/io/jwlogtrace/trace.go
+++ b/io/jwlogtrace/trace.go
@@ -12,7 +12,8 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one decision about a request as a node logged it.
+// Line is one decision about a request as a node logged it; jwlog.Decision
+// describes the fields.
 type Line struct {
 	Message  string `json:"message"`
 	Node     string `json:"node"`
@@ -40,26 +41,26 @@
 	Cold     bool   `json:"cold"`
 }
 
-// Trace is what the logs hold of one request.
+// Trace holds the log lines about one request.
 type Trace struct {
 	Request string
 	Lines   []Line   // in the order of each log
 	Starts  []Start  // of nodes, in the order of each log
 	Damaged int      // lines that could not be read
-	ended   []string // nodes that began anew while the request ran there
+	ended   []string // nodes that restarted while the request ran there
 }
 
-// Start is a start of a node's process.
+// Start is one start of a node's process.
 type Start struct {
 	Node string    `json:"node"`
 	Time time.Time `json:"time"`
 }
 
-// longLine bounds a line of a log.
+// longLine is the max length of a log line in bytes.
 const longLine = 1 << 20
 
-// Read adds the lines of one log. What stands before a line's first brace is
-// passed over, as collectors put the time or the host there.
+// Read adds the lines of one log. It ignores text before a line's first brace,
+// since log collectors put the time or the host there.
 func (s *Trace) Read(r io.Reader) error {
 	in := bufio.NewScanner(r)
 	in.Buffer(make([]byte, 0, 64<<10), longLine)
@@ -85,11 +86,12 @@
 	return errors.Wrap(in.Err(), "read log")
 }
 
-// startedLine is how a line about a start shows before it is decoded.
+// startedLine identifies a line about a start before it is decoded.
 const startedLine = `"message":"started"`
 
-// started notes a start of a node. If the request runs there by the lines
-// before, it ended with the process: killed, or its host without power.
+// started records a start of a node. If the request was still running there
+// according to earlier lines, it ended with the process, which was killed or lost
+// power.
 func (s *Trace) started(text string) {
 	var start Start
 	begin := strings.IndexByte(text, '{')
@@ -109,8 +111,8 @@
 	}
 }
 
-// Write writes the trace, the node that the caller spoke to first, and ends
-// with the cause of a failure.
+// Write writes the lines of each node, beginning with the node that the caller
+// called, and then the cause of a failure.
 func (s *Trace) Write(w io.Writer) {
 	if len(s.Lines) == 0 {
 		fmt.Fprintf(w, "%s: no line in these logs; it never reached these nodes, it ended with a node that was killed before the first event, was served and its line dropped, or is of another time\n", s.Request)
@@ -131,8 +133,8 @@
 	}
 }
 
-// writeStarts names the starts of nodes but their first: what ran there before
-// each, and what was sent there until then, is lost.
+// writeStarts lists the starts of each node except its first one. Requests that
+// ran there before such a start, or were sent there until then, are lost.
 func (s *Trace) writeStarts(w io.Writer) {
 	seen := make(map[string]bool)
 	for _, start := range s.Starts {
@@ -143,8 +145,8 @@
 	}
 }
 
-// nodes returns the nodes with lines: the one that the caller spoke to first,
-// which alone knows the entry.
+// nodes returns the nodes with lines, beginning with the one that the caller
+// called. Only that node logs the entry.
 func (s *Trace) nodes() []string {
 	var first, others []string
 	seen := make(map[string]bool)
@@ -162,7 +164,7 @@
 	return append(first, others...)
 }
 
-// sentence says one decision as a sentence.
+// sentence describes one decision.
 func (l *Line) sentence() string {
 	var b strings.Builder
 	switch l.Message {
@@ -219,12 +221,13 @@
 	return text
 }
 
-// longSilence is the milliseconds without an event from which a target is taken
-// for silent: several times the longest pause that callers take for on time.
+// longSilence is the time in milliseconds without an event after which a target
+// counts as silent: several times the longest pause that callers regard as on
+// time.
 const longSilence = 1000
 
-// stopped returns the line of a node that cut the request off at the end of its
-// planned stop, nil if none did.
+// stopped returns the line of a node that ended the request at the end of its
+// planned shutdown, nil if none did.
 func (s *Trace) stopped() *Line {
 	for i := range s.Lines {
 		if l := &s.Lines[i]; l.Outcome == "cut" && strings.HasPrefix(l.Reason, "the node stopped") {
--- a/io/jwlogtrace/trace_test.go
+++ b/io/jwlogtrace/trace_test.go
@@ -29,7 +29,8 @@
 {"message":"answer","node":"n1","request":"r","entry":"e","outcome":"unknown","reason":"unknown at n2","status":502}`,
 			"target t: reset",
 		},
-		// The other node told its end; the caller's connection was to this one.
+		// The other node logged that it finished, but the caller was connected to
+		// this one.
 		"the caller's node was killed in the stream": {
 			`{"message":"begun","node":"n1","request":"r","entry":"e","peer":"n2"}
 {"message":"send","node":"n2","request":"r","target":"t","outcome":"finished","status":200}
@@ -82,13 +83,13 @@
 	}
 }
 
-// A workspace that gets 429 asks how much was left at which node.
+// The line of a 429 shows how many quota units were left at which node.
 func TestSentenceOfARefusal(t *testing.T) {
 	l := Line{Message: "answer", Entry: "e", Version: 3, Space: "w", Units: 900, Level: 20, Outcome: "refused", Reason: "over", Status: 429, LeftMS: 10}
 	assert.Equal(t, l.sentence(), "ended: refused with 429, over (workspace w, request of 900 units, the node had 20) [entry e, configuration 3, 10 ms left]")
 }
 
-// Collectors cut lines and put words before them; clocks of hosts differ.
+// Collectors truncate lines and put text before them; clocks of hosts differ.
 func TestWrite(t *testing.T) {
 	s := &Trace{Request: "r9"}
 	assert.NilError(t, s.Read(strings.NewReader(`3.1 n2 {"message":"send","node":"n2","request":"r9","target":"t","outcome":"broken","reason":"reset","status":200,"tookMs":40,"expectedMs":20,"firstMs":25,"calls":2,"viewAgeMs":900}
--- a/io/jwlogtrace/view.go
+++ b/io/jwlogtrace/view.go
@@ -24,17 +24,17 @@
 	Draining   bool      `json:"draining"`
 }
 
-// Log is what logs of nodes hold, in the order of each. The clocks of nodes may
-// differ, so that times are compared within one node only, and where a clock was
-// set back a line has the time of the one above it.
+// Log holds the lines of logs by node, in the order of each log. The clocks of
+// nodes may differ, so times are compared within one node only. Where a clock was
+// set back, a line gets the time of the line above it.
 type Log struct {
 	Nodes   map[string][]Event
 	Damaged int // lines that could not be read
 	Jumps   int // lines whose time is before that of the line above them
 }
 
-// Read adds one log. What stands before a line's first brace is passed over, as
-// collectors put the time or the host there; lines of several nodes may be mixed.
+// Read adds one log. It ignores text before a line's first brace, since log
+// collectors put the time or the host there. Lines of several nodes may be mixed.
 func (l *Log) Read(r io.Reader) error {
 	if l.Nodes == nil {
 		l.Nodes = make(map[string][]Event)
@@ -62,7 +62,7 @@
 	return errors.Wrap(in.Err(), "read log")
 }
 
-// View is what a node knew at a moment.
+// View is what a node knew at a point in time.
 type View struct {
 	Node      string
 	Running   bool
@@ -70,10 +70,10 @@
 	Evacuated []string          // data centres
 	StoreLost time.Time         // since when the store did not answer, zero while it does
 	Targets   map[string]Target // by name
-	Last      time.Time         // of the last line before the moment
+	Last      time.Time         // of the last line up to then
 }
 
-// Target is what a node knew of a target.
+// Target is what a node knew about a target.
 type Target struct {
 	State      string // appeared, beganAnew, returned, draining, leaving or gone
 	DataCentre string
@@ -81,7 +81,7 @@
 	Since      time.Time
 }
 
-// ViewAt returns what a node knew at a moment of its own clock.
+// ViewAt returns what a node knew at a time of its own clock.
 func (l *Log) ViewAt(node string, at time.Time) View {
 	b := View{Node: node, Targets: make(map[string]Target)}
 	for i := range l.Nodes[node] {
@@ -132,13 +132,14 @@
 	}
 }
 
-// The states of a target that outlast, or end, what its registrations say.
+// States of a target that need special treatment: registrations do not change
+// leaving, except for beganAnew, which ends it.
 const (
-	leaving   = "leaving" // it said so in an answer
+	leaving   = "leaving" // the target announced it in an answer
 	beganAnew = "beganAnew"
 )
 
-// Write writes a view in plain words; it rests on the lines that could be read.
+// Write describes a view, as far as the lines could be read.
 func (b *View) Write(w io.Writer, at time.Time) {
 	if b.Last.IsZero() {
 		fmt.Fprintf(w, "%s: no line before then\n", b.Node)
@@ -161,8 +162,8 @@
 	}
 }
 
-// Idle tells why a target got nothing, or little, between two moments: for each
-// node what it sent there, and what it believed that speaks against the target.
+// Idle shows why a target got few or no requests in a period: for each node, what
+// it sent there and what it knew that kept it from sending.
 func (l *Log) Idle(w io.Writer, target string, from, to time.Time) {
 	for _, node := range slices.Sorted(maps.Keys(l.Nodes)) {
 		l.idleAt(w, node, target, from, to)
--- a/io/jwlogtrace/view_test.go
+++ b/io/jwlogtrace/view_test.go
@@ -65,7 +65,8 @@
 	assert.Equal(t, b.String(), "n3: no line before then\n")
 }
 
-// A registration that is renewed says nothing of what the target said in an answer.
+// A target announced in an answer that it leaves. A renewed registration must not
+// undo that; a new start of the target does.
 func TestViewOfATargetThatLeaves(t *testing.T) {
 	l := readLog(t, leavingLog)
 	for moment, want := range map[string]string{"03:00:01": "appeared", "03:00:02": leaving, "03:00:04": leaving, "03:00:06": beganAnew} {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Whatever a collector passes on must not end the reading.
+// No input may make the functions panic, whatever a log collector passes on.
 func FuzzReadAll(f *testing.F) {
 	f.Add(viewLog)
 	f.Add("{}\n{\"node\":1}\n{{{")
--- a/io/jwmeter/doc.go
+++ b/io/jwmeter/doc.go
@@ -1,5 +1,5 @@
-// Package jwmeter counts what a node does, by tally with its Prometheus
-// reporter. Handles are fetched once and kept; using one takes a few
-// nanoseconds. Names are Prometheus names without the prefix "jujubewheel_",
-// such as "requests_total"; durations are in seconds.
+// Package jwmeter provides the metrics of a node, with tally and its Prometheus
+// reporter. Fetch a handle once and keep it; using it takes a few nanoseconds.
+// Names are Prometheus names without the prefix "jujubewheel_", such as
+// "requests_total"; durations are in seconds.
 package jwmeter
--- a/io/jwmeter/meter.go
+++ b/io/jwmeter/meter.go
@@ -15,7 +15,8 @@
 
 const (
 	prefix = "jujubewheel"
-	// DefaultInterval is how far readings may be behind the handles.
+	// DefaultInterval is the default time between two reports to the registry;
+	// readings may be older than the handles by that much.
 	DefaultInterval = time.Second
 )
 
@@ -23,11 +24,11 @@
 // their values come from small fixed sets, never from callers.
 type Tags map[string]string
 
-// Meter hands out the counters of a node. The zero value works; a nil Meter
-// hands out handles that do nothing.
+// Meter returns handles of the metrics of a node. The zero value is ready to use;
+// the handles of a nil Meter do nothing.
 type Meter struct {
 	Interval time.Duration // between two reports to the registry, DefaultInterval if 0
-	Log      logr.Logger   // for names used in two ways
+	Log      logr.Logger   // for names that are used with different tags
 
 	once     sync.Once
 	registry *prometheus.Registry
@@ -35,8 +36,8 @@
 	stop     func() error
 }
 
-// sanitizer keeps label values as they are. Tally's own would make one series
-// of the entries "order-status" and "order_status".
+// sanitizer keeps label values as they are. Tally's default would merge the
+// entries "order-status" and "order_status" into one series.
 var sanitizer = tally.SanitizeOptions{
 	NameCharacters:       tallyprom.DefaultSanitizerOpts.NameCharacters,
 	KeyCharacters:        tallyprom.DefaultSanitizerOpts.KeyCharacters,
@@ -66,8 +67,8 @@
 	return m.tagged(tags).Gauge(name)
 }
 
-// Durations returns the histogram of durations of a name and tags. Its sum is
-// of bucket bounds, not of the durations: read quantiles off it, no means.
+// Durations returns the histogram of durations of a name and tags. Its sum adds
+// bucket bounds instead of durations: use it for quantiles, not for means.
 func (m *Meter) Durations(name string, tags Tags) tally.Histogram {
 	return m.tagged(tags).Histogram(name, latencies)
 }
@@ -96,7 +97,7 @@
 	)
 	reporter := tallyprom.NewReporter(tallyprom.Options{
 		Registerer: m.registry,
-		// A name with two sets of tags is a mistake of ours; the default
+		// A name with two sets of tags is a programming error. The default
 		// would end the process, and with it the requests in flight.
 		OnRegisterError: func(err error) { m.Log.Error(err, "metric not registered") },
 	})
@@ -143,8 +144,8 @@
 	return total
 }
 
-// Close sends a last report and ends the reporting; handles stay usable but
-// are no longer read.
+// Close sends a last report and stops reporting. Handles stay usable, but their
+// values are no longer reported.
 func (m *Meter) Close() error {
 	if m == nil {
 		return nil
--- a/io/jwmeter/total.go
+++ b/io/jwmeter/total.go
@@ -2,7 +2,7 @@
 
 import dto "github.com/prometheus/client_model/go"
 
-// sumFamily adds the series of a family that have all of the tags.
+// sumFamily returns the sum of the series of a family that have all of the tags.
 func sumFamily(f *dto.MetricFamily, tags Tags) float64 {
 	total := 0.0
 	for _, m := range f.GetMetric() {
--- a/io/jwobserver/changes.go
+++ b/io/jwobserver/changes.go
@@ -17,13 +17,13 @@
 	failing   = "failing"
 )
 
-// maxApplied is how many changes of the catalogue are told at once; a node that
-// starts does not tell of its whole past.
+// maxApplied is how many catalogue changes are recorded one by one at a time.
+// More, such as at the start of a node, give one record.
 const maxApplied = 64
 
-// tellPeers records changes of the nodes of the own region. Those of other
-// regions are told there; were each node to record all, a fleet would write
-// every change once for each of its nodes.
+// tellPeers records state changes of the other nodes of this region. Nodes of
+// other regions are recorded there: if each node recorded all, the fleet would
+// write every change once for each of its nodes.
 func (o *Observer) tellPeers(peers []jwpeer.Peer) {
 	now := make(map[string]jwpeer.State)
 	for _, p := range peers {
@@ -61,8 +61,9 @@
 	o.targets = now
 }
 
-// tellRegions records when nothing more is heard of a region, and when it is
-// heard again. A cut and the loss of all its nodes look the same from here.
+// tellRegions records when no messages from a region arrive any more, and when
+// they arrive again. A network partition and the loss of all its nodes can't be
+// told apart here.
 func (o *Observer) tellRegions(now time.Time, peers []jwpeer.Peer) {
 	heard := make(map[string]bool)
 	for _, p := range o.Board.Peers.Fresh(now.Add(-o.Silence)) {
@@ -106,8 +107,8 @@
 	}
 }
 
-// tell records a state when it differs from the last one; the first good state
-// of a subject is no news.
+// tell records a state that differs from the last one of the subject. If the
+// first state is a good one, it is not recorded.
 func (o *Observer) tell(kind jwaudit.Kind, subject, state, detail string) {
 	if o.states == nil {
 		o.states = make(map[string]string)
--- a/io/jwobserver/doc.go
+++ b/io/jwobserver/doc.go
@@ -1,4 +1,4 @@
-// Package jwobserver looks at the board of a node now and then: it shows what
-// is there as gauges and writes what has changed to the audit trail, so that no
-// other part has to tell. It changes nothing.
+// Package jwobserver reads the shared state of a node, its board, at intervals. It
+// reports the state as metrics and records changes in the audit trail, so that
+// no other package has to. It changes nothing on the board.
 package jwobserver
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -14,14 +14,14 @@
 // series names one gauge; a and b are the values of its two labels.
 type series struct{ name, a, b string }
 
-// gauges are the handles made so far. Those that a look does not set fall to 0:
-// the last node in a state would otherwise be shown in it for ever.
+// gauges holds the handles created so far. A gauge without a current value is set
+// to 0: otherwise the last node that left a state would be shown in it forever.
 type gauges map[series]tally.Gauge
 
-// totals are the values at the last look of counts that only rise.
+// totals holds the last values read of counts that only increase.
 type totals map[series]uint64
 
-// measure shows the board.
+// measure updates the metrics from the board and the other sources.
 func (o *Observer) measure(now time.Time, peers []jwpeer.Peer, targets map[netip.AddrPort]jwtarget.State) {
 	values := make(map[series]float64)
 	for _, p := range peers {
@@ -41,7 +41,7 @@
 	o.set(values)
 }
 
-// measureSources shows what the controllers count of themselves.
+// measureSources updates the metrics from the counts of other components.
 func (o *Observer) measureSources(values map[series]float64) {
 	budget := o.Board.Budget.Counts()
 	o.rise("tries_total", "first", budget.Tries)
@@ -97,7 +97,7 @@
 	}
 }
 
-// rise adds what a count has risen by since the last look.
+// rise adds the increase of a count since it was last read to its counter.
 func (o *Observer) rise(name, kind string, total uint64) {
 	if o.totals == nil {
 		o.totals = make(totals)
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -16,8 +16,8 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// DefaultEvery is the pace of an Observer whose Every is 0; a look at a fleet of
-// 970 nodes takes about a millisecond.
+// DefaultEvery is the interval of an Observer whose Every is 0. One observation of
+// a fleet of 970 nodes takes about a millisecond.
 const DefaultEvery = 2 * time.Second
 
 // Store counts the calls of the key-value service.
@@ -34,18 +34,18 @@
 // Drain counts the calls in flight.
 type Drain interface{ Counts() jwdrain.Counts }
 
-// Observer watches one node; set its fields before Run. Any source may be nil,
-// but not Board.
+// Observer observes one node. Set its fields before Run; all sources but Board
+// may be nil.
 type Observer struct {
 	Node    string
 	Region  string
-	Regions []string // all of them
+	Regions []string // all regions, its own included
 	Board   *jwboard.Board
 	Meter   *jwmeter.Meter
 	Audit   *jwaudit.Trail
 	Every   time.Duration
-	// Silence is how long another region may say nothing before it counts as
-	// lost.
+	// Silence is how long no message from another region may arrive before the
+	// region counts as lost.
 	Silence time.Duration
 	// ListAge is how old the host list may be before the platform's service
 	// counts as failing.
@@ -64,7 +64,7 @@
 	revision uint64
 }
 
-// Run looks until ctx ends.
+// Run observes the node until ctx ends and returns the error of ctx.
 func (o *Observer) Run(ctx context.Context) error {
 	every := o.Every
 	if every == 0 {
@@ -82,7 +82,7 @@
 	}
 }
 
-// look takes in the board once.
+// look reads the board once, updates the metrics and records changes.
 func (o *Observer) look(now time.Time) {
 	peers := o.Board.Peers.Peers()
 	targets := o.targetStates(now)
--- a/io/jwobserver/observer_test.go
+++ b/io/jwobserver/observer_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// store is a key-value service of which only the calls are known.
+// store is a fake Store.
 type store struct{ calls jwstore.Calls }
 
 func (s *store) Calls() jwstore.Calls { return s.calls }
@@ -51,8 +51,8 @@
 }
 
 func TestPeersAndRegions(t *testing.T) {
-	// Another node leaves, and later a whole region falls silent. Whoever is
-	// on call finds both in the trail, once each.
+	// Another node leaves, and later no messages from a whole region arrive. The
+	// audit trail must show both, once each.
 	o, _ := newObserver()
 	var seen uint64
 	o.look(start)
@@ -109,7 +109,7 @@
 	s.calls = jwstore.Calls{Reads: 5, Failures: 2}
 	o.look(start.Add(time.Minute))
 	assert.DeepEqual(t, news(o, &seen), []string{"hosts answering>failing", "keyValue answering>failing"})
-	o.look(start.Add(time.Minute)) // no call, no news
+	o.look(start.Add(time.Minute)) // without calls, the state is unchanged
 	s.calls.Reads++
 	o.Board.Hosts.Set([]jwhost.Host{}, start.Add(time.Minute))
 	o.look(start.Add(time.Minute))
@@ -151,7 +151,7 @@
 	assert.Equal(t, o.Meter.Total("store_calls_total", jwmeter.Tags{"kind": "failed"}), 1.0)
 }
 
-// BenchmarkLook is one look at the board of a fleet of 970 nodes in 13 regions.
+// BenchmarkLook measures one observation of a fleet of 970 nodes in 13 regions.
 func BenchmarkLook(b *testing.B) {
 	o, _ := newObserver()
 	var peers []jwpeer.Peer
--- a/io/jwoperate/catalogue.go
+++ b/io/jwoperate/catalogue.go
@@ -20,14 +20,16 @@
 )
 
 const (
-	// maxEdit is the size of an edit's body: a change and what is around it.
+	// maxEdit is the max size of an edit's body in bytes: that of a change, and
+	// as much again for the JSON around it.
 	maxEdit = 2 * jwcatalogue.MaxChangeSize
-	// defaultWait is how long an edit waits to be accepted before it is
-	// answered with the nodes still missing; maxWait is what may be asked.
+	// defaultWait is how long an edit waits to be in force at all nodes before
+	// it is answered with those still missing. maxWait is the longest wait that
+	// a call may ask for.
 	defaultWait = 3 * time.Second
 	maxWait     = 30 * time.Second
-	waitStep    = 100 * time.Millisecond
-	retryAfter  = "1" // seconds
+	waitStep    = 100 * time.Millisecond // between two checks
+	retryAfter  = "1"                    // seconds
 )
 
 func (o *Operators) catalogue(w http.ResponseWriter, _ *http.Request) {
@@ -71,7 +73,8 @@
 	o.edit(w, r, body)
 }
 
-// readBody reads the body of an edit and answers a malformed one.
+// readBody decodes the body of an edit. It answers a malformed one and returns
+// false.
 func readBody(w http.ResponseWriter, r *http.Request, into any) bool {
 	data, err := io.ReadAll(http.MaxBytesReader(w, r.Body, maxEdit))
 	if err != nil {
@@ -87,7 +90,7 @@
 	return true
 }
 
-// edit writes one edit and answers how far it is in force.
+// edit writes one edit and answers whether it is in force at all nodes.
 func (o *Operators) edit(w http.ResponseWriter, r *http.Request, body EditBody) {
 	seen, ok := precondition(r)
 	if !ok {
@@ -121,7 +124,7 @@
 	answer(w, http.StatusOK, standing)
 }
 
-// refuseEdit answers an edit that was not written, or may not have been.
+// refuseEdit answers an edit that was not written or whose outcome is unknown.
 func refuseEdit(w http.ResponseWriter, err error) {
 	var invalid *jwcatalogue.InvalidError
 	var conflict *jwcatalogue.ConflictError
@@ -146,7 +149,8 @@
 	}
 }
 
-// await asks until the revision is accepted or the wait is over.
+// await polls until the revision is accepted, the wait is over or ctx ends, and
+// returns the last status.
 func (o *Operators) await(ctx context.Context, revision uint64, wait time.Duration) Standing {
 	end := time.Now().Add(wait)
 	for {
@@ -212,7 +216,8 @@
 	answer(w, http.StatusOK, list)
 }
 
-// precondition reads which change of the entry the operator saw.
+// precondition returns the revision of the entry that the edit is based on, 0
+// for a new entry; ok is false if no header gives one.
 func precondition(r *http.Request) (revision uint64, ok bool) {
 	if r.Header.Get("If-None-Match") == "*" {
 		return 0, true
@@ -222,7 +227,8 @@
 	return revision, err == nil && revision > 0
 }
 
-// waiting reads how long the operator waits for the edit to be accepted.
+// waiting returns how long the operator waits for the edit to be accepted. It
+// answers a malformed duration and returns false.
 func waiting(w http.ResponseWriter, r *http.Request) (time.Duration, bool) {
 	text := r.URL.Query().Get("wait")
 	if text == "" {
--- a/io/jwoperate/doc.go
+++ b/io/jwoperate/doc.go
@@ -1,5 +1,6 @@
-// Package jwoperate is the operators' HTTP interface of a node: the catalogue
-// and its history, how far a revision is in force, the audit trail, why a
-// request went where it went, peers, targets, metrics and health. All of it but
-// health asks for the operators' bearer token.
+// Package jwoperate implements the HTTP interface of a node for operators. It
+// serves the catalogue and its history, the nodes at which a revision is not yet
+// in force, the audit trail, traces of requests, peers, targets, metrics and
+// health checks. All paths but the health checks require the operators' bearer
+// token.
 package jwoperate
--- a/io/jwoperate/members.go
+++ b/io/jwoperate/members.go
@@ -10,9 +10,9 @@
 	"jujubewheel/io/jwrest"
 )
 
-// forget takes a node off the list of those that confirm changes, on the word
-// of an operator who knows that it will not serve again. Were it serving behind
-// a cut after all, an accepted change would not be in force there.
+// forget removes a node from the list of nodes that must confirm changes. The
+// operator has to know that the node will never serve again: if it still serves
+// behind a network partition, an accepted change is not in force there.
 func (o *Operators) forget(w http.ResponseWriter, r *http.Request) {
 	var body ForgetBody
 	if !readBody(w, r, &body) {
--- a/io/jwoperate/message.go
+++ b/io/jwoperate/message.go
@@ -38,13 +38,13 @@
 	Reason string `json:"reason"`
 }
 
-// Forgotten is the answer to it.
+// Forgotten is the answer to DELETE /v1/members/{region}/{node}.
 type Forgotten struct {
 	Region string `json:"region"`
 	Node   string `json:"node"`
 }
 
-// Standing tells how far a revision is in force.
+// Standing tells whether a revision is in force at all nodes.
 type Standing struct {
 	Revision uint64   `json:"revision"`
 	Accepted bool     `json:"accepted"`          // in force at every node that may serve
@@ -63,8 +63,8 @@
 type Refusal struct {
 	Error    string              `json:"error"`
 	Faults   []string            `json:"faults,omitempty"`   // of the edit
-	Revision uint64              `json:"revision,omitempty"` // last change of the entry, after a lost race
-	Winner   *jwcatalogue.Change `json:"winner,omitempty"`   // the change that came first, if it is still known
+	Revision uint64              `json:"revision,omitempty"` // last change of the entry, after a conflict
+	Winner   *jwcatalogue.Change `json:"winner,omitempty"`   // the conflicting change, if it is still known
 }
 
 // AuditRecords is the answer of GET /v1/audit, oldest first.
@@ -92,7 +92,7 @@
 	Incarnation string         `json:"incarnation"`
 	State       jwpeer.State   `json:"state"`
 	Revision    uint64         `json:"revision"`
-	Heard       time.Time      `json:"heard"` // when its last word came
+	Heard       time.Time      `json:"heard"` // when its last message came
 }
 
 // TargetList is the answer of GET /v1/targets: the targets this node uses.
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -29,12 +29,12 @@
 	Changes(after uint64, most int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
 }
 
-// Editor writes edits into the log of changes.
+// Editor writes edits to the catalogue's log of changes.
 type Editor interface {
 	Put(ctx context.Context, e jwcatalogue.Edit) (jwcatalogue.EditResult, error)
 }
 
-// Acceptance knows which nodes have a revision in force.
+// Acceptance tells at which nodes a revision is not yet in force.
 type Acceptance interface {
 	Status(ctx context.Context, revision uint64) (accepted bool, missing []string, err error)
 }
@@ -56,8 +56,8 @@
 	State(address netip.AddrPort, now time.Time) (state jwtarget.State, known bool)
 }
 
-// Members takes nodes that will not come back out of those whose confirmation
-// changes wait for.
+// Members removes nodes that will not come back from the list of nodes that must
+// confirm changes.
 type Members interface {
 	Forget(ctx context.Context, region, name string) error
 }
@@ -68,9 +68,9 @@
 	After(after uint64, limit int) []jwaudit.Record
 }
 
-// Operators answers operators; its fields are set before Handler.
+// Operators serves the operators' interface. Set its fields before Handler.
 type Operators struct {
-	Token      string // bearer token; an empty one lets nobody in
+	Token      string // bearer token; if empty, calls that need it are rejected
 	Table      Table
 	Editor     Editor
 	Acceptance Acceptance
@@ -84,7 +84,7 @@
 	Log        logr.Logger
 }
 
-// The numbers of records in one answer.
+// Limits of the number of records in one answer.
 const (
 	defaultLimit = 100
 	maxLimit     = 1000
@@ -113,8 +113,9 @@
 	}, jwrest.Stray{})
 }
 
-// authorized lets in whoever shows the token. Digests are compared, so that
-// neither the token's bytes nor its length show in the time taken.
+// authorized calls next for requests with the operators' token and rejects all
+// others. It compares digests, so that the time taken reveals neither the
+// token's bytes nor its length.
 func (o *Operators) authorized(next http.HandlerFunc) http.HandlerFunc {
 	want := sha256.Sum256([]byte(o.Token))
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -181,7 +182,8 @@
 	w.WriteHeader(http.StatusOK)
 }
 
-// page reads the query of a list.
+// page returns the query parameters of a list. It answers a malformed one and
+// returns false.
 func page(w http.ResponseWriter, r *http.Request) (after uint64, limit int, ok bool) {
 	after, ok = number(w, r, "after", 0)
 	if !ok {
@@ -191,7 +193,8 @@
 	return after, int(min(n, maxLimit)), ok
 }
 
-// number reads one number of the query and answers a malformed one.
+// number returns a number of the query, or otherwise if it is absent. It answers
+// a malformed one and returns false.
 func number(w http.ResponseWriter, r *http.Request, name string, otherwise uint64) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
@@ -213,7 +216,7 @@
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// orEmpty makes an empty list of none, so that it is [] in JSON.
+// orEmpty replaces nil by an empty list, so that it is [] in JSON.
 func orEmpty[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -26,7 +26,8 @@
 
 const token = "0123456789abcdef"
 
-// acceptance is a fleet of which some nodes have not confirmed.
+// acceptance is a fake Acceptance and Members; the nodes in missing have not
+// confirmed any revision.
 type acceptance struct {
 	missing   []string
 	err       error
@@ -42,7 +43,7 @@
 	return a.err
 }
 
-// node is the operators' interface over an empty catalogue in memory.
+// node serves the operators' interface with an empty catalogue in memory.
 type node struct {
 	*Operators
 	t          *testing.T
@@ -159,8 +160,8 @@
 }
 
 func TestEditLost(t *testing.T) {
-	// Two operators read the same entry and both write it. The second must be
-	// told what the first did, or that change would vanish unseen.
+	// Two operators read the same entry and both write it. The second must get
+	// the change of the first, which it would otherwise overwrite unnoticed.
 	n := newNode(t)
 	assert.Equal(t, n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*").Code, 200)
 	assert.Equal(t, n.call("PUT", path, editBody(t, "e2", "kitchen"), "If-Match", `"1"`).Code, 200)
@@ -173,8 +174,8 @@
 }
 
 func TestEditNotYetAccepted(t *testing.T) {
-	// A node is cut off while an operator edits. The edit must not be called
-	// accepted, since that node still serves by the old catalogue.
+	// A node is partitioned while an operator edits. The edit must not count as
+	// accepted, since that node still uses the old catalogue.
 	n := newNode(t)
 	n.acceptance.missing = []string{"aqaba-a-n1"}
 	w := n.call("PUT", path+"?wait=0s", editBody(t, "e1", "desk"), "If-None-Match", "*")
@@ -222,7 +223,7 @@
 
 func TestEditWithoutStore(t *testing.T) {
 	// The key-value service is down, or its replies get lost. Only in the first
-	// case may the operator be told that nothing was written.
+	// case may the answer say that nothing was written.
 	n := newNode(t)
 	n.store.SetDown(true)
 	w := n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
@@ -237,8 +238,8 @@
 }
 
 func TestForget(t *testing.T) {
-	// A region's last node is gone for good, and every change waits for it. An
-	// operator who knows says so, and the trail shows who did.
+	// The last node of a region is permanently gone, and every change waits for
+	// it. An operator removes it, and the audit trail records who did.
 	n := newNode(t)
 	const member = "/v1/members/aqaba-a/aqaba-a-n1"
 	assert.Equal(t, n.call("DELETE", member, `{"author": "amal"}`).Code, 422)
