--- a/core/jwexplain/tracer.go
+++ b/core/jwexplain/tracer.go
@@ -28,11 +28,11 @@
 	Size   int    // traces of each ring, 0 for DefaultSize
 	Now    func() time.Time
 
-	mu      sync.Mutex
-	running map[*jwrequest.Request]*Trace
-	served  ring
-	others  ring
-	missed  uint64
+	mu       sync.Mutex
+	running  map[*jwrequest.Request]*Trace
+	served   ring
+	others   ring
+	untraced uint64
 }
 
 var _ jwdispatch.Tracer = (*Tracer)(nil)
@@ -50,7 +50,7 @@
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	trace := t.open(r)
+	trace := t.traceOf(r)
 	if trace == nil {
 		return
 	}
@@ -67,7 +67,7 @@
 
 // End records how a request ended; served is the region of the target that
 // served it, empty if none did.
-func (t *Tracer) End(r *jwrequest.Request, outcome jwrequest.Outcome, reason jwdispatch.Reason, served string) {
+func (t *Tracer) End(r *jwrequest.Request, outcome jwrequest.Outcome, reason jwdispatch.Reason, servedBy string) {
 	if t == nil {
 		return
 	}
@@ -77,7 +77,7 @@
 		delete(t.running, r)
 		return
 	}
-	trace := t.open(r)
+	trace := t.traceOf(r)
 	if trace == nil {
 		return
 	}
@@ -85,7 +85,7 @@
 	trace.Region, trace.Bound = r.Region, r.Bound
 	trace.Hops = slices.Clone(r.Hops)
 	trace.Ended = t.now()
-	trace.Outcome, trace.Reason, trace.ServedBy = outcome, reason, served
+	trace.Outcome, trace.Reason, trace.ServedBy = outcome, reason, servedBy
 	if outcome == jwrequest.Served {
 		t.served.add(trace, t.size())
 		return
@@ -100,14 +100,14 @@
 	return !r.Bound || r.Region == t.Region
 }
 
-// open returns the trace of a running request and creates it if needed. It
+// traceOf returns the trace of a running request and creates it if needed. It
 // returns nil when too many requests run.
-func (t *Tracer) open(r *jwrequest.Request) *Trace {
+func (t *Tracer) traceOf(r *jwrequest.Request) *Trace {
 	if trace := t.running[r]; trace != nil {
 		return trace
 	}
 	if len(t.running) >= maxRunning {
-		t.missed++
+		t.untraced++
 		return nil
 	}
 	if t.running == nil {
@@ -145,14 +145,14 @@
 	return out
 }
 
-// Missed returns how many requests had no trace because too many ran at once.
-func (t *Tracer) Missed() uint64 {
+// Untraced returns how many requests had no trace because too many ran at once.
+func (t *Tracer) Untraced() uint64 {
 	if t == nil {
 		return 0
 	}
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	return t.missed
+	return t.untraced
 }
 
 func (t *Tracer) size() int {
--- a/core/jwexplain/tracer_test.go
+++ b/core/jwexplain/tracer_test.go
@@ -70,7 +70,7 @@
 	assert.Equal(t, len(tracer.Find("r9")), 1)
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	tracer := &Tracer{Region: "irbid-a"}
 	r := request("long")
 	for range maxSteps + 3 {
@@ -81,7 +81,7 @@
 	for range maxRunning + 2 {
 		tracer.Step(request("stuck"), "came", "")
 	}
-	assert.Equal(t, tracer.Missed(), uint64(2))
+	assert.Equal(t, tracer.Untraced(), uint64(2))
 	var none *Tracer
 	none.Step(r, "", "")
 	none.End(r, jwrequest.Served, "", "")
--- a/io/jwaudit/trail.go
+++ b/io/jwaudit/trail.go
@@ -51,9 +51,9 @@
 	Log  logr.Logger
 	Now  func() time.Time // time.Now if nil
 
-	mu   sync.Mutex
-	ring []Record
-	next uint64 // number of records added so far
+	mu    sync.Mutex
+	ring  []Record
+	added uint64 // number of records added so far
 }
 
 // Add sets the Sequence, Time and Node of a record, keeps and logs it. A full
@@ -94,9 +94,9 @@
 	}
 	r.Time = now().UTC()
 	r.Node = t.Node
-	r.Sequence = t.next + 1
-	t.ring[t.next%uint64(len(t.ring))] = r
-	t.next++
+	r.Sequence = t.added + 1
+	t.ring[t.added%uint64(len(t.ring))] = r
+	t.added++
 	return r
 }
 
@@ -117,11 +117,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	oldest := uint64(0)
-	if size := uint64(len(t.ring)); t.next > size {
-		oldest = t.next - size
+	if size := uint64(len(t.ring)); t.added > size {
+		oldest = t.added - size
 	}
 	var out []Record
-	for i := max(after, oldest); i < t.next && len(out) < limit; i++ {
+	for i := max(after, oldest); i < t.added && len(out) < limit; i++ {
 		out = append(out, t.ring[i%uint64(len(t.ring))])
 	}
 	return out
--- a/io/jwcommand/catalogue.go
+++ b/io/jwcommand/catalogue.go
@@ -33,19 +33,19 @@
 
 // Run prints one entry as JSON, or all as a table.
 func (c *getCommand) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
 	if c.Name != "" {
 		var e jwoperate.Entry
-		if err := at.get(ctx, entryPath(c.Name), &e); err != nil {
+		if err := api.get(ctx, entryPath(c.Name), &e); err != nil {
 			return err
 		}
 		return printJSON(p.Stdout, e)
 	}
 	var list jwoperate.Catalogue
-	if err := at.get(ctx, "/v1/catalogue", &list); err != nil {
+	if err := api.get(ctx, "/v1/catalogue", &list); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -53,10 +53,10 @@
 	}
 	t := newTable(p.Stdout, "NAME", "CHANGE", "CLASS", "OWNER", "SERVICE", "IDEMPOTENT", "BOUND", "DEADLINE")
 	for _, e := range list.Entries {
-		t.row(e.Entry.Name, number(e.Revision), string(e.Entry.Class), e.Entry.Owner, e.Entry.Service,
+		t.row(e.Entry.Name, formatUint(e.Revision), string(e.Entry.Class), e.Entry.Owner, e.Entry.Service,
 			yesNo(e.Entry.Idempotent), yesNo(e.Entry.Bound), e.Entry.Deadline.String())
 	}
-	return t.end()
+	return t.flush()
 }
 
 // edit holds the flags of commands that write entries.
@@ -78,9 +78,9 @@
 
 // putResult is the result of writing one entry, as put prints it.
 type putResult struct {
-	Entry  string `json:"entry"`
-	EditID string `json:"editId,omitempty"`
-	Same   bool   `json:"unchanged,omitempty"`
+	Entry     string `json:"entry"`
+	EditID    string `json:"editId,omitempty"`
+	Unchanged bool   `json:"unchanged,omitempty"`
 	jwoperate.Standing
 }
 
@@ -90,16 +90,16 @@
 	if err != nil {
 		return &exitError{Invalid, err}
 	}
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
 	for i, item := range items {
 		e := c.edit
 		if e.EditID != "" && len(items) > 1 {
-			e.EditID += "." + number(uint64(i)) // the same id when the file is sent again
+			e.EditID += "." + formatUint(uint64(i)) // the same id when the file is sent again
 		}
-		r, err := e.put(ctx, at, item, c.Overwrite)
+		r, err := e.put(ctx, api, item, c.Overwrite)
 		if err == nil {
 			err = r.print(p, c.JSON)
 		}
@@ -111,50 +111,50 @@
 }
 
 // put writes one entry.
-func (e edit) put(ctx context.Context, at *client, item jwoperate.Entry, overwrite bool) (putResult, error) {
+func (e edit) put(ctx context.Context, api *client, item jwoperate.Entry, overwrite bool) (putResult, error) {
 	if item.Revision == 0 {
-		now, exists, err := at.entry(ctx, item.Entry.Name)
+		current, exists, err := api.entry(ctx, item.Entry.Name)
 		if err != nil {
 			return putResult{}, err
 		}
-		if exists && sameEntry(now.Entry, item.Entry) {
-			return putResult{Entry: item.Entry.Name, Same: true, Standing: jwoperate.Standing{Revision: now.Revision}}, nil
+		if exists && sameEntry(current.Entry, item.Entry) {
+			return putResult{Entry: item.Entry.Name, Unchanged: true, Standing: jwoperate.Standing{Revision: current.Revision}}, nil
 		}
 		if overwrite {
-			item.Revision = now.Revision
+			item.Revision = current.Revision
 		}
 	}
-	return e.send(ctx, at, http.MethodPut, item.Entry.Name, &item.Entry, item.Revision)
+	return e.send(ctx, api, http.MethodPut, item.Entry.Name, &item.Entry, item.Revision)
 }
 
-// send sends one edit. seen is the revision of the entry that the edit is based
+// send sends one edit. base is the revision of the entry that the edit is based
 // on, 0 for a new entry.
-func (e edit) send(ctx context.Context, at *client, method, name string, entry *jwcatalogue.Entry, seen uint64) (putResult, error) {
+func (e edit) send(ctx context.Context, api *client, method, name string, entry *jwcatalogue.Entry, base uint64) (putResult, error) {
 	if e.EditID == "" {
 		e.EditID = uuid.NewString()
 	}
 	header := http.Header{}
-	if seen == 0 {
+	if base == 0 {
 		header.Set("If-None-Match", "*")
 	} else {
-		header.Set("If-Match", `"`+number(seen)+`"`)
+		header.Set("If-Match", `"`+formatUint(base)+`"`)
 	}
 	r := putResult{Entry: name, EditID: e.EditID}
-	_, err := at.do(ctx, call{
+	_, err := api.do(ctx, call{
 		method: method,
 		path:   entryPath(name) + "?wait=" + e.Wait.String(),
 		header: header,
 		body:   jwoperate.EditBody{Entry: entry, Author: e.Author, Reason: e.Reason, EditID: e.EditID},
 	}, &r.Standing)
-	return r, e.explain(err)
+	return r, e.withEditID(err)
 }
 
-// explain adds the edit id to the error of an edit that may have been written:
+// withEditID adds the edit id to the error of an edit that may have been written:
 // one with an unknown outcome, or one that got no answer.
-func (e edit) explain(err error) error {
-	code := exitOf(err)
-	var refused *refusedError
-	if code != Unknown && (err == nil || asRefused(err, &refused)) {
+func (e edit) withEditID(err error) error {
+	code := exitCodeOf(err)
+	var respErr *responseError
+	if code != Unknown && (err == nil || asResponseError(err, &respErr)) {
 		return err
 	}
 	return &exitError{Unknown, fmt.Errorf("%w\nsend again with --edit-id %s", err, e.EditID)}
@@ -168,20 +168,20 @@
 	} else {
 		fmt.Fprintln(p.Stdout, r.text())
 	}
-	if !r.Same && !r.Accepted {
-		return &exitError{Pending, errTold}
+	if !r.Unchanged && !r.Accepted {
+		return &exitError{Pending, errReported}
 	}
 	return nil
 }
 
 func (r putResult) text() string {
 	switch {
-	case r.Same:
+	case r.Unchanged:
 		return r.Entry + ": unchanged"
 	case r.Accepted:
-		return r.Entry + ": change " + number(r.Revision) + " is in force everywhere"
+		return r.Entry + ": change " + formatUint(r.Revision) + " is in force everywhere"
 	}
-	text := r.Entry + ": change " + number(r.Revision) + " is written, not yet in force everywhere"
+	text := r.Entry + ": change " + formatUint(r.Revision) + " is written, not yet in force everywhere"
 	if len(r.Missing) > 0 {
 		text += "; missing: " + strings.Join(r.Missing, ", ")
 	}
@@ -199,11 +199,11 @@
 
 // Run removes the entry.
 func (c *removeCommand) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
-	r, err := c.send(ctx, at, http.MethodDelete, c.Name, nil, c.Revision)
+	r, err := c.send(ctx, api, http.MethodDelete, c.Name, nil, c.Revision)
 	if err != nil {
 		return err
 	}
@@ -221,13 +221,13 @@
 
 // Run prints the changes, oldest first.
 func (c *historyCommand) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
 	var list jwoperate.History
 	path := fmt.Sprintf("/v1/catalogue/history?after=%d&limit=%d&entry=%s", c.After, c.Limit, url.QueryEscape(c.Entry))
-	if err := at.get(ctx, path, &list); err != nil {
+	if err := api.get(ctx, path, &list); err != nil {
 		return err
 	}
 	if c.JSON {
@@ -239,9 +239,9 @@
 func printChanges(p *Program, changes []jwcatalogue.Change) error {
 	t := newTable(p.Stdout, "CHANGE", "TIME", "AUTHOR", "ENTRY", "KIND", "REASON")
 	for _, c := range changes {
-		t.row(number(c.N), c.Time.UTC().Format(time.RFC3339), c.Author, c.Entry, changeKind(c), c.Reason)
+		t.row(formatUint(c.N), c.Time.UTC().Format(time.RFC3339), c.Author, c.Entry, changeKind(c), c.Reason)
 	}
-	return t.end()
+	return t.flush()
 }
 
 func changeKind(c jwcatalogue.Change) string {
@@ -264,25 +264,25 @@
 // Run prints the status of the revision. The exit code is Pending if it is not
 // yet in force everywhere.
 func (c *statusCommand) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
 	path := "/v1/catalogue/status"
 	if c.Revision > 0 {
-		path += "?revision=" + number(c.Revision)
+		path += "?revision=" + formatUint(c.Revision)
 	}
 	var s jwoperate.Standing
-	if err := at.get(ctx, path, &s); err != nil {
+	if err := api.get(ctx, path, &s); err != nil {
 		return err
 	}
 	if c.JSON {
 		err = printJSON(p.Stdout, s)
 	} else {
-		fmt.Fprintln(p.Stdout, standingText(s))
+		fmt.Fprintln(p.Stdout, revisionText(s))
 	}
 	if err == nil && !s.Accepted {
-		return &exitError{Pending, errTold}
+		return &exitError{Pending, errReported}
 	}
 	return err
 }
@@ -298,12 +298,12 @@
 
 // Run removes the node by a call to the node at the given address.
 func (c *forgetCommand) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
 	var out jwoperate.Forgotten
-	_, err = at.do(ctx, call{
+	_, err = api.do(ctx, call{
 		method: http.MethodDelete,
 		path:   "/v1/members/" + url.PathEscape(c.Region) + "/" + url.PathEscape(c.Node),
 		body:   jwoperate.ForgetBody{Author: c.Author, Reason: c.Reason},
@@ -315,11 +315,11 @@
 	return nil
 }
 
-func standingText(s jwoperate.Standing) string {
+func revisionText(s jwoperate.Standing) string {
 	if s.Accepted {
-		return "revision " + number(s.Revision) + " is in force everywhere"
+		return "revision " + formatUint(s.Revision) + " is in force everywhere"
 	}
-	return "revision " + number(s.Revision) + " is not yet in force at: " + strings.Join(s.Missing, ", ")
+	return "revision " + formatUint(s.Revision) + " is not yet in force at: " + strings.Join(s.Missing, ", ")
 }
 
 func entryPath(name string) string { return "/v1/catalogue/entries/" + url.PathEscape(name) }
--- a/io/jwcommand/check.go
+++ b/io/jwcommand/check.go
@@ -14,8 +14,8 @@
 	JSON  bool     `help:"Print JSON."`
 }
 
-// checked is the result for one file, as check prints it.
-type checked struct {
+// checkResult is the result for one file, as check prints it.
+type checkResult struct {
 	File   string            `json:"file"`
 	Node   string            `json:"node,omitempty"`
 	Error  string            `json:"error,omitempty"` // when the file cannot be read at all
@@ -25,10 +25,10 @@
 // Run checks all files, also those after one with faults.
 func (c *checkCommand) Run(p *Program) error {
 	var failure error
-	var results []checked
+	var results []checkResult
 	for _, file := range c.Files {
 		s, err := jwsettings.Load(file)
-		r := checked{File: file}
+		r := checkResult{File: file}
 		switch {
 		case err == nil:
 			r.Node = s.Node
@@ -37,7 +37,7 @@
 		}
 		results = append(results, r)
 		if err != nil {
-			failure = &exitError{Invalid, errTold}
+			failure = &exitError{Invalid, errReported}
 		}
 	}
 	if c.JSON {
@@ -49,7 +49,7 @@
 	return failure
 }
 
-func (r checked) print(p *Program) {
+func (r checkResult) print(p *Program) {
 	if r.Node != "" {
 		fmt.Fprintf(p.Stdout, "%s: ok, node %s\n", r.File, r.Node)
 	}
--- a/io/jwcommand/client.go
+++ b/io/jwcommand/client.go
@@ -50,7 +50,7 @@
 	scheme := "http://"
 	if c.Authority != "" {
 		scheme = "https://"
-		transport.TLSClientConfig, err = trust(c.Authority)
+		transport.TLSClientConfig, err = tlsConfig(c.Authority)
 		if err != nil {
 			return nil, err
 		}
@@ -75,7 +75,7 @@
 	return strings.TrimSpace(string(data)), errors.Wrap(err, "read token")
 }
 
-func trust(file string) (*tls.Config, error) {
+func tlsConfig(file string) (*tls.Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority")
@@ -102,7 +102,7 @@
 }
 
 // do makes a call and decodes its answer into value. A status other than 2xx
-// gives a *refusedError.
+// gives a *responseError.
 func (c *client) do(ctx context.Context, in call, value any) (status int, err error) {
 	r, err := c.request(ctx, in)
 	if err != nil {
@@ -118,9 +118,9 @@
 		return 0, errors.Wrapf(err, "%s %s: %s", in.method, in.path, c.base)
 	}
 	if resp.StatusCode/100 != 2 {
-		refused := &refusedError{status: resp.StatusCode}
-		_ = json.Unmarshal(data, &refused.refusal)
-		return resp.StatusCode, refused
+		respErr := &responseError{status: resp.StatusCode}
+		_ = json.Unmarshal(data, &respErr.body)
+		return resp.StatusCode, respErr
 	}
 	err = json.Unmarshal(data, value)
 	return resp.StatusCode, errors.Wrapf(err, "%s %s: %s: read answer", in.method, in.path, c.base)
@@ -154,8 +154,8 @@
 // entry returns the entry with a name; ok is false if there is none.
 func (c *client) entry(ctx context.Context, name string) (e jwoperate.Entry, ok bool, err error) {
 	err = c.get(ctx, entryPath(name), &e)
-	var refused *refusedError
-	if errors.As(err, &refused) && refused.status == http.StatusNotFound {
+	var respErr *responseError
+	if errors.As(err, &respErr) && respErr.status == http.StatusNotFound {
 		return e, false, nil
 	}
 	return e, err == nil, err
--- a/io/jwcommand/entries.go
+++ b/io/jwcommand/entries.go
@@ -78,4 +78,4 @@
 	return errX == nil && errY == nil && bytes.Equal(x, y)
 }
 
-func asRefused(err error, into **refusedError) bool { return errors.As(err, into) }
+func asResponseError(err error, into **responseError) bool { return errors.As(err, into) }
--- a/io/jwcommand/exit.go
+++ b/io/jwcommand/exit.go
@@ -26,7 +26,7 @@
 	`everywhere; 4 the entry was changed after it was read; 5 faults in settings or an entry; ` +
 	`6 may or may not have been written, send again with the same --edit-id.`
 
-// exitError is an error with the exit code of the command. If err is errTold,
+// exitError is an error with the exit code of the command. If err is errReported,
 // nothing more is printed.
 type exitError struct {
 	code Exit
@@ -36,45 +36,45 @@
 func (e *exitError) Error() string { return e.err.Error() }
 func (e *exitError) Unwrap() error { return e.err }
 
-// errTold stands for a failure that the output already shows.
-var errTold = errors.New("told")
+// errReported stands for a failure that the output already shows.
+var errReported = errors.New("told")
 
-// exitOf returns the exit code of a command's error.
-func exitOf(err error) Exit {
+// exitCodeOf returns the exit code of a command's error.
+func exitCodeOf(err error) Exit {
 	var coded *exitError
-	var refused *refusedError
+	var respErr *responseError
 	switch {
 	case err == nil:
 		return OK
 	case errors.As(err, &coded):
 		return coded.code
-	case errors.As(err, &refused):
-		return refused.exit()
+	case errors.As(err, &respErr):
+		return respErr.exitCode()
 	}
 	return Failed
 }
 
-// refusedError is an answer with a status other than 2xx.
-type refusedError struct {
-	status  int
-	refusal jwoperate.Refusal
+// responseError is an answer with a status other than 2xx.
+type responseError struct {
+	status int
+	body   jwoperate.ErrorBody
 }
 
-func (e *refusedError) Error() string {
-	text := e.refusal.Error
+func (e *responseError) Error() string {
+	text := e.body.Error
 	if text == "" {
 		text = http.StatusText(e.status)
 	}
-	for _, fault := range e.refusal.Faults {
+	for _, fault := range e.body.Faults {
 		text += "\n  " + fault
 	}
-	if w := e.refusal.Winner; w != nil {
-		text += "\n  change " + number(w.N) + " by " + w.Author + ": " + w.Reason
+	if w := e.body.Winner; w != nil {
+		text += "\n  change " + formatUint(w.N) + " by " + w.Author + ": " + w.Reason
 	}
 	return text
 }
 
-func (e *refusedError) exit() Exit {
+func (e *responseError) exitCode() Exit {
 	switch e.status {
 	case http.StatusPreconditionFailed:
 		return Conflict
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -39,8 +39,8 @@
 func (c *explainRequest) Run(ctx context.Context, p *Program) error {
 	var found []jwexplain.Trace
 	var last error
-	for _, at := range append([]netip.AddrPort{c.At}, c.Also...) {
-		traces, err := c.ask(ctx, at)
+	for _, address := range append([]netip.AddrPort{c.At}, c.Also...) {
+		traces, err := c.query(ctx, address)
 		found = append(found, traces...)
 		if err != nil {
 			last = err
@@ -58,15 +58,15 @@
 	return nil
 }
 
-func (c *explainRequest) ask(ctx context.Context, node netip.AddrPort) ([]jwexplain.Trace, error) {
+func (c *explainRequest) query(ctx context.Context, node netip.AddrPort) ([]jwexplain.Trace, error) {
 	conn := c.connection
 	conn.At = node
-	at, err := conn.client()
+	api, err := conn.client()
 	if err != nil {
 		return nil, err
 	}
 	var traces jwoperate.Traces
-	err = at.get(ctx, "/v1/explain/requests/"+url.PathEscape(c.ID), &traces)
+	err = api.get(ctx, "/v1/explain/requests/"+url.PathEscape(c.ID), &traces)
 	return traces.Traces, err
 }
 
@@ -78,8 +78,8 @@
 	fmt.Fprintf(p.Stdout, " after %s\n", t.Ended.Sub(t.Started).Round(time.Microsecond))
 	fmt.Fprintf(p.Stdout, "  entry %s, workspace %s, home %s, bound %s, served by %s\n",
 		t.Entry, t.Workspace, orDash(t.Region), yesNo(t.Bound), orDash(t.ServedBy))
-	if words := reasonWords[t.Reason]; words != "" {
-		fmt.Fprintf(p.Stdout, "  why: %s\n", words)
+	if text := reasonTexts[t.Reason]; text != "" {
+		fmt.Fprintf(p.Stdout, "  why: %s\n", text)
 	}
 	var hops []string
 	for _, h := range t.Hops {
@@ -87,10 +87,10 @@
 	}
 	fmt.Fprintf(p.Stdout, "  way: %s\n", orDash(strings.Join(hops, ", ")))
 	for _, s := range t.Steps {
-		at := time.Duration(s.AfterMicros) * time.Microsecond
-		fmt.Fprintf(p.Stdout, "  %10s  %s: %s", at, s.Step, s.Detail)
-		if words := meaning(s.Step, s.Detail); words != "" {
-			fmt.Fprintf(p.Stdout, " (%s)", words)
+		after := time.Duration(s.AfterMicros) * time.Microsecond
+		fmt.Fprintf(p.Stdout, "  %10s  %s: %s", after, s.Step, s.Detail)
+		if text := meaning(s.Step, s.Detail); text != "" {
+			fmt.Fprintf(p.Stdout, " (%s)", text)
 		}
 		fmt.Fprintln(p.Stdout)
 	}
@@ -103,8 +103,8 @@
 	JSON     bool   `help:"Print JSON."`
 }
 
-// revisionStory is what explain revision prints.
-type revisionStory struct {
+// revisionReport is what explain revision prints.
+type revisionReport struct {
 	Change   *jwcatalogue.Change `json:"change,omitempty"` // nil when the node no longer has it
 	Standing jwoperate.Standing  `json:"standing"`
 	Records  []jwaudit.Record    `json:"records"`
@@ -112,32 +112,32 @@
 
 // Run fetches the change, its status and the audit records about it.
 func (c *explainRevision) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
-	var trace revisionStory
-	if err := at.get(ctx, "/v1/catalogue/status?revision="+number(c.Revision), &trace.Standing); err != nil {
+	var report revisionReport
+	if err := api.get(ctx, "/v1/catalogue/status?revision="+formatUint(c.Revision), &report.Standing); err != nil {
 		return err
 	}
-	if trace.Change, err = c.change(ctx, at); err != nil {
+	if report.Change, err = c.change(ctx, api); err != nil {
 		return err
 	}
-	if trace.Records, err = c.records(ctx, at); err != nil {
+	if report.Records, err = c.records(ctx, api); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(p.Stdout, trace)
+		return printJSON(p.Stdout, report)
 	}
-	return trace.print(p)
+	return report.print(p)
 }
 
-func (c *explainRevision) change(ctx context.Context, at *client) (*jwcatalogue.Change, error) {
+func (c *explainRevision) change(ctx context.Context, api *client) (*jwcatalogue.Change, error) {
 	if c.Revision == 0 {
 		return nil, nil
 	}
 	var list jwoperate.History
-	if err := at.get(ctx, "/v1/catalogue/history?limit=1&after="+number(c.Revision-1), &list); err != nil {
+	if err := api.get(ctx, "/v1/catalogue/history?limit=1&after="+formatUint(c.Revision-1), &list); err != nil {
 		return nil, err
 	}
 	if len(list.Changes) == 0 || list.Changes[0].N != c.Revision {
@@ -148,11 +148,11 @@
 
 // records reads the whole audit trail of the node and returns the records of the
 // revision.
-func (c *explainRevision) records(ctx context.Context, at *client) ([]jwaudit.Record, error) {
+func (c *explainRevision) records(ctx context.Context, api *client) ([]jwaudit.Record, error) {
 	kept := []jwaudit.Record{}
 	for after := uint64(0); ; {
 		var page jwoperate.AuditRecords
-		if err := at.get(ctx, "/v1/audit?limit=1000&after="+number(after), &page); err != nil {
+		if err := api.get(ctx, "/v1/audit?limit=1000&after="+formatUint(after), &page); err != nil {
 			return nil, err
 		}
 		if len(page.Records) == 0 {
@@ -167,13 +167,13 @@
 	}
 }
 
-func (s revisionStory) print(p *Program) error {
+func (s revisionReport) print(p *Program) error {
 	if s.Change == nil {
 		fmt.Fprintln(p.Stdout, "the node no longer has the change itself")
 	} else if err := printChanges(p, []jwcatalogue.Change{*s.Change}); err != nil {
 		return err
 	}
-	fmt.Fprintln(p.Stdout, standingText(s.Standing))
+	fmt.Fprintln(p.Stdout, revisionText(s.Standing))
 	for _, r := range s.Records {
 		fmt.Fprintf(p.Stdout, "%s  %s %s at %s", r.Time.Format(time.RFC3339Nano), r.Kind, r.Subject, r.Node)
 		if r.Detail != "" {
--- a/io/jwcommand/explainlog.go
+++ b/io/jwcommand/explainlog.go
@@ -25,7 +25,7 @@
 	}
 	trace.Write(p.Stdout)
 	if len(trace.Lines) == 0 {
-		return &exitError{Failed, errTold}
+		return &exitError{Failed, errReported}
 	}
 	return nil
 }
@@ -44,11 +44,11 @@
 	if err := readLogs(log, c.Files); err != nil {
 		return err
 	}
-	b := log.ViewAt(c.Node, c.At)
-	b.Write(p.Stdout, c.At)
+	view := log.ViewAt(c.Node, c.At)
+	view.Write(p.Stdout, c.At)
 	printDamaged(p, log)
-	if b.Last.IsZero() {
-		return &exitError{Failed, errTold}
+	if view.Last.IsZero() {
+		return &exitError{Failed, errReported}
 	}
 	return nil
 }
--- a/io/jwcommand/hosts.go
+++ b/io/jwcommand/hosts.go
@@ -24,13 +24,13 @@
 
 // Run prints the hosts, best first.
 func (c *hostsCommand) Run(ctx context.Context, p *Program) error {
-	at, err := connection{At: c.Callers, Authority: c.Authority}.client()
+	api, err := connection{At: c.Callers, Authority: c.Authority}.client()
 	if err != nil {
 		return err
 	}
-	at.token = "" // the operators' token is never sent to callers' ports
+	api.token = "" // the operators' token is never sent to callers' ports
 	var list hostList
-	if err := at.get(ctx, "/v1/hosts?workspace="+url.QueryEscape(c.Workspace), &list); err != nil {
+	if err := api.get(ctx, "/v1/hosts?workspace="+url.QueryEscape(c.Workspace), &list); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/io/jwcommand/print.go
+++ b/io/jwcommand/print.go
@@ -28,6 +28,6 @@
 
 func (t table) row(cells ...string) { fmt.Fprintln(t.w, strings.Join(cells, "\t")) }
 
-func (t table) end() error { return errors.Wrap(t.w.Flush(), "print") }
+func (t table) flush() error { return errors.Wrap(t.w.Flush(), "print") }
 
-func number(n uint64) string { return strconv.FormatUint(n, 10) }
+func formatUint(n uint64) string { return strconv.FormatUint(n, 10) }
--- a/io/jwcommand/program.go
+++ b/io/jwcommand/program.go
@@ -63,16 +63,16 @@
 		fmt.Fprintf(p.Stderr, "jujubewheel: %s (see --help)\n", err)
 		return Usage
 	}
-	return p.tell(command.Run())
+	return p.report(command.Run())
 }
 
-// tell prints an error that the output does not show yet and returns its exit
+// report prints an error that the output does not show yet and returns its exit
 // code.
-func (p *Program) tell(err error) Exit {
-	if err != nil && !errors.Is(err, errTold) {
+func (p *Program) report(err error) Exit {
+	if err != nil && !errors.Is(err, errReported) {
 		fmt.Fprintln(p.Stderr, "jujubewheel:", err)
 	}
-	return exitOf(err)
+	return exitCodeOf(err)
 }
 
 // demoCommand runs the demo.
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -34,43 +34,42 @@
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"jujubewheel": func() {
-			p := &Program{Args: os.Args[1:], Stdout: os.Stdout, Stderr: os.Stderr, Node: echoNode{}, Demo: echo{}}
+			p := &Program{Args: os.Args[1:], Stdout: os.Stdout, Stderr: os.Stderr, Node: fakeNode{}, Demo: fakeDemo{}}
 			os.Exit(int(p.Run(context.Background())))
 		},
 	})
 }
 
-// echo is a fake Demo.
-type echo struct{}
+// fakeDemo is a fake Demo.
+type fakeDemo struct{}
 
-func (echo) Run(_ context.Context, w io.Writer) error {
+func (fakeDemo) Run(_ context.Context, w io.Writer) error {
 	_, err := fmt.Fprintln(w, "demo ran")
 	return err
 }
 
-// echoNode is a fake Runner that adds one audit record and fails.
-type echoNode struct{}
+// fakeNode is a fake Runner that adds one audit record and fails.
+type fakeNode struct{}
 
-func (echoNode) Run(_ context.Context, n Node) error {
+func (fakeNode) Run(_ context.Context, n Node) error {
 	n.Audit.Add(jwaudit.Record{Kind: jwaudit.NodeState, Subject: n.Settings.Node, To: "serving"})
 	return errors.New("node ended")
 }
 
-// fleet is a fake of the fleet that confirms revisions; the nodes in missing have
-// not confirmed any.
-type fleet struct {
+// fakeFleet is a fleet that confirms revisions, except for the nodes in missing.
+type fakeFleet struct {
 	mu      sync.Mutex
 	missing []string
 	store   jwstore.Memory
 }
 
-func (f *fleet) Status(context.Context, uint64) (bool, []string, error) {
+func (f *fakeFleet) Status(context.Context, uint64) (bool, []string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.missing) == 0, f.missing, nil
 }
 
-func (f *fleet) Forget(_ context.Context, _, name string) error {
+func (f *fakeFleet) Forget(_ context.Context, _, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.missing = slices.DeleteFunc(f.missing, func(n string) bool { return n == name })
@@ -80,7 +79,7 @@
 const token = "0123456789abcdef"
 
 // serve starts the operators' and callers' interfaces for one script.
-func (f *fleet) serve(env *testscript.Env) error {
+func (f *fakeFleet) serve(env *testscript.Env) error {
 	table, trail := &jwcatalogue.Table{}, &jwaudit.Trail{Node: "n1"}
 	tracer := &jwexplain.Tracer{Node: "n1", Region: "north"}
 	r := &jwrequest.Request{ID: "r1", Workspace: "hall", Entry: "menu", Region: "north"}
@@ -127,19 +126,19 @@
 		Dir: filepath.Join("testdata", "script"),
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("EXAMPLES", examples)
-			return new(fleet).serve(env)
+			return new(fakeFleet).serve(env)
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			// missing NODE... sets the nodes that confirm nothing.
 			"missing": func(ts *testscript.TestScript, _ bool, args []string) {
-				f := ts.Value("fleet").(*fleet)
+				f := ts.Value("fleet").(*fakeFleet)
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.missing = args
 			},
 			// store up|down sets whether the key-value service answers.
 			"store": func(ts *testscript.TestScript, _ bool, args []string) {
-				ts.Value("fleet").(*fleet).store.SetDown(args[0] == "down")
+				ts.Value("fleet").(*fakeFleet).store.SetDown(args[0] == "down")
 			},
 			// replace FILE FROM TO changes a file.
 			"replace": func(ts *testscript.TestScript, _ bool, args []string) {
--- a/io/jwcommand/words.go
+++ b/io/jwcommand/words.go
@@ -8,8 +8,8 @@
 	"jujubewheel/core/jwrouter"
 )
 
-// reasonWords explains why a request was rejected or failed.
-var reasonWords = map[jwdispatch.Reason]string{
+// reasonTexts explains why a request was rejected or failed.
+var reasonTexts = map[jwdispatch.Reason]string{
 	jwdispatch.ReasonEntry:       "the catalogue has no such entry",
 	jwdispatch.ReasonWorkspace:   "the client directory has no such workspace",
 	jwdispatch.ReasonDirectory:   "the node had no client directory yet",
@@ -31,8 +31,8 @@
 	jwdispatch.ReasonCaller:      "its caller went away",
 }
 
-// stepWords explains the first word of a step's detail, by step and word.
-var stepWords = map[string]map[string]string{
+// detailTexts explains the first word of a step's detail, by step and word.
+var detailTexts = map[string]map[string]string{
 	"place": {
 		string(jwrouter.AtHome):       "the home region serves its own",
 		string(jwrouter.CheaperHere):  "waiting here costs less than any other region",
@@ -66,5 +66,5 @@
 // explanation.
 func meaning(step, detail string) string {
 	code, _, _ := strings.Cut(detail, " ")
-	return stepWords[step][code]
+	return detailTexts[step][code]
 }
--- a/io/jwlog/decision.go
+++ b/io/jwlog/decision.go
@@ -66,8 +66,8 @@
 	if x.Minor {
 		log = d.minor
 	}
-	const most = 28
-	var buf [most]zap.Field
+	const maxFields = 28
+	var buf [maxFields]zap.Field
 	f := buf[:0]
 	f = appendText(f, "request", x.Request)
 	f = appendText(f, "entry", x.Entry)
--- a/io/jwlog/queue.go
+++ b/io/jwlog/queue.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// queueBytes is the max size of the lines that wait in a Queue: about a thousand
+// maxQueueBytes is the max size of the lines that wait in a Queue: about a thousand
 // lines, which a busy node logs in a second.
-const queueBytes = 256 << 10
+const maxQueueBytes = 256 << 10
 
 // Queue writes lines to W without blocking the caller: when W is not read, lines
 // are dropped and counted. Set W before use, then call Run.
@@ -30,7 +30,7 @@
 func (q *Queue) Lost() int64 { return q.lost.Load() }
 
 // Write implements io.Writer; it queues one line or drops it.
-func (q *Queue) Write(line []byte) (int, error) { return q.put(line, queueBytes) }
+func (q *Queue) Write(line []byte) (int, error) { return q.put(line, maxQueueBytes) }
 
 // Minor returns a writer for lines that are dropped first, when the queue is half
 // full: those of served requests, which operators do not ask about.
@@ -38,12 +38,12 @@
 
 type minor struct{ q *Queue }
 
-func (m minor) Write(line []byte) (int, error) { return m.q.put(line, queueBytes/2) }
+func (m minor) Write(line []byte) (int, error) { return m.q.put(line, maxQueueBytes/2) }
 
-func (q *Queue) put(line []byte, most int) (int, error) {
+func (q *Queue) put(line []byte, limit int) (int, error) {
 	q.init()
 	q.mu.Lock()
-	if len(q.pending)+len(line) > most {
+	if len(q.pending)+len(line) > limit {
 		q.mu.Unlock()
 		q.lost.Add(1)
 		return len(line), nil
@@ -62,21 +62,21 @@
 	return fmt.Appendf(nil, `{"level":"info","time":%q,"message":"log lines lost","lines":%d}`+"\n", now.UTC().Format(time.RFC3339Nano), lost)
 }
 
-// gather is how long lines are collected before they are written together.
-const gather = 20 * time.Millisecond
+// batchInterval is how long lines are collected before they are written together.
+const batchInterval = 20 * time.Millisecond
 
 // Run writes lines until done is closed and the queue is empty.
 func (q *Queue) Run(done <-chan struct{}) {
 	q.init()
 	var spare []byte
-	told := int64(0) // lost lines that were reported
+	reported := int64(0) // lost lines that were reported
 	for {
 		ended := false
 		select {
 		case <-q.wake:
 			select {
 			case <-done:
-			case <-time.After(gather):
+			case <-time.After(batchInterval):
 			}
 		case <-done:
 			ended = true
@@ -90,9 +90,9 @@
 			_, _ = q.W.Write(lines)
 		}
 		spare = lines
-		if lost := q.Lost(); lost > told {
+		if lost := q.Lost(); lost > reported {
 			_, _ = q.W.Write(lostLine(time.Now(), lost))
-			told = lost
+			reported = lost
 		}
 		if ended {
 			return
--- a/io/jwlogtrace/day.go
+++ b/io/jwlogtrace/day.go
@@ -24,15 +24,15 @@
 	StoreAge  Series   // longest time, in seconds, that a running node has had no answer from the store
 }
 
-// longestDay limits the period of a Day, so that a clock that is years ahead does
+// maxPeriod limits the period of a Day, so that a clock that is years ahead does
 // not make a plot endless.
-const longestDay = 24 * time.Hour
+const maxPeriod = 24 * time.Hour
 
 // DayOf returns the counts of a log.
 func DayOf(l *Log) *Day {
 	first, last := l.span()
 	d := &Day{Start: first.Truncate(time.Second)}
-	n := int(min(last.Sub(d.Start), longestDay)/time.Second) + 1
+	n := int(min(last.Sub(d.Start), maxPeriod)/time.Second) + 1
 	outcomes, refusals := map[string][]float64{}, map[string][]float64{}
 	d.StoreAge = Series{"longest", make([]float64, n)}
 	for _, name := range slices.Sorted(maps.Keys(l.Nodes)) {
@@ -46,9 +46,9 @@
 				}
 			}
 		}
-		lost, away := states(events, d.Start, n)
+		lost, down := states(events, d.Start, n)
 		d.StoreLost = append(d.StoreLost, Series{name, lost})
-		d.Away = append(d.Away, Series{name, away})
+		d.Away = append(d.Away, Series{name, down})
 		age := 0.0
 		for i := range n {
 			age = (age + 1) * lost[i]
@@ -83,7 +83,7 @@
 	case e.Message == "answer" && (e.Outcome == "notRun" || e.Outcome == "refused"):
 		return "rejected", e.Reason
 	case e.Message == "answer":
-		return e.outcomeOnly(), ""
+		return e.outcomeWithoutStatus(), ""
 	case e.Outcome != "finished" || e.Message != "send" && e.Message != "forward":
 		return "", ""
 	case e.Status >= 500:
@@ -92,25 +92,25 @@
 	return "served", ""
 }
 
-func (l *Line) outcomeOnly() string {
+func (l *Line) outcomeWithoutStatus() string {
 	text, _, _ := strings.Cut(l.outcome(), " with ")
 	return text
 }
 
-func (d *Day) count(into map[string][]float64, name string, at time.Time, n int) {
-	if into[name] == nil {
-		into[name] = make([]float64, n)
+func (d *Day) count(counts map[string][]float64, name string, at time.Time, n int) {
+	if counts[name] == nil {
+		counts[name] = make([]float64, n)
 	}
 	if i := int(at.Sub(d.Start) / time.Second); i < n {
-		into[name][i]++
+		counts[name][i]++
 	}
 }
 
 // states returns for each second whether a node had lost the store and whether
 // the node was not running: 1 if so, otherwise 0.
-func states(events []Event, start time.Time, n int) (lost, away []float64) {
-	lost, away = make([]float64, n), make([]float64, n)
-	i, isLost, isAway := 0, 0.0, 1.0
+func states(events []Event, start time.Time, n int) (lost, down []float64) {
+	lost, down = make([]float64, n), make([]float64, n)
+	i, isLost, isDown := 0, 0.0, 1.0
 	for second := range n {
 		end := start.Add(time.Duration(second+1) * time.Second)
 		for ; i < len(events) && events[i].Time.Before(end); i++ {
@@ -120,28 +120,28 @@
 			case "store regained":
 				isLost = 0
 			case "started":
-				isLost, isAway = 0, 0
+				isLost, isDown = 0, 0
 			case "stopped":
-				isLost, isAway = 0, 1
+				isLost, isDown = 0, 1
 			}
 		}
-		lost[second], away[second] = isLost, isAway
+		lost[second], down[second] = isLost, isDown
 	}
-	killed(events, start, away)
-	return lost, away
+	markKilled(events, start, down)
+	return lost, down
 }
 
-// killed sets away to 1 for the seconds between the start of a process and the
+// markKilled sets down to 1 for the seconds between the start of a process and the
 // line before it: a process that is killed logs nothing about it.
-func killed(events []Event, start time.Time, away []float64) {
+func markKilled(events []Event, start time.Time, down []float64) {
 	for i := 1; i < len(events); i++ {
 		if events[i].Message != "started" {
 			continue
 		}
 		from := int(events[i-1].Time.Sub(start)/time.Second) + 1
 		to := int(events[i].Time.Sub(start) / time.Second)
-		for second := from; second < min(to, len(away)); second++ {
-			away[second] = 1
+		for second := from; second < min(to, len(down)); second++ {
+			down[second] = 1
 		}
 	}
 }
--- a/io/jwlogtrace/trace.go
+++ b/io/jwlogtrace/trace.go
@@ -15,129 +15,129 @@
 // Line is one decision about a request as a node logged it; jwlog.Decision
 // describes the fields.
 type Line struct {
-	Message  string `json:"message"`
-	Node     string `json:"node"`
-	Request  string `json:"request"`
-	Entry    string `json:"entry"`
-	Version  uint64 `json:"version"`
-	Service  string `json:"service"`
-	Space    string `json:"workspace"`
-	Units    int64  `json:"units"`
-	Level    int64  `json:"levelUnits"`
-	Target   string `json:"target"`
-	Peer     string `json:"peer"`
-	Outcome  string `json:"outcome"`
-	Reason   string `json:"reason"`
-	Status   int    `json:"status"`
-	Attempt  int    `json:"attempt"`
-	LeftMS   int64  `json:"leftMs"`
-	TookMS   int64  `json:"tookMs"`
-	Expected int64  `json:"expectedMs"`
-	First    int64  `json:"firstMs"`
-	Pause    int64  `json:"pauseMs"`
-	Silent   int64  `json:"silentMs"`
-	Calls    int    `json:"calls"`
-	Age      int64  `json:"viewAgeMs"`
-	Cold     bool   `json:"cold"`
+	Message    string `json:"message"`
+	Node       string `json:"node"`
+	Request    string `json:"request"`
+	Entry      string `json:"entry"`
+	Version    uint64 `json:"version"`
+	Service    string `json:"service"`
+	Workspace  string `json:"workspace"`
+	Units      int64  `json:"units"`
+	LevelUnits int64  `json:"levelUnits"`
+	Target     string `json:"target"`
+	Peer       string `json:"peer"`
+	Outcome    string `json:"outcome"`
+	Reason     string `json:"reason"`
+	Status     int    `json:"status"`
+	Attempt    int    `json:"attempt"`
+	LeftMS     int64  `json:"leftMs"`
+	TookMS     int64  `json:"tookMs"`
+	ExpectedMS int64  `json:"expectedMs"`
+	FirstMS    int64  `json:"firstMs"`
+	PauseMS    int64  `json:"pauseMs"`
+	SilentMS   int64  `json:"silentMs"`
+	Calls      int    `json:"calls"`
+	ViewAgeMS  int64  `json:"viewAgeMs"`
+	Cold       bool   `json:"cold"`
 }
 
 // Trace holds the log lines about one request.
 type Trace struct {
-	Request string
-	Lines   []Line   // in the order of each log
-	Starts  []Start  // of nodes, in the order of each log
-	Damaged int      // lines that could not be read
-	ended   []string // nodes that restarted while the request ran there
+	Request   string
+	Lines     []Line   // in the order of each log
+	Starts    []Start  // of nodes, in the order of each log
+	Damaged   int      // lines that could not be read
+	restarted []string // nodes that restarted while the request ran there
 }
 
-// Start is one start of a node's process.
+// Start is one start of a node't process.
 type Start struct {
 	Node string    `json:"node"`
 	Time time.Time `json:"time"`
 }
 
-// longLine is the max length of a log line in bytes.
-const longLine = 1 << 20
+// maxLineSize is the max length of a log line in bytes.
+const maxLineSize = 1 << 20
 
-// Read adds the lines of one log. It ignores text before a line's first brace,
+// Read adds the lines of one log. It ignores text before a line't first brace,
 // since log collectors put the time or the host there.
-func (s *Trace) Read(r io.Reader) error {
+func (t *Trace) Read(r io.Reader) error {
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 64<<10), longLine)
+	in.Buffer(make([]byte, 0, 64<<10), maxLineSize)
 	for in.Scan() {
 		text := in.Text()
-		if strings.Contains(text, startedLine) {
-			s.started(text)
+		if strings.Contains(text, startedMark) {
+			t.addStart(text)
 			continue
 		}
-		if !strings.Contains(text, s.Request) {
+		if !strings.Contains(text, t.Request) {
 			continue
 		}
 		var l Line
 		begin := strings.IndexByte(text, '{')
 		if begin < 0 || json.Unmarshal([]byte(text[begin:]), &l) != nil {
-			s.Damaged++
+			t.Damaged++
 			continue
 		}
-		if l.Request == s.Request {
-			s.Lines = append(s.Lines, l)
+		if l.Request == t.Request {
+			t.Lines = append(t.Lines, l)
 		}
 	}
 	return errors.Wrap(in.Err(), "read log")
 }
 
-// startedLine identifies a line about a start before it is decoded.
-const startedLine = `"message":"started"`
+// startedMark identifies a line about a start before it is decoded.
+const startedMark = `"message":"started"`
 
-// started records a start of a node. If the request was still running there
+// addStart records a start of a node. If the request was still running there
 // according to earlier lines, it ended with the process, which was killed or lost
 // power.
-func (s *Trace) started(text string) {
+func (t *Trace) addStart(text string) {
 	var start Start
 	begin := strings.IndexByte(text, '{')
 	if begin < 0 || json.Unmarshal([]byte(text[begin:]), &start) != nil {
-		s.Damaged++
+		t.Damaged++
 		return
 	}
-	s.Starts = append(s.Starts, start)
+	t.Starts = append(t.Starts, start)
 	running := false
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		if l.Node == start.Node {
 			running = l.Message == "begun"
 		}
 	}
 	if running {
-		s.ended = append(s.ended, start.Node)
+		t.restarted = append(t.restarted, start.Node)
 	}
 }
 
 // Write writes the lines of each node, beginning with the node that the caller
 // called, and then the cause of a failure.
-func (s *Trace) Write(w io.Writer) {
-	if len(s.Lines) == 0 {
-		fmt.Fprintf(w, "%s: no line in these logs; it never reached these nodes, it ended with a node that was killed before the first event, was served and its line dropped, or is of another time\n", s.Request)
-		s.writeStarts(w)
+func (t *Trace) Write(w io.Writer) {
+	if len(t.Lines) == 0 {
+		fmt.Fprintf(w, "%s: no line in these logs; it never reached these nodes, it ended with a node that was killed before the first event, was served and its line dropped, or is of another time\n", t.Request)
+		t.writeStarts(w)
 		return
 	}
-	for _, node := range s.nodes() {
+	for _, node := range t.nodes() {
 		fmt.Fprintf(w, "%s:\n", node)
-		for _, l := range s.Lines {
+		for _, l := range t.Lines {
 			if l.Node == node {
 				fmt.Fprintf(w, "  %6d ms  %s\n", l.TookMS, l.sentence())
 			}
 		}
 	}
-	fmt.Fprintf(w, "cause: %s\n", s.Cause())
-	if s.Damaged > 0 {
-		fmt.Fprintf(w, "(%d damaged lines passed over)\n", s.Damaged)
+	fmt.Fprintf(w, "cause: %s\n", t.Cause())
+	if t.Damaged > 0 {
+		fmt.Fprintf(w, "(%d damaged lines passed over)\n", t.Damaged)
 	}
 }
 
 // writeStarts lists the starts of each node except its first one. Requests that
 // ran there before such a start, or were sent there until then, are lost.
-func (s *Trace) writeStarts(w io.Writer) {
+func (t *Trace) writeStarts(w io.Writer) {
 	seen := make(map[string]bool)
-	for _, start := range s.Starts {
+	for _, start := range t.Starts {
 		if seen[start.Node] {
 			fmt.Fprintf(w, "  %s began anew at %s\n", start.Node, start.Time.Format(time.RFC3339Nano))
 		}
@@ -147,10 +147,10 @@
 
 // nodes returns the nodes with lines, beginning with the one that the caller
 // called. Only that node logs the entry.
-func (s *Trace) nodes() []string {
+func (t *Trace) nodes() []string {
 	var first, others []string
 	seen := make(map[string]bool)
-	for _, l := range s.Lines {
+	for _, l := range t.Lines {
 		if seen[l.Node] {
 			continue
 		}
@@ -170,13 +170,13 @@
 	switch l.Message {
 	case "send":
 		fmt.Fprintf(&b, "sent to target %s", l.Target)
-		fmt.Fprintf(&b, " (%d calls there, first event expected in %d ms, registration %d ms old", l.Calls, l.Expected, l.Age)
+		fmt.Fprintf(&b, " (%d calls there, first event expected in %d ms, registration %d ms old", l.Calls, l.ExpectedMS, l.ViewAgeMS)
 		if l.Cold {
 			b.WriteString(", cold")
 		}
 		b.WriteString(")")
-		if l.First > 0 {
-			fmt.Fprintf(&b, ", first event after %d ms", l.First)
+		if l.FirstMS > 0 {
+			fmt.Fprintf(&b, ", first event after %d ms", l.FirstMS)
 		}
 	case "forward":
 		fmt.Fprintf(&b, "passed on to node %s", l.Peer)
@@ -193,8 +193,8 @@
 	if l.Reason != "" {
 		fmt.Fprintf(&b, ", %s", l.Reason)
 	}
-	if l.Space != "" && l.Outcome == "refused" {
-		fmt.Fprintf(&b, " (workspace %s, request of %d units, the node had %d)", l.Space, l.Units, l.Level)
+	if l.Workspace != "" && l.Outcome == "refused" {
+		fmt.Fprintf(&b, " (workspace %s, request of %d units, the node had %d)", l.Workspace, l.Units, l.LevelUnits)
 	}
 	if l.Entry != "" {
 		fmt.Fprintf(&b, " [entry %s, configuration %d, %d ms left]", l.Entry, l.Version, l.LeftMS)
@@ -221,40 +221,40 @@
 	return text
 }
 
-// longSilence is the time in milliseconds without an event after which a target
+// minSilenceMS is the time in milliseconds without an event after which a target
 // counts as silent: several times the longest pause that callers regard as on
 // time.
-const longSilence = 1000
+const minSilenceMS = 1000
 
-// stopped returns the line of a node that ended the request at the end of its
+// shutdownLine returns the line of a node that ended the request at the end of its
 // planned shutdown, nil if none did.
-func (s *Trace) stopped() *Line {
-	for i := range s.Lines {
-		if l := &s.Lines[i]; l.Outcome == "cut" && strings.HasPrefix(l.Reason, "the node stopped") {
+func (t *Trace) shutdownLine() *Line {
+	for i := range t.Lines {
+		if l := &t.Lines[i]; l.Outcome == "cut" && strings.HasPrefix(l.Reason, "the node stopped") {
 			return l
 		}
 	}
 	return nil
 }
 
-func (s *Trace) callerLeft() bool {
-	return slices.ContainsFunc(s.Lines, func(l Line) bool { return l.Message == "answer" && l.Outcome == "callerGone" && l.Entry != "" })
+func (t *Trace) callerLeft() bool {
+	return slices.ContainsFunc(t.Lines, func(l Line) bool { return l.Message == "answer" && l.Outcome == "callerGone" && l.Entry != "" })
 }
 
 // Cause returns why the request failed, or that it was served.
-func (s *Trace) Cause() string {
-	if len(s.ended) > 0 {
-		return fmt.Sprintf("node %s ended while the stream ran there: it was killed or lost power", s.ended[0])
+func (t *Trace) Cause() string {
+	if len(t.restarted) > 0 {
+		return fmt.Sprintf("node %s ended while the stream ran there: it was killed or lost power", t.restarted[0])
 	}
 	var last *Line
-	for i := range s.Lines {
-		l := &s.Lines[i]
+	for i := range t.Lines {
+		l := &t.Lines[i]
 		if l.Message == "send" && l.Outcome != "finished" {
 			last = l
 		}
 	}
-	for i := len(s.Lines) - 1; i >= 0; i-- {
-		l := &s.Lines[i]
+	for i := len(t.Lines) - 1; i >= 0; i-- {
+		l := &t.Lines[i]
 		switch {
 		case l.Message != "answer" && l.Outcome == "finished" && l.Status < 500:
 			return "none, it was served"
@@ -262,17 +262,17 @@
 			return fmt.Sprintf("target %s answered with its own failure, %d", l.Target, l.Status)
 		}
 	}
-	if stopped := s.stopped(); stopped != nil {
-		return fmt.Sprintf("node %s: %s", stopped.Node, stopped.Reason)
+	if line := t.shutdownLine(); line != nil {
+		return fmt.Sprintf("node %s: %s", line.Node, line.Reason)
 	}
-	if last != nil && last.Silent >= longSilence {
-		return fmt.Sprintf("target %s had sent nothing for %d ms: crashed silently, frozen or cut off", last.Target, last.Silent)
+	if last != nil && last.SilentMS >= minSilenceMS {
+		return fmt.Sprintf("target %s had sent nothing for %d ms: crashed silently, frozen or cut off", last.Target, last.SilentMS)
 	}
-	if last != nil && s.callerLeft() {
-		return fmt.Sprintf("the caller left after %d ms, target %s had not finished (first event after %d ms, 0 for none)", last.TookMS, last.Target, last.First)
+	if last != nil && t.callerLeft() {
+		return fmt.Sprintf("the caller left after %d ms, target %s had not finished (first event after %d ms, 0 for none)", last.TookMS, last.Target, last.FirstMS)
 	}
 	if last != nil {
 		return fmt.Sprintf("target %s: %s", last.Target, last.Reason)
 	}
-	return s.Lines[len(s.Lines)-1].Reason
+	return t.Lines[len(t.Lines)-1].Reason
 }
--- a/io/jwlogtrace/view.go
+++ b/io/jwlogtrace/view.go
@@ -40,7 +40,7 @@
 		l.Nodes = make(map[string][]Event)
 	}
 	in := bufio.NewScanner(r)
-	in.Buffer(make([]byte, 0, 64<<10), longLine)
+	in.Buffer(make([]byte, 0, 64<<10), maxLineSize)
 	for in.Scan() {
 		begin := strings.IndexByte(in.Text(), '{')
 		if begin < 0 {
@@ -83,52 +83,52 @@
 
 // ViewAt returns what a node knew at a time of its own clock.
 func (l *Log) ViewAt(node string, at time.Time) View {
-	b := View{Node: node, Targets: make(map[string]Target)}
+	v := View{Node: node, Targets: make(map[string]Target)}
 	for i := range l.Nodes[node] {
 		e := &l.Nodes[node][i]
 		if e.Time.After(at) {
 			break
 		}
-		b.Last = e.Time
-		b.take(e)
+		v.Last = e.Time
+		v.apply(e)
 	}
-	return b
+	return v
 }
 
-func (b *View) take(e *Event) {
+func (v *View) apply(e *Event) {
 	switch e.Message {
 	case "started":
-		*b = View{Node: b.Node, Running: true, Targets: make(map[string]Target), Last: e.Time}
+		*v = View{Node: v.Node, Running: true, Targets: make(map[string]Target), Last: e.Time}
 	case "stopped":
-		b.Running = false
+		v.Running = false
 	case "configuration in force":
-		b.Version = e.Version
+		v.Version = e.Version
 	case "store lost":
-		b.StoreLost = e.Time
+		v.StoreLost = e.Time
 	case "store regained":
-		b.StoreLost = time.Time{}
+		v.StoreLost = time.Time{}
 	case "evacuation":
-		b.Evacuated = slices.DeleteFunc(b.Evacuated, func(dc string) bool { return dc == e.DataCentre })
+		v.Evacuated = slices.DeleteFunc(v.Evacuated, func(dc string) bool { return dc == e.DataCentre })
 		if e.On {
-			b.Evacuated = append(b.Evacuated, e.DataCentre)
+			v.Evacuated = append(v.Evacuated, e.DataCentre)
 		}
 	case "target":
 		state := e.Change
 		switch {
-		case b.Targets[e.Target].State == leaving && state != beganAnew:
+		case v.Targets[e.Target].State == leaving && state != beganAnew:
 			state = leaving
 		case e.Draining:
 			state = "draining"
 		}
-		b.Targets[e.Target] = Target{State: state, DataCentre: e.DataCentre, Service: e.Service, Since: e.Time}
+		v.Targets[e.Target] = Target{State: state, DataCentre: e.DataCentre, Service: e.Service, Since: e.Time}
 	case "target leaves":
-		t := b.Targets[e.Target]
+		t := v.Targets[e.Target]
 		t.State, t.Since = leaving, e.Time
-		b.Targets[e.Target] = t
+		v.Targets[e.Target] = t
 	case "target registration gone":
-		t := b.Targets[e.Target]
+		t := v.Targets[e.Target]
 		t.State, t.Since = "gone", e.Time
-		b.Targets[e.Target] = t
+		v.Targets[e.Target] = t
 	}
 }
 
@@ -140,24 +140,24 @@
 )
 
 // Write describes a view, as far as the lines could be read.
-func (b *View) Write(w io.Writer, at time.Time) {
-	if b.Last.IsZero() {
-		fmt.Fprintf(w, "%s: no line before then\n", b.Node)
+func (v *View) Write(w io.Writer, at time.Time) {
+	if v.Last.IsZero() {
+		fmt.Fprintf(w, "%s: no line before then\n", v.Node)
 		return
 	}
 	state := "running"
-	if !b.Running {
+	if !v.Running {
 		state = "not running"
 	}
-	fmt.Fprintf(w, "%s: %s, configuration %d, last line %s before\n", b.Node, state, b.Version, at.Sub(b.Last).Round(time.Millisecond))
-	if !b.StoreLost.IsZero() {
-		fmt.Fprintf(w, "  the store had not answered for %s; what follows is of before\n", at.Sub(b.StoreLost).Round(time.Millisecond))
+	fmt.Fprintf(w, "%s: %s, configuration %d, last line %s before\n", v.Node, state, v.Version, at.Sub(v.Last).Round(time.Millisecond))
+	if !v.StoreLost.IsZero() {
+		fmt.Fprintf(w, "  the store had not answered for %s; what follows is of before\n", at.Sub(v.StoreLost).Round(time.Millisecond))
 	}
-	for _, dc := range b.Evacuated {
+	for _, dc := range v.Evacuated {
 		fmt.Fprintf(w, "  data centre %s evacuated\n", dc)
 	}
-	for _, name := range slices.Sorted(maps.Keys(b.Targets)) {
-		t := b.Targets[name]
+	for _, name := range slices.Sorted(maps.Keys(v.Targets)) {
+		t := v.Targets[name]
 		fmt.Fprintf(w, "  target %s of %s in %s: %s for %s\n", name, t.Service, t.DataCentre, t.State, at.Sub(t.Since).Round(time.Millisecond))
 	}
 }
@@ -166,16 +166,16 @@
 // it sent there and what it knew that kept it from sending.
 func (l *Log) Idle(w io.Writer, target string, from, to time.Time) {
 	for _, node := range slices.Sorted(maps.Keys(l.Nodes)) {
-		l.idleAt(w, node, target, from, to)
+		l.writeIdle(w, node, target, from, to)
 	}
 	if l.Jumps > 0 {
 		fmt.Fprintf(w, "(clocks were set back %d times; moments are of each node's own clock)\n", l.Jumps)
 	}
 }
 
-func (l *Log) idleAt(w io.Writer, node, target string, from, to time.Time) {
-	b := l.ViewAt(node, from)
-	t, known := b.Targets[target]
+func (l *Log) writeIdle(w io.Writer, node, target string, from, to time.Time) {
+	v := l.ViewAt(node, from)
+	t, known := v.Targets[target]
 	sends := map[string]int{}
 	var reasons []string
 	for i := range l.Nodes[node] {
@@ -183,7 +183,7 @@
 		if e.Time.Before(from) || e.Time.After(to) {
 			continue
 		}
-		b.take(e)
+		v.apply(e)
 		switch {
 		case e.Message == "send" && e.Target == target:
 			sends[e.outcome()]++
@@ -203,7 +203,7 @@
 	default:
 		fmt.Fprint(w, "not known at the beginning")
 	}
-	if slices.Contains(b.Evacuated, t.DataCentre) {
+	if slices.Contains(v.Evacuated, t.DataCentre) {
 		fmt.Fprint(w, ", its data centre evacuated at the end")
 	}
 	fmt.Fprintln(w)
--- a/io/jwmeter/meter.go
+++ b/io/jwmeter/meter.go
@@ -45,9 +45,9 @@
 	ReplacementCharacter: tallyprom.DefaultSanitizerOpts.ReplacementCharacter,
 }
 
-// latencies are the buckets of durations: close together around the times to
+// durationBuckets are the buckets of durations: close together around the times to
 // the first token and between tokens, so that p95 can be read off them.
-var latencies = tally.DurationBuckets{
+var durationBuckets = tally.DurationBuckets{
 	0,
 	time.Millisecond, 2 * time.Millisecond, 5 * time.Millisecond, 10 * time.Millisecond,
 	15 * time.Millisecond, 20 * time.Millisecond, 25 * time.Millisecond, 30 * time.Millisecond,
@@ -59,26 +59,26 @@
 
 // Counter returns the counter of a name and tags.
 func (m *Meter) Counter(name string, tags Tags) tally.Counter {
-	return m.tagged(tags).Counter(name)
+	return m.scopeWith(tags).Counter(name)
 }
 
 // Gauge returns the gauge of a name and tags.
 func (m *Meter) Gauge(name string, tags Tags) tally.Gauge {
-	return m.tagged(tags).Gauge(name)
+	return m.scopeWith(tags).Gauge(name)
 }
 
 // Durations returns the histogram of durations of a name and tags. Its sum adds
 // bucket bounds instead of durations: use it for quantiles, not for means.
 func (m *Meter) Durations(name string, tags Tags) tally.Histogram {
-	return m.tagged(tags).Histogram(name, latencies)
+	return m.scopeWith(tags).Histogram(name, durationBuckets)
 }
 
 // Values returns a histogram of plain numbers with the given bucket bounds.
 func (m *Meter) Values(name string, tags Tags, bounds []float64) tally.Histogram {
-	return m.tagged(tags).Histogram(name, tally.ValueBuckets(bounds))
+	return m.scopeWith(tags).Histogram(name, tally.ValueBuckets(bounds))
 }
 
-func (m *Meter) tagged(tags Tags) tally.Scope {
+func (m *Meter) scopeWith(tags Tags) tally.Scope {
 	if m == nil {
 		return tally.NoopScope
 	}
--- a/io/jwobserver/changes.go
+++ b/io/jwobserver/changes.go
@@ -21,10 +21,10 @@
 // More, such as at the start of a node, give one record.
 const maxApplied = 64
 
-// tellPeers records state changes of the other nodes of this region. Nodes of
+// recordPeers records state changes of the other nodes of this region. Nodes of
 // other regions are recorded there: if each node recorded all, the fleet would
 // write every change once for each of its nodes.
-func (o *Observer) tellPeers(peers []jwpeer.Peer) {
+func (o *Observer) recordPeers(peers []jwpeer.Peer) {
 	now := make(map[string]jwpeer.State)
 	for _, p := range peers {
 		if p.Region != o.Region || p.Name == o.Node {
@@ -43,7 +43,7 @@
 	o.peers = now
 }
 
-func (o *Observer) tellTargets(now map[netip.AddrPort]jwtarget.State) {
+func (o *Observer) recordTargets(now map[netip.AddrPort]jwtarget.State) {
 	for address, state := range now {
 		if before, known := o.targets[address]; o.targets != nil && (!known || before != state) {
 			o.Audit.Add(jwaudit.Record{
@@ -61,10 +61,10 @@
 	o.targets = now
 }
 
-// tellRegions records when no messages from a region arrive any more, and when
+// recordRegions records when no messages from a region arrive any more, and when
 // they arrive again. A network partition and the loss of all its nodes can't be
 // told apart here.
-func (o *Observer) tellRegions(now time.Time, peers []jwpeer.Peer) {
+func (o *Observer) recordRegions(now time.Time, peers []jwpeer.Peer) {
 	heard := make(map[string]bool)
 	for _, p := range o.Board.Peers.Fresh(now.Add(-o.Silence)) {
 		heard[p.Region] = true
@@ -77,20 +77,20 @@
 		switch {
 		case region == o.Region:
 		case heard[region]:
-			o.tell(jwaudit.RegionState, region, reachable, "")
+			o.recordState(jwaudit.RegionState, region, reachable, "")
 		case known[region] || o.states[region] != "":
-			o.tell(jwaudit.RegionState, region, lost, "nothing heard for "+o.Silence.String())
+			o.recordState(jwaudit.RegionState, region, lost, "nothing heard for "+o.Silence.String())
 		}
 	}
 }
 
-func (o *Observer) tellPlatform(now time.Time) {
+func (o *Observer) recordPlatform(now time.Time) {
 	if _, taken := o.Board.Hosts.Hosts(); !taken.IsZero() {
 		state, detail := answering, ""
 		if now.Sub(taken) > o.ListAge {
 			state, detail = failing, "the list is older than "+o.ListAge.String()
 		}
-		o.tell(jwaudit.PlatformState, "hosts", state, detail)
+		o.recordState(jwaudit.PlatformState, "hosts", state, detail)
 	}
 	if o.Store == nil {
 		return
@@ -101,15 +101,15 @@
 	ended := calls.Reads + calls.Writes + calls.Waits - before.Reads - before.Writes - before.Waits
 	switch {
 	case failures > 0 && failures >= ended:
-		o.tell(jwaudit.PlatformState, "keyValue", failing, "every call failed")
+		o.recordState(jwaudit.PlatformState, "keyValue", failing, "every call failed")
 	case ended > failures:
-		o.tell(jwaudit.PlatformState, "keyValue", answering, "")
+		o.recordState(jwaudit.PlatformState, "keyValue", answering, "")
 	}
 }
 
-// tell records a state that differs from the last one of the subject. If the
+// recordState records a state that differs from the last one of the subject. If the
 // first state is a good one, it is not recorded.
-func (o *Observer) tell(kind jwaudit.Kind, subject, state, detail string) {
+func (o *Observer) recordState(kind jwaudit.Kind, subject, state, detail string) {
 	if o.states == nil {
 		o.states = make(map[string]string)
 	}
@@ -122,8 +122,8 @@
 	o.Audit.Add(jwaudit.Record{Kind: kind, Subject: subject, From: before, To: state, Detail: detail})
 }
 
-// tellCatalogue records the changes that came into force here.
-func (o *Observer) tellCatalogue() {
+// recordCatalogue records the changes that came into force here.
+func (o *Observer) recordCatalogue() {
 	now := o.Board.Catalogue.Revision()
 	if now == o.revision {
 		return
@@ -134,8 +134,8 @@
 		o.Audit.Add(jwaudit.Record{Kind: jwaudit.Applied, Subject: "catalogue", Revision: now, Detail: "whole catalogue"})
 		return
 	}
-	changes, whole := o.Board.Catalogue.Changes(from, maxApplied)
-	if whole != nil {
+	changes, checkpoint := o.Board.Catalogue.Changes(from, maxApplied)
+	if checkpoint != nil {
 		o.Audit.Add(jwaudit.Record{Kind: jwaudit.Applied, Subject: "catalogue", Revision: now, Detail: "whole catalogue"})
 		return
 	}
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -12,7 +12,7 @@
 )
 
 // series names one gauge; a and b are the values of its two labels.
-type series struct{ name, a, b string }
+type series struct{ name, label1, label2 string }
 
 // gauges holds the handles created so far. A gauge without a current value is set
 // to 0: otherwise the last node that left a state would be shown in it forever.
@@ -44,42 +44,42 @@
 // measureSources updates the metrics from the counts of other components.
 func (o *Observer) measureSources(values map[series]float64) {
 	budget := o.Board.Budget.Counts()
-	o.rise("tries_total", "first", budget.Tries)
-	o.rise("tries_total", "retry", budget.Retries)
-	o.rise("tries_total", "overBudget", budget.Refused)
+	o.addIncrease("tries_total", "first", budget.Tries)
+	o.addIncrease("tries_total", "retry", budget.Retries)
+	o.addIncrease("tries_total", "overBudget", budget.Refused)
 	if o.Drain != nil {
 		c := o.Drain.Counts()
 		values[series{name: "requests_in_flight"}] = float64(c.InFlight)
-		o.rise("drain_total", "turned", uint64(c.Turned))
-		o.rise("drain_total", "cut", uint64(c.Cut))
-		o.rise("drain_total", "lost", uint64(c.Lost))
-		o.rise("drain_total", "successorFailed", uint64(c.Failed))
+		o.addIncrease("drain_total", "turned", uint64(c.Turned))
+		o.addIncrease("drain_total", "cut", uint64(c.Cut))
+		o.addIncrease("drain_total", "lost", uint64(c.Lost))
+		o.addIncrease("drain_total", "successorFailed", uint64(c.Failed))
 	}
 	if o.Claims != nil {
 		c := o.Claims.Counts()
 		values[series{name: "kept_answer_bytes"}] = float64(c.AnswerBytes)
-		o.rise("claims_total", "claimed", c.Claims)
-		o.rise("claims_total", "ticketRun", c.Tickets)
-		o.rise("claims_total", "released", c.Releases)
-		o.rise("claims_total", "unknown", c.Unknowns)
-		o.rise("claims_total", "unread", c.Unreads)
-		o.rise("claims_total", "evicted", c.Evicted)
-		o.rise("claims_total", "lostSwap", c.LostSwaps)
-		o.rise("claims_total", "storeFailure", c.StoreFailures)
+		o.addIncrease("claims_total", "claimed", c.Claims)
+		o.addIncrease("claims_total", "ticketRun", c.Tickets)
+		o.addIncrease("claims_total", "released", c.Releases)
+		o.addIncrease("claims_total", "unknown", c.Unknowns)
+		o.addIncrease("claims_total", "unread", c.Unreads)
+		o.addIncrease("claims_total", "evicted", c.Evicted)
+		o.addIncrease("claims_total", "lostSwap", c.LostSwaps)
+		o.addIncrease("claims_total", "storeFailure", c.StoreFailures)
 	}
 	if o.Store != nil {
 		c := o.Store.Calls()
-		o.rise("store_calls_total", "read", c.Reads)
-		o.rise("store_calls_total", "write", c.Writes)
-		o.rise("store_calls_total", "wait", c.Waits)
-		o.rise("store_calls_total", "failed", c.Failures)
+		o.addIncrease("store_calls_total", "read", c.Reads)
+		o.addIncrease("store_calls_total", "write", c.Writes)
+		o.addIncrease("store_calls_total", "wait", c.Waits)
+		o.addIncrease("store_calls_total", "failed", c.Failures)
 	}
 	if o.Follower != nil {
 		c := o.Follower.Counts()
-		o.rise("catalogue_follow_total", "fromStore", c.FromStore)
-		o.rise("catalogue_follow_total", "fromPeers", c.FromPeers)
-		o.rise("catalogue_follow_total", "storeError", c.StoreErrors)
-		o.rise("catalogue_follow_total", "peerError", c.PeerErrors)
+		o.addIncrease("catalogue_follow_total", "fromStore", c.FromStore)
+		o.addIncrease("catalogue_follow_total", "fromPeers", c.FromPeers)
+		o.addIncrease("catalogue_follow_total", "storeError", c.StoreErrors)
+		o.addIncrease("catalogue_follow_total", "peerError", c.PeerErrors)
 	}
 }
 
@@ -97,12 +97,12 @@
 	}
 }
 
-// rise adds the increase of a count since it was last read to its counter.
-func (o *Observer) rise(name, kind string, total uint64) {
+// addIncrease adds the increase of a count since it was last read to its counter.
+func (o *Observer) addIncrease(name, kind string, total uint64) {
 	if o.totals == nil {
 		o.totals = make(totals)
 	}
-	s := series{name: name, a: kind}
+	s := series{name: name, label1: kind}
 	before, known := o.totals[s]
 	if known && total == before {
 		return
@@ -114,9 +114,9 @@
 func tagsOf(s series) jwmeter.Tags {
 	switch s.name {
 	case "peers":
-		return jwmeter.Tags{"region": s.a, "state": s.b}
+		return jwmeter.Tags{"region": s.label1, "state": s.label2}
 	case "targets":
-		return jwmeter.Tags{"state": s.a}
+		return jwmeter.Tags{"state": s.label1}
 	}
 	return nil
 }
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -73,7 +73,7 @@
 	ticker := time.NewTicker(every)
 	defer ticker.Stop()
 	for {
-		o.look(time.Now())
+		o.observe(time.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -82,16 +82,16 @@
 	}
 }
 
-// look reads the board once, updates the metrics and records changes.
-func (o *Observer) look(now time.Time) {
+// observe reads the board once, updates the metrics and records changes.
+func (o *Observer) observe(now time.Time) {
 	peers := o.Board.Peers.Peers()
 	targets := o.targetStates(now)
 	o.measure(now, peers, targets)
-	o.tellPeers(peers)
-	o.tellTargets(targets)
-	o.tellRegions(now, peers)
-	o.tellPlatform(now)
-	o.tellCatalogue()
+	o.recordPeers(peers)
+	o.recordTargets(targets)
+	o.recordRegions(now, peers)
+	o.recordPlatform(now)
+	o.recordCatalogue()
 }
 
 // targetStates returns the state of each target that this node uses.
--- a/io/jwobserver/observer_test.go
+++ b/io/jwobserver/observer_test.go
@@ -36,8 +36,8 @@
 	return o, s
 }
 
-// news returns the records since the last call as "subject from>to".
-func news(o *Observer, after *uint64) []string {
+// newRecords returns the records since the last call as "subject from>to".
+func newRecords(o *Observer, after *uint64) []string {
 	out := []string{}
 	for _, r := range o.Audit.After(*after, 100) {
 		out = append(out, fmt.Sprintf("%s %s>%s", r.Subject, r.From, r.To))
@@ -55,44 +55,44 @@
 	// audit trail must show both, once each.
 	o, _ := newObserver()
 	var seen uint64
-	o.look(start)
+	o.observe(start)
 	o.Board.Peers.Merge([]jwpeer.Peer{
 		peer("n2", "north", jwpeer.Serving, 1), peer("s1", "south", jwpeer.Serving, 1),
 	}, start)
-	o.look(start)
-	assert.DeepEqual(t, news(o, &seen), []string{"n2 >serving"})
+	o.observe(start)
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"n2 >serving"})
 	o.Board.Peers.Merge([]jwpeer.Peer{
 		peer("n2", "north", jwpeer.Leaving, 2), peer("s1", "south", jwpeer.Leaving, 2),
 	}, start)
-	o.look(start)
-	assert.DeepEqual(t, news(o, &seen), []string{"n2 serving>leaving"})
+	o.observe(start)
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"n2 serving>leaving"})
 	for range 2 {
-		o.look(start.Add(time.Minute))
+		o.observe(start.Add(time.Minute))
 	}
-	assert.DeepEqual(t, news(o, &seen), []string{"south reachable>lost"})
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"south reachable>lost"})
 	o.Board.Peers.Merge([]jwpeer.Peer{peer("s1", "south", jwpeer.Serving, 3)}, start.Add(time.Minute))
-	o.look(start.Add(time.Minute))
-	assert.DeepEqual(t, news(o, &seen), []string{"south lost>reachable"})
+	o.observe(start.Add(time.Minute))
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"south lost>reachable"})
 	o.Board.Peers.Forget(start.Add(time.Second))
-	o.look(start.Add(time.Minute))
-	assert.DeepEqual(t, news(o, &seen), []string{"n2 leaving>forgotten"})
+	o.observe(start.Add(time.Minute))
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"n2 leaving>forgotten"})
 }
 
 func TestTargets(t *testing.T) {
 	o, _ := newObserver()
 	o.Board.Targets.Region = "north"
 	var seen uint64
-	o.look(start)
+	o.observe(start)
 	target := jwtarget.Target{
 		Address: netip.MustParseAddrPort("10.0.0.1:80"), Service: "desk", Region: "north", State: jwtarget.Live,
 	}
 	o.Board.Targets.Set([]jwtarget.Target{target}, start)
-	o.look(start)
+	o.observe(start)
 	o.Board.Targets.Failed(target.Address, start)
-	o.look(start)
+	o.observe(start)
 	o.Board.Targets.Set(nil, start)
-	o.look(start)
-	assert.DeepEqual(t, news(o, &seen), []string{
+	o.observe(start)
+	assert.DeepEqual(t, newRecords(o, &seen), []string{
 		"10.0.0.1:80 >live", "10.0.0.1:80 live>failed", "10.0.0.1:80 failed>unlisted",
 	})
 }
@@ -104,16 +104,16 @@
 	var seen uint64
 	o.Board.Hosts.Set([]jwhost.Host{}, start)
 	s.calls = jwstore.Calls{Reads: 3}
-	o.look(start)
-	assert.DeepEqual(t, news(o, &seen), []string{})
+	o.observe(start)
+	assert.DeepEqual(t, newRecords(o, &seen), []string{})
 	s.calls = jwstore.Calls{Reads: 5, Failures: 2}
-	o.look(start.Add(time.Minute))
-	assert.DeepEqual(t, news(o, &seen), []string{"hosts answering>failing", "keyValue answering>failing"})
-	o.look(start.Add(time.Minute)) // without calls, the state is unchanged
+	o.observe(start.Add(time.Minute))
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"hosts answering>failing", "keyValue answering>failing"})
+	o.observe(start.Add(time.Minute)) // without calls, the state is unchanged
 	s.calls.Reads++
 	o.Board.Hosts.Set([]jwhost.Host{}, start.Add(time.Minute))
-	o.look(start.Add(time.Minute))
-	assert.DeepEqual(t, news(o, &seen), []string{"hosts failing>answering", "keyValue failing>answering"})
+	o.observe(start.Add(time.Minute))
+	assert.DeepEqual(t, newRecords(o, &seen), []string{"hosts failing>answering", "keyValue failing>answering"})
 }
 
 func TestCatalogue(t *testing.T) {
@@ -123,14 +123,14 @@
 			N: n, EditID: fmt.Sprint(n), Author: "amal", Reason: "r", Entry: "menu", After: &jwcatalogue.Entry{Name: "menu"},
 		}))
 	}
-	o.look(start)
+	o.observe(start)
 	records := o.Audit.After(0, 10)
 	assert.Equal(t, len(records), 2)
 	assert.Equal(t, records[1].Revision, uint64(2))
 	assert.Equal(t, records[1].Author, "amal")
 	assert.NilError(t, o.Board.Catalogue.Restore(jwcatalogue.Checkpoint{Revision: 500}))
-	o.look(start)
-	o.look(start)
+	o.observe(start)
+	o.observe(start)
 	records = o.Audit.After(2, 10)
 	assert.Equal(t, len(records), 1)
 	assert.Equal(t, records[0].Revision, uint64(500))
@@ -140,10 +140,10 @@
 	o, s := newObserver()
 	o.Board.Peers.Merge([]jwpeer.Peer{peer("n2", "north", jwpeer.Serving, 1)}, start)
 	s.calls = jwstore.Calls{Reads: 7, Failures: 1}
-	o.look(start)
+	o.observe(start)
 	o.Board.Peers.Merge([]jwpeer.Peer{peer("n2", "north", jwpeer.Leaving, 2)}, start)
 	s.calls.Reads = 9
-	o.look(start)
+	o.observe(start)
 	assert.NilError(t, o.Meter.Close())
 	assert.Equal(t, o.Meter.Total("peers", jwmeter.Tags{"state": "serving"}), 1.0)
 	assert.Equal(t, o.Meter.Total("peers", jwmeter.Tags{"state": "leaving"}), 1.0)
@@ -160,6 +160,6 @@
 	}
 	o.Board.Peers.Merge(peers, start)
 	for b.Loop() {
-		o.look(start)
+		o.observe(start)
 	}
 }
--- a/io/jwoperate/members.go
+++ b/io/jwoperate/members.go
@@ -19,7 +19,7 @@
 		return
 	}
 	if body.Author == "" || body.Reason == "" {
-		refuse(w, http.StatusUnprocessableEntity, Refusal{
+		writeError(w, http.StatusUnprocessableEntity, ErrorBody{
 			Error: "the edit has faults", Faults: []string{"author and reason are needed"},
 		})
 		return
@@ -31,11 +31,11 @@
 			status = http.StatusServiceUnavailable
 		}
 		w.Header().Set("Retry-After", retryAfter)
-		refuse(w, status, Refusal{Error: err.Error()})
+		writeError(w, status, ErrorBody{Error: err.Error()})
 		return
 	}
 	o.Audit.Add(jwaudit.Record{
 		Kind: jwaudit.Forgotten, Subject: out.Node, From: out.Region, Author: body.Author, Detail: body.Reason,
 	})
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
--- a/io/jwoperate/message.go
+++ b/io/jwoperate/message.go
@@ -58,9 +58,9 @@
 	Changes  []jwcatalogue.Change `json:"changes"`
 }
 
-// Refusal is the answer to a call that had no effect, or whose effect is not
+// ErrorBody is the answer to a call that had no effect, or whose effect is not
 // known.
-type Refusal struct {
+type ErrorBody struct {
 	Error    string              `json:"error"`
 	Faults   []string            `json:"faults,omitempty"`   // of the edit
 	Revision uint64              `json:"revision,omitempty"` // last change of the entry, after a conflict
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -123,7 +123,7 @@
 		got := sha256.Sum256([]byte(token))
 		if !ok || o.Token == "" || subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			refuse(w, http.StatusUnauthorized, Refusal{Error: "the operators' token is needed"})
+			writeError(w, http.StatusUnauthorized, ErrorBody{Error: "the operators' token is needed"})
 			return
 		}
 		next(w, r)
@@ -131,20 +131,20 @@
 }
 
 func (o *Operators) audit(w http.ResponseWriter, r *http.Request) {
-	after, limit, ok := page(w, r)
+	after, limit, ok := parsePage(w, r)
 	if !ok {
 		return
 	}
-	answer(w, http.StatusOK, AuditRecords{Records: orEmpty(o.Audit.After(after, limit))})
+	writeJSON(w, http.StatusOK, AuditRecords{Records: orEmpty(o.Audit.After(after, limit))})
 }
 
 func (o *Operators) explain(w http.ResponseWriter, r *http.Request) {
 	found := o.Explainer.Find(jwrest.Var(r, "id"))
 	if len(found) == 0 {
-		refuse(w, http.StatusNotFound, Refusal{Error: "this node has no trace of the request: it came to another node, or too long ago; a bound one leaves a trace in its home region only"})
+		writeError(w, http.StatusNotFound, ErrorBody{Error: "this node has no trace of the request: it came to another node, or too long ago; a bound one leaves a trace in its home region only"})
 		return
 	}
-	answer(w, http.StatusOK, Traces{Traces: found})
+	writeJSON(w, http.StatusOK, Traces{Traces: found})
 }
 
 func (o *Operators) peers(w http.ResponseWriter, _ *http.Request) {
@@ -155,7 +155,7 @@
 			Incarnation: p.Incarnation, State: p.State, Revision: p.Revision, Heard: o.Peers.LastSeen(p.Name),
 		})
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (o *Operators) targets(w http.ResponseWriter, _ *http.Request) {
@@ -169,48 +169,48 @@
 			Address: t.Address, Service: t.Service, Region: t.Region, DataCentre: t.DataCentre, State: state,
 		})
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func healthy(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
 func (o *Operators) ready(w http.ResponseWriter, _ *http.Request) {
 	if o.Ready != nil && !o.Ready() {
-		refuse(w, http.StatusServiceUnavailable, Refusal{Error: "this node does not serve callers now"})
+		writeError(w, http.StatusServiceUnavailable, ErrorBody{Error: "this node does not serve callers now"})
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// page returns the query parameters of a list. It answers a malformed one and
+// parsePage returns the query parameters of a list. It answers a malformed one and
 // returns false.
-func page(w http.ResponseWriter, r *http.Request) (after uint64, limit int, ok bool) {
-	after, ok = number(w, r, "after", 0)
+func parsePage(w http.ResponseWriter, r *http.Request) (after uint64, limit int, ok bool) {
+	after, ok = parseNumber(w, r, "after", 0)
 	if !ok {
 		return 0, 0, false
 	}
-	n, ok := number(w, r, "limit", defaultLimit)
+	n, ok := parseNumber(w, r, "limit", defaultLimit)
 	return after, int(min(n, maxLimit)), ok
 }
 
-// number returns a number of the query, or otherwise if it is absent. It answers
-// a malformed one and returns false.
-func number(w http.ResponseWriter, r *http.Request, name string, otherwise uint64) (uint64, bool) {
+// parseNumber returns a number of the query, or fallback if it is absent. It
+// answers a malformed one and returns false.
+func parseNumber(w http.ResponseWriter, r *http.Request, name string, fallback uint64) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, true
+		return fallback, true
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, Refusal{Error: name + " must be a whole number"})
+		writeError(w, http.StatusBadRequest, ErrorBody{Error: name + " must be a whole number"})
 		return 0, false
 	}
 	return n, true
 }
 
-func refuse(w http.ResponseWriter, status int, r Refusal) { answer(w, status, r) }
+func writeError(w http.ResponseWriter, status int, r ErrorBody) { writeJSON(w, status, r) }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -88,7 +88,7 @@
 	return w
 }
 
-func read[T any](t *testing.T, w *httptest.ResponseRecorder) T {
+func decode[T any](t *testing.T, w *httptest.ResponseRecorder) T {
 	t.Helper()
 	var v T
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &v), w.Body.String())
@@ -140,26 +140,26 @@
 	w := n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200, w.Body.String())
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
-	assert.DeepEqual(t, read[Standing](t, w), Standing{Revision: 1, Accepted: true})
+	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Accepted: true})
 
 	w = n.call("GET", path, "")
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
-	assert.Equal(t, read[Entry](t, w).Entry.Owner, "desk")
+	assert.Equal(t, decode[Entry](t, w).Entry.Owner, "desk")
 	assert.Equal(t, n.Audit.After(0, 1)[0].Author, "amal")
-	assert.Equal(t, len(read[Catalogue](t, n.call("GET", "/v1/catalogue", "")).Entries), 1)
+	assert.Equal(t, len(decode[Catalogue](t, n.call("GET", "/v1/catalogue", "")).Entries), 1)
 
 	w = n.call("DELETE", path, `{"author": "amal", "reason": "closing", "editId": "e2"}`, "If-Match", `"1"`)
 	assert.Equal(t, w.Code, 200, w.Body.String())
 	assert.Equal(t, n.call("GET", path, "").Code, 404)
 
-	all := read[History](t, n.call("GET", "/v1/catalogue/history", ""))
+	all := decode[History](t, n.call("GET", "/v1/catalogue/history", ""))
 	assert.Equal(t, len(all.Changes), 2)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?after=1", "")).Changes), 1)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?entry=other", "")).Changes), 0)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?limit=1", "")).Changes), 1)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?after=1", "")).Changes), 1)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?entry=other", "")).Changes), 0)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?limit=1", "")).Changes), 1)
 }
 
-func TestEditLost(t *testing.T) {
+func TestEditConflict(t *testing.T) {
 	// Two operators read the same entry and both write it. The second must get
 	// the change of the first, which it would otherwise overwrite unnoticed.
 	n := newNode(t)
@@ -168,9 +168,9 @@
 	w := n.call("PUT", path, editBody(t, "e3", "hall"), "If-Match", `"1"`)
 	assert.Equal(t, w.Code, 412)
 	assert.Equal(t, w.Header().Get("ETag"), `"2"`)
-	refusal := read[Refusal](t, w)
-	assert.Equal(t, refusal.Winner.EditID, "e2")
-	assert.Equal(t, refusal.Revision, uint64(2))
+	body := decode[ErrorBody](t, w)
+	assert.Equal(t, body.Winner.EditID, "e2")
+	assert.Equal(t, body.Revision, uint64(2))
 }
 
 func TestEditNotYetAccepted(t *testing.T) {
@@ -180,26 +180,26 @@
 	n.acceptance.missing = []string{"aqaba-a-n1"}
 	w := n.call("PUT", path+"?wait=0s", editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 202)
-	assert.DeepEqual(t, read[Standing](t, w), Standing{Revision: 1, Missing: []string{"aqaba-a-n1"}})
-	assert.Equal(t, read[Standing](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
+	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Missing: []string{"aqaba-a-n1"}})
+	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
 
 	n.acceptance.missing = nil
 	w = n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200) // the same edit, sent again
-	assert.Equal(t, read[Standing](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
+	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
 }
 
-func TestEditRefused(t *testing.T) {
+func TestEditRejected(t *testing.T) {
 	n := newNode(t)
-	good := editBody(t, "e1", "desk")
+	valid := editBody(t, "e1", "desk")
 	tests := map[string]struct {
 		query, body string
 		header      []string
 		status      int
 		want        string
 	}{
-		"no precondition":  {"", good, nil, 428, "If-Match"},
-		"bad precondition": {"", good, []string{"If-Match", `"x"`}, 428, "If-Match"},
+		"no precondition":  {"", valid, nil, 428, "If-Match"},
+		"bad precondition": {"", valid, []string{"If-Match", `"x"`}, 428, "If-Match"},
 		"not JSON":         {"", "{", []string{"If-None-Match", "*"}, 422, "cannot be read"},
 		"unknown key":      {"", `{"colour": 1}`, []string{"If-None-Match", "*"}, 422, "colour"},
 		"no entry":         {"", `{"author": "a"}`, []string{"If-None-Match", "*"}, 422, "entry is missing"},
@@ -208,8 +208,8 @@
 			[]string{"If-None-Match", "*"},
 			422, "class",
 		},
-		"too long": {"", strings.Repeat(" ", maxEdit+1), []string{"If-None-Match", "*"}, 413, "longer"},
-		"bad wait": {"?wait=soon", good, []string{"If-None-Match", "*"}, 400, "wait"},
+		"too long": {"", strings.Repeat(" ", maxEditSize+1), []string{"If-None-Match", "*"}, 413, "longer"},
+		"bad wait": {"?wait=soon", valid, []string{"If-None-Match", "*"}, 400, "wait"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -230,7 +230,7 @@
 	assert.Equal(t, w.Code, 503)
 	assert.Assert(t, strings.Contains(w.Body.String(), "not written"))
 	w = httptest.NewRecorder()
-	refuseEdit(w, errors.Wrap(jwstore.ErrUnknown, "write"))
+	writeEditError(w, errors.Wrap(jwstore.ErrUnknown, "write"))
 	assert.Equal(t, w.Code, 504)
 
 	n.acceptance.err = jwstore.ErrUnavailable
@@ -266,11 +266,11 @@
 	n.Audit.(*jwaudit.Trail).Add(jwaudit.Record{Kind: jwaudit.NodeState, Subject: "n1", To: "serving"})
 	n.Explainer.(*jwexplain.Tracer).End(&jwrequest.Request{ID: "r1"}, jwrequest.Served, "", "irbid-a")
 
-	assert.Equal(t, read[PeerList](t, n.call("GET", "/v1/peers", "")).Peers[0].State, jwpeer.Serving)
-	assert.Equal(t, read[TargetList](t, n.call("GET", "/v1/targets", "")).Targets[0].Address, target)
-	assert.Equal(t, read[AuditRecords](t, n.call("GET", "/v1/audit", "")).Records[0].To, "serving")
+	assert.Equal(t, decode[PeerList](t, n.call("GET", "/v1/peers", "")).Peers[0].State, jwpeer.Serving)
+	assert.Equal(t, decode[TargetList](t, n.call("GET", "/v1/targets", "")).Targets[0].Address, target)
+	assert.Equal(t, decode[AuditRecords](t, n.call("GET", "/v1/audit", "")).Records[0].To, "serving")
 	assert.Equal(t, n.call("GET", "/v1/audit?after=1", "").Body.String(), `{"records":[]}`+"\n")
-	assert.Equal(t, read[Traces](t, n.call("GET", "/v1/explain/requests/r1", "")).Traces[0].ServedBy, "irbid-a")
+	assert.Equal(t, decode[Traces](t, n.call("GET", "/v1/explain/requests/r1", "")).Traces[0].ServedBy, "irbid-a")
 	assert.Equal(t, n.call("GET", "/v1/explain/requests/r2", "").Code, 404)
 	assert.Equal(t, n.call("GET", "/v1/audit?after=x", "").Code, 400)
 	assert.Equal(t, n.call("GET", "/v1/catalogue/status?revision=9", "").Code, 404)
