--- a/io/jwcommand/catalogue.go
+++ b/io/jwcommand/catalogue.go
@@ -20,14 +20,14 @@
 	Put     putCommand     `cmd:"" help:"Write entries from a file."`
 	Remove  removeCommand  `cmd:"" help:"Remove an entry."`
 	History historyCommand `cmd:"" help:"Print the latest changes."`
-	Status  statusCommand  `cmd:"" help:"Tell whether a revision is in force everywhere."`
+	Status  statusCommand  `cmd:"" help:"Show whether a revision is in force everywhere."`
 	Forget  forgetCommand  `cmd:"" help:"Stop waiting for a node that will never serve again."`
 }
 
 // getCommand prints the catalogue.
 type getCommand struct {
 	connection
-	Name string `arg:"" optional:"" help:"Entry; all if left out."`
+	Name string `arg:"" optional:"" help:"Name of the entry; all entries if omitted."`
 	JSON bool   `help:"Print JSON."`
 }
 
@@ -63,7 +63,7 @@
 type edit struct {
 	Author string        `required:"" env:"JUJUBE_AUTHOR" help:"Who edits; kept in the history."`
 	Reason string        `required:"" help:"Why; kept in the history."`
-	EditID string        `name:"edit-id" help:"Id of the edit, to send it again after an unknown outcome; a new one if left out."`
+	EditID string        `name:"edit-id" help:"Id of the edit, to send it again after an unknown outcome; a new one if omitted."`
 	Wait   time.Duration `default:"3s" help:"How long to wait until the change is in force everywhere."`
 }
 
@@ -72,7 +72,7 @@
 	connection
 	edit
 	File      string `arg:"" type:"path" help:"One entry as printed by get, a bare entry, or an object with the list \"entries\" of these; comments are allowed."`
-	Overwrite bool   `help:"Replace entries of which the file does not say which change it was made from."`
+	Overwrite bool   `help:"Replace existing entries for which the file gives no revision."`
 	JSON      bool   `help:"Print JSON."`
 }
 
@@ -192,7 +192,7 @@
 type removeCommand struct {
 	connection
 	edit
-	Name     string `arg:"" help:"Entry."`
+	Name     string `arg:"" help:"Name of the entry."`
 	Revision uint64 `required:"" help:"The entry's last change, as printed by get."`
 	JSON     bool   `help:"Print JSON."`
 }
@@ -215,7 +215,7 @@
 	connection
 	Entry string `help:"Only changes of this entry."`
 	After uint64 `help:"Only changes after this one."`
-	Limit int    `default:"100" help:"At most so many."`
+	Limit int    `default:"100" help:"Maximum number of changes."`
 	JSON  bool   `help:"Print JSON."`
 }
 
@@ -257,7 +257,7 @@
 // statusCommand shows whether a revision is in force at all nodes.
 type statusCommand struct {
 	connection
-	Revision uint64 `help:"Revision; the newest if left out."`
+	Revision uint64 `help:"Revision; the newest if omitted."`
 	JSON     bool   `help:"Print JSON."`
 }
 
@@ -291,9 +291,9 @@
 type forgetCommand struct {
 	connection
 	Region string `arg:"" help:"Region of the node."`
-	Node   string `arg:"" help:"Name of the node, as status prints it. If it still serves somewhere, behind a cut perhaps, accepted changes will not hold there: be sure that its host is gone."`
-	Author string `required:"" env:"JUJUBE_AUTHOR" help:"Who says so; kept in the audit trail."`
-	Reason string `required:"" help:"How you know; kept in the audit trail."`
+	Node   string `arg:"" help:"Name of the node, as status prints it. Be sure that its host is gone: if the node still serves, such as behind a network partition, accepted changes are not in force there."`
+	Author string `required:"" env:"JUJUBE_AUTHOR" help:"Who removes the node; kept in the audit trail."`
+	Reason string `required:"" help:"How you know that it is gone; kept in the audit trail."`
 }
 
 // Run removes the node by a call to the node at the given address.
--- a/io/jwcommand/client.go
+++ b/io/jwcommand/client.go
@@ -31,7 +31,7 @@
 type connection struct {
 	At        netip.AddrPort `default:"127.0.0.1:8081" env:"JUJUBE_OPERATORS" help:"Operators' address of any node."`
 	TokenFile string         `type:"path" env:"JUJUBE_TOKEN_FILE" help:"File with the operators' token; JUJUBE_TOKEN may hold the token itself."`
-	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file that signs the nodes' certificates; makes the call use TLS."`
+	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file of the authority that signs the nodes' certificates; makes the call use TLS."`
 }
 
 // client calls the operators' interface of one node.
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -19,10 +19,10 @@
 // explainCommand holds the commands that show what happened to requests, targets
 // and revisions, and why.
 type explainCommand struct {
-	Request  explainRequest  `cmd:"" help:"Show the decisions on a request at each of the nodes asked."`
-	Log      explainLog      `cmd:"" help:"Tell the way of a request from the logs of several nodes."`
-	View     explainView     `cmd:"" help:"Print from its log what a node knew at a moment."`
-	Target   explainTarget   `cmd:"" help:"Tell from logs why a target got nothing between two moments."`
+	Request  explainRequest  `cmd:"" help:"Show the decisions of one or more nodes on a request."`
+	Log      explainLog      `cmd:"" help:"Show the path of a request from the logs of several nodes."`
+	View     explainView     `cmd:"" help:"Show what a node knew at a point in time, from its log."`
+	Target   explainTarget   `cmd:"" help:"Show why a target got no requests in a period, from logs."`
 	Revision explainRevision `cmd:"" help:"Show who made a catalogue revision and how far it is in force."`
 }
 
@@ -85,7 +85,7 @@
 	for _, h := range t.Hops {
 		hops = append(hops, h.Node+" ("+h.DataCentre+")")
 	}
-	fmt.Fprintf(p.Stdout, "  way: %s\n", orDash(strings.Join(hops, ", ")))
+	fmt.Fprintf(p.Stdout, "  hops: %s\n", orDash(strings.Join(hops, ", ")))
 	for _, s := range t.Steps {
 		after := time.Duration(s.AfterMicros) * time.Microsecond
 		fmt.Fprintf(p.Stdout, "  %10s  %s: %s", after, s.Step, s.Detail)
--- a/io/jwcommand/explainlog.go
+++ b/io/jwcommand/explainlog.go
@@ -33,7 +33,7 @@
 // explainView shows what a node knew at a point in time.
 type explainView struct {
 	Node  string    `arg:"" help:"The node's name."`
-	At    time.Time `arg:"" help:"The moment by the node's clock, as 2026-01-02T15:04:05Z."`
+	At    time.Time `arg:"" help:"Time by the node's clock, as 2026-01-02T15:04:05Z."`
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the node; - for standard input."`
 }
 
@@ -56,8 +56,8 @@
 // explainTarget shows why a target got no requests in a period.
 type explainTarget struct {
 	ID    string    `arg:"" help:"The target's name."`
-	From  time.Time `arg:"" help:"As 2026-01-02T15:04:05Z."`
-	To    time.Time `arg:"" help:"As 2026-01-02T15:04:05Z."`
+	From  time.Time `arg:"" help:"Start of the period, as 2026-01-02T15:04:05Z."`
+	To    time.Time `arg:"" help:"End of the period, as 2026-01-02T15:04:05Z."`
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the nodes of its region; - for standard input."`
 }
 
@@ -74,7 +74,7 @@
 
 func printDamaged(p *Program, log *jwlogtrace.Log) {
 	if log.Damaged > 0 {
-		fmt.Fprintf(p.Stdout, "(%d damaged lines passed over)\n", log.Damaged)
+		fmt.Fprintf(p.Stdout, "(%d damaged lines skipped)\n", log.Damaged)
 	}
 }
 
--- a/io/jwcommand/hosts.go
+++ b/io/jwcommand/hosts.go
@@ -12,7 +12,7 @@
 type hostsCommand struct {
 	Workspace string         `arg:"" help:"Workspace of the caller."`
 	Callers   netip.AddrPort `default:"127.0.0.1:8080" env:"JUJUBE_CALLERS" help:"Callers' address of any node."`
-	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file that signs the nodes' certificates; makes the call use TLS."`
+	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file of the authority that signs the nodes' certificates; makes the call use TLS."`
 	JSON      bool           `help:"Print JSON."`
 }
 
--- a/io/jwcommand/program.go
+++ b/io/jwcommand/program.go
@@ -32,7 +32,7 @@
 	Check     checkCommand     `cmd:"" help:"Check settings files and name every fault with its line."`
 	Hosts     hostsCommand     `cmd:"" help:"Show which hosts callers of a workspace should use."`
 	Catalogue catalogueCommand `cmd:"" help:"Read and edit the catalogue."`
-	Explain   explainCommand   `cmd:"" help:"Show what became of a request or a catalogue revision."`
+	Explain   explainCommand   `cmd:"" help:"Show what happened to a request or a catalogue revision, and why."`
 	Demo      demoCommand      `cmd:"" help:"Run a small system of three regions in this process and show what it does."`
 	Version   versionCommand   `cmd:"" help:"Show the version."`
 }
--- a/io/jwcommand/words.go
+++ b/io/jwcommand/words.go
@@ -19,22 +19,22 @@
 	jwdispatch.ReasonClaim:       "the key could not be claimed; see the claim below",
 	jwdispatch.ReasonRegion:      "the data is bound to another region",
 	jwdispatch.ReasonLoop:        "it had passed too many nodes or this one before",
-	jwdispatch.ReasonLimit:       "the limits of the entry or the room of its targets were used up",
-	jwdispatch.ReasonDeadline:    "its time ran out",
+	jwdispatch.ReasonLimit:       "the limits of the entry or the capacity of its targets were used up",
+	jwdispatch.ReasonDeadline:    "its deadline passed",
 	jwdispatch.ReasonNoTarget:    "no live target of the service could take it",
 	jwdispatch.ReasonTarget:      "the target broke off or answered with an error",
-	jwdispatch.ReasonPeer:        "the node it was passed on to did not answer",
+	jwdispatch.ReasonPeer:        "the node it was forwarded to did not answer",
 	jwdispatch.ReasonQuarantine:  "requests with this body crashed targets",
 	jwdispatch.ReasonLeaving:     "the node was leaving or not ready",
 	jwdispatch.ReasonBody:        "its body was too long, too slow or broke off",
 	jwdispatch.ReasonHeader:      "a header was missing or malformed",
-	jwdispatch.ReasonCaller:      "its caller went away",
+	jwdispatch.ReasonCaller:      "its caller disconnected",
 }
 
 // detailTexts explains the first word of a step's detail, by step and word.
 var detailTexts = map[string]map[string]string{
 	"place": {
-		string(jwrouter.AtHome):       "the home region serves its own",
+		string(jwrouter.AtHome):       "the home region serves its own requests",
 		string(jwrouter.CheaperHere):  "waiting here costs less than any other region",
 		string(jwrouter.AlreadyMoved): "another node sent it here, so it is not sent on",
 		string(jwrouter.Bound):        "its data must not leave this region",
@@ -45,7 +45,7 @@
 		string(jwrouter.Nowhere):      "no region is known to have a target",
 	},
 	"target": {
-		string(jwrouter.Cached):   "its prefix is kept there and the load allows it",
+		string(jwrouter.Cached):   "the target has its prefix cached and its load allows it",
 		string(jwrouter.Lightest): "least expected time",
 		string(jwrouter.Probe):    "tried again after failures",
 	},
--- a/io/jwlogtrace/trace.go
+++ b/io/jwlogtrace/trace.go
@@ -115,7 +115,7 @@
 // called, and then the cause of a failure.
 func (t *Trace) Write(w io.Writer) {
 	if len(t.Lines) == 0 {
-		fmt.Fprintf(w, "%s: no line in these logs; it never reached these nodes, it ended with a node that was killed before the first event, was served and its line dropped, or is of another time\n", t.Request)
+		fmt.Fprintf(w, "%s: no line in these logs: the request never reached these nodes, it was lost with a node that was killed before the first event, it was served and its line was dropped, or it was sent at another time\n", t.Request)
 		t.writeStarts(w)
 		return
 	}
@@ -129,7 +129,7 @@
 	}
 	fmt.Fprintf(w, "cause: %s\n", t.Cause())
 	if t.Damaged > 0 {
-		fmt.Fprintf(w, "(%d damaged lines passed over)\n", t.Damaged)
+		fmt.Fprintf(w, "(%d damaged lines skipped)\n", t.Damaged)
 	}
 }
 
@@ -139,7 +139,7 @@
 	seen := make(map[string]bool)
 	for _, start := range t.Starts {
 		if seen[start.Node] {
-			fmt.Fprintf(w, "  %s began anew at %s\n", start.Node, start.Time.Format(time.RFC3339Nano))
+			fmt.Fprintf(w, "  %s restarted at %s\n", start.Node, start.Time.Format(time.RFC3339Nano))
 		}
 		seen[start.Node] = true
 	}
@@ -179,9 +179,9 @@
 			fmt.Fprintf(&b, ", first event after %d ms", l.FirstMS)
 		}
 	case "forward":
-		fmt.Fprintf(&b, "passed on to node %s", l.Peer)
+		fmt.Fprintf(&b, "forwarded to node %s", l.Peer)
 	case "begun":
-		fmt.Fprintf(&b, "the first event of %s is there", l.Peer)
+		fmt.Fprintf(&b, "first event from %s arrived", l.Peer)
 	case "answer":
 		b.WriteString("ended")
 	default:
--- a/io/jwlogtrace/trace_test.go
+++ b/io/jwlogtrace/trace_test.go
@@ -55,7 +55,7 @@
 {"message":"answer","node":"n1","request":"r","entry":"e","outcome":"cut","reason":"the node stopped and its grace period was over"}`,
 			"node n1: the node stopped and its grace period was over",
 		},
-		"a node began anew later": {
+		"a node restarted later": {
 			`{"message":"begun","node":"n1","request":"r","entry":"e","peer":"t"}
 {"message":"send","node":"n1","request":"r","entry":"e","target":"t","outcome":"finished","status":200}
 {"message":"started","node":"n1","time":"2026-01-02T03:00:00Z"}`,
@@ -103,7 +103,7 @@
 n2:
       40 ms  sent to target t (2 calls there, first event expected in 20 ms, registration 900 ms old), first event after 25 ms: broke off in the stream with 200, reset
 cause: target t: reset
-(1 damaged lines passed over)
+(1 damaged lines skipped)
 `)
 	b.Reset()
 	(&Trace{Request: "x"}).Write(&b)
@@ -118,7 +118,7 @@
 		var b strings.Builder
 		s.Write(&b)
 		if b.Len() == 0 {
-			t.Fatal("nothing told")
+			t.Fatal("nothing written")
 		}
 	})
 }
--- a/io/jwlogtrace/view.go
+++ b/io/jwlogtrace/view.go
@@ -151,7 +151,7 @@
 	}
 	fmt.Fprintf(w, "%s: %s, configuration %d, last line %s before\n", v.Node, state, v.Version, at.Sub(v.Last).Round(time.Millisecond))
 	if !v.StoreLost.IsZero() {
-		fmt.Fprintf(w, "  the store had not answered for %s; what follows is of before\n", at.Sub(v.StoreLost).Round(time.Millisecond))
+		fmt.Fprintf(w, "  the store had not answered for %s; what follows is from before that\n", at.Sub(v.StoreLost).Round(time.Millisecond))
 	}
 	for _, dc := range v.Evacuated {
 		fmt.Fprintf(w, "  data centre %s evacuated\n", dc)
@@ -169,7 +169,7 @@
 		l.writeIdle(w, node, target, from, to)
 	}
 	if l.Jumps > 0 {
-		fmt.Fprintf(w, "(clocks were set back %d times; moments are of each node's own clock)\n", l.Jumps)
+		fmt.Fprintf(w, "(clocks were set back %d times; times are by each node's own clock)\n", l.Jumps)
 	}
 }
 
@@ -196,7 +196,7 @@
 	fmt.Fprintf(w, "%s: ", node)
 	switch {
 	case !known && len(reasons) == 0 && len(sends) == 0:
-		fmt.Fprintln(w, "never heard of it")
+		fmt.Fprintln(w, "target not known")
 		return
 	case known:
 		fmt.Fprintf(w, "%s for %s at the beginning", t.State, from.Sub(t.Since).Round(time.Millisecond))
--- a/io/jwlogtrace/view_test.go
+++ b/io/jwlogtrace/view_test.go
@@ -54,7 +54,7 @@
 	view := l.ViewAt("n1", at("03:00:07"))
 	view.Write(&b, at("03:00:07"))
 	assert.Equal(t, b.String(), `n1: running, configuration 4, last line 1s before
-  the store had not answered for 3s; what follows is of before
+  the store had not answered for 3s; what follows is from before that
   data centre b evacuated
   target t1 of s in a: gone for 1s
   target t2 of s in b: appeared for 6s
@@ -81,12 +81,12 @@
   after 0s: target appeared
   after 2s: target draining
   1 sends: answered with 200
-n2: never heard of it
+n2: target not known
 `},
 		"evacuated": {"t2", "03:00:02", "03:00:08", `n1: appeared for 1s at the beginning, its data centre evacuated at the end
   after 4s: evacuation of its data centre, on: true
   no send ended there
-n2: never heard of it
+n2: target not known
 `},
 	}
 	for name, c := range cases {
