--- a/io/jwcommand/client.go
+++ b/io/jwcommand/client.go
@@ -103,19 +103,19 @@
 
 // do makes a call and decodes its answer into value. A status other than 2xx
 // gives a *responseError.
-func (c *client) do(ctx context.Context, in call, value any) (status int, err error) {
-	r, err := c.request(ctx, in)
+func (c *client) do(ctx context.Context, req call, value any) (status int, err error) {
+	r, err := c.request(ctx, req)
 	if err != nil {
 		return 0, err
 	}
 	resp, err := c.service.DoRequest(r)
 	if err != nil {
-		return 0, errors.Wrapf(err, "%s %s: %s", in.method, in.path, c.base)
+		return 0, errors.Wrapf(err, "%s %s: %s", req.method, req.path, c.base)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return 0, errors.Wrapf(err, "%s %s: %s", in.method, in.path, c.base)
+		return 0, errors.Wrapf(err, "%s %s: %s", req.method, req.path, c.base)
 	}
 	if resp.StatusCode/100 != 2 {
 		respErr := &responseError{status: resp.StatusCode}
@@ -123,26 +123,26 @@
 		return resp.StatusCode, respErr
 	}
 	err = json.Unmarshal(data, value)
-	return resp.StatusCode, errors.Wrapf(err, "%s %s: %s: read answer", in.method, in.path, c.base)
+	return resp.StatusCode, errors.Wrapf(err, "%s %s: %s: read answer", req.method, req.path, c.base)
 }
 
-func (c *client) request(ctx context.Context, in call) (*http.Request, error) {
+func (c *client) request(ctx context.Context, req call) (*http.Request, error) {
 	var body io.Reader
-	if in.body != nil {
-		data, err := json.Marshal(in.body)
+	if req.body != nil {
+		data, err := json.Marshal(req.body)
 		if err != nil {
 			return nil, errors.Wrap(err, "write body")
 		}
 		body = bytes.NewReader(data)
 	}
-	r, err := http.NewRequestWithContext(ctx, in.method, c.base+in.path, body)
+	r, err := http.NewRequestWithContext(ctx, req.method, c.base+req.path, body)
 	if err != nil {
 		return nil, err
 	}
-	for name, values := range in.header {
+	for name, values := range req.header {
 		r.Header[name] = values
 	}
-	if in.body != nil {
+	if req.body != nil {
 		r.Header.Set("Content-Type", "application/json")
 	}
 	if c.token != "" {
--- a/io/jwcommand/entries_test.go
+++ b/io/jwcommand/entries_test.go
@@ -11,8 +11,8 @@
 
 func TestExampleCatalogues(t *testing.T) {
 	tests := map[string]struct {
-		services []string
-		once     string // the entry that runs at most once
+		services      []string
+		nonIdempotent string // the entry that runs at most once
 	}{
 		"zaitoun": {[]string{"menu-writer", "order-desk"}, "order-confirmation"},
 		"cladagh": {[]string{"sheetwriter", "quayside"}, "order-confirmation"},
@@ -26,8 +26,8 @@
 				e := item.Entry
 				assert.NilError(t, e.Validate())
 				used[e.Service] = true
-				assert.Equal(t, e.Idempotent, e.Name != tc.once)
-				assert.Equal(t, e.Class == jwcatalogue.Confirmation, e.Name == tc.once)
+				assert.Equal(t, e.Idempotent, e.Name != tc.nonIdempotent)
+				assert.Equal(t, e.Class == jwcatalogue.Confirmation, e.Name == tc.nonIdempotent)
 			}
 			for _, s := range tc.services {
 				assert.Assert(t, used[s], s)
--- a/io/jwlogtrace/trace_test.go
+++ b/io/jwlogtrace/trace_test.go
@@ -84,7 +84,7 @@
 }
 
 // The line of a 429 shows how many quota units were left at which node.
-func TestSentenceOfARefusal(t *testing.T) {
+func TestSentenceOfRejection(t *testing.T) {
 	l := Line{Message: "answer", Entry: "e", Version: 3, Workspace: "w", Units: 900, LevelUnits: 20, Outcome: "refused", Reason: "over", Status: 429, LeftMS: 10}
 	assert.Equal(t, l.sentence(), "ended: refused with 429, over (workspace w, request of 900 units, the node had 20) [entry e, configuration 3, 10 ms left]")
 }
--- a/io/jwlogtrace/view_test.go
+++ b/io/jwlogtrace/view_test.go
@@ -67,7 +67,7 @@
 
 // A target announced in an answer that it leaves. A renewed registration must not
 // undo that; a new start of the target does.
-func TestViewOfATargetThatLeaves(t *testing.T) {
+func TestViewOfLeavingTarget(t *testing.T) {
 	l := readLog(t, leavingLog)
 	for moment, want := range map[string]string{"03:00:01": "appeared", "03:00:02": leaving, "03:00:04": leaving, "03:00:06": beganAnew} {
 		assert.Equal(t, l.ViewAt("n1", at(moment)).Targets["t1"].State, want, moment)
--- a/io/jwobserver/changes.go
+++ b/io/jwobserver/changes.go
@@ -85,9 +85,9 @@
 }
 
 func (o *Observer) recordPlatform(now time.Time) {
-	if _, taken := o.Board.Hosts.Hosts(); !taken.IsZero() {
+	if _, takenAt := o.Board.Hosts.Hosts(); !takenAt.IsZero() {
 		state, detail := answering, ""
-		if now.Sub(taken) > o.ListAge {
+		if now.Sub(takenAt) > o.ListAge {
 			state, detail = failing, "the list is older than "+o.ListAge.String()
 		}
 		o.recordState(jwaudit.PlatformState, "hosts", state, detail)
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -34,8 +34,8 @@
 	if d := o.Board.Directory.Current(); d != nil {
 		values[series{name: "directory_workspaces"}] = float64(len(d.Workspaces))
 	}
-	if _, taken := o.Board.Hosts.Hosts(); !taken.IsZero() {
-		values[series{name: "host_list_age_seconds"}] = now.Sub(taken).Seconds()
+	if _, takenAt := o.Board.Hosts.Hosts(); !takenAt.IsZero() {
+		values[series{name: "host_list_age_seconds"}] = now.Sub(takenAt).Seconds()
 	}
 	o.measureSources(values)
 	o.set(values)
--- a/io/jwobserver/observer_test.go
+++ b/io/jwobserver/observer_test.go
@@ -20,13 +20,13 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// store is a fake Store.
-type store struct{ calls jwstore.Calls }
+// fakeStore is a fake Store.
+type fakeStore struct{ calls jwstore.Calls }
 
-func (s *store) Calls() jwstore.Calls { return s.calls }
+func (s *fakeStore) Calls() jwstore.Calls { return s.calls }
 
-func newObserver() (*Observer, *store) {
-	s := &store{}
+func newObserver() (*Observer, *fakeStore) {
+	s := &fakeStore{}
 	o := &Observer{
 		Node: "n1", Region: "north", Regions: []string{"north", "south"}, Board: &jwboard.Board{},
 		Meter: &jwmeter.Meter{Interval: time.Hour}, Audit: &jwaudit.Trail{Node: "n1"},
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -26,7 +26,7 @@
 type Table interface {
 	Current() *jwcatalogue.Snapshot
 	Base() uint64
-	Changes(after uint64, most int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
+	Changes(after uint64, limit int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
 }
 
 // Editor writes edits to the catalogue's log of changes.
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -26,19 +26,19 @@
 
 const token = "0123456789abcdef"
 
-// acceptance is a fake Acceptance and Members; the nodes in missing have not
+// fakeAcceptance is a fake Acceptance and Members; the nodes in missing have not
 // confirmed any revision.
-type acceptance struct {
+type fakeAcceptance struct {
 	missing   []string
 	err       error
 	forgotten string
 }
 
-func (a *acceptance) Status(context.Context, uint64) (bool, []string, error) {
+func (a *fakeAcceptance) Status(context.Context, uint64) (bool, []string, error) {
 	return len(a.missing) == 0, a.missing, a.err
 }
 
-func (a *acceptance) Forget(_ context.Context, region, name string) error {
+func (a *fakeAcceptance) Forget(_ context.Context, region, name string) error {
 	a.forgotten = region + "/" + name
 	return a.err
 }
@@ -48,14 +48,14 @@
 	*Operators
 	t          *testing.T
 	store      *jwstore.Memory
-	acceptance *acceptance
+	acceptance *fakeAcceptance
 	handler    http.Handler
 }
 
 func newNode(t *testing.T) *node {
 	t.Helper()
 	store, table := &jwstore.Memory{}, &jwcatalogue.Table{}
-	n := &node{t: t, store: store, acceptance: &acceptance{}}
+	n := &node{t: t, store: store, acceptance: &fakeAcceptance{}}
 	n.Operators = &Operators{
 		Token:      token,
 		Table:      table,
@@ -255,7 +255,7 @@
 	}
 }
 
-func TestViews(t *testing.T) {
+func TestReads(t *testing.T) {
 	n := newNode(t)
 	peers := n.Peers.(*jwpeer.Table)
 	peers.SetSelf(jwpeer.Peer{Name: "n1", Region: "irbid-a", State: jwpeer.Serving}, time.Now())
