--- a/core/jwexplain/tracer.go
+++ b/core/jwexplain/tracer.go
@@ -65,7 +65,7 @@
 	})
 }
 
-// End records how a request ended; served is the region of the target that
+// End records how a request ended; servedBy is the region of the target that
 // served it, empty if none did.
 func (t *Tracer) End(r *jwrequest.Request, outcome jwrequest.Outcome, reason jwdispatch.Reason, servedBy string) {
 	if t == nil {
--- a/core/jwexplain/tracer_test.go
+++ b/core/jwexplain/tracer_test.go
@@ -45,7 +45,7 @@
 }
 
 func TestBoundElsewhere(t *testing.T) {
-	// A caller sends bound data to a node of another region, which refuses it.
+	// A caller sends bound data to a node of another region, which rejects it.
 	// Nothing of the request may be kept there.
 	tracer := &Tracer{Node: "n1", Region: "amman-a"}
 	r := request("r1")
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -40,7 +40,7 @@
 	})
 }
 
-// fakeDemo is a fake Demo.
+// fakeDemo is a Demo that prints one line.
 type fakeDemo struct{}
 
 func (fakeDemo) Run(_ context.Context, w io.Writer) error {
@@ -48,7 +48,7 @@
 	return err
 }
 
-// fakeNode is a fake Runner that adds one audit record and fails.
+// fakeNode is a Runner that adds one audit record and fails.
 type fakeNode struct{}
 
 func (fakeNode) Run(_ context.Context, n Node) error {
--- a/io/jwlogtrace/trace.go
+++ b/io/jwlogtrace/trace.go
@@ -50,16 +50,16 @@
 	restarted []string // nodes that restarted while the request ran there
 }
 
-// Start is one start of a node't process.
+// Start is one start of a node's process.
 type Start struct {
 	Node string    `json:"node"`
 	Time time.Time `json:"time"`
 }
 
-// maxLineSize is the max length of a log line in bytes.
+// maxLineSize is the max length in bytes of a log line that can be read.
 const maxLineSize = 1 << 20
 
-// Read adds the lines of one log. It ignores text before a line't first brace,
+// Read adds the lines of one log. It ignores text before a line's first brace,
 // since log collectors put the time or the host there.
 func (t *Trace) Read(r io.Reader) error {
 	in := bufio.NewScanner(r)
--- a/io/jwmeter/meter.go
+++ b/io/jwmeter/meter.go
@@ -28,7 +28,7 @@
 // the handles of a nil Meter do nothing.
 type Meter struct {
 	Interval time.Duration // between two reports to the registry, DefaultInterval if 0
-	Log      logr.Logger   // for names that are used with different tags
+	Log      logr.Logger   // for errors of names that are used with different tags
 
 	once     sync.Once
 	registry *prometheus.Registry
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -11,7 +11,8 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// series names one gauge; a and b are the values of its two labels.
+// series identifies one gauge or counter: its name and the values of up to two
+// labels.
 type series struct{ name, label1, label2 string }
 
 // gauges holds the handles created so far. A gauge without a current value is set
--- a/io/jwobserver/observer_test.go
+++ b/io/jwobserver/observer_test.go
@@ -20,7 +20,7 @@
 
 var start = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
-// fakeStore is a fake Store.
+// fakeStore is a Store that returns the counts in calls.
 type fakeStore struct{ calls jwstore.Calls }
 
 func (s *fakeStore) Calls() jwstore.Calls { return s.calls }
--- a/io/jwoperate/message.go
+++ b/io/jwoperate/message.go
@@ -58,8 +58,8 @@
 	Changes  []jwcatalogue.Change `json:"changes"`
 }
 
-// ErrorBody is the answer to a call that had no effect, or whose effect is not
-// known.
+// ErrorBody is the body of an answer with an error status. The call had no
+// effect, or its effect is not known.
 type ErrorBody struct {
 	Error    string              `json:"error"`
 	Faults   []string            `json:"faults,omitempty"`   // of the edit
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -26,7 +26,7 @@
 
 const token = "0123456789abcdef"
 
-// fakeAcceptance is a fake Acceptance and Members; the nodes in missing have not
+// fakeAcceptance implements Acceptance and Members; the nodes in missing have not
 // confirmed any revision.
 type fakeAcceptance struct {
 	missing   []string
