--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -16,9 +16,9 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// DefaultEvery is the interval of an Observer whose Every is 0. One observation of
-// a fleet of 970 nodes takes about a millisecond.
-const DefaultEvery = 2 * time.Second
+// DefaultInterval is the time between two observations where Interval is 0. One
+// observation of a fleet of 970 nodes takes about a millisecond.
+const DefaultInterval = 2 * time.Second
 
 // Store counts the calls of the key-value service.
 type Store interface{ Calls() jwstore.Calls }
@@ -37,13 +37,13 @@
 // Observer observes one node. Set its fields before Run; all sources but Board
 // may be nil.
 type Observer struct {
-	Node    string
-	Region  string
-	Regions []string // all regions, its own included
-	Board   *jwboard.Board
-	Meter   *jwmeter.Meter
-	Audit   *jwaudit.Trail
-	Every   time.Duration
+	Node     string
+	Region   string
+	Regions  []string // all regions, its own included
+	Board    *jwboard.Board
+	Meter    *jwmeter.Meter
+	Audit    *jwaudit.Trail
+	Interval time.Duration // between two observations, DefaultInterval if 0
 	// Silence is how long no message from another region may arrive before the
 	// region counts as lost.
 	Silence time.Duration
@@ -66,11 +66,11 @@
 
 // Run observes the node until ctx ends and returns the error of ctx.
 func (o *Observer) Run(ctx context.Context) error {
-	every := o.Every
-	if every == 0 {
-		every = DefaultEvery
+	interval := o.Interval
+	if interval == 0 {
+		interval = DefaultInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
 		o.observe(time.Now())
