--- a/core/jwexplain/tracer_test.go
+++ b/core/jwexplain/tracer_test.go
@@ -45,11 +45,11 @@
 }
 
 func TestBoundElsewhere(t *testing.T) {
-	// A caller sends bound data to a node of another region, which refuses it.
+	// A caller sends bound data to a node of another region, which rejects it.
 	// Nothing of the request may be kept there.
 	tracer := &Tracer{Node: "n1", Region: "amman-a"}
 	r := request("r1")
-	tracer.Step(r, "came", "") // before the directory was asked
+	tracer.Step(r, "came", "") // before the directory lookup
 	r.Bound = true
 	tracer.Step(r, "refused", "")
 	tracer.End(r, jwrequest.NotRun, jwdispatch.ReasonRegion, "")
@@ -58,8 +58,8 @@
 }
 
 func TestFailuresOutliveSuccesses(t *testing.T) {
-	// One request fails among many that are served. Whoever asks about it
-	// later must still find it.
+	// One request fails among many that are served. Its trace must not be
+	// evicted by theirs.
 	tracer := &Tracer{Region: "irbid-a", Size: 4}
 	tracer.End(request("failed"), jwrequest.Unknown, jwdispatch.ReasonTarget, "")
 	for i := range 10 {
@@ -70,7 +70,7 @@
 	assert.Equal(t, len(tracer.Find("r9")), 1)
 }
 
-func TestBounds(t *testing.T) {
+func TestLimits(t *testing.T) {
 	tracer := &Tracer{Region: "irbid-a"}
 	r := request("long")
 	for range maxSteps + 3 {
@@ -81,7 +81,7 @@
 	for range maxRunning + 2 {
 		tracer.Step(request("stuck"), "came", "")
 	}
-	assert.Equal(t, tracer.Missed(), uint64(2))
+	assert.Equal(t, tracer.Untraced(), uint64(2))
 	var none *Tracer
 	none.Step(r, "", "")
 	none.End(r, jwrequest.Served, "", "")
--- a/io/jwaudit/trail.go
+++ b/io/jwaudit/trail.go
@@ -13,50 +13,51 @@
 // The kinds of records.
 const (
 	NodeState      Kind = "nodeState"      // this node started, serves, drains, ended
-	PeerState      Kind = "peerState"      // another node came, left or was given up
-	TargetState    Kind = "targetState"    // a target came, leaves, failed or recovered
+	PeerState      Kind = "peerState"      // another node joined, left or was declared gone
+	TargetState    Kind = "targetState"    // a target appeared, leaves, failed or recovered
 	RegionState    Kind = "regionState"    // a region was lost or came back
 	PlatformState  Kind = "platformState"  // a platform service failed or answers again
 	Edit           Kind = "edit"           // an operator's catalogue edit on this node
 	Applied        Kind = "applied"        // a catalogue change came into force here
 	Accepted       Kind = "accepted"       // a revision is in force everywhere
-	Forgotten      Kind = "forgotten"      // a node was taken off those that confirm changes
-	Suspect        Kind = "suspect"        // a request was quarantined or freed
-	Handover       Kind = "handover"       // tickets and answers were given or taken over
-	CertificateSet Kind = "certificateSet" // a certificate was loaded or refused
+	Forgotten      Kind = "forgotten"      // a node was removed from those that must confirm changes
+	Suspect        Kind = "suspect"        // a request was quarantined or released
+	Handover       Kind = "handover"       // tickets and answers were handed or taken over
+	CertificateSet Kind = "certificateSet" // a certificate was loaded or rejected
 )
 
-// Record is one change.
+// Record is one change in the audit trail.
 type Record struct {
 	Sequence uint64    `json:"sequence"` // 1 for the first of this process
 	Time     time.Time `json:"time"`
-	Node     string    `json:"node"` // the node that saw it
+	Node     string    `json:"node"` // the node that recorded it
 	Kind     Kind      `json:"kind"`
 	Subject  string    `json:"subject"` // whose state changed
 	From     string    `json:"from,omitempty"`
 	To       string    `json:"to,omitempty"`
 	Revision uint64    `json:"revision,omitempty"` // for catalogue changes
 	Author   string    `json:"author,omitempty"`   // for edits
-	Detail   string    `json:"detail,omitempty"`   // the reason, for people
+	Detail   string    `json:"detail,omitempty"`   // the reason, as text for operators
 }
 
 // DefaultSize is how many records a Trail keeps where Size is 0.
 const DefaultSize = 4096
 
-// Trail holds the latest records; the zero value works, a nil Trail drops all.
+// Trail holds the latest records. The zero value is ready to use; a nil Trail
+// drops all records.
 type Trail struct {
 	Node string
 	Size int
 	Log  logr.Logger
 	Now  func() time.Time // time.Now if nil
 
-	mu   sync.Mutex
-	ring []Record
-	next uint64 // sequence of the next record, less 1
+	mu    sync.Mutex
+	ring  []Record
+	added uint64 // number of records added so far
 }
 
-// Add takes one record, sets its Sequence, Time and Node, and logs it. The
-// oldest record makes room when the trail is full.
+// Add sets the Sequence, Time and Node of a record, keeps and logs it. A full
+// trail drops its oldest record.
 func (t *Trail) Add(r Record) {
 	if t == nil {
 		return
@@ -93,9 +94,9 @@
 	}
 	r.Time = now().UTC()
 	r.Node = t.Node
-	r.Sequence = t.next + 1
-	t.ring[t.next%uint64(len(t.ring))] = r
-	t.next++
+	r.Sequence = t.added + 1
+	t.ring[t.added%uint64(len(t.ring))] = r
+	t.added++
 	return r
 }
 
@@ -106,7 +107,7 @@
 	return DefaultSize
 }
 
-// After returns at most limit records that follow a sequence, oldest first. A
+// After returns at most limit records with a Sequence above after, oldest first. A
 // gap between after and the first one's Sequence means that records were
 // dropped.
 func (t *Trail) After(after uint64, limit int) []Record {
@@ -116,11 +117,11 @@
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	oldest := uint64(0)
-	if size := uint64(len(t.ring)); t.next > size {
-		oldest = t.next - size
+	if size := uint64(len(t.ring)); t.added > size {
+		oldest = t.added - size
 	}
 	var out []Record
-	for i := max(after, oldest); i < t.next && len(out) < limit; i++ {
+	for i := max(after, oldest); i < t.added && len(out) < limit; i++ {
 		out = append(out, t.ring[i%uint64(len(t.ring))])
 	}
 	return out
--- a/io/jwcommand/client.go
+++ b/io/jwcommand/client.go
@@ -26,11 +26,12 @@
 	serviceName = "jwcommand"
 )
 
-// connection tells how to reach a node's operators.
+// connection holds the flags that say how to reach the operators' interface of
+// a node.
 type connection struct {
 	At        netip.AddrPort `default:"127.0.0.1:8081" env:"JUJUBE_OPERATORS" help:"Operators' address of any node."`
 	TokenFile string         `type:"path" env:"JUJUBE_TOKEN_FILE" help:"File with the operators' token; JUJUBE_TOKEN may hold the token itself."`
-	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file that signs the nodes' certificates; makes the call use TLS."`
+	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file of the authority that signs the nodes' certificates; makes the call use TLS."`
 }
 
 // client calls the operators' interface of one node.
@@ -49,12 +50,13 @@
 	scheme := "http://"
 	if c.Authority != "" {
 		scheme = "https://"
-		transport.TLSClientConfig, err = trust(c.Authority)
+		transport.TLSClientConfig, err = tlsConfig(c.Authority)
 		if err != nil {
 			return nil, err
 		}
 	}
-	// One command makes a few calls; a breaker would only hide their errors.
+	// One command makes a few calls; a circuit breaker would only hide their
+	// errors.
 	breaker.NoBreakerFor(serviceName)
 	return &client{
 		service: httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport, Timeout: callTimeout}),
@@ -63,8 +65,8 @@
 	}, nil
 }
 
-// token is read from a file or the environment only, since anyone on the host
-// can read a command line.
+// token returns the operators' token. It comes from a file or the environment
+// only, since anyone on the host can read a command line.
 func (c connection) token() (string, error) {
 	if c.TokenFile == "" {
 		return os.Getenv("JUJUBE_TOKEN"), nil
@@ -73,7 +75,7 @@
 	return strings.TrimSpace(string(data)), errors.Wrap(err, "read token")
 }
 
-func trust(file string) (*tls.Config, error) {
+func tlsConfig(file string) (*tls.Config, error) {
 	data, err := os.ReadFile(file)
 	if err != nil {
 		return nil, errors.Wrap(err, "read authority")
@@ -93,54 +95,54 @@
 	body   any
 }
 
-// get reads the answer of a path into value.
+// get makes a GET request and decodes its answer into value.
 func (c *client) get(ctx context.Context, path string, value any) error {
 	_, err := c.do(ctx, call{method: http.MethodGet, path: path}, value)
 	return err
 }
 
-// do makes a call and reads its answer into value; an answer other than 2xx is
-// a *refusedError.
-func (c *client) do(ctx context.Context, in call, value any) (status int, err error) {
-	r, err := c.request(ctx, in)
+// do makes a call and decodes its answer into value. A status other than 2xx
+// gives a *responseError.
+func (c *client) do(ctx context.Context, req call, value any) (status int, err error) {
+	r, err := c.request(ctx, req)
 	if err != nil {
 		return 0, err
 	}
 	resp, err := c.service.DoRequest(r)
 	if err != nil {
-		return 0, errors.Wrapf(err, "%s %s: %s", in.method, in.path, c.base)
+		return 0, errors.Wrapf(err, "%s %s: %s", req.method, req.path, c.base)
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswer))
 	if err != nil {
-		return 0, errors.Wrapf(err, "%s %s: %s", in.method, in.path, c.base)
+		return 0, errors.Wrapf(err, "%s %s: %s", req.method, req.path, c.base)
 	}
 	if resp.StatusCode/100 != 2 {
-		refused := &refusedError{status: resp.StatusCode}
-		_ = json.Unmarshal(data, &refused.refusal)
-		return resp.StatusCode, refused
+		respErr := &responseError{status: resp.StatusCode}
+		_ = json.Unmarshal(data, &respErr.body)
+		return resp.StatusCode, respErr
 	}
 	err = json.Unmarshal(data, value)
-	return resp.StatusCode, errors.Wrapf(err, "%s %s: %s: read answer", in.method, in.path, c.base)
+	return resp.StatusCode, errors.Wrapf(err, "%s %s: %s: read answer", req.method, req.path, c.base)
 }
 
-func (c *client) request(ctx context.Context, in call) (*http.Request, error) {
+func (c *client) request(ctx context.Context, req call) (*http.Request, error) {
 	var body io.Reader
-	if in.body != nil {
-		data, err := json.Marshal(in.body)
+	if req.body != nil {
+		data, err := json.Marshal(req.body)
 		if err != nil {
 			return nil, errors.Wrap(err, "write body")
 		}
 		body = bytes.NewReader(data)
 	}
-	r, err := http.NewRequestWithContext(ctx, in.method, c.base+in.path, body)
+	r, err := http.NewRequestWithContext(ctx, req.method, c.base+req.path, body)
 	if err != nil {
 		return nil, err
 	}
-	for name, values := range in.header {
+	for name, values := range req.header {
 		r.Header[name] = values
 	}
-	if in.body != nil {
+	if req.body != nil {
 		r.Header.Set("Content-Type", "application/json")
 	}
 	if c.token != "" {
@@ -149,11 +151,11 @@
 	return r, nil
 }
 
-// entry returns the entry of a name; ok is false when there is none.
+// entry returns the entry with a name; ok is false if there is none.
 func (c *client) entry(ctx context.Context, name string) (e jwoperate.Entry, ok bool, err error) {
 	err = c.get(ctx, entryPath(name), &e)
-	var refused *refusedError
-	if errors.As(err, &refused) && refused.status == http.StatusNotFound {
+	var respErr *responseError
+	if errors.As(err, &respErr) && respErr.status == http.StatusNotFound {
 		return e, false, nil
 	}
 	return e, err == nil, err
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -16,16 +16,17 @@
 	"jujubewheel/io/jwoperate"
 )
 
-// explainCommand holds the commands that tell why.
+// explainCommand holds the commands that show what happened to requests, targets
+// and revisions, and why.
 type explainCommand struct {
-	Request  explainRequest  `cmd:"" help:"Show the decisions on a request at each of the nodes asked."`
-	Log      explainLog      `cmd:"" help:"Tell the way of a request from the logs of several nodes."`
-	View     explainView     `cmd:"" help:"Print from its log what a node knew at a moment."`
-	Target   explainTarget   `cmd:"" help:"Tell from logs why a target got nothing between two moments."`
+	Request  explainRequest  `cmd:"" help:"Show the decisions of one or more nodes on a request."`
+	Log      explainLog      `cmd:"" help:"Show the path of a request from the logs of several nodes."`
+	View     explainView     `cmd:"" help:"Show what a node knew at a point in time, from its log."`
+	Target   explainTarget   `cmd:"" help:"Show why a target got no requests in a period, from logs."`
 	Revision explainRevision `cmd:"" help:"Show who made a catalogue revision and how far it is in force."`
 }
 
-// explainRequest shows traces.
+// explainRequest shows the traces of a request.
 type explainRequest struct {
 	connection
 	ID   string           `arg:"" help:"The request's id, as in the header Jujube-Request-Id."`
@@ -33,13 +34,13 @@
 	JSON bool             `help:"Print JSON."`
 }
 
-// Run asks each node; one that knows nothing of the request or cannot be
-// reached does not keep the others from being shown.
+// Run queries each node and prints the traces found. It fails only if no node has
+// one, with the error of the last node.
 func (c *explainRequest) Run(ctx context.Context, p *Program) error {
 	var found []jwexplain.Trace
 	var last error
-	for _, at := range append([]netip.AddrPort{c.At}, c.Also...) {
-		traces, err := c.ask(ctx, at)
+	for _, address := range append([]netip.AddrPort{c.At}, c.Also...) {
+		traces, err := c.query(ctx, address)
 		found = append(found, traces...)
 		if err != nil {
 			last = err
@@ -57,15 +58,15 @@
 	return nil
 }
 
-func (c *explainRequest) ask(ctx context.Context, node netip.AddrPort) ([]jwexplain.Trace, error) {
+func (c *explainRequest) query(ctx context.Context, node netip.AddrPort) ([]jwexplain.Trace, error) {
 	conn := c.connection
 	conn.At = node
-	at, err := conn.client()
+	api, err := conn.client()
 	if err != nil {
 		return nil, err
 	}
 	var traces jwoperate.Traces
-	err = at.get(ctx, "/v1/explain/requests/"+url.PathEscape(c.ID), &traces)
+	err = api.get(ctx, "/v1/explain/requests/"+url.PathEscape(c.ID), &traces)
 	return traces.Traces, err
 }
 
@@ -77,19 +78,19 @@
 	fmt.Fprintf(p.Stdout, " after %s\n", t.Ended.Sub(t.Started).Round(time.Microsecond))
 	fmt.Fprintf(p.Stdout, "  entry %s, workspace %s, home %s, bound %s, served by %s\n",
 		t.Entry, t.Workspace, orDash(t.Region), yesNo(t.Bound), orDash(t.ServedBy))
-	if words := reasonWords[t.Reason]; words != "" {
-		fmt.Fprintf(p.Stdout, "  why: %s\n", words)
+	if text := reasonTexts[t.Reason]; text != "" {
+		fmt.Fprintf(p.Stdout, "  why: %s\n", text)
 	}
 	var hops []string
 	for _, h := range t.Hops {
 		hops = append(hops, h.Node+" ("+h.DataCentre+")")
 	}
-	fmt.Fprintf(p.Stdout, "  way: %s\n", orDash(strings.Join(hops, ", ")))
+	fmt.Fprintf(p.Stdout, "  hops: %s\n", orDash(strings.Join(hops, ", ")))
 	for _, s := range t.Steps {
-		at := time.Duration(s.AfterMicros) * time.Microsecond
-		fmt.Fprintf(p.Stdout, "  %10s  %s: %s", at, s.Step, s.Detail)
-		if words := meaning(s.Step, s.Detail); words != "" {
-			fmt.Fprintf(p.Stdout, " (%s)", words)
+		after := time.Duration(s.AfterMicros) * time.Microsecond
+		fmt.Fprintf(p.Stdout, "  %10s  %s: %s", after, s.Step, s.Detail)
+		if text := meaning(s.Step, s.Detail); text != "" {
+			fmt.Fprintf(p.Stdout, " (%s)", text)
 		}
 		fmt.Fprintln(p.Stdout)
 	}
@@ -102,41 +103,41 @@
 	JSON     bool   `help:"Print JSON."`
 }
 
-// revisionStory is what explain revision prints.
-type revisionStory struct {
+// revisionReport is what explain revision prints.
+type revisionReport struct {
 	Change   *jwcatalogue.Change `json:"change,omitempty"` // nil when the node no longer has it
 	Standing jwoperate.Standing  `json:"standing"`
 	Records  []jwaudit.Record    `json:"records"`
 }
 
-// Run gathers the change, its standing and the audit records about it.
+// Run fetches the change, its status and the audit records about it.
 func (c *explainRevision) Run(ctx context.Context, p *Program) error {
-	at, err := c.client()
+	api, err := c.client()
 	if err != nil {
 		return err
 	}
-	var trace revisionStory
-	if err := at.get(ctx, "/v1/catalogue/status?revision="+number(c.Revision), &trace.Standing); err != nil {
+	var report revisionReport
+	if err := api.get(ctx, "/v1/catalogue/status?revision="+formatUint(c.Revision), &report.Standing); err != nil {
 		return err
 	}
-	if trace.Change, err = c.change(ctx, at); err != nil {
+	if report.Change, err = c.change(ctx, api); err != nil {
 		return err
 	}
-	if trace.Records, err = c.records(ctx, at); err != nil {
+	if report.Records, err = c.records(ctx, api); err != nil {
 		return err
 	}
 	if c.JSON {
-		return printJSON(p.Stdout, trace)
+		return printJSON(p.Stdout, report)
 	}
-	return trace.print(p)
+	return report.print(p)
 }
 
-func (c *explainRevision) change(ctx context.Context, at *client) (*jwcatalogue.Change, error) {
+func (c *explainRevision) change(ctx context.Context, api *client) (*jwcatalogue.Change, error) {
 	if c.Revision == 0 {
 		return nil, nil
 	}
 	var list jwoperate.History
-	if err := at.get(ctx, "/v1/catalogue/history?limit=1&after="+number(c.Revision-1), &list); err != nil {
+	if err := api.get(ctx, "/v1/catalogue/history?limit=1&after="+formatUint(c.Revision-1), &list); err != nil {
 		return nil, err
 	}
 	if len(list.Changes) == 0 || list.Changes[0].N != c.Revision {
@@ -145,12 +146,13 @@
 	return &list.Changes[0], nil
 }
 
-// records reads the whole trail of the node and keeps what is of the revision.
-func (c *explainRevision) records(ctx context.Context, at *client) ([]jwaudit.Record, error) {
+// records reads the whole audit trail of the node and returns the records of the
+// revision.
+func (c *explainRevision) records(ctx context.Context, api *client) ([]jwaudit.Record, error) {
 	kept := []jwaudit.Record{}
 	for after := uint64(0); ; {
 		var page jwoperate.AuditRecords
-		if err := at.get(ctx, "/v1/audit?limit=1000&after="+number(after), &page); err != nil {
+		if err := api.get(ctx, "/v1/audit?limit=1000&after="+formatUint(after), &page); err != nil {
 			return nil, err
 		}
 		if len(page.Records) == 0 {
@@ -165,13 +167,13 @@
 	}
 }
 
-func (s revisionStory) print(p *Program) error {
+func (s revisionReport) print(p *Program) error {
 	if s.Change == nil {
 		fmt.Fprintln(p.Stdout, "the node no longer has the change itself")
 	} else if err := printChanges(p, []jwcatalogue.Change{*s.Change}); err != nil {
 		return err
 	}
-	fmt.Fprintln(p.Stdout, standingText(s.Standing))
+	fmt.Fprintln(p.Stdout, revisionText(s.Standing))
 	for _, r := range s.Records {
 		fmt.Fprintf(p.Stdout, "%s  %s %s at %s", r.Time.Format(time.RFC3339Nano), r.Kind, r.Subject, r.Node)
 		if r.Detail != "" {
--- a/io/jwcommand/explainlog.go
+++ b/io/jwcommand/explainlog.go
@@ -11,13 +11,13 @@
 	"jujubewheel/io/jwlogtrace"
 )
 
-// explainLog tells the way of a request from the logs of nodes.
+// explainLog shows the path of a request from the logs of nodes.
 type explainLog struct {
 	ID    string   `arg:"" help:"The request's id."`
 	Files []string `arg:"" type:"existingfile" help:"Logs of the nodes that the request may have passed; - for standard input."`
 }
 
-// Run reads all files before it tells anything.
+// Run reads all files before it prints anything.
 func (c *explainLog) Run(p *Program) error {
 	trace := &jwlogtrace.Trace{Request: c.ID}
 	if err := readLogs(trace, c.Files); err != nil {
@@ -25,42 +25,43 @@
 	}
 	trace.Write(p.Stdout)
 	if len(trace.Lines) == 0 {
-		return &exitError{Failed, errTold}
+		return &exitError{Failed, errReported}
 	}
 	return nil
 }
 
-// explainView prints what a node knew at a moment.
+// explainView shows what a node knew at a point in time.
 type explainView struct {
 	Node  string    `arg:"" help:"The node's name."`
-	At    time.Time `arg:"" help:"The moment by the node's clock, as 2026-01-02T15:04:05Z."`
+	At    time.Time `arg:"" help:"Time by the node's clock, as 2026-01-02T15:04:05Z."`
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the node; - for standard input."`
 }
 
-// Run implements the command.
+// Run prints the view. It fails if the logs have no line of the node up to that
+// time.
 func (c *explainView) Run(p *Program) error {
 	log := &jwlogtrace.Log{}
 	if err := readLogs(log, c.Files); err != nil {
 		return err
 	}
-	b := log.ViewAt(c.Node, c.At)
-	b.Write(p.Stdout, c.At)
+	view := log.ViewAt(c.Node, c.At)
+	view.Write(p.Stdout, c.At)
 	printDamaged(p, log)
-	if b.Last.IsZero() {
-		return &exitError{Failed, errTold}
+	if view.Last.IsZero() {
+		return &exitError{Failed, errReported}
 	}
 	return nil
 }
 
-// explainTarget tells why a target got nothing between two moments.
+// explainTarget shows why a target got no requests in a period.
 type explainTarget struct {
 	ID    string    `arg:"" help:"The target's name."`
-	From  time.Time `arg:"" help:"As 2026-01-02T15:04:05Z."`
-	To    time.Time `arg:"" help:"As 2026-01-02T15:04:05Z."`
+	From  time.Time `arg:"" help:"Start of the period, as 2026-01-02T15:04:05Z."`
+	To    time.Time `arg:"" help:"End of the period, as 2026-01-02T15:04:05Z."`
 	Files []string  `arg:"" type:"existingfile" help:"Logs of the nodes of its region; - for standard input."`
 }
 
-// Run implements the command.
+// Run prints what each node sent to the target and knew about it.
 func (c *explainTarget) Run(p *Program) error {
 	log := &jwlogtrace.Log{}
 	if err := readLogs(log, c.Files); err != nil {
@@ -73,11 +74,11 @@
 
 func printDamaged(p *Program, log *jwlogtrace.Log) {
 	if log.Damaged > 0 {
-		fmt.Fprintf(p.Stdout, "(%d damaged lines passed over)\n", log.Damaged)
+		fmt.Fprintf(p.Stdout, "(%d damaged lines skipped)\n", log.Damaged)
 	}
 }
 
-// logReader is what logs are read into.
+// logReader collects the lines of logs.
 type logReader interface {
 	Read(r io.Reader) error
 }
--- a/io/jwcommand/hosts.go
+++ b/io/jwcommand/hosts.go
@@ -7,15 +7,16 @@
 	"net/url"
 )
 
-// hostsCommand asks the callers' interface of a node.
+// hostsCommand shows the hosts that callers of a workspace should use, from the
+// callers' interface of a node.
 type hostsCommand struct {
 	Workspace string         `arg:"" help:"Workspace of the caller."`
 	Callers   netip.AddrPort `default:"127.0.0.1:8080" env:"JUJUBE_CALLERS" help:"Callers' address of any node."`
-	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file that signs the nodes' certificates; makes the call use TLS."`
+	Authority string         `type:"path" env:"JUJUBE_AUTHORITY" help:"PEM file of the authority that signs the nodes' certificates; makes the call use TLS."`
 	JSON      bool           `help:"Print JSON."`
 }
 
-// hostList is the answer of a node.
+// hostList is the answer of GET /v1/hosts.
 type hostList struct {
 	Hosts       []netip.AddrPort `json:"hosts"`
 	TrustMillis int64            `json:"trustMillis"`
@@ -23,13 +24,13 @@
 
 // Run prints the hosts, best first.
 func (c *hostsCommand) Run(ctx context.Context, p *Program) error {
-	at, err := connection{At: c.Callers, Authority: c.Authority}.client()
+	api, err := connection{At: c.Callers, Authority: c.Authority}.client()
 	if err != nil {
 		return err
 	}
-	at.token = "" // callers' ports never see the operators' token
+	api.token = "" // the operators' token is never sent to callers' ports
 	var list hostList
-	if err := at.get(ctx, "/v1/hosts?workspace="+url.QueryEscape(c.Workspace), &list); err != nil {
+	if err := api.get(ctx, "/v1/hosts?workspace="+url.QueryEscape(c.Workspace), &list); err != nil {
 		return err
 	}
 	if c.JSON {
--- a/io/jwcommand/program.go
+++ b/io/jwcommand/program.go
@@ -16,12 +16,12 @@
 	Args    []string // without the program's name
 	Stdout  io.Writer
 	Stderr  io.Writer
-	Node    Runner // of serve
-	Gateway Runner // of serve, where the settings are those of a gateway
+	Node    Runner // run by serve
+	Gateway Runner // run by serve if the settings are those of a gateway
 	Demo    Demo
 }
 
-// Demo runs a whole small system and writes what happened.
+// Demo runs a small system in this process and writes what happens.
 type Demo interface {
 	Run(ctx context.Context, w io.Writer) error
 }
@@ -32,12 +32,12 @@
 	Check     checkCommand     `cmd:"" help:"Check settings files and name every fault with its line."`
 	Hosts     hostsCommand     `cmd:"" help:"Show which hosts callers of a workspace should use."`
 	Catalogue catalogueCommand `cmd:"" help:"Read and edit the catalogue."`
-	Explain   explainCommand   `cmd:"" help:"Show what became of a request or a catalogue revision."`
+	Explain   explainCommand   `cmd:"" help:"Show what happened to a request or a catalogue revision, and why."`
 	Demo      demoCommand      `cmd:"" help:"Run a small system of three regions in this process and show what it does."`
 	Version   versionCommand   `cmd:"" help:"Show the version."`
 }
 
-// Run carries out the command line and returns its exit code.
+// Run executes the command line and returns its exit code.
 func (p *Program) Run(ctx context.Context) Exit {
 	jwrest.Quiet()
 	var cli commands
@@ -63,15 +63,16 @@
 		fmt.Fprintf(p.Stderr, "jujubewheel: %s (see --help)\n", err)
 		return Usage
 	}
-	return p.tell(command.Run())
+	return p.report(command.Run())
 }
 
-// tell writes an error and returns its exit code.
-func (p *Program) tell(err error) Exit {
-	if err != nil && !errors.Is(err, errTold) {
+// report prints an error that the output does not show yet and returns its exit
+// code.
+func (p *Program) report(err error) Exit {
+	if err != nil && !errors.Is(err, errReported) {
 		fmt.Fprintln(p.Stderr, "jujubewheel:", err)
 	}
-	return exitOf(err)
+	return exitCodeOf(err)
 }
 
 // demoCommand runs the demo.
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -34,42 +34,42 @@
 func TestMain(m *testing.M) {
 	testscript.Main(m, map[string]func(){
 		"jujubewheel": func() {
-			p := &Program{Args: os.Args[1:], Stdout: os.Stdout, Stderr: os.Stderr, Node: echoNode{}, Demo: echo{}}
+			p := &Program{Args: os.Args[1:], Stdout: os.Stdout, Stderr: os.Stderr, Node: fakeNode{}, Demo: fakeDemo{}}
 			os.Exit(int(p.Run(context.Background())))
 		},
 	})
 }
 
-// echo stands for the demo.
-type echo struct{}
+// fakeDemo is a Demo that prints one line.
+type fakeDemo struct{}
 
-func (echo) Run(_ context.Context, w io.Writer) error {
+func (fakeDemo) Run(_ context.Context, w io.Writer) error {
 	_, err := fmt.Fprintln(w, "demo ran")
 	return err
 }
 
-// echoNode stands for the node.
-type echoNode struct{}
+// fakeNode is a Runner that adds one audit record and fails.
+type fakeNode struct{}
 
-func (echoNode) Run(_ context.Context, n Node) error {
+func (fakeNode) Run(_ context.Context, n Node) error {
 	n.Audit.Add(jwaudit.Record{Kind: jwaudit.NodeState, Subject: n.Settings.Node, To: "serving"})
 	return errors.New("node ended")
 }
 
-// fleet is what the operators' interface of a test shows.
-type fleet struct {
+// fakeFleet is a fleet that confirms revisions, except for the nodes in missing.
+type fakeFleet struct {
 	mu      sync.Mutex
 	missing []string
 	store   jwstore.Memory
 }
 
-func (f *fleet) Status(context.Context, uint64) (bool, []string, error) {
+func (f *fakeFleet) Status(context.Context, uint64) (bool, []string, error) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return len(f.missing) == 0, f.missing, nil
 }
 
-func (f *fleet) Forget(_ context.Context, _, name string) error {
+func (f *fakeFleet) Forget(_ context.Context, _, name string) error {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.missing = slices.DeleteFunc(f.missing, func(n string) bool { return n == name })
@@ -78,8 +78,8 @@
 
 const token = "0123456789abcdef"
 
-// serve starts the interface for one script.
-func (f *fleet) serve(env *testscript.Env) error {
+// serve starts the operators' and callers' interfaces for one script.
+func (f *fakeFleet) serve(env *testscript.Env) error {
 	table, trail := &jwcatalogue.Table{}, &jwaudit.Trail{Node: "n1"}
 	tracer := &jwexplain.Tracer{Node: "n1", Region: "north"}
 	r := &jwrequest.Request{ID: "r1", Workspace: "hall", Entry: "menu", Region: "north"}
@@ -126,19 +126,19 @@
 		Dir: filepath.Join("testdata", "script"),
 		Setup: func(env *testscript.Env) error {
 			env.Setenv("EXAMPLES", examples)
-			return new(fleet).serve(env)
+			return new(fakeFleet).serve(env)
 		},
 		Cmds: map[string]func(*testscript.TestScript, bool, []string){
 			// missing NODE... sets the nodes that confirm nothing.
 			"missing": func(ts *testscript.TestScript, _ bool, args []string) {
-				f := ts.Value("fleet").(*fleet)
+				f := ts.Value("fleet").(*fakeFleet)
 				f.mu.Lock()
 				defer f.mu.Unlock()
 				f.missing = args
 			},
 			// store up|down sets whether the key-value service answers.
 			"store": func(ts *testscript.TestScript, _ bool, args []string) {
-				ts.Value("fleet").(*fleet).store.SetDown(args[0] == "down")
+				ts.Value("fleet").(*fakeFleet).store.SetDown(args[0] == "down")
 			},
 			// replace FILE FROM TO changes a file.
 			"replace": func(ts *testscript.TestScript, _ bool, args []string) {
@@ -163,7 +163,7 @@
 
 func TestUnknownOutcome(t *testing.T) {
 	// The answer to an edit never comes. The edit may have been written, so the
-	// operator must be told to send it again under the same id.
+	// error must say to send it again with the same id.
 	s := httptest.NewServer(http.HandlerFunc(func(http.ResponseWriter, *http.Request) { panic(http.ErrAbortHandler) }))
 	defer s.Close()
 	t.Setenv("JUJUBE_TOKEN", token)
--- a/io/jwlogtrace/view_test.go
+++ b/io/jwlogtrace/view_test.go
@@ -54,7 +54,7 @@
 	view := l.ViewAt("n1", at("03:00:07"))
 	view.Write(&b, at("03:00:07"))
 	assert.Equal(t, b.String(), `n1: running, configuration 4, last line 1s before
-  the store had not answered for 3s; what follows is of before
+  the store had not answered for 3s; what follows is from before that
   data centre b evacuated
   target t1 of s in a: gone for 1s
   target t2 of s in b: appeared for 6s
@@ -65,8 +65,9 @@
 	assert.Equal(t, b.String(), "n3: no line before then\n")
 }
 
-// A registration that is renewed says nothing of what the target said in an answer.
-func TestViewOfATargetThatLeaves(t *testing.T) {
+// A target announced in an answer that it leaves. A renewed registration must not
+// undo that; a new start of the target does.
+func TestViewOfLeavingTarget(t *testing.T) {
 	l := readLog(t, leavingLog)
 	for moment, want := range map[string]string{"03:00:01": "appeared", "03:00:02": leaving, "03:00:04": leaving, "03:00:06": beganAnew} {
 		assert.Equal(t, l.ViewAt("n1", at(moment)).Targets["t1"].State, want, moment)
@@ -80,12 +81,12 @@
   after 0s: target appeared
   after 2s: target draining
   1 sends: answered with 200
-n2: never heard of it
+n2: target not known
 `},
 		"evacuated": {"t2", "03:00:02", "03:00:08", `n1: appeared for 1s at the beginning, its data centre evacuated at the end
   after 4s: evacuation of its data centre, on: true
   no send ended there
-n2: never heard of it
+n2: target not known
 `},
 	}
 	for name, c := range cases {
@@ -98,7 +99,7 @@
 	}
 }
 
-// Whatever a collector passes on must not end the reading.
+// No input may make the functions panic, whatever a log collector passes on.
 func FuzzReadAll(f *testing.F) {
 	f.Add(viewLog)
 	f.Add("{}\n{\"node\":1}\n{{{")
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -16,9 +16,9 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// DefaultEvery is the pace of an Observer whose Every is 0; a look at a fleet of
-// 970 nodes takes about a millisecond.
-const DefaultEvery = 2 * time.Second
+// DefaultInterval is the time between two observations where Interval is 0. One
+// observation of a fleet of 970 nodes takes about a millisecond.
+const DefaultInterval = 2 * time.Second
 
 // Store counts the calls of the key-value service.
 type Store interface{ Calls() jwstore.Calls }
@@ -34,18 +34,18 @@
 // Drain counts the calls in flight.
 type Drain interface{ Counts() jwdrain.Counts }
 
-// Observer watches one node; set its fields before Run. Any source may be nil,
-// but not Board.
+// Observer observes one node. Set its fields before Run; all sources but Board
+// may be nil.
 type Observer struct {
-	Node    string
-	Region  string
-	Regions []string // all of them
-	Board   *jwboard.Board
-	Meter   *jwmeter.Meter
-	Audit   *jwaudit.Trail
-	Every   time.Duration
-	// Silence is how long another region may say nothing before it counts as
-	// lost.
+	Node     string
+	Region   string
+	Regions  []string // all regions, its own included
+	Board    *jwboard.Board
+	Meter    *jwmeter.Meter
+	Audit    *jwaudit.Trail
+	Interval time.Duration // between two observations, DefaultInterval if 0
+	// Silence is how long no message from another region may arrive before the
+	// region counts as lost.
 	Silence time.Duration
 	// ListAge is how old the host list may be before the platform's service
 	// counts as failing.
@@ -64,16 +64,16 @@
 	revision uint64
 }
 
-// Run looks until ctx ends.
+// Run observes the node until ctx ends and returns the error of ctx.
 func (o *Observer) Run(ctx context.Context) error {
-	every := o.Every
-	if every == 0 {
-		every = DefaultEvery
+	interval := o.Interval
+	if interval == 0 {
+		interval = DefaultInterval
 	}
-	ticker := time.NewTicker(every)
+	ticker := time.NewTicker(interval)
 	defer ticker.Stop()
 	for {
-		o.look(time.Now())
+		o.observe(time.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -82,16 +82,16 @@
 	}
 }
 
-// look takes in the board once.
-func (o *Observer) look(now time.Time) {
+// observe reads the board once, updates the metrics and records changes.
+func (o *Observer) observe(now time.Time) {
 	peers := o.Board.Peers.Peers()
 	targets := o.targetStates(now)
 	o.measure(now, peers, targets)
-	o.tellPeers(peers)
-	o.tellTargets(targets)
-	o.tellRegions(now, peers)
-	o.tellPlatform(now)
-	o.tellCatalogue()
+	o.recordPeers(peers)
+	o.recordTargets(targets)
+	o.recordRegions(now, peers)
+	o.recordPlatform(now)
+	o.recordCatalogue()
 }
 
 // targetStates returns the state of each target that this node uses.
--- a/io/jwoperate/members.go
+++ b/io/jwoperate/members.go
@@ -10,16 +10,16 @@
 	"jujubewheel/io/jwrest"
 )
 
-// forget takes a node off the list of those that confirm changes, on the word
-// of an operator who knows that it will not serve again. Were it serving behind
-// a cut after all, an accepted change would not be in force there.
+// forget removes a node from the list of nodes that must confirm changes. The
+// operator has to know that the node will never serve again: if it still serves
+// behind a network partition, an accepted change is not in force there.
 func (o *Operators) forget(w http.ResponseWriter, r *http.Request) {
 	var body ForgetBody
 	if !readBody(w, r, &body) {
 		return
 	}
 	if body.Author == "" || body.Reason == "" {
-		refuse(w, http.StatusUnprocessableEntity, Refusal{
+		writeError(w, http.StatusUnprocessableEntity, ErrorBody{
 			Error: "the edit has faults", Faults: []string{"author and reason are needed"},
 		})
 		return
@@ -31,11 +31,11 @@
 			status = http.StatusServiceUnavailable
 		}
 		w.Header().Set("Retry-After", retryAfter)
-		refuse(w, status, Refusal{Error: err.Error()})
+		writeError(w, status, ErrorBody{Error: err.Error()})
 		return
 	}
 	o.Audit.Add(jwaudit.Record{
 		Kind: jwaudit.Forgotten, Subject: out.Node, From: out.Region, Author: body.Author, Detail: body.Reason,
 	})
-	answer(w, http.StatusOK, out)
+	writeJSON(w, http.StatusOK, out)
 }
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -26,15 +26,15 @@
 type Table interface {
 	Current() *jwcatalogue.Snapshot
 	Base() uint64
-	Changes(after uint64, most int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
+	Changes(after uint64, limit int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
 }
 
-// Editor writes edits into the log of changes.
+// Editor writes edits to the catalogue's log of changes.
 type Editor interface {
 	Put(ctx context.Context, e jwcatalogue.Edit) (jwcatalogue.EditResult, error)
 }
 
-// Acceptance knows which nodes have a revision in force.
+// Acceptance tells at which nodes a revision is not yet in force.
 type Acceptance interface {
 	Status(ctx context.Context, revision uint64) (accepted bool, missing []string, err error)
 }
@@ -56,8 +56,8 @@
 	State(address netip.AddrPort, now time.Time) (state jwtarget.State, known bool)
 }
 
-// Members takes nodes that will not come back out of those whose confirmation
-// changes wait for.
+// Members removes nodes that will not come back from the list of nodes that must
+// confirm changes.
 type Members interface {
 	Forget(ctx context.Context, region, name string) error
 }
@@ -68,9 +68,9 @@
 	After(after uint64, limit int) []jwaudit.Record
 }
 
-// Operators answers operators; its fields are set before Handler.
+// Operators serves the operators' interface. Set its fields before Handler.
 type Operators struct {
-	Token      string // bearer token; an empty one lets nobody in
+	Token      string // bearer token; if empty, calls that need it are rejected
 	Table      Table
 	Editor     Editor
 	Acceptance Acceptance
@@ -84,7 +84,7 @@
 	Log        logr.Logger
 }
 
-// The numbers of records in one answer.
+// Limits of the number of records in one answer.
 const (
 	defaultLimit = 100
 	maxLimit     = 1000
@@ -113,8 +113,9 @@
 	}, jwrest.Stray{})
 }
 
-// authorized lets in whoever shows the token. Digests are compared, so that
-// neither the token's bytes nor its length show in the time taken.
+// authorized calls next for requests with the operators' token and rejects all
+// others. It compares digests, so that the time taken reveals neither the
+// token's bytes nor its length.
 func (o *Operators) authorized(next http.HandlerFunc) http.HandlerFunc {
 	want := sha256.Sum256([]byte(o.Token))
 	return func(w http.ResponseWriter, r *http.Request) {
@@ -122,7 +123,7 @@
 		got := sha256.Sum256([]byte(token))
 		if !ok || o.Token == "" || subtle.ConstantTimeCompare(got[:], want[:]) != 1 {
 			w.Header().Set("WWW-Authenticate", "Bearer")
-			refuse(w, http.StatusUnauthorized, Refusal{Error: "the operators' token is needed"})
+			writeError(w, http.StatusUnauthorized, ErrorBody{Error: "the operators' token is needed"})
 			return
 		}
 		next(w, r)
@@ -130,20 +131,20 @@
 }
 
 func (o *Operators) audit(w http.ResponseWriter, r *http.Request) {
-	after, limit, ok := page(w, r)
+	after, limit, ok := parsePage(w, r)
 	if !ok {
 		return
 	}
-	answer(w, http.StatusOK, AuditRecords{Records: orEmpty(o.Audit.After(after, limit))})
+	writeJSON(w, http.StatusOK, AuditRecords{Records: orEmpty(o.Audit.After(after, limit))})
 }
 
 func (o *Operators) explain(w http.ResponseWriter, r *http.Request) {
 	found := o.Explainer.Find(jwrest.Var(r, "id"))
 	if len(found) == 0 {
-		refuse(w, http.StatusNotFound, Refusal{Error: "this node has no trace of the request: it came to another node, or too long ago; a bound one leaves a trace in its home region only"})
+		writeError(w, http.StatusNotFound, ErrorBody{Error: "this node has no trace of the request: it came to another node, or too long ago; a bound one leaves a trace in its home region only"})
 		return
 	}
-	answer(w, http.StatusOK, Traces{Traces: found})
+	writeJSON(w, http.StatusOK, Traces{Traces: found})
 }
 
 func (o *Operators) peers(w http.ResponseWriter, _ *http.Request) {
@@ -154,7 +155,7 @@
 			Incarnation: p.Incarnation, State: p.State, Revision: p.Revision, Heard: o.Peers.LastSeen(p.Name),
 		})
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func (o *Operators) targets(w http.ResponseWriter, _ *http.Request) {
@@ -168,52 +169,54 @@
 			Address: t.Address, Service: t.Service, Region: t.Region, DataCentre: t.DataCentre, State: state,
 		})
 	}
-	answer(w, http.StatusOK, list)
+	writeJSON(w, http.StatusOK, list)
 }
 
 func healthy(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusOK) }
 
 func (o *Operators) ready(w http.ResponseWriter, _ *http.Request) {
 	if o.Ready != nil && !o.Ready() {
-		refuse(w, http.StatusServiceUnavailable, Refusal{Error: "this node does not serve callers now"})
+		writeError(w, http.StatusServiceUnavailable, ErrorBody{Error: "this node does not serve callers now"})
 		return
 	}
 	w.WriteHeader(http.StatusOK)
 }
 
-// page reads the query of a list.
-func page(w http.ResponseWriter, r *http.Request) (after uint64, limit int, ok bool) {
-	after, ok = number(w, r, "after", 0)
+// parsePage returns the query parameters of a list. It answers a malformed one and
+// returns false.
+func parsePage(w http.ResponseWriter, r *http.Request) (after uint64, limit int, ok bool) {
+	after, ok = parseNumber(w, r, "after", 0)
 	if !ok {
 		return 0, 0, false
 	}
-	n, ok := number(w, r, "limit", defaultLimit)
+	n, ok := parseNumber(w, r, "limit", defaultLimit)
 	return after, int(min(n, maxLimit)), ok
 }
 
-// number reads one number of the query and answers a malformed one.
-func number(w http.ResponseWriter, r *http.Request, name string, otherwise uint64) (uint64, bool) {
+// parseNumber returns a number of the query, or fallback if it is absent. It
+// answers a malformed one and returns false.
+func parseNumber(w http.ResponseWriter, r *http.Request, name string, fallback uint64) (uint64, bool) {
 	text := r.URL.Query().Get(name)
 	if text == "" {
-		return otherwise, true
+		return fallback, true
 	}
 	n, err := strconv.ParseUint(text, 10, 64)
 	if err != nil {
-		refuse(w, http.StatusBadRequest, Refusal{Error: name + " must be a whole number"})
+		writeError(w, http.StatusBadRequest, ErrorBody{Error: name + " must be a whole number"})
 		return 0, false
 	}
 	return n, true
 }
 
-func refuse(w http.ResponseWriter, status int, r Refusal) { answer(w, status, r) }
+func writeError(w http.ResponseWriter, status int, r ErrorBody) { writeJSON(w, status, r) }
 
-func answer(w http.ResponseWriter, status int, v any) {
+func writeJSON(w http.ResponseWriter, status int, v any) {
 	w.Header().Set("Content-Type", "application/json")
 	w.WriteHeader(status)
 	_ = json.NewEncoder(w).Encode(v)
 }
 
-// orEmpty makes an empty list of none, so that it is [] in JSON.
+// orEmpty replaces nil by an empty list, so that it is [] in JSON.
 func orEmpty[T any](list []T) []T {
 	if list == nil {
 		return []T{}
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -26,35 +26,36 @@
 
 const token = "0123456789abcdef"
 
-// acceptance is a fleet of which some nodes have not confirmed.
-type acceptance struct {
+// fakeAcceptance implements Acceptance and Members; the nodes in missing have not
+// confirmed any revision.
+type fakeAcceptance struct {
 	missing   []string
 	err       error
 	forgotten string
 }
 
-func (a *acceptance) Status(context.Context, uint64) (bool, []string, error) {
+func (a *fakeAcceptance) Status(context.Context, uint64) (bool, []string, error) {
 	return len(a.missing) == 0, a.missing, a.err
 }
 
-func (a *acceptance) Forget(_ context.Context, region, name string) error {
+func (a *fakeAcceptance) Forget(_ context.Context, region, name string) error {
 	a.forgotten = region + "/" + name
 	return a.err
 }
 
-// node is the operators' interface over an empty catalogue in memory.
+// node serves the operators' interface with an empty catalogue in memory.
 type node struct {
 	*Operators
 	t          *testing.T
 	store      *jwstore.Memory
-	acceptance *acceptance
+	acceptance *fakeAcceptance
 	handler    http.Handler
 }
 
 func newNode(t *testing.T) *node {
 	t.Helper()
 	store, table := &jwstore.Memory{}, &jwcatalogue.Table{}
-	n := &node{t: t, store: store, acceptance: &acceptance{}}
+	n := &node{t: t, store: store, acceptance: &fakeAcceptance{}}
 	n.Operators = &Operators{
 		Token:      token,
 		Table:      table,
@@ -87,7 +88,7 @@
 	return w
 }
 
-func read[T any](t *testing.T, w *httptest.ResponseRecorder) T {
+func decode[T any](t *testing.T, w *httptest.ResponseRecorder) T {
 	t.Helper()
 	var v T
 	assert.NilError(t, json.Unmarshal(w.Body.Bytes(), &v), w.Body.String())
@@ -139,66 +140,66 @@
 	w := n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200, w.Body.String())
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
-	assert.DeepEqual(t, read[Standing](t, w), Standing{Revision: 1, Accepted: true})
+	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Accepted: true})
 
 	w = n.call("GET", path, "")
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
-	assert.Equal(t, read[Entry](t, w).Entry.Owner, "desk")
+	assert.Equal(t, decode[Entry](t, w).Entry.Owner, "desk")
 	assert.Equal(t, n.Audit.After(0, 1)[0].Author, "amal")
-	assert.Equal(t, len(read[Catalogue](t, n.call("GET", "/v1/catalogue", "")).Entries), 1)
+	assert.Equal(t, len(decode[Catalogue](t, n.call("GET", "/v1/catalogue", "")).Entries), 1)
 
 	w = n.call("DELETE", path, `{"author": "amal", "reason": "closing", "editId": "e2"}`, "If-Match", `"1"`)
 	assert.Equal(t, w.Code, 200, w.Body.String())
 	assert.Equal(t, n.call("GET", path, "").Code, 404)
 
-	all := read[History](t, n.call("GET", "/v1/catalogue/history", ""))
+	all := decode[History](t, n.call("GET", "/v1/catalogue/history", ""))
 	assert.Equal(t, len(all.Changes), 2)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?after=1", "")).Changes), 1)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?entry=other", "")).Changes), 0)
-	assert.Equal(t, len(read[History](t, n.call("GET", "/v1/catalogue/history?limit=1", "")).Changes), 1)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?after=1", "")).Changes), 1)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?entry=other", "")).Changes), 0)
+	assert.Equal(t, len(decode[History](t, n.call("GET", "/v1/catalogue/history?limit=1", "")).Changes), 1)
 }
 
-func TestEditLost(t *testing.T) {
-	// Two operators read the same entry and both write it. The second must be
-	// told what the first did, or that change would vanish unseen.
+func TestEditConflict(t *testing.T) {
+	// Two operators read the same entry and both write it. The second must get
+	// the change of the first, which it would otherwise overwrite unnoticed.
 	n := newNode(t)
 	assert.Equal(t, n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*").Code, 200)
 	assert.Equal(t, n.call("PUT", path, editBody(t, "e2", "kitchen"), "If-Match", `"1"`).Code, 200)
 	w := n.call("PUT", path, editBody(t, "e3", "hall"), "If-Match", `"1"`)
 	assert.Equal(t, w.Code, 412)
 	assert.Equal(t, w.Header().Get("ETag"), `"2"`)
-	refusal := read[Refusal](t, w)
-	assert.Equal(t, refusal.Winner.EditID, "e2")
-	assert.Equal(t, refusal.Revision, uint64(2))
+	body := decode[ErrorBody](t, w)
+	assert.Equal(t, body.Winner.EditID, "e2")
+	assert.Equal(t, body.Revision, uint64(2))
 }
 
 func TestEditNotYetAccepted(t *testing.T) {
-	// A node is cut off while an operator edits. The edit must not be called
-	// accepted, since that node still serves by the old catalogue.
+	// A node is partitioned while an operator edits. The edit must not count as
+	// accepted, since that node still uses the old catalogue.
 	n := newNode(t)
 	n.acceptance.missing = []string{"aqaba-a-n1"}
 	w := n.call("PUT", path+"?wait=0s", editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 202)
-	assert.DeepEqual(t, read[Standing](t, w), Standing{Revision: 1, Missing: []string{"aqaba-a-n1"}})
-	assert.Equal(t, read[Standing](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
+	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Missing: []string{"aqaba-a-n1"}})
+	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
 
 	n.acceptance.missing = nil
 	w = n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200) // the same edit, sent again
-	assert.Equal(t, read[Standing](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
+	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
 }
 
-func TestEditRefused(t *testing.T) {
+func TestEditRejected(t *testing.T) {
 	n := newNode(t)
-	good := editBody(t, "e1", "desk")
+	valid := editBody(t, "e1", "desk")
 	tests := map[string]struct {
 		query, body string
 		header      []string
 		status      int
 		want        string
 	}{
-		"no precondition":  {"", good, nil, 428, "If-Match"},
-		"bad precondition": {"", good, []string{"If-Match", `"x"`}, 428, "If-Match"},
+		"no precondition":  {"", valid, nil, 428, "If-Match"},
+		"bad precondition": {"", valid, []string{"If-Match", `"x"`}, 428, "If-Match"},
 		"not JSON":         {"", "{", []string{"If-None-Match", "*"}, 422, "cannot be read"},
 		"unknown key":      {"", `{"colour": 1}`, []string{"If-None-Match", "*"}, 422, "colour"},
 		"no entry":         {"", `{"author": "a"}`, []string{"If-None-Match", "*"}, 422, "entry is missing"},
@@ -207,8 +208,8 @@
 			[]string{"If-None-Match", "*"},
 			422, "class",
 		},
-		"too long": {"", strings.Repeat(" ", maxEdit+1), []string{"If-None-Match", "*"}, 413, "longer"},
-		"bad wait": {"?wait=soon", good, []string{"If-None-Match", "*"}, 400, "wait"},
+		"too long": {"", strings.Repeat(" ", maxEditSize+1), []string{"If-None-Match", "*"}, 413, "longer"},
+		"bad wait": {"?wait=soon", valid, []string{"If-None-Match", "*"}, 400, "wait"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -222,14 +223,14 @@
 
 func TestEditWithoutStore(t *testing.T) {
 	// The key-value service is down, or its replies get lost. Only in the first
-	// case may the operator be told that nothing was written.
+	// case may the answer say that nothing was written.
 	n := newNode(t)
 	n.store.SetDown(true)
 	w := n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 503)
 	assert.Assert(t, strings.Contains(w.Body.String(), "not written"))
 	w = httptest.NewRecorder()
-	refuseEdit(w, errors.Wrap(jwstore.ErrUnknown, "write"))
+	writeEditError(w, errors.Wrap(jwstore.ErrUnknown, "write"))
 	assert.Equal(t, w.Code, 504)
 
 	n.acceptance.err = jwstore.ErrUnavailable
@@ -237,8 +238,8 @@
 }
 
 func TestForget(t *testing.T) {
-	// A region's last node is gone for good, and every change waits for it. An
-	// operator who knows says so, and the trail shows who did.
+	// The last node of a region is permanently gone, and every change waits for
+	// it. An operator removes it, and the audit trail records who did.
 	n := newNode(t)
 	const member = "/v1/members/aqaba-a/aqaba-a-n1"
 	assert.Equal(t, n.call("DELETE", member, `{"author": "amal"}`).Code, 422)
@@ -254,7 +255,7 @@
 	}
 }
 
-func TestViews(t *testing.T) {
+func TestReads(t *testing.T) {
 	n := newNode(t)
 	peers := n.Peers.(*jwpeer.Table)
 	peers.SetSelf(jwpeer.Peer{Name: "n1", Region: "irbid-a", State: jwpeer.Serving}, time.Now())
@@ -265,11 +266,11 @@
 	n.Audit.(*jwaudit.Trail).Add(jwaudit.Record{Kind: jwaudit.NodeState, Subject: "n1", To: "serving"})
 	n.Explainer.(*jwexplain.Tracer).End(&jwrequest.Request{ID: "r1"}, jwrequest.Served, "", "irbid-a")
 
-	assert.Equal(t, read[PeerList](t, n.call("GET", "/v1/peers", "")).Peers[0].State, jwpeer.Serving)
-	assert.Equal(t, read[TargetList](t, n.call("GET", "/v1/targets", "")).Targets[0].Address, target)
-	assert.Equal(t, read[AuditRecords](t, n.call("GET", "/v1/audit", "")).Records[0].To, "serving")
+	assert.Equal(t, decode[PeerList](t, n.call("GET", "/v1/peers", "")).Peers[0].State, jwpeer.Serving)
+	assert.Equal(t, decode[TargetList](t, n.call("GET", "/v1/targets", "")).Targets[0].Address, target)
+	assert.Equal(t, decode[AuditRecords](t, n.call("GET", "/v1/audit", "")).Records[0].To, "serving")
 	assert.Equal(t, n.call("GET", "/v1/audit?after=1", "").Body.String(), `{"records":[]}`+"\n")
-	assert.Equal(t, read[Traces](t, n.call("GET", "/v1/explain/requests/r1", "")).Traces[0].ServedBy, "irbid-a")
+	assert.Equal(t, decode[Traces](t, n.call("GET", "/v1/explain/requests/r1", "")).Traces[0].ServedBy, "irbid-a")
 	assert.Equal(t, n.call("GET", "/v1/explain/requests/r2", "").Code, 404)
 	assert.Equal(t, n.call("GET", "/v1/audit?after=x", "").Code, 400)
 	assert.Equal(t, n.call("GET", "/v1/catalogue/status?revision=9", "").Code, 404)
