--- a/io/jwbench/plot.go
+++ b/io/jwbench/plot.go
@@ -18,15 +18,15 @@
 // measure is one panel of a plot.
 type measure struct {
 	title string
-	of    func(*Result) float64
+	value func(*Result) float64
 }
 
 // measures are what the users of the system look at.
 var measures = []measure{
-	{"answers in time, %", func(r *Result) float64 { return r.share(r.InTime) }},
-	{"first token, p99, s", func(r *Result) float64 { return float64(r.First.ValueAtQuantile(99)) / 1e6 }},
-	{"sent away, %", func(r *Result) float64 { return r.share(r.Away) }},
-	{"cost of an answer in time", (*Result).CostEach},
+	{"answers in time, %", func(r *Result) float64 { return r.percent(r.InTime) }},
+	{"first token, p99, s", func(r *Result) float64 { return float64(r.FirstTokenTimes.ValueAtQuantile(99)) / 1e6 }},
+	{"sent away, %", func(r *Result) float64 { return r.percent(r.Away) }},
+	{"cost of an answer in time", (*Result).CostPerAnswer},
 }
 
 const (
@@ -44,7 +44,7 @@
 	}
 	var columns [][]*plot.Plot
 	for _, d := range deployments() {
-		if !named(cfg.Deployments, d.Name) {
+		if !matchesName(cfg.Deployments, d.Name) {
 			continue
 		}
 		column, err := cfg.column(d, seeds)
@@ -64,21 +64,21 @@
 	var names []string
 	results := make(map[string][]*Result) // by policy, in the order of names
 	for _, s := range scenarios() {
-		if !named(c.Scenarios, s.Name) {
+		if !matchesName(c.Scenarios, s.Name) {
 			continue
 		}
 		names = append(names, s.Name)
 		for _, p := range c.policies() {
 			sum := newResult()
 			for _, seed := range seeds {
-				sum.add(run(d, s, p, seed))
+				sum.add(runScenario(d, s, p, seed))
 			}
 			results[p.name] = append(results[p.name], sum)
 		}
 	}
 	var out []*plot.Plot
 	for _, m := range measures {
-		p, err := panel(d.Name+": "+m.title, names, c.policies(), results, m.of)
+		p, err := panel(d.Name+": "+m.title, names, c.policies(), results, m.value)
 		if err != nil {
 			return nil, errors.Wrapf(err, "plot: %s", m.title)
 		}
@@ -87,7 +87,7 @@
 	return out, nil
 }
 
-func panel(title string, names []string, policies []policy, results map[string][]*Result, of func(*Result) float64) (*plot.Plot, error) {
+func panel(title string, names []string, policies []policy, results map[string][]*Result, value func(*Result) float64) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Min = 0
@@ -102,27 +102,27 @@
 	for i, pol := range policies {
 		var values plotter.Values
 		for _, r := range results[pol.name] {
-			values = append(values, of(r))
+			values = append(values, value(r))
 		}
 		bars, err := plotter.NewBarChart(values, width)
 		if err != nil {
 			return nil, err
 		}
 		bars.LineStyle.Width = 0
-		bars.Color = shade(i)
+		bars.Color = barColor(i)
 		bars.Offset = width * vg.Length(float64(i)-float64(len(policies)-1)/2)
 		p.Add(bars)
 		p.Legend.Add(pol.name, bars)
 	}
-	p.X.Max = max(p.X.Max, float64(len(names))+legendRoom)
+	p.X.Max = max(p.X.Max, float64(len(names))+legendGroups)
 	return p, nil
 }
 
-// legendRoom is left free to the right of the bars, in groups of bars.
-const legendRoom = 1.2
+// legendGroups is left free to the right of the bars, in groups of bars.
+const legendGroups = 1.2
 
-// shade gives the project's own policy, the first one, the strongest colour.
-func shade(i int) color.Color {
+// barColor gives the project's own policy, the first one, the strongest colour.
+func barColor(i int) color.Color {
 	if i == 0 {
 		return color.RGBA{R: 0x1f, G: 0x3b, B: 0x73, A: 0xff}
 	}
--- a/io/jwbench/policies.go
+++ b/io/jwbench/policies.go
@@ -33,25 +33,25 @@
 		seeds = defaultSeeds
 	}
 	fmt.Fprintf(w, "seeds %v; a model with fake runners, no fleet\n", seeds)
-	ran := 0
+	tables := 0
 	for _, d := range deployments() {
 		for _, s := range scenarios() {
-			if !named(cfg.Deployments, d.Name) || !named(cfg.Scenarios, s.Name) {
+			if !matchesName(cfg.Deployments, d.Name) || !matchesName(cfg.Scenarios, s.Name) {
 				continue
 			}
-			ran++
-			if err := table(w, d, s, cfg.policies(), seeds); err != nil {
+			tables++
+			if err := writeTable(w, d, s, cfg.policies(), seeds); err != nil {
 				return errors.Wrapf(err, "table: %s", s.Name)
 			}
 		}
 	}
-	if ran == 0 {
+	if tables == 0 {
 		return errors.Errorf("no scenario is named %s", strings.Join(cfg.Scenarios, ", "))
 	}
 	return nil
 }
 
-func named(list []string, name string) bool {
+func matchesName(list []string, name string) bool {
 	if len(list) == 0 {
 		return true
 	}
@@ -64,13 +64,13 @@
 }
 
 func (c Config) policies() []policy {
-	all := append([]policy{ours}, baselines...)
+	all := append([]policy{projectPolicy}, baselines...)
 	if c.Ablations {
 		all = append(all, ablations...)
 	}
 	var out []policy
 	for _, p := range all {
-		if named(c.Policies, p.name) {
+		if matchesName(c.Policies, p.name) {
 			out = append(out, p)
 		}
 	}
@@ -86,37 +86,37 @@
 		seeds = defaultSeeds[:1]
 	}
 	d := deployments()[1]
-	d.Regions = []Region{{Name: "large", Nodes: 75, Writers: 250, Desks: 60, Spaces: 2900}}
-	s := Scenario{Name: "subsets", Load: flat(0.9), Most: 0.9, Warm: 20 * time.Second, Length: 80 * time.Second}
+	d.Regions = []Region{{Name: "large", Nodes: 75, WriterRunners: 250, DeskRunners: 60, Workspaces: 2900}}
+	s := Scenario{Name: "subsets", Load: constantLoad(0.9), MaxLoad: 0.9, WarmUp: 20 * time.Second, RunTime: 80 * time.Second}
 	fmt.Fprintf(w, "seeds %v; a model with fake runners, no fleet\n", seeds)
 	var policies []policy
 	for _, n := range []int{4, 8, 16, 32, 64, -1} {
-		policies = append(policies, policy{name: fmt.Sprintf("subset%d", n), subset: n})
+		policies = append(policies, policy{name: fmt.Sprintf("subset%d", n), subsetSize: n})
 	}
 	for _, n := range []int{8, 16} {
 		for _, report := range []time.Duration{3 * time.Second, 6 * time.Second} {
-			policies = append(policies, policy{name: fmt.Sprintf("subset%d/%v", n, report), subset: n, report: report})
+			policies = append(policies, policy{name: fmt.Sprintf("subset%d/%v", n, report), subsetSize: n, loadInterval: report})
 		}
 	}
-	policies = append(policies, policy{name: "subset16/anyNode", subset: 16, anyNode: true})
-	policies = append(policies, policy{name: "random", choose: chooseRandom, subset: -1})
-	return errors.Wrap(table(w, d, s, policies, seeds), "table: subsets")
+	policies = append(policies, policy{name: "subset16/anyNode", subsetSize: 16, anyNode: true})
+	policies = append(policies, policy{name: "random", choose: chooseRandom, subsetSize: -1})
+	return errors.Wrap(writeTable(w, d, s, policies, seeds), "table: subsets")
 }
 
-// table writes the results of one scenario, a line for each policy.
-func table(w io.Writer, d Deployment, s Scenario, policies []policy, seeds []uint64) error {
+// writeTable writes the results of one scenario, a line for each policy.
+func writeTable(w io.Writer, d Deployment, s Scenario, policies []policy, seeds []uint64) error {
 	fmt.Fprintf(w, "\n%s %s\n", d.Name, s.Name)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(tw, "policy\tcost\taway\tinTime\tlate\tnotRun\ttaken\tfair\tcrashes\tfirst50\t95\t99\t99.9\tdraft50\t95\t99\t99.9\tquick50\t95\t99\t99.9\t")
 	for _, p := range policies {
 		sum := newResult()
 		for _, seed := range seeds {
-			sum.add(run(d, s, p, seed))
+			sum.add(runScenario(d, s, p, seed))
 		}
 		fmt.Fprintf(tw, "%s\t%.3f\t%.1f\t%.1f\t%.1f\t%.1f\t%.0f\t%.3f\t%d\t%s\t%s\t%s\t\n",
-			p.name, sum.CostEach(), sum.share(sum.Away), sum.share(sum.InTime), sum.share(sum.Late),
-			sum.share(sum.NotRun), 100*float64(sum.Taken)/float64(max(sum.Told, 1)), sum.Fairness(), sum.Crashes,
-			quantiles(sum.First), quantiles(sum.Drafts), quantiles(sum.Quick))
+			p.name, sum.CostPerAnswer(), sum.percent(sum.Away), sum.percent(sum.InTime), sum.percent(sum.Late),
+			sum.percent(sum.NotRun), 100*float64(sum.RetriesAdmitted)/float64(max(sum.Retries, 1)), sum.Fairness(), sum.Crashes,
+			quantiles(sum.FirstTokenTimes), quantiles(sum.DraftTimes), quantiles(sum.ShortTimes))
 	}
 	return tw.Flush()
 }
--- a/io/jwbench/policies_test.go
+++ b/io/jwbench/policies_test.go
@@ -12,20 +12,20 @@
 // detector.
 const testLength = 160 * time.Second
 
-// result runs one scenario of the first deployment with one seed.
-func result(t *testing.T, name string, p policy) *Result {
+// runTestScenario runs one scenario of the first deployment with one seed.
+func runTestScenario(t *testing.T, name string, p policy) *Result {
 	t.Helper()
 	for _, s := range scenarios() {
 		if s.Name == name {
-			s.Length = testLength
-			return run(deployments()[0], s, p, 1)
+			s.RunTime = testLength
+			return runScenario(deployments()[0], s, p, 1)
 		}
 	}
 	t.Fatalf("no scenario %s", name)
 	return nil
 }
 
-func without(t *testing.T, name string) policy {
+func ablation(t *testing.T, name string) policy {
 	t.Helper()
 	for _, p := range ablations {
 		if p.name == name {
@@ -38,12 +38,12 @@
 
 // Each part of the policy is meant for one kind of trouble. A user notices the
 // lack of a part as late or refused answers when that trouble comes.
-func TestEachPartEarnsItsPlace(t *testing.T) {
+func TestEachPartImprovesResults(t *testing.T) {
 	tests := map[string]struct {
 		scenario, without string
 		worse             func(r *Result) float64
 	}{
-		"prefixes kept together make answers cheaper": {"plainPeak", "noAffinity", (*Result).CostEach},
+		"prefixes kept together make answers cheaper": {"plainPeak", "noAffinity", (*Result).CostPerAnswer},
 		"slow runners are avoided":                    {"greyRunner", "noPace", func(r *Result) float64 { return float64(r.Late) }},
 		"what cannot be in time is refused":           {"offsetPeak2.0", "noDeadline", func(r *Result) float64 { return float64(r.Late) }},
 		"urgent classes get through":                  {"offsetPeak2.0", "noClasses", func(r *Result) float64 { return float64(r.NotRun) }},
@@ -53,10 +53,10 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			with := result(t, test.scenario, ours)
-			less := result(t, test.scenario, without(t, test.without))
+			with := runTestScenario(t, test.scenario, projectPolicy)
+			less := runTestScenario(t, test.scenario, ablation(t, test.without))
 			assert.Assert(t, test.worse(with) < test.worse(less), "%v with, %v without", test.worse(with), test.worse(less))
-			assert.Equal(t, with.Broken, 0)
+			assert.Equal(t, with.BoundViolations, 0)
 		})
 	}
 }
@@ -64,11 +64,11 @@
 // A caller sends a request that crashes every runner it reaches, again and
 // again; others must hardly notice.
 func TestPoisonTakesDownTwoRunners(t *testing.T) {
-	assert.Equal(t, result(t, "poison", ours).Crashes, 2)
+	assert.Equal(t, runTestScenario(t, "poison", projectPolicy).Crashes, 2)
 }
 
 // Two runs with one seed give the same figures, or no figure could be checked.
-func TestRunsRepeat(t *testing.T) {
+func TestRunsAreDeterministic(t *testing.T) {
 	var a, b strings.Builder
 	cfg := Config{Seeds: []uint64{5}, Scenarios: []string{"lossAndReturn"}, Deployments: []string{"cladagh"}, Policies: []string{"jujubewheel"}}
 	assert.NilError(t, Policies(&a, cfg))
--- a/io/jwbench/result.go
+++ b/io/jwbench/result.go
@@ -8,25 +8,25 @@
 
 // Result is what one policy did in one scenario, over all seeds.
 type Result struct {
-	Offered int // requests of callers
-	InTime  int // whole answers before their deadline
-	Late    int // given up by the caller while waiting or running
-	NotRun  int // refused to the end
-	Away    int // served in another region
-	Back    int // sent away and given back
-	Told    int // tries of callers who came back when they were told to
-	Taken   int // of those, taken on
-	Crashes int // runners that a poison request took down
-
-	Broken int // answers for bound data from another region: always 0
-
-	Cost   float64 // busy runner-seconds and the price of links
-	First  *hdrhistogram.Histogram
-	Drafts *hdrhistogram.Histogram // whole answers; what was given up counts with its deadline
-	Quick  *hdrhistogram.Histogram // whole answers of questions, status checks and confirmations
-
-	owners map[string]*ownerCount
-	price  float64
+	Offered         int // requests of callers
+	InTime          int // whole answers before their deadline
+	Late            int // given up by the caller while waiting or running
+	NotRun          int // refused to the end
+	Away            int // served in another region
+	Returned        int // sent away and given back
+	Retries         int // tries of callers who came back when they were told to
+	RetriesAdmitted int // of those, taken on
+	Crashes         int // runners that a poison request took down
+
+	BoundViolations int // answers for bound data from another region: always 0
+
+	Cost            float64 // busy runner-seconds and the price of links
+	FirstTokenTimes *hdrhistogram.Histogram
+	DraftTimes      *hdrhistogram.Histogram // whole answers; what was given up counts with its deadline
+	ShortTimes      *hdrhistogram.Histogram // whole answers of questions, status checks and confirmations
+
+	owners    map[string]*ownerCount
+	linkPrice float64
 }
 
 // ownerCount tells how much of what an owner asked came in time.
@@ -34,17 +34,17 @@
 
 // Range of the histograms, in microseconds.
 const (
-	shortest = 1
-	longest  = 120_000_000
-	digits   = 3
+	minMicros         = 1
+	maxMicros         = 120_000_000
+	significantDigits = 3
 )
 
 func newResult() *Result {
-	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(shortest, longest, digits) }
-	return &Result{First: h(), Drafts: h(), Quick: h(), owners: make(map[string]*ownerCount)}
+	h := func() *hdrhistogram.Histogram { return hdrhistogram.New(minMicros, maxMicros, significantDigits) }
+	return &Result{FirstTokenTimes: h(), DraftTimes: h(), ShortTimes: h(), owners: make(map[string]*ownerCount)}
 }
 
-func (r *Result) owner(q *request) *ownerCount {
+func (r *Result) ownerCountOf(q *request) *ownerCount {
 	o := r.owners[q.owner]
 	if o == nil {
 		o = &ownerCount{}
@@ -55,16 +55,16 @@
 
 // skip leaves out the warm-up and the callers who do the harm, so that the
 // figures are those of the others.
-func (r *Result) skip(q *request) bool { return !q.counted || q.poison || q.owner == burster }
+func (r *Result) skip(q *request) bool { return !q.counted || q.poison || q.owner == burstOwner }
 
-// cameBack counts a try that came when it was told to.
-func (r *Result) cameBack(q *request, taken bool) {
+// retried counts a try that came when it was told to.
+func (r *Result) retried(q *request, admitted bool) {
 	if r.skip(q) || q.tries < 2 {
 		return
 	}
-	r.Told++
-	if taken {
-		r.Taken++
+	r.Retries++
+	if admitted {
+		r.RetriesAdmitted++
 	}
 }
 
@@ -73,24 +73,24 @@
 		return
 	}
 	r.Offered++
-	r.owner(q).offered++
+	r.ownerCountOf(q).offered++
 }
 
 func (r *Result) served(q *request, at time.Time) {
 	if q.away {
-		r.Cost += r.price
+		r.Cost += r.linkPrice
 	}
 	if r.skip(q) {
 		return
 	}
 	r.InTime++
-	r.owner(q).inTime++
+	r.ownerCountOf(q).inTime++
 	if q.away {
 		r.Away++
 	}
-	r.record(q, at.Sub(q.sent))
+	r.record(q, at.Sub(q.sentAt))
 	if q.prefill > 0 {
-		_ = r.First.RecordValue(q.first.Sub(q.sent).Microseconds())
+		_ = r.FirstTokenTimes.RecordValue(q.firstTokenAt.Sub(q.sentAt).Microseconds())
 	}
 }
 
@@ -100,8 +100,8 @@
 	}
 	r.Late++
 	r.record(q, q.entry.Deadline)
-	if q.prefill > 0 && q.first.IsZero() {
-		_ = r.First.RecordValue(q.entry.Deadline.Microseconds())
+	if q.prefill > 0 && q.firstTokenAt.IsZero() {
+		_ = r.FirstTokenTimes.RecordValue(q.entry.Deadline.Microseconds())
 	}
 }
 
@@ -111,16 +111,16 @@
 	}
 }
 
-func (r *Result) sentBack(q *request) {
+func (r *Result) returned(q *request) {
 	if !r.skip(q) {
-		r.Back++
+		r.Returned++
 	}
 }
 
 func (r *Result) record(q *request, took time.Duration) {
-	h := r.Quick
+	h := r.ShortTimes
 	if q.entry.Name == "draft" {
-		h = r.Drafts
+		h = r.DraftTimes
 	}
 	_ = h.RecordValue(took.Microseconds())
 }
@@ -132,15 +132,15 @@
 	r.Late += other.Late
 	r.NotRun += other.NotRun
 	r.Away += other.Away
-	r.Back += other.Back
-	r.Broken += other.Broken
-	r.Told += other.Told
-	r.Taken += other.Taken
+	r.Returned += other.Returned
+	r.BoundViolations += other.BoundViolations
+	r.Retries += other.Retries
+	r.RetriesAdmitted += other.RetriesAdmitted
 	r.Crashes += other.Crashes
 	r.Cost += other.Cost
-	r.First.Merge(other.First)
-	r.Drafts.Merge(other.Drafts)
-	r.Quick.Merge(other.Quick)
+	r.FirstTokenTimes.Merge(other.FirstTokenTimes)
+	r.DraftTimes.Merge(other.DraftTimes)
+	r.ShortTimes.Merge(other.ShortTimes)
 	for name, o := range other.owners {
 		mine := r.owners[name]
 		if mine == nil {
@@ -171,12 +171,12 @@
 	return sum * sum / (n * squares)
 }
 
-// CostEach is the cost of one answer in time, in runner-seconds.
-func (r *Result) CostEach() float64 {
+// CostPerAnswer is the cost of one answer in time, in runner-seconds.
+func (r *Result) CostPerAnswer() float64 {
 	return r.Cost / float64(max(r.InTime, 1))
 }
 
-// share returns a count as a percentage of what was offered.
-func (r *Result) share(n int) float64 {
+// percent returns a count as a percentage of what was offered.
+func (r *Result) percent(n int) float64 {
 	return 100 * float64(n) / float64(max(r.Offered, 1))
 }
--- a/io/jwbench/runner.go
+++ b/io/jwbench/runner.go
@@ -13,21 +13,21 @@
 // used last. All calls of a batch advance together, so the runner keeps one
 // clock of work done and each call ends when that clock reaches its mark.
 type runner struct {
-	loop   *loop
-	target jwtarget.Target
-	slots  int
-	speed  float64 // 1 for usual
-	hides  bool    // reports the usual time between tokens whatever it is
-	down   bool
-
-	running []*job
-	waiting [len(classes)][]*job
-	prefix  []uint64 // least recently used first
-	keeps   int      // prefixes kept at most
-	clock   float64  // seconds of work each running call has had
-	moved   time.Time
-	turn    int     // tells events of an older batch apart
-	used    float64 // seconds of work done in all
+	loop          *loop
+	target        jwtarget.Target
+	slots         int
+	speed         float64 // 1 for usual
+	hidesSlowness bool    // reports the usual time between tokens whatever it is
+	down          bool
+
+	running        []*job
+	waiting        [len(classes)][]*job
+	cachedPrefixes []uint64 // least recently used first
+	maxPrefixes    int      // prefixes kept at most
+	workClock      float64  // seconds of work each running call has had
+	advancedAt     time.Time
+	generation     int     // tells events of an older batch apart
+	busySeconds    float64 // seconds of work done in all
 }
 
 // classes in the order of their priority.
@@ -35,31 +35,31 @@
 
 // Shape of the fake engine.
 const (
-	fullBatch  = 0.5                   // how much longer a call takes in a full batch
-	cachedPart = 0.1                   // of the prefill is left with the prefix in the cache
-	usualToken = 20 * time.Millisecond // time between tokens alone in a batch
+	fullBatchSlowdown  = 0.5                   // how much longer a call takes in a full batch
+	cachedPrefillShare = 0.1                   // of the prefill is left with the prefix in the cache
+	baseTokenTime      = 20 * time.Millisecond // time between tokens alone in a batch
 )
 
-// ending tells how a job ended.
-type ending string
+// endReason tells how a job ended.
+type endReason string
 
 const (
-	endDone    ending = "done"
-	endCrash   ending = "crash"
-	endRefused ending = "refused" // no connection
-	endGivenUp ending = "givenUp" // the caller has left
+	endDone    endReason = "done"
+	endCrash   endReason = "crash"
+	endRefused endReason = "refused" // no connection
+	endGivenUp endReason = "givenUp" // the caller has left
 )
 
 // job is one call on a runner.
 type job struct {
-	req     *request
-	first   float64 // mark of the first token
-	end     float64
-	began   bool // the first token is out
-	runs    bool
-	gone    bool
-	onFirst func()
-	onEnd   func(ending)
+	req            *request
+	firstTokenMark float64 // mark of the first token
+	endMark        float64
+	firstTokenSent bool // the first token is out
+	started        bool
+	gone           bool
+	onFirstToken   func()
+	onEnd          func(endReason)
 }
 
 // submit takes a job on; a runner that is down refuses it.
@@ -93,14 +93,14 @@
 func (r *runner) crash() {
 	r.advance()
 	r.down = true
-	r.turn++
+	r.generation++
 	lost := r.running
 	r.running = nil
 	for i := range r.waiting {
 		lost = append(lost, r.waiting[i]...)
 		r.waiting[i] = nil
 	}
-	r.prefix = nil
+	r.cachedPrefixes = nil
 	for _, j := range lost {
 		j.gone = true
 	}
@@ -109,8 +109,8 @@
 	}
 }
 
-// back brings a crashed runner back with a cold cache.
-func (r *runner) back() {
+// restart brings a crashed runner back with a cold cache.
+func (r *runner) restart() {
 	r.advance()
 	r.down = false
 }
@@ -118,19 +118,19 @@
 // rate is how fast the work clock runs.
 func (r *runner) rate() float64 {
 	fill := float64(len(r.running)) / float64(r.slots)
-	return r.speed / (1 + fullBatch*fill)
+	return r.speed / (1 + fullBatchSlowdown*fill)
 }
 
 // advance brings the work clock up to now.
 func (r *runner) advance() {
-	passed := r.loop.now.Sub(r.moved).Seconds()
-	r.moved = r.loop.now
-	r.clock += passed * r.rate()
-	r.used += passed * float64(len(r.running)) / float64(r.slots)
+	passed := r.loop.now.Sub(r.advancedAt).Seconds()
+	r.advancedAt = r.loop.now
+	r.workClock += passed * r.rate()
+	r.busySeconds += passed * float64(len(r.running)) / float64(r.slots)
 }
 
-// almost allows for rounding when a mark is compared with the clock.
-const almost = 1e-6
+// clockTolerance allows for rounding when a mark is compared with the clock.
+const clockTolerance = 1e-6
 
 // step ends what has reached its mark, starts what fits and waits for the next
 // mark.
@@ -138,17 +138,17 @@
 	r.advance()
 	var ended []*job
 	for _, j := range r.running {
-		if !j.began && j.first <= r.clock+almost {
-			j.began = true
-			j.onFirst()
+		if !j.firstTokenSent && j.firstTokenMark <= r.workClock+clockTolerance {
+			j.firstTokenSent = true
+			j.onFirstToken()
 		}
-		if j.end <= r.clock+almost {
+		if j.endMark <= r.workClock+clockTolerance {
 			j.gone = true
 			ended = append(ended, j)
 		}
 	}
 	r.running = slices.DeleteFunc(r.running, func(j *job) bool { return j.gone })
-	poison := r.start()
+	poison := r.startWaiting()
 	r.schedule()
 	for _, j := range ended {
 		j.onEnd(endDone)
@@ -158,16 +158,16 @@
 	}
 }
 
-// start fills the free slots and tells whether one of the new calls crashes
+// startWaiting fills the free slots and tells whether one of the new calls crashes
 // the runner.
-func (r *runner) start() (poison bool) {
+func (r *runner) startWaiting() (poison bool) {
 	for i := range r.waiting {
 		for len(r.waiting[i]) > 0 && len(r.running) < r.slots {
 			j := r.waiting[i][0]
 			r.waiting[i] = r.waiting[i][1:]
-			j.runs = true
-			j.first = r.clock + r.prefill(j.req)
-			j.end = j.first + j.req.decode.Seconds()
+			j.started = true
+			j.firstTokenMark = r.workClock + r.prefill(j.req)
+			j.endMark = j.firstTokenMark + j.req.decode.Seconds()
 			r.running = append(r.running, j)
 			poison = poison || j.req.poison
 		}
@@ -181,35 +181,35 @@
 	if q.prefix == 0 {
 		return work
 	}
-	i := slices.Index(r.prefix, q.prefix)
+	i := slices.Index(r.cachedPrefixes, q.prefix)
 	if i >= 0 {
-		work *= cachedPart
-		r.prefix = slices.Delete(r.prefix, i, i+1)
+		work *= cachedPrefillShare
+		r.cachedPrefixes = slices.Delete(r.cachedPrefixes, i, i+1)
 	}
-	r.prefix = append(r.prefix, q.prefix)
-	if len(r.prefix) > r.keeps {
-		r.prefix = r.prefix[1:]
+	r.cachedPrefixes = append(r.cachedPrefixes, q.prefix)
+	if len(r.cachedPrefixes) > r.maxPrefixes {
+		r.cachedPrefixes = r.cachedPrefixes[1:]
 	}
 	return work
 }
 
 // schedule wakes the runner at the next mark.
 func (r *runner) schedule() {
-	r.turn++
+	r.generation++
 	if len(r.running) == 0 {
 		return
 	}
-	next := r.running[0].end
+	next := r.running[0].endMark
 	for _, j := range r.running {
-		next = min(next, j.end)
-		if !j.began {
-			next = min(next, j.first)
+		next = min(next, j.endMark)
+		if !j.firstTokenSent {
+			next = min(next, j.firstTokenMark)
 		}
 	}
-	turn := r.turn
-	wait := time.Duration((next - r.clock) / r.rate() * float64(time.Second))
+	generation := r.generation
+	wait := time.Duration((next - r.workClock) / r.rate() * float64(time.Second))
 	r.loop.after(wait+time.Microsecond, func() {
-		if r.turn == turn {
+		if r.generation == generation {
 			r.step()
 		}
 	})
@@ -221,9 +221,9 @@
 	for i := range r.waiting {
 		waiting += len(r.waiting[i])
 	}
-	token := time.Duration(float64(usualToken) / r.rate())
-	if r.hides {
-		token = time.Duration(float64(usualToken) / r.rate() * r.speed)
+	token := time.Duration(float64(baseTokenTime) / r.rate())
+	if r.hidesSlowness {
+		token = time.Duration(float64(baseTokenTime) / r.rate() * r.speed)
 	}
 	return jwtarget.Load{Running: len(r.running), Waiting: waiting, Slots: r.slots, Token: token}
 }
--- a/io/jwbench/traffic.go
+++ b/io/jwbench/traffic.go
@@ -13,27 +13,27 @@
 
 // request is one request of a caller, over all its tries.
 type request struct {
-	id       uint64
-	entry    *jwcatalogue.Entry
-	owner    string
-	space    int // number of the workspace
-	home     string
-	bound    bool
-	prefix   uint64
-	print    jwsuspect.Fingerprint
-	poison   bool
-	prefill  time.Duration // with nothing cached
-	decode   time.Duration
-	sent     time.Time
-	deadline time.Time
-	counted  bool // sent after the warm-up
-	tries    int
-	away     bool // the try that runs is in another region
-	first    time.Time
-	over     bool
-	job      *job
-	runner   *runner
-	exclude  []netip.AddrPort
+	id           uint64
+	entry        *jwcatalogue.Entry
+	owner        string
+	workspace    int // number of the workspace
+	home         string
+	bound        bool
+	prefix       uint64
+	fingerprint  jwsuspect.Fingerprint
+	poison       bool
+	prefill      time.Duration // with nothing cached
+	decode       time.Duration
+	sentAt       time.Time
+	deadline     time.Time
+	counted      bool // sent after the warm-up
+	tries        int
+	away         bool // the try that runs is in another region
+	firstTokenAt time.Time
+	finished     bool
+	job          *job
+	runner       *runner
+	exclude      []netip.AddrPort
 }
 
 // kind is one kind of request with its usual times and its share of traffic.
@@ -75,41 +75,41 @@
 	work, share := 0.0, 0.0
 	for _, k := range kinds {
 		if k.prefill > 0 {
-			work += k.share * k.work().Seconds() * (1 + fullBatch)
+			work += k.share * k.work().Seconds() * (1 + fullBatchSlowdown)
 			share += k.share
 		}
 	}
-	return float64(r.Writers*writerSlots) / (work / share) / share
+	return float64(r.WriterRunners*writerSlots) / (work / share) / share
 }
 
 // Callers of a region.
 const (
-	workspaces = 60
-	owners     = 6
-	boundPart  = 0.12
-	skew       = 0.7 // of the workspaces: the n-th asks 1/n^skew as often as the first
+	defaultWorkspaces = 60
+	ownersPerRegion   = 6
+	boundShare        = 0.12
+	workspaceSkew     = 0.7 // of the workspaces: the n-th asks 1/n^skew as often as the first
 )
 
 // source makes the requests of one region.
 type source struct {
-	w      *world
-	region Region
-	rate   func(at time.Duration) float64 // requests a second
-	most   float64                        // highest rate
-	weight []float64
-	total  float64
-	warm   time.Duration
-	end    time.Duration
-	serial uint64
+	sim       *simulation
+	region    Region
+	rate      func(at time.Duration) float64 // requests a second
+	maxRate   float64                        // highest rate
+	weights   []float64
+	weightSum float64
+	warmUp    time.Duration
+	end       time.Duration
+	lastID    uint64
 }
 
-func newSource(w *world, index int, rate func(time.Duration) float64, most float64, s Scenario) *source {
-	src := &source{w: w, region: w.deploy.Regions[index], rate: rate, most: most, warm: s.Warm, end: s.Length}
-	src.serial = uint64(index+1) << 32
-	for i := range max(src.region.Spaces, workspaces) {
-		weight := 1 / math.Pow(float64(i+1), skew)
-		src.weight = append(src.weight, weight)
-		src.total += weight
+func newSource(sim *simulation, index int, rate func(time.Duration) float64, maxRate float64, s Scenario) *source {
+	src := &source{sim: sim, region: sim.deployment.Regions[index], rate: rate, maxRate: maxRate, warmUp: s.WarmUp, end: s.RunTime}
+	src.lastID = uint64(index+1) << 32
+	for i := range max(src.region.Workspaces, defaultWorkspaces) {
+		weight := 1 / math.Pow(float64(i+1), workspaceSkew)
+		src.weights = append(src.weights, weight)
+		src.weightSum += weight
 	}
 	return src
 }
@@ -117,32 +117,32 @@
 // start makes a Poisson stream whose rate changes, by thinning one of the
 // highest rate.
 func (s *source) start() {
-	gap := time.Duration(s.w.rnd.ExpFloat64() / s.most * float64(time.Second))
-	s.w.after(gap, func() {
-		at := s.w.now.Sub(epoch)
+	gap := time.Duration(s.sim.rnd.ExpFloat64() / s.maxRate * float64(time.Second))
+	s.sim.after(gap, func() {
+		at := s.sim.now.Sub(epoch)
 		if at >= s.end {
 			return
 		}
-		if s.w.rnd.Float64()*s.most < s.rate(at) {
-			s.w.arrive(s.draw(at))
+		if s.sim.rnd.Float64()*s.maxRate < s.rate(at) {
+			s.sim.arrive(s.randomRequest(at))
 		}
 		s.start()
 	})
 }
 
-// draw makes one request.
-func (s *source) draw(at time.Duration) *request {
-	x := s.w.rnd.Float64() * s.total
-	space := 0
-	for space < len(s.weight)-1 && x > s.weight[space] {
-		x -= s.weight[space]
-		space++
+// randomRequest makes one request.
+func (s *source) randomRequest(at time.Duration) *request {
+	x := s.sim.rnd.Float64() * s.weightSum
+	workspace := 0
+	for workspace < len(s.weights)-1 && x > s.weights[workspace] {
+		x -= s.weights[workspace]
+		workspace++
 	}
-	return s.of(space, fmt.Sprintf("%s/owner-%d", s.region.Name, space%owners), s.kind(), at)
+	return s.newRequest(workspace, fmt.Sprintf("%s/owner-%d", s.region.Name, workspace%ownersPerRegion), s.randomKind(), at)
 }
 
-func (s *source) kind() kind {
-	x := s.w.rnd.Float64()
+func (s *source) randomKind() kind {
+	x := s.sim.rnd.Float64()
 	for _, k := range kinds {
 		if x < k.share {
 			return k
@@ -152,26 +152,26 @@
 	return kinds[0]
 }
 
-// of makes a request of a workspace; its length varies around the usual one.
-func (s *source) of(space int, owner string, k kind, at time.Duration) *request {
-	s.serial++
-	entry := s.w.entries[k.entry]
+// newRequest makes a request of a workspace; its length varies around the usual one.
+func (s *source) newRequest(workspace int, owner string, k kind, at time.Duration) *request {
+	s.lastID++
+	entry := s.sim.entries[k.entry]
 	q := &request{
-		id:       s.serial,
-		entry:    entry,
-		owner:    owner,
-		space:    space,
-		home:     s.region.Name,
-		bound:    float64(space%25) < boundPart*25,
-		prefill:  k.prefill,
-		decode:   time.Duration(float64(k.decode) * (0.5 + s.w.rnd.ExpFloat64()/2)),
-		sent:     s.w.now,
-		deadline: s.w.now.Add(entry.Deadline),
-		counted:  at >= s.warm,
-		print:    jwsuspect.Fingerprint{byte(s.serial), byte(s.serial >> 8), byte(s.serial >> 16), byte(s.serial >> 24), byte(s.serial >> 32)},
+		id:          s.lastID,
+		entry:       entry,
+		owner:       owner,
+		workspace:   workspace,
+		home:        s.region.Name,
+		bound:       float64(workspace%25) < boundShare*25,
+		prefill:     k.prefill,
+		decode:      time.Duration(float64(k.decode) * (0.5 + s.sim.rnd.ExpFloat64()/2)),
+		sentAt:      s.sim.now,
+		deadline:    s.sim.now.Add(entry.Deadline),
+		counted:     at >= s.warmUp,
+		fingerprint: jwsuspect.Fingerprint{byte(s.lastID), byte(s.lastID >> 8), byte(s.lastID >> 16), byte(s.lastID >> 24), byte(s.lastID >> 32)},
 	}
 	if k.prefill > 0 {
-		q.prefix = jwrouter.PrefixOf(fmt.Sprintf("%s/%d", s.region.Name, space), k.entry[:1], nil) | 1
+		q.prefix = jwrouter.PrefixOf(fmt.Sprintf("%s/%d", s.region.Name, workspace), k.entry[:1], nil) | 1
 	}
 	return q
 }
--- a/io/jwbench/world.go
+++ b/io/jwbench/world.go
@@ -15,20 +15,20 @@
 
 // Deployment is the size and the wishes of one operator.
 type Deployment struct {
-	Name    string
-	Regions []Region
-	Delay   time.Duration // one way between regions
-	Price   float64       // of a request sent to another region, in runner-seconds
-	Weights jwcatalogue.Weights
+	Name      string
+	Regions   []Region
+	LinkDelay time.Duration // one way between regions
+	LinkPrice float64       // of a request sent to another region, in runner-seconds
+	Weights   jwcatalogue.Weights
 }
 
 // Region is one region of a deployment.
 type Region struct {
-	Name    string
-	Nodes   int
-	Writers int // model runners
-	Desks   int // runners of the plain service
-	Spaces  int // workspaces, 0 for the usual number
+	Name          string
+	Nodes         int
+	WriterRunners int // model runners
+	DeskRunners   int // runners of the plain service
+	Workspaces    int // workspaces, 0 for the usual number
 }
 
 // The deployments of today. Each has twelve model runners and three runners of
@@ -36,101 +36,101 @@
 func deployments() []Deployment {
 	return []Deployment{
 		{
-			Name:    "zaitoun",
-			Regions: equal("amman-a", "irbid-a", "aqaba-a"),
-			Delay:   40 * time.Millisecond,
-			Price:   0.5,
-			Weights: jwcatalogue.Weights{Cost: 1, Tail: 0.5, SentAway: 1},
+			Name:      "zaitoun",
+			Regions:   equalRegions("amman-a", "irbid-a", "aqaba-a"),
+			LinkDelay: 40 * time.Millisecond,
+			LinkPrice: 0.5,
+			Weights:   jwcatalogue.Weights{Cost: 1, Tail: 0.5, SentAway: 1},
 		},
 		{
-			Name:    "cladagh",
-			Regions: equal("eu-west-a", "eu-central-a", "uk-south-a"),
-			Delay:   25 * time.Millisecond,
-			Price:   0.2,
-			Weights: jwcatalogue.Weights{Cost: 0.2, Tail: 1, SentAway: 0.1},
+			Name:      "cladagh",
+			Regions:   equalRegions("eu-west-a", "eu-central-a", "uk-south-a"),
+			LinkDelay: 25 * time.Millisecond,
+			LinkPrice: 0.2,
+			Weights:   jwcatalogue.Weights{Cost: 0.2, Tail: 1, SentAway: 0.1},
 		},
 	}
 }
 
-func equal(names ...string) []Region {
+func equalRegions(names ...string) []Region {
 	var out []Region
 	for _, name := range names {
-		out = append(out, Region{Name: name, Nodes: 3, Writers: 4, Desks: 1})
+		out = append(out, Region{Name: name, Nodes: 3, WriterRunners: 4, DeskRunners: 1})
 	}
 	return out
 }
 
 // The services and the shape of their fake runners.
 const (
-	writer      = "writer"
-	desk        = "desk"
-	writerSlots = 16
-	deskSlots   = 8
-	writerKeeps = 12 // prefixes
+	writer          = "writer"
+	desk            = "desk"
+	writerSlots     = 16
+	deskSlots       = 8
+	writerCacheSize = 12 // prefixes
 )
 
 // Lags of what nodes hear.
 const (
-	reportEvery = time.Second
-	reportLag   = 200 * time.Millisecond
-	tellEvery   = time.Second
-	localDelay  = 2 * time.Millisecond
+	reportInterval = time.Second
+	reportDelay    = 200 * time.Millisecond
+	shareInterval  = time.Second
+	localDelay     = 2 * time.Millisecond
 )
 
-// world is one run: the nodes with the real decisions, and the fakes.
-type world struct {
+// simulation is one run: the nodes with the real decisions, and the fakes.
+type simulation struct {
 	loop
-	rnd     *rand.Rand
-	deploy  Deployment
-	policy  policy
-	nodes   map[string][]*node // by region
-	runners map[netip.AddrPort]*runner
-	byPlace map[string][]*runner // by region and service, see place
-	entries map[string]*jwcatalogue.Entry
-	result  *Result
+	rnd        *rand.Rand
+	deployment Deployment
+	policy     policy
+	nodes      map[string][]*node // by region
+	runners    map[netip.AddrPort]*runner
+	pools      map[string][]*runner // by region and service, see place
+	entries    map[string]*jwcatalogue.Entry
+	result     *Result
 }
 
 // node is one node of the system.
 type node struct {
-	w        *world
-	name     string
-	region   string
-	targets  *jwtarget.Table
-	router   *jwrouter.Router
-	limiter  *jwlimit.Limiter
-	suspects *jwsuspect.Table
-	reports  map[netip.AddrPort]jwtarget.Load // as they came, for the baselines
-	next     int                              // of round robin
+	sim        *simulation
+	name       string
+	region     string
+	targets    *jwtarget.Table
+	router     *jwrouter.Router
+	limiter    *jwlimit.Limiter
+	suspects   *jwsuspect.Table
+	reports    map[netip.AddrPort]jwtarget.Load // as they came, for the baselines
+	lastTarget int                              // of round robin
 }
 
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
-func newWorld(d Deployment, p policy, seed uint64) *world {
-	w := &world{
-		rnd:     rand.New(rand.NewPCG(seed, 0)),
-		deploy:  d,
-		policy:  p,
-		nodes:   make(map[string][]*node),
-		runners: make(map[netip.AddrPort]*runner),
-		byPlace: make(map[string][]*runner),
-		entries: entries(d),
-		result:  newResult(),
+func newSimulation(d Deployment, p policy, seed uint64) *simulation {
+	sim := &simulation{
+		rnd:        rand.New(rand.NewPCG(seed, 0)),
+		deployment: d,
+		policy:     p,
+		nodes:      make(map[string][]*node),
+		runners:    make(map[netip.AddrPort]*runner),
+		pools:      make(map[string][]*runner),
+		entries:    entries(d),
+		result:     newResult(),
 	}
-	w.now = epoch
+	sim.now = epoch
 	var list []jwtarget.Target
 	for i, region := range d.Regions {
-		list = append(list, w.addRunners(i, region)...)
+		list = append(list, sim.addRunners(i, region)...)
 	}
 	for _, region := range d.Regions {
-		w.addNodes(region, list)
+		sim.addNodes(region, list)
 	}
-	w.tellAll()
-	return w
+	sim.startReports()
+	return sim
 }
 
-func place(region, service string) string { return region + "/" + service }
+func poolKey(region, service string) string { return region + "/" + service }
 
-func (w *world) addRunners(index int, region Region) []jwtarget.Target {
+func (sim *simulation) addRunners(index int, region Region) []jwtarget.Target {
 	var list []jwtarget.Target
 	add := func(service string, i, slots, keeps int) {
 		addr := netip.AddrPortFrom(netip.AddrFrom4([4]byte{10, byte(index), byte(len(service)), byte(i)}), 8000)
@@ -138,116 +138,116 @@
 			Address: addr, Service: service, Region: region.Name,
 			DataCentre: region.Name, State: jwtarget.Live,
 		}
-		r := &runner{loop: &w.loop, target: target, slots: slots, speed: 1, keeps: keeps, moved: w.now}
-		w.runners[addr] = r
-		w.byPlace[place(region.Name, service)] = append(w.byPlace[place(region.Name, service)], r)
+		r := &runner{loop: &sim.loop, target: target, slots: slots, speed: 1, maxPrefixes: keeps, advancedAt: sim.now}
+		sim.runners[addr] = r
+		sim.pools[poolKey(region.Name, service)] = append(sim.pools[poolKey(region.Name, service)], r)
 		list = append(list, target)
 	}
-	for i := range region.Writers {
-		add(writer, i, writerSlots, writerKeeps)
+	for i := range region.WriterRunners {
+		add(writer, i, writerSlots, writerCacheSize)
 	}
-	for i := range region.Desks {
+	for i := range region.DeskRunners {
 		add(desk, i, deskSlots, 0)
 	}
 	return list
 }
 
-func (w *world) addNodes(region Region, list []jwtarget.Target) {
+func (sim *simulation) addNodes(region Region, list []jwtarget.Target) {
 	links := make(map[string]jwrouter.Link)
-	for _, other := range w.deploy.Regions {
-		links[other.Name] = jwrouter.Link{Delay: w.deploy.Delay, Price: w.deploy.Price}
+	for _, other := range sim.deployment.Regions {
+		links[other.Name] = jwrouter.Link{Delay: sim.deployment.LinkDelay, Price: sim.deployment.LinkPrice}
 	}
 	var names []string
 	for i := range region.Nodes {
 		names = append(names, fmt.Sprintf("%s-%d", region.Name, i))
 	}
 	for _, name := range names {
-		n := &node{w: w, name: name, region: region.Name, reports: make(map[netip.AddrPort]jwtarget.Load)}
-		n.targets = &jwtarget.Table{Node: name, Region: region.Name, Subset: w.policy.subset}
-		n.targets.Set(list, w.now)
+		n := &node{sim: sim, name: name, region: region.Name, reports: make(map[netip.AddrPort]jwtarget.Load)}
+		n.targets = &jwtarget.Table{Node: name, Region: region.Name, Subset: sim.policy.subsetSize}
+		n.targets.Set(list, sim.now)
 		n.router = &jwrouter.Router{
 			Region: region.Name, DataCentre: region.Name, Targets: n.targets,
-			Regions: &jwrouter.Regions{Links: links}, Policy: w.policy.router,
+			Regions: &jwrouter.Regions{Links: links}, Policy: sim.policy.router,
 		}
 		n.router.Regions.SetNodes(region.Nodes)
-		n.limiter = &jwlimit.Limiter{Node: name, Policy: w.policy.limiter}
+		n.limiter = &jwlimit.Limiter{Node: name, Policy: sim.policy.limiter}
 		n.limiter.SetMembers(names)
 		n.suspects = &jwsuspect.Table{Node: name, Region: region.Name}
 		n.suspects.SetMembers(names)
-		w.nodes[region.Name] = append(w.nodes[region.Name], n)
+		sim.nodes[region.Name] = append(sim.nodes[region.Name], n)
 	}
 }
 
-// tellAll starts the lagging words: load reports, loads of regions, usage and
+// startReports starts the lagging words: load reports, loads of regions, usage and
 // suspects.
-func (w *world) tellAll() {
-	for _, region := range w.deploy.Regions {
-		for i, n := range w.nodes[region.Name] {
-			period := w.policy.report
-			if period == 0 {
-				period = reportEvery
+func (sim *simulation) startReports() {
+	for _, region := range sim.deployment.Regions {
+		for i, n := range sim.nodes[region.Name] {
+			interval := sim.policy.loadInterval
+			if interval == 0 {
+				interval = reportInterval
 			}
-			first := period * time.Duration(i) / time.Duration(region.Nodes)
-			w.every(first, period, n.poll)
-			w.every(first+tellEvery/2, tellEvery, n.tell)
+			first := interval * time.Duration(i) / time.Duration(region.Nodes)
+			sim.every(first, interval, n.pollLoads)
+			sim.every(first+shareInterval/2, shareInterval, n.shareState)
 		}
 	}
 }
 
-// poll asks the node's targets for their load.
-func (n *node) poll() {
+// pollLoads asks the node's targets for their load.
+func (n *node) pollLoads() {
 	for _, target := range n.targets.Used() {
-		r := n.w.runners[target.Address]
+		r := n.sim.runners[target.Address]
 		if r.down {
-			n.targets.Failed(target.Address, n.w.now)
+			n.targets.Failed(target.Address, n.sim.now)
 			continue
 		}
 		r.advance()
 		load := r.load()
-		load.Taken = n.w.now
-		n.w.after(reportLag, func() {
+		load.Taken = n.sim.now
+		n.sim.after(reportDelay, func() {
 			n.targets.Report(target.Address, load)
 			n.reports[target.Address] = load
 		})
 	}
 }
 
-// tell gives the other nodes what this one knows.
-func (n *node) tell() {
-	usages := n.limiter.Usages(n.w.now)
-	for _, region := range n.w.deploy.Regions {
-		notices := n.suspects.Notices(region.Name, n.w.now)
+// shareState gives the other nodes what this one knows.
+func (n *node) shareState() {
+	usages := n.limiter.Usages(n.sim.now)
+	for _, region := range n.sim.deployment.Regions {
+		notices := n.suspects.Notices(region.Name, n.sim.now)
 		delay := localDelay
 		if region.Name != n.region {
-			delay = n.w.deploy.Delay
+			delay = n.sim.deployment.LinkDelay
 		}
-		for _, other := range n.w.nodes[region.Name] {
+		for _, other := range n.sim.nodes[region.Name] {
 			if other == n {
 				continue
 			}
-			n.w.after(delay, func() {
-				other.suspects.Merge(notices, n.w.now)
+			n.sim.after(delay, func() {
+				other.suspects.Merge(notices, n.sim.now)
 				if other.region == n.region {
-					other.limiter.Merge(n.name, usages, n.w.now)
+					other.limiter.Merge(n.name, usages, n.sim.now)
 				}
 			})
 			if other.region != n.region {
-				n.tellLoad(other, delay)
+				n.sendLoad(other, delay)
 			}
 		}
 	}
 }
 
-// tellLoad tells a node of another region how loaded this one is.
-func (n *node) tellLoad(other *node, delay time.Duration) {
+// sendLoad tells a node of another region how loaded this one is.
+func (n *node) sendLoad(other *node, delay time.Duration) {
 	for _, service := range []string{writer, desk} {
-		room := n.targets.Room(service, n.w.now)
+		room := n.targets.Room(service, n.sim.now)
 		load := jwrouter.Load{
 			Region: n.region, Service: service, Wait: room.Wait, Work: room.Work,
 			Free: room.Free(), Slots: room.Slots, Targets: room.Targets,
 		}
-		n.w.after(delay, func() {
-			load.Taken = n.w.now
+		n.sim.after(delay, func() {
+			load.Taken = n.sim.now
 			other.router.Regions.Merge(load)
 		})
 	}
