--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -26,8 +26,8 @@
 
 // caller sends requests and edits as callers and operators do.
 type caller struct {
-	service httpc.Service
-	answers []answer // all that came, for the summary
+	httpService httpc.Service
+	answers     []answer // all that came, for the summary
 }
 
 // request is one request of a caller.
@@ -41,26 +41,26 @@
 
 // answer is a caller's view of one answer.
 type answer struct {
-	entry   string
-	home    string
-	status  int
-	outcome string
-	region  string // that served it
-	body    string
-	events  int
-	first   time.Duration // to the first byte of the body
-	whole   time.Duration
-	err     error
+	entry          string
+	home           string
+	status         int
+	outcome        string
+	servedBy       string // that served it
+	body           string
+	events         int
+	firstByteAfter time.Duration // to the first byte of the body
+	completeAfter  time.Duration
+	err            error
 }
 
 func newCaller() *caller {
 	breaker.NoBreakerFor(serviceName)
 	client := &http.Client{Transport: &http.Transport{}, Timeout: callTimeout}
-	return &caller{service: httpc.NewServiceWithClient(serviceName, client)}
+	return &caller{httpService: httpc.NewServiceWithClient(serviceName, client)}
 }
 
-// keep notes answers for the summary; the calls themselves may run side by side.
-func (c *caller) keep(answers ...answer) { c.answers = append(c.answers, answers...) }
+// record notes answers for the summary; the calls themselves may run side by side.
+func (c *caller) record(answers ...answer) { c.answers = append(c.answers, answers...) }
 
 // send sends a request and reads its whole answer.
 func (c *caller) send(ctx context.Context, in request) answer {
@@ -76,14 +76,14 @@
 	if in.key != "" {
 		r.Header.Set("Idempotency-Key", in.key)
 	}
-	resp, err := c.service.DoRequest(r)
+	resp, err := c.httpService.DoRequest(r)
 	if err != nil {
 		out.err = err
 		return out
 	}
 	defer resp.Body.Close()
 	out.status = resp.StatusCode
-	out.region = resp.Header.Get("Jujube-Served-By")
+	out.servedBy = resp.Header.Get("Jujube-Served-By")
 	out.read(resp, began)
 	return out
 }
@@ -94,8 +94,8 @@
 	lines := bufio.NewReader(resp.Body)
 	for {
 		line, err := lines.ReadString('\n')
-		if line != "" && a.first == 0 {
-			a.first = time.Since(began)
+		if line != "" && a.firstByteAfter == 0 {
+			a.firstByteAfter = time.Since(began)
 		}
 		if strings.HasPrefix(line, "data: {\"id\"") {
 			a.events++
@@ -109,7 +109,7 @@
 			break
 		}
 	}
-	a.whole = time.Since(began)
+	a.completeAfter = time.Since(began)
 	a.body = text.String()
 	a.outcome = resp.Header.Get("Jujube-Outcome")
 	if a.outcome == "" {
@@ -131,12 +131,12 @@
 	var minted struct {
 		Key string `json:"key"`
 	}
-	_, err = c.read(r, &minted)
+	_, err = c.readJSON(r, &minted)
 	return minted.Key, err
 }
 
-// put writes a new entry and returns how far it is in force.
-func (c *caller) put(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
+// putEntry writes a new entry and returns how far it is in force.
+func (c *caller) putEntry(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return jwoperate.Standing{}, err
@@ -146,27 +146,27 @@
 	if err != nil {
 		return jwoperate.Standing{}, err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
+	r.Header.Set("Authorization", "Bearer "+operatorsToken)
 	r.Header.Set("If-None-Match", "*")
 	var standing jwoperate.Standing
-	_, err = c.read(r, &standing)
+	_, err = c.readJSON(r, &standing)
 	return standing, err
 }
 
-// standing asks how far a revision is in force.
-func (c *caller) standing(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
+// status asks how far a revision is in force.
+func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
 	var standing jwoperate.Standing
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/catalogue/status", nil)
 	if err != nil {
 		return standing, err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
-	_, err = c.read(r, &standing)
+	r.Header.Set("Authorization", "Bearer "+operatorsToken)
+	_, err = c.readJSON(r, &standing)
 	return standing, err
 }
 
-func (c *caller) read(r *http.Request, value any) (status int, err error) {
-	resp, err := c.service.DoRequest(r)
+func (c *caller) readJSON(r *http.Request, value any) (status int, err error) {
+	resp, err := c.httpService.DoRequest(r)
 	if err != nil {
 		return 0, err
 	}
--- a/io/jwdemo/catalogue.go
+++ b/io/jwdemo/catalogue.go
@@ -11,7 +11,7 @@
 	draft        = "menu-draft"
 	lookup       = "order-status"
 	confirmation = "order-confirmation"
-	newEntry     = "menu-question"
+	questionName = "menu-question"
 )
 
 func entries() []jwcatalogue.Entry {
@@ -34,9 +34,9 @@
 	}
 }
 
-// question is the entry that is added while the regions are parted.
-func question() jwcatalogue.Entry {
+// questionEntry is the entry that is added while the regions are parted.
+func questionEntry() jwcatalogue.Entry {
 	e := entries()[0]
-	e.Name, e.Class, e.Deadline = newEntry, jwcatalogue.Lookup, 8*time.Second
+	e.Name, e.Class, e.Deadline = questionName, jwcatalogue.Lookup, 8*time.Second
 	return e
 }
--- a/io/jwdemo/demo_test.go
+++ b/io/jwdemo/demo_test.go
@@ -20,7 +20,7 @@
 
 func TestFigures(t *testing.T) {
 	served := func(home, region string, whole time.Duration) answer {
-		return answer{home: home, region: region, status: 200, outcome: "served", whole: whole}
+		return answer{home: home, servedBy: region, status: 200, outcome: "served", completeAfter: whole}
 	}
 	tests := map[string]struct {
 		answers []answer
@@ -38,17 +38,17 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			assert.Equal(t, figuresOf(tc.answers).row(), tc.want)
+			assert.Equal(t, statsOf(tc.answers).row(), tc.want)
 		})
 	}
 }
 
 func TestVerdict(t *testing.T) {
 	var out strings.Builder
-	t1 := &teller{w: &out}
-	t1.check(true, "one")
-	assert.NilError(t, t1.verdict())
-	t1.check(false, "two of %s", "them")
-	assert.ErrorContains(t, t1.verdict(), "1 of 2 promises broken: two of them")
+	rep := &reporter{w: &out}
+	rep.check(true, "one")
+	assert.NilError(t, rep.result())
+	rep.check(false, "two of %s", "them")
+	assert.ErrorContains(t, rep.result(), "1 of 2 promises broken: two of them")
 	assert.Assert(t, strings.Contains(out.String(), "NOT AS PROMISED: two of them"))
 }
--- a/io/jwdemo/system.go
+++ b/io/jwdemo/system.go
@@ -19,13 +19,13 @@
 )
 
 const (
-	modelService   = "menu-writer"
-	plainService   = "order-desk"
-	runnersPerHome = 4
-	linkDelay      = 15 * time.Millisecond // one way between regions and to the platform
-	token          = "a token of the demo only"
-	// poison is the text that crashes a model runner whose prompt holds it.
-	poison = "divide the menu by zero"
+	modelService     = "menu-writer"
+	plainService     = "order-desk"
+	runnersPerRegion = 4
+	linkDelay        = 15 * time.Millisecond // one way between regions and to the platform
+	operatorsToken   = "a token of the demo only"
+	// crashPrompt is the text that crashes a model runner whose prompt holds it.
+	crashPrompt = "divide the menu by zero"
 )
 
 var (
@@ -35,12 +35,12 @@
 
 // system is the whole of the demo: one node and a few targets a region.
 type system struct {
-	hosts   *jwstand.Hosts
-	desks   map[string]*jwstand.Service // by region
-	runners map[string][]*jwstand.Stand // by region
-	between []*jwstand.Link             // the ways to nodes
-	outward map[string][]*jwstand.Link  // by region, the ways to the platform
-	nodes   map[string]*node            // by region
+	hosts         *jwstand.Hosts
+	desks         map[string]*jwstand.Service // by region
+	runners       map[string][]*jwstand.Stand // by region
+	nodeLinks     []*jwstand.Link             // the ways to nodes
+	platformLinks map[string][]*jwstand.Link  // by region, the ways to the platform
+	nodes         map[string]*node            // by region
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -58,11 +58,11 @@
 // start brings everything up; the system runs until close.
 func start(ctx context.Context) (*system, error) {
 	s := &system{
-		hosts:   &jwstand.Hosts{},
-		desks:   map[string]*jwstand.Service{},
-		runners: map[string][]*jwstand.Stand{},
-		outward: map[string][]*jwstand.Link{},
-		nodes:   map[string]*node{},
+		hosts:         &jwstand.Hosts{},
+		desks:         map[string]*jwstand.Service{},
+		runners:       map[string][]*jwstand.Stand{},
+		platformLinks: map[string][]*jwstand.Link{},
+		nodes:         map[string]*node{},
 	}
 	s.ctx, s.stop = context.WithCancel(ctx)
 	err := s.open()
@@ -74,15 +74,15 @@
 }
 
 func (s *system) open() error {
-	kv, err := s.stand("kv", &jwstand.KeyValue{})
+	kv, err := s.startStandIn("kv", &jwstand.KeyValue{})
 	if err != nil {
 		return err
 	}
-	hosts, err := s.stand("hosts", s.hosts)
+	hosts, err := s.startStandIn("hosts", s.hosts)
 	if err != nil {
 		return err
 	}
-	clients, err := s.stand("clients", directory())
+	clients, err := s.startStandIn("clients", directory())
 	if err != nil {
 		return err
 	}
@@ -100,7 +100,7 @@
 	}
 	s.hosts.Set(groups)
 	for _, n := range s.nodes {
-		s.run(n.Run)
+		s.runPart(n.Run)
 	}
 	return nil
 }
@@ -122,20 +122,20 @@
 // host list.
 func (s *system) openTargets(region string) ([]jwstand.HostGroup, error) {
 	var groups []jwstand.HostGroup
-	for range runnersPerHome {
+	for range runnersPerRegion {
 		runner := &jwstand.Runner{Engine: jwstand.Engine{
 			Slots: 8, Token: 5 * time.Millisecond, Prefill: 50 * time.Microsecond,
 		}}
-		stand, err := s.stand("runner", runner)
+		stand, err := s.startStandIn("runner", runner)
 		if err != nil {
 			return nil, err
 		}
-		stand.SetFaults(jwstand.Faults{CrashOn: poison})
+		stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
 		s.runners[region] = append(s.runners[region], stand)
 		groups = append(groups, target(stand.Address, modelService, region))
 	}
 	desk := &jwstand.Service{Work: 20 * time.Millisecond}
-	stand, err := s.stand("service", desk)
+	stand, err := s.startStandIn("service", desk)
 	if err != nil {
 		return nil, err
 	}
@@ -152,15 +152,15 @@
 // openNode opens the ports of a region's node. Others reach it, and it reaches
 // the platform, through links that can be cut.
 func (s *system) openNode(region string, platform ...netip.AddrPort) (jwstand.HostGroup, error) {
-	way := &jwstand.Link{Name: region, Listen: loopback}
-	links := &jwstand.Links{Control: loopback, Links: []*jwstand.Link{way}}
+	nodeLink := &jwstand.Link{Name: region, Listen: loopback}
+	links := &jwstand.Links{Control: loopback, Links: []*jwstand.Link{nodeLink}}
 	for _, address := range platform {
 		links.Links = append(links.Links, &jwstand.Link{Name: region + "-platform", Listen: loopback, Dial: address})
 	}
 	if err := links.Open(); err != nil {
 		return jwstand.HostGroup{}, err
 	}
-	settings, err := settingsOf(region, way.Listen, links.Links[1:])
+	settings, err := nodeSettings(region, nodeLink.Listen, links.Links[1:])
 	if err != nil {
 		return jwstand.HostGroup{}, err
 	}
@@ -173,37 +173,37 @@
 	if err := n.Listen(); err != nil {
 		return jwstand.HostGroup{}, err
 	}
-	way.Dial = n.NodesAddr()
+	nodeLink.Dial = n.NodesAddr()
 	for _, l := range links.Links {
 		l.SetWeather(jwstand.Weather{Delay: jwstand.Duration(linkDelay)})
 	}
-	s.run(links.Run)
+	s.runPart(links.Run)
 	s.nodes[region] = n
-	s.between = append(s.between, way)
-	s.outward[region] = links.Links[1:]
+	s.nodeLinks = append(s.nodeLinks, nodeLink)
+	s.platformLinks[region] = links.Links[1:]
 	return jwstand.HostGroup{Targets: []string{n.CallersAddr().String()}, Labels: map[string]string{
 		"role": "entry", "name": settings.Node, "region": region, "dataCentre": region + "-1",
-		"state": "live", "nodes": way.Listen.String(),
+		"state": "live", "nodes": nodeLink.Listen.String(),
 	}}, nil
 }
 
-// settingsOf writes the settings of a node as an operator would.
-func settingsOf(region string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
+// nodeSettings writes the settings of a node as an operator would.
+func nodeSettings(region string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
 	type object map[string]any
-	var places []object
+	var regionList []object
 	for _, r := range regions {
-		places = append(places, object{"name": r, "dataCentres": []string{r + "-1"}})
+		regionList = append(regionList, object{"name": r, "dataCentres": []string{r + "-1"}})
 	}
 	text, err := json.Marshal(object{
 		"node": region + "-n1", "region": region, "dataCentre": region + "-1",
 		"listen":    object{"callers": loopback, "operators": loopback, "nodes": loopback},
 		"advertise": object{"nodes": nodes},
 		"platform":  object{"keyValue": platform[0].Listen, "hosts": platform[1].Listen, "directory": platform[2].Listen},
-		"operators": object{"token": token},
+		"operators": object{"token": operatorsToken},
 		"periods": object{
 			"exchange": "100ms", "loadPoll": "100ms", "hostsPoll": "200ms", "directoryPoll": "1s", "hostsLag": "5s",
 		},
-		"regions": places,
+		"regions": regionList,
 		"links": []object{
 			{"from": regions[0], "to": regions[1], "delay": "12ms", "costPerGB": 0.02},
 			{"from": regions[0], "to": regions[2], "delay": "35ms", "costPerGB": 0.03},
@@ -216,20 +216,20 @@
 	return jwsettings.Parse(text)
 }
 
-// stand starts a stand-in on a free port.
-func (s *system) stand(kind string, p jwstand.Program) (*jwstand.Stand, error) {
+// startStandIn starts a stand-in on a free port.
+func (s *system) startStandIn(kind string, p jwstand.Program) (*jwstand.Stand, error) {
 	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	// A crash ends no process here; the stand-in goes down until it is revived.
 	stand.Exit = func(int) { stand.SetFaults(jwstand.Faults{Down: true}) }
 	if err := stand.Listen(); err != nil {
 		return nil, err
 	}
-	s.run(stand.Run)
+	s.runPart(stand.Run)
 	return stand, nil
 }
 
-// run keeps a part running until close and notes what ended it.
-func (s *system) run(part func(context.Context) error) {
+// runPart keeps a part running until close and notes what ended it.
+func (s *system) runPart(part func(context.Context) error) {
 	s.wg.Go(func() {
 		err := part(s.ctx)
 		if err == nil || s.ctx.Err() != nil && errors.Is(err, context.Canceled) {
@@ -253,31 +253,31 @@
 	return nil
 }
 
-// cut parts the regions from each other, and one of them from the platform too.
-func (s *system) cut(region string) { s.setCut(region, true) }
+// disconnect parts the regions from each other, and one of them from the platform too.
+func (s *system) disconnect(region string) { s.setCut(region, true) }
 
-// mend joins what cut has parted.
-func (s *system) mend(region string) { s.setCut(region, false) }
+// reconnect joins what cut has parted.
+func (s *system) reconnect(region string) { s.setCut(region, false) }
 
 func (s *system) setCut(region string, cut bool) {
-	for _, l := range slices.Concat(s.between, s.outward[region]) {
+	for _, l := range slices.Concat(s.nodeLinks, s.platformLinks[region]) {
 		weather := l.Weather()
 		weather.Cut = cut
 		l.SetWeather(weather)
 	}
 }
 
-// toPlatform returns the links of all regions to the platform.
-func (s *system) toPlatform() []*jwstand.Link {
+// allPlatformLinks returns the links of all regions to the platform.
+func (s *system) allPlatformLinks() []*jwstand.Link {
 	var all []*jwstand.Link
-	for _, links := range s.outward {
+	for _, links := range s.platformLinks {
 		all = append(all, links...)
 	}
 	return all
 }
 
-// passed returns the bytes that links have carried, both ways.
-func (s *system) passed(links []*jwstand.Link) uint64 {
+// bytesCarried returns the bytes that links have carried, both ways.
+func (s *system) bytesCarried(links []*jwstand.Link) uint64 {
 	var n uint64
 	for _, l := range links {
 		n += l.Passed(jwstand.Forward) + l.Passed(jwstand.Back)
@@ -285,8 +285,8 @@
 	return n
 }
 
-// total adds up one counter of all nodes, as of their last reports.
-func (s *system) total(counter string) float64 {
+// counterTotal adds up one counter of all nodes, as of their last reports.
+func (s *system) counterTotal(counter string) float64 {
 	sum := 0.0
 	for _, n := range s.nodes {
 		sum += n.Meter.Total(counter, nil)
@@ -294,26 +294,26 @@
 	return sum
 }
 
-// takeDown stops all model runners of a region.
-func (s *system) takeDown(region string) {
+// stopRunners stops all model runners of a region.
+func (s *system) stopRunners(region string) {
 	for _, stand := range s.runners[region] {
 		stand.SetFaults(jwstand.Faults{Down: true})
 	}
 }
 
-// revive restarts the runners that a request has crashed.
-func (s *system) revive(region string) (crashed int) {
+// restartRunners restarts the runners that a request has crashed.
+func (s *system) restartRunners(region string) (crashed int) {
 	for _, stand := range s.runners[region] {
 		if stand.Faults().Down {
 			crashed++
-			stand.SetFaults(jwstand.Faults{CrashOn: poison})
+			stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
 		}
 	}
 	return crashed
 }
 
-// runs counts how often the plain services of all regions ran a key.
-func (s *system) runs(key string) int {
+// countRuns counts how often the plain services of all regions ran a key.
+func (s *system) countRuns(key string) int {
 	n := 0
 	for _, desk := range s.desks {
 		for _, run := range desk.Journal.Runs() {
@@ -325,12 +325,12 @@
 	return n
 }
 
-// await polls until a condition holds; what names it in the error.
-func (s *system) await(limit time.Duration, what string, holds func() bool) error {
-	end := time.Now().Add(limit)
-	for !holds() {
+// waitFor polls until a condition holds; what names it in the error.
+func (s *system) waitFor(timeout time.Duration, what string, condition func() bool) error {
+	end := time.Now().Add(timeout)
+	for !condition() {
 		if time.Now().After(end) {
-			return errors.Errorf("not within %s: %s", limit, what)
+			return errors.Errorf("not within %s: %s", timeout, what)
 		}
 		select {
 		case <-time.After(10 * time.Millisecond):
