--- a/cmd/jujubebench/main.go
+++ b/cmd/jujubebench/main.go
@@ -69,7 +69,7 @@
 	load := &jwload.Load{
 		Schedule: jwload.Schedule{
 			Mix:        mix,
-			Regions:    regionsOf(c.Region, hosts),
+			Regions:    regionShares(c.Region, hosts),
 			Workspaces: c.Workspaces,
 			Bound:      c.Bound,
 			Rate:       c.Rate,
@@ -144,8 +144,8 @@
 	return hosts, nil
 }
 
-// regionsOf gives each region its share; without shares all are equal.
-func regionsOf(shares map[string]float64, hosts map[string][]netip.AddrPort) []jwload.Region {
+// regionShares gives each region its share; without shares all are equal.
+func regionShares(shares map[string]float64, hosts map[string][]netip.AddrPort) []jwload.Region {
 	var regions []jwload.Region
 	for name, share := range shares {
 		regions = append(regions, jwload.Region{Name: name, Share: share})
--- a/cmd/jujubebench/main_test.go
+++ b/cmd/jujubebench/main_test.go
@@ -14,8 +14,8 @@
 }
 
 func TestScripts(t *testing.T) {
-	runner := startStand(t, &jwstand.Runner{})
-	service := startStand(t, &jwstand.Service{})
+	runner := startStandIn(t, &jwstand.Runner{})
+	service := startStandIn(t, &jwstand.Service{})
 	testscript.Run(t, testscript.Params{
 		Dir: "testdata",
 		Setup: func(env *testscript.Env) error {
@@ -28,8 +28,8 @@
 	})
 }
 
-// startStand serves a program until the test ends.
-func startStand(t *testing.T, program jwstand.Program) *jwstand.Stand {
+// startStandIn serves a program until the test ends.
+func startStandIn(t *testing.T, program jwstand.Program) *jwstand.Stand {
 	t.Helper()
 	stand := &jwstand.Stand{Program: program}
 	stop, err := stand.Start()
--- a/cmd/jujubestand/main.go
+++ b/cmd/jujubestand/main.go
@@ -170,16 +170,16 @@
 
 // parseLink reads NAME=LISTEN,DIAL.
 func parseLink(text string) (*jwstand.Link, error) {
-	name, ends, named := strings.Cut(text, "=")
-	near, far, paired := strings.Cut(ends, ",")
+	name, addresses, named := strings.Cut(text, "=")
+	listenText, dialText, paired := strings.Cut(addresses, ",")
 	if !named || !paired {
 		return nil, errors.Errorf("link %q is not NAME=LISTEN,DIAL", text)
 	}
-	listen, err := netip.ParseAddrPort(near)
+	listen, err := netip.ParseAddrPort(listenText)
 	if err != nil {
 		return nil, errors.Wrapf(err, "link %s", name)
 	}
-	dial, err := netip.ParseAddrPort(far)
+	dial, err := netip.ParseAddrPort(dialText)
 	return &jwstand.Link{Name: name, Listen: listen, Dial: dial}, errors.Wrapf(err, "link %s", name)
 }
 
--- a/cmd/jujubewheel/border_test.go
+++ b/cmd/jujubewheel/border_test.go
@@ -15,24 +15,24 @@
 	"gotest.tools/v3/assert"
 )
 
-// border relays what nodes send each other. A node has one address for all
+// nodeRelay relays what nodes send each other. A node has one address for all
 // others, so that a relay can cut a region off only if it knows who dials: it
 // looks up which node's process has the other end of the connection.
-type border struct {
+type nodeRelay struct {
 	t *testing.T
 
-	mu       sync.Mutex
-	nodes    []*nodeProcess
-	cut      string // region cut off from the others, empty for none
-	crossing map[net.Conn]bool
+	mu          sync.Mutex
+	nodes       []*nodeProcess
+	cutRegion   string // region cut off from the others, empty for none
+	crossRegion map[net.Conn]bool
 }
 
-// gate opens the relay of a node of a region; join has to be called once the
+// listen opens the relay of a node of a region; join has to be called once the
 // node runs.
-func (b *border) gate(region string) (at netip.AddrPort, join func(*nodeProcess)) {
+func (r *nodeRelay) listen(region string) (at netip.AddrPort, join func(*nodeProcess)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(b.t, err)
-	b.t.Cleanup(func() { _ = l.Close() })
+	assert.NilError(r.t, err)
+	r.t.Cleanup(func() { _ = l.Close() })
 	started := make(chan netip.AddrPort, 1)
 	go func() {
 		to := <-started
@@ -41,48 +41,48 @@
 			if err != nil {
 				return
 			}
-			go b.relay(near, region, to)
+			go r.forward(near, region, to)
 		}
 	}()
 	return l.Addr().(*net.TCPAddr).AddrPort(), func(n *nodeProcess) {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.nodes = append(b.nodes, n)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.nodes = append(r.nodes, n)
 		started <- n.Nodes
 	}
 }
 
 // setCut cuts a region off from the others; what is open is reset.
-func (b *border) setCut(region string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.cut = region
-	for conn := range b.crossing {
+func (r *nodeRelay) setCut(region string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cutRegion = region
+	for conn := range r.crossRegion {
 		_ = conn.Close()
 	}
-	clear(b.crossing)
+	clear(r.crossRegion)
 }
 
-// admit tells whether a connection may pass now, and keeps it if it crosses.
-func (b *border) admit(near net.Conn, from, to string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// allow tells whether a connection may pass now, and keeps it if it crosses.
+func (r *nodeRelay) allow(conn net.Conn, from, to string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if from == to {
 		return true
 	}
-	if b.cut != "" && (from == b.cut || to == b.cut || from == "") {
+	if r.cutRegion != "" && (from == r.cutRegion || to == r.cutRegion || from == "") {
 		return false
 	}
-	if b.crossing == nil {
-		b.crossing = make(map[net.Conn]bool)
+	if r.crossRegion == nil {
+		r.crossRegion = make(map[net.Conn]bool)
 	}
-	b.crossing[near] = true
+	r.crossRegion[conn] = true
 	return true
 }
 
-func (b *border) relay(near net.Conn, region string, to netip.AddrPort) {
+func (r *nodeRelay) forward(near net.Conn, region string, to netip.AddrPort) {
 	defer func() { _ = near.Close() }()
-	if !b.admit(near, b.dialler(near), region) {
+	if !r.allow(near, r.dialingRegion(near), region) {
 		return
 	}
 	far, err := net.Dial("tcp", to.String())
@@ -97,14 +97,14 @@
 	_, _ = io.Copy(near, far)
 }
 
-// dialler returns the region of the node that has the other end, empty if
+// dialingRegion returns the region of the node that has the other end, empty if
 // that is none of them.
-func (b *border) dialler(near net.Conn) string {
-	b.mu.Lock()
-	nodes := b.nodes
-	b.mu.Unlock()
+func (r *nodeRelay) dialingRegion(near net.Conn) string {
+	r.mu.Lock()
+	nodes := r.nodes
+	r.mu.Unlock()
 	far, here := near.RemoteAddr().(*net.TCPAddr).Port, near.LocalAddr().(*net.TCPAddr).Port
-	inode := inodeOf(far, here)
+	inode := socketInode(far, here)
 	for _, n := range nodes {
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", n.cmd.Process.Pid))
 		for _, file := range files {
@@ -116,8 +116,8 @@
 	return ""
 }
 
-// inodeOf finds the socket of a connection in the kernel's list.
-func inodeOf(local, remote int) string {
+// socketInode finds the socket of a connection in the kernel's list.
+func socketInode(local, remote int) string {
 	f, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -19,25 +19,25 @@
 	"jujubewheel/platform"
 )
 
-// memoryShare is the part of the memory that the runtime keeps to: half, as
+// memoryDivisor is the part of the memory that the runtime keeps to: half, as
 // bytes that wait in the kernel count too.
-const memoryShare = 2
+const memoryDivisor = 2
 
 // gcPercent makes the runtime collect sooner than by default: the memory of a host at
 // its peak is dear, and its processor is mostly idle.
 const gcPercent = 15
 
-// targetDial is how long a target of the own region may take to accept a
+// targetDialTimeout is how long a target of the own region may take to accept a
 // connection: some twenty ways there and back.
-const targetDial = 300 * time.Millisecond
+const targetDialTimeout = 300 * time.Millisecond
 
-// nodeIdle is how long an unused connection to another node is kept: half as
+// nodeIdleTimeout is how long an unused connection to another node is kept: half as
 // long as that one does. To open one across regions takes a way there and back.
-const nodeIdle = jwrest.DefaultIdleTimeout / 2
+const nodeIdleTimeout = jwrest.DefaultIdleTimeout / 2
 
-// settingsPoll is how often the settings file is looked at: it may change
+// settingsPollInterval is how often the settings file is looked at: it may change
 // without a signal.
-const settingsPoll = 2 * time.Second
+const settingsPollInterval = 2 * time.Second
 
 // gateway runs a node that serves by the feed of the platform's store.
 type gateway struct {
@@ -46,59 +46,59 @@
 
 // Run implements jwcommand.Runner.
 func (g gateway) Run(ctx context.Context, n jwcommand.Node) error {
-	o := n.Settings.Gateway
+	options := n.Settings.Gateway
 	debug.SetGCPercent(gcPercent)
-	if o.Memory > 0 {
-		debug.SetMemoryLimit(o.Memory / memoryShare)
+	if options.Memory > 0 {
+		debug.SetMemoryLimit(options.Memory / memoryDivisor)
 	}
 	queue := &jwlog.Queue{W: os.Stdout}
-	ended, written := make(chan struct{}), make(chan struct{})
+	stopQueue, queueDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		queue.Run(ended)
-		close(written)
+		queue.Run(stopQueue)
+		close(queueDone)
 	}()
 	defer func() {
-		close(ended)
-		<-written
+		close(stopQueue)
+		<-queueDone
 	}()
 	log := jwlog.New(queue, n.Verbose).WithValues("node", n.Settings.Node)
 	meter := &jwmeter.Meter{Log: log}
 	defer meter.Close()
-	whole := &jwgateway.Gateway{
+	gw := &jwgateway.Gateway{
 		Settings:  n.Settings,
-		Feed:      &platform.Store{Address: o.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
-		Records:   platform.Records{Regions: o.DataCentres},
+		Feed:      &platform.Store{Address: options.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
+		Records:   platform.Records{Regions: options.DataCentres},
 		Dialect:   platform.Headers{},
-		Targets:   &jwconn.Pool{DialTimeout: targetDial},
-		Nodes:     &jwconn.Pool{Idle: nodeIdle},
+		Targets:   &jwconn.Pool{DialTimeout: targetDialTimeout},
+		Nodes:     &jwconn.Pool{Idle: nodeIdleTimeout},
 		Log:       log,
 		Meter:     meter,
 		LostLines: queue.Lost,
 		Decisions: jwlog.NewDecisions(queue, queue.Minor(), n.Settings.Node),
-		Reload:    reloads(ctx, g.hup, n.File, log),
+		Reload:    watchSettings(ctx, g.hup, n.File, log),
 	}
-	return whole.Run(ctx)
+	return gw.Run(ctx)
 }
 
-// reloads reads the settings file anew at each SIGHUP and when it has changed.
+// watchSettings reads the settings file anew at each SIGHUP and when it has changed.
 // A file with faults is refused and the settings before it stay.
-func reloads(ctx context.Context, hup <-chan os.Signal, file string, log logr.Logger) <-chan *jwsettings.Settings {
+func watchSettings(ctx context.Context, reload <-chan os.Signal, file string, log logr.Logger) <-chan *jwsettings.Settings {
 	out := make(chan *jwsettings.Settings)
 	go func() {
-		last := modified(file)
-		tick := time.NewTicker(settingsPoll)
+		last := modTime(file)
+		tick := time.NewTicker(settingsPollInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hup:
+			case <-reload:
 			case <-tick.C:
-				if at := modified(file); at.Equal(last) {
+				if modifiedAt := modTime(file); modifiedAt.Equal(last) {
 					continue
 				}
 			}
-			last = modified(file)
+			last = modTime(file)
 			s, err := jwsettings.Load(file)
 			if err != nil || s.Gateway == nil {
 				log.Info("settings refused, the old ones stay", "file", file, "error", errorText(err))
@@ -121,8 +121,8 @@
 	return err.Error()
 }
 
-// modified returns when a file changed last, zero if it can't be told.
-func modified(file string) time.Time {
+// modTime returns when a file changed last, zero if it can't be told.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -14,8 +14,8 @@
 	"jujubewheel/io/jwstand"
 )
 
-// ticketOf mints a key at a node.
-func ticketOf(at netip.AddrPort) (string, error) {
+// mintTicket mints a key at a node.
+func mintTicket(at netip.AddrPort) (string, error) {
 	resp, err := http.Post("http://"+at.String()+"/v1/tickets", "", nil)
 	if err != nil {
 		return "", err
@@ -27,8 +27,8 @@
 	return ticket.Key, json.NewDecoder(resp.Body).Decode(&ticket)
 }
 
-// newEntry is a catalogue of one entry, like the draft of the test's one.
-func newEntry(name string) string {
+// oneEntryCatalogue is a catalogue of one entry, like the draft of the test's one.
+func oneEntryCatalogue(name string) string {
 	const last = `"maxBodySize": 1048576}`
 	first, _, _ := strings.Cut(string(testCatalogue), last)
 	return strings.Replace(first, `"draft"`, `"`+name+`"`, 1) + last + "]}"
@@ -36,7 +36,7 @@
 
 // revision asks a node which catalogue is in force there.
 func (f *fleet) revision(n *nodeProcess) uint64 {
-	out, err := f.command(n, "catalogue", "get", "--json")
+	out, err := f.runCommand(n, "catalogue", "get", "--json")
 	var c struct {
 		Revision uint64 `json:"revision"`
 	}
@@ -46,10 +46,10 @@
 	return c.Revision
 }
 
-// through starts a node that others reach by way of the border.
-func (f *fleet) through(b *border, name, region string) *nodeProcess {
-	at, join := b.gate(region)
-	n := f.node(name, region, at)
+// nodeBehindRelay starts a node that others reach by way of the border.
+func (f *fleet) nodeBehindRelay(relay *nodeRelay, name, region string) *nodeProcess {
+	at, join := relay.listen(region)
+	n := f.startNode(name, region, at)
 	join(n)
 	return n
 }
@@ -63,79 +63,79 @@
 // into force there by itself, and no node ever goes back.
 func TestIsolatedRegion(t *testing.T) {
 	f := newFleet(t, "east", "west")
-	f.target("runner", "writer", "east", "--token", "1ms")
-	f.target("runner", "writer", "west", "--token", "1ms")
-	desk := f.target("service", "desk", "west")
-	links := f.stand("link", "kv=127.0.0.1:0,"+f.kv.Address.String(), "clients=127.0.0.1:0,"+f.clients.Address.String())
-	f.platform = map[string][]netip.AddrPort{"west": links.Links}
-	b := &border{t: t}
-	e1 := f.through(b, "e1", "east")
-	w1 := f.through(b, "w1", "west")
-	f.fill()
+	f.startTarget("runner", "writer", "east", "--token", "1ms")
+	f.startTarget("runner", "writer", "west", "--token", "1ms")
+	desk := f.startTarget("service", "desk", "west")
+	links := f.startStandIn("link", "kv=127.0.0.1:0,"+f.kv.Address.String(), "clients=127.0.0.1:0,"+f.clients.Address.String())
+	f.platformAddresses = map[string][]netip.AddrPort{"west": links.Links}
+	relay := &nodeRelay{t: t}
+	e1 := f.nodeBehindRelay(relay, "e1", "east")
+	w1 := f.nodeBehindRelay(relay, "w1", "west")
+	f.loadCatalogue()
 	serves := func(n *nodeProcess) bool {
-		return send(n.Callers, "draft", "free-west", prompt("menu", 5, true)).whole() &&
-			send(n.Callers, "draft", "bound-west", prompt("menu", 5, false)).whole()
+		return send(n.Callers, "draft", "free-west", prompt("menu", 5, true)).complete() &&
+			send(n.Callers, "draft", "bound-west", prompt("menu", 5, false)).complete()
 	}
-	f.await("drafts", func() bool { return serves(w1) })
-	f.await("confirmations", func() bool {
-		key, err := ticketOf(w1.Callers)
-		return err == nil && send(w1.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", key).whole()
+	f.waitFor("drafts", func() bool { return serves(w1) })
+	f.waitFor("confirmations", func() bool {
+		key, err := mintTicket(w1.Callers)
+		return err == nil && send(w1.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", key).complete()
 	})
 
-	back := f.watchRevisions(w1, e1)
-	b.setCut("west")
-	f.put(links.Control, "/links", jwstand.Weather{Cut: true})
-	path := f.write("edit.json", json.RawMessage(newEntry("sheet")))
-	out, err := f.command(e1, "catalogue", "put", "--reason", "test", "--wait", "2s", path)
+	checkRevisions := f.checkRevisionsNeverFall(w1, e1)
+	relay.setCut("west")
+	f.putControl(links.Control, "/links", jwstand.Weather{Cut: true})
+	path := f.write("edit.json", json.RawMessage(oneEntryCatalogue("sheet")))
+	out, err := f.runCommand(e1, "catalogue", "put", "--reason", "test", "--wait", "2s", path)
 	assert.Assert(t, err != nil && strings.Contains(out, "not yet in force"), "%v %s", err, out)
 	assert.Equal(t, f.revision(e1), uint64(3))
 
 	for i := range 20 {
 		assert.Assert(t, serves(w1), "draft %d", i)
 	}
-	w2 := f.through(b, "w2", "west")
-	f.await("a new node of the region serves", func() bool { return serves(w2) })
-	before := len(f.runs(desk))
+	w2 := f.nodeBehindRelay(relay, "w2", "west")
+	f.waitFor("a new node of the region serves", func() bool { return serves(w2) })
+	before := len(f.readJournal(desk))
 	for i, n := range []*nodeProcess{w1, w2} {
-		key, err := ticketOf(n.Callers)
+		key, err := mintTicket(n.Callers)
 		assert.NilError(t, err)
 		body := fmt.Sprintf(`{"order":%d}`, i)
 		first := send(n.Callers, "confirm", "bound-west", body, "Idempotency-Key", key)
-		assert.Assert(t, first.whole(), "%+v", first)
+		assert.Assert(t, first.complete(), "%+v", first)
 		for _, at := range []*nodeProcess{w1, w2} {
 			again := send(at.Callers, "confirm", "bound-west", body, "Idempotency-Key", key)
 			assert.Equal(t, again.body, first.body, "%+v", again)
 		}
 	}
-	assert.Equal(t, len(f.runs(desk)), before+2)
-	own := send(w1.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", "own")
-	assert.Assert(t, own.outcome == "notRun" || own.outcome == "unknown", "%+v", own)
-	assert.Equal(t, len(f.runs(desk)), before+2)
+	assert.Equal(t, len(f.readJournal(desk)), before+2)
+	ownReply := send(w1.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", "own")
+	assert.Assert(t, ownReply.outcome == "notRun" || ownReply.outcome == "unknown", "%+v", ownReply)
+	assert.Equal(t, len(f.readJournal(desk)), before+2)
 
-	out, err = f.command(e1, "catalogue", "status", "--revision", "3")
+	out, err = f.runCommand(e1, "catalogue", "status", "--revision", "3")
 	assert.Assert(t, err != nil && strings.Contains(out, "w1"), "accepted during the cut: %v %s", err, out)
 	assert.Equal(t, f.revision(w1), uint64(2))
 	assert.Equal(t, f.revision(w2), uint64(2))
 
-	f.put(links.Control, "/links", map[string]bool{"cut": false})
-	b.setCut("")
-	f.await("the change is accepted", func() bool {
-		_, err := f.command(e1, "catalogue", "status", "--revision", "3")
+	f.putControl(links.Control, "/links", map[string]bool{"cut": false})
+	relay.setCut("")
+	f.waitFor("the change is accepted", func() bool {
+		_, err := f.runCommand(e1, "catalogue", "status", "--revision", "3")
 		return err == nil
 	})
 	for _, n := range f.nodes {
 		assert.Equal(t, f.revision(n), uint64(3), n.name)
 	}
-	f.await("own keys are claimed again", func() bool {
-		return send(w2.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", "own").whole()
+	f.waitFor("own keys are claimed again", func() bool {
+		return send(w2.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", "own").complete()
 	})
-	assert.Equal(t, len(f.runs(desk)), before+3)
-	back()
+	assert.Equal(t, len(f.readJournal(desk)), before+3)
+	checkRevisions()
 }
 
-// watchRevisions notes the revisions of nodes until the returned function is
+// checkRevisionsNeverFall notes the revisions of nodes until the returned function is
 // called, which fails the test if one ever fell.
-func (f *fleet) watchRevisions(nodes ...*nodeProcess) func() {
+func (f *fleet) checkRevisionsNeverFall(nodes ...*nodeProcess) func() {
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
 	wg.Go(func() {
--- a/cmd/jujubewheel/main.go
+++ b/cmd/jujubewheel/main.go
@@ -34,6 +34,6 @@
 
 // Run implements jwcommand.Runner.
 func (node) Run(ctx context.Context, n jwcommand.Node) error {
-	whole := &jwnode.Node{Settings: n.Settings, Log: n.Log, Meter: n.Meter, Audit: n.Audit}
-	return whole.Run(ctx)
+	server := &jwnode.Node{Settings: n.Settings, Log: n.Log, Meter: n.Meter, Audit: n.Audit}
+	return server.Run(ctx)
 }
--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -13,23 +13,23 @@
 	"jujubewheel/io/jwstand"
 )
 
-// eastern are the nodes of the region east.
-type eastern struct{}
+// eastNodes are the nodes of the region east.
+type eastNodes struct{}
 
-func (eastern) Serving(string) []string { return []string{"e1", "e2", "e3"} }
+func (eastNodes) Serving(string) []string { return []string{"e1", "e2", "e3"} }
 
-// writerOf names the node of the east that writes the claims of a key, and so
+// claimWriter names the node of the east that writes the claims of a key, and so
 // runs it wherever it is pressed.
-func writerOf(key string) string {
-	k := &jwclaim.Keeper{Salt: []byte(jwsettings.DefaultSalt), Peers: eastern{}}
+func claimWriter(key string) string {
+	k := &jwclaim.Keeper{Salt: []byte(jwsettings.DefaultSalt), Peers: eastNodes{}}
 	return k.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key})
 }
 
-// keyOfAnother returns a key that another node runs.
-func keyOfAnother(t *testing.T, node, name string) string {
+// keyOfOtherNode returns a key that another node runs.
+func keyOfOtherNode(t *testing.T, node, name string) string {
 	t.Helper()
 	for i := range 1000 {
-		if key := fmt.Sprintf("%s-%d", name, i); writerOf(key) != node {
+		if key := fmt.Sprintf("%s-%d", name, i); claimWriter(key) != node {
 			return key
 		}
 	}
@@ -43,27 +43,27 @@
 // it woke, after the service took a claim but its reply was lost, and while the
 // service is down. The deposit must be taken once for each key, and whoever
 // gets an answer gets the same one.
-func TestOnceOverTheWholeSystem(t *testing.T) {
+func TestConfirmationRunsOncePerKey(t *testing.T) {
 	f := newFleet(t, "east", "west")
-	desk := f.target("service", "desk", "east", "--work", "400ms")
-	e1, e2, e3, w1 := f.node("e1", "east"), f.node("e2", "east"), f.node("e3", "east"), f.node("w1", "west")
-	f.fill()
+	desk := f.startTarget("service", "desk", "east", "--work", "400ms")
+	e1, e2, e3, w1 := f.startNode("e1", "east"), f.startNode("e2", "east"), f.startNode("e3", "east"), f.startNode("w1", "west")
+	f.loadCatalogue()
 	press := func(n *nodeProcess, key string, more ...string) reply {
 		return send(n.Callers, "confirm", "free-east", `{"deposit":1}`, append([]string{"Idempotency-Key", key}, more...)...)
 	}
-	f.await("confirmations", func() bool {
-		return press(e1, "warm-1").whole() && press(e2, "warm-2").whole() && press(e3, "warm-3").whole() && press(w1, "warm-4").whole()
+	f.waitFor("confirmations", func() bool {
+		return press(e1, "warm-1").complete() && press(e2, "warm-2").complete() && press(e3, "warm-3").complete() && press(w1, "warm-4").complete()
 	})
 	runs := func(key string) (n int) {
-		for _, run := range f.runs(desk) {
+		for _, run := range f.readJournal(desk) {
 			if run.Key == key {
 				n++
 			}
 		}
 		return n
 	}
-	running := func(key string) {
-		f.await(key+" runs", func() bool { return runs(key) > 0 })
+	waitRunning := func(key string) {
+		f.waitFor(key+" runs", func() bool { return runs(key) > 0 })
 	}
 
 	// At four hosts at once.
@@ -74,7 +74,7 @@
 	}
 	wg.Wait()
 	for _, r := range answers {
-		assert.Assert(t, r.whole(), "%+v", r)
+		assert.Assert(t, r.complete(), "%+v", r)
 		assert.Equal(t, r.body, answers[0].body)
 	}
 	assert.Equal(t, runs("at-once"), 1)
@@ -82,45 +82,45 @@
 	assert.Equal(t, other.status, 409, "%+v", other)
 
 	// The reply to the claim is lost.
-	f.put(f.kv.Control, "/faults", jwstand.Faults{LoseReply: 2})
-	f.await("served in the end", func() bool { return press(e2, "lost-reply").whole() })
+	f.putControl(f.kv.Control, "/faults", jwstand.Faults{LoseReply: 2})
+	f.waitFor("served in the end", func() bool { return press(e2, "lost-reply").complete() })
 	assert.Equal(t, runs("lost-reply"), 1)
 
 	// The node that runs it is paused, then wakes.
 	byName := map[string]*nodeProcess{"e1": e1, "e2": e2, "e3": e3}
-	without := func(gone *nodeProcess) (left []*nodeProcess) {
+	othersThan := func(excluded *nodeProcess) (left []*nodeProcess) {
 		for _, n := range []*nodeProcess{e1, e2, e3, w1} {
-			if n != gone {
+			if n != excluded {
 				left = append(left, n)
 			}
 		}
 		return left
 	}
 	const pausedKey = "paused"
-	frozen := byName[writerOf(pausedKey)]
+	pausedNode := byName[claimWriter(pausedKey)]
 	paused := make(chan reply, 1)
-	go func() { paused <- press(frozen, pausedKey) }()
-	running(pausedKey)
-	frozen.signal(syscall.SIGSTOP)
-	for _, n := range without(frozen) {
+	go func() { paused <- press(pausedNode, pausedKey) }()
+	waitRunning(pausedKey)
+	pausedNode.signal(syscall.SIGSTOP)
+	for _, n := range othersThan(pausedNode) {
 		r := press(n, pausedKey, "Jujube-Timeout", "700ms")
 		assert.Equal(t, r.outcome, "unknown", "%+v", r)
 	}
-	frozen.signal(syscall.SIGCONT)
+	pausedNode.signal(syscall.SIGCONT)
 	first := <-paused
-	assert.Assert(t, first.whole(), "%+v", first)
-	for _, n := range without(frozen) {
-		f.await("others get the answer", func() bool { return press(n, pausedKey).body == first.body })
+	assert.Assert(t, first.complete(), "%+v", first)
+	for _, n := range othersThan(pausedNode) {
+		f.waitFor("others get the answer", func() bool { return press(n, pausedKey).body == first.body })
 	}
 	assert.Equal(t, runs(pausedKey), 1)
 
 	// The node that runs it is killed.
-	killedKey := keyOfAnother(t, frozen.name, "killed")
-	killed := byName[writerOf(killedKey)]
+	killedKey := keyOfOtherNode(t, pausedNode.name, "killed")
+	killed := byName[claimWriter(killedKey)]
 	go press(killed, killedKey)
-	running(killedKey)
-	killed.end()
-	left := without(killed)
+	waitRunning(killedKey)
+	killed.kill()
+	left := othersThan(killed)
 	for _, n := range append(left, left...) {
 		r := press(n, killedKey)
 		assert.Equal(t, r.outcome, "unknown", "%+v", r)
@@ -128,21 +128,21 @@
 	assert.Equal(t, runs(killedKey), 1)
 
 	// The service is down: own keys wait, tickets go on.
-	f.put(f.kv.Control, "/faults", jwstand.Faults{Down: true})
+	f.putControl(f.kv.Control, "/faults", jwstand.Faults{Down: true})
 	one, two := left[0], left[1]
 	r := press(one, "down")
 	assert.Assert(t, r.outcome == "unknown" || r.outcome == "notRun", "%+v", r)
 	assert.Equal(t, runs("down"), 0)
-	ticket, err := ticketOf(two.Callers)
+	ticket, err := mintTicket(two.Callers)
 	assert.NilError(t, err)
 	began := press(two, ticket)
-	assert.Assert(t, began.whole(), "%+v", began)
+	assert.Assert(t, began.complete(), "%+v", began)
 	assert.Equal(t, press(one, ticket).body, began.body)
 	assert.Equal(t, runs(ticket), 1)
-	f.put(f.kv.Control, "/faults", map[string]bool{"down": false})
-	f.await("own keys again", func() bool { return press(two, "down").whole() })
+	f.putControl(f.kv.Control, "/faults", map[string]bool{"down": false})
+	f.waitFor("own keys again", func() bool { return press(two, "down").complete() })
 	assert.Equal(t, runs("down"), 1)
-	for _, run := range f.runs(desk) {
+	for _, run := range f.readJournal(desk) {
 		assert.Equal(t, runs(run.Key), 1, run.Key)
 	}
 }
--- a/cmd/jujubewheel/pause_test.go
+++ b/cmd/jujubewheel/pause_test.go
@@ -15,7 +15,7 @@
 // lastChange returns the number of an entry's last change.
 func (f *fleet) lastChange(n *nodeProcess, entry string) string {
 	f.t.Helper()
-	out, err := f.command(n, "catalogue", "get", entry)
+	out, err := f.runCommand(n, "catalogue", "get", entry)
 	assert.NilError(f.t, err, "%s", out)
 	var e struct {
 		Revision json.Number `json:"revision"`
@@ -30,17 +30,17 @@
 // moment must not be served by an entry that was removed for good.
 func TestFrozenNodeWakes(t *testing.T) {
 	f := newFleet(t, "east")
-	f.target("runner", "writer", "east", "--token", "1ms")
-	frozen, other := f.node("e1", "east"), f.node("e2", "east")
-	f.fill()
+	f.startTarget("runner", "writer", "east", "--token", "1ms")
+	frozen, other := f.startNode("e1", "east"), f.startNode("e2", "east")
+	f.loadCatalogue()
 	for _, n := range f.nodes {
-		f.await("a draft is served", func() bool { return send(n.Callers, "draft", "free-east", prompt("menu", 1, false)).whole() })
+		f.waitFor("a draft is served", func() bool { return send(n.Callers, "draft", "free-east", prompt("menu", 1, false)).complete() })
 	}
 	frozen.signal(syscall.SIGSTOP)
-	listed := f.groups
-	f.groups = slices.DeleteFunc(slices.Clone(listed), func(g jwstand.HostGroup) bool { return g.Labels["name"] == frozen.name })
-	f.put(f.hosts.Control, "/hosts", f.groups)
-	out, err := f.command(other, "catalogue", "remove", "--reason", "no longer offered", "--wait", "30s", "--revision", f.lastChange(other, "draft"), "draft")
+	listed := f.hostGroups
+	f.hostGroups = slices.DeleteFunc(slices.Clone(listed), func(g jwstand.HostGroup) bool { return g.Labels["name"] == frozen.name })
+	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
+	out, err := f.runCommand(other, "catalogue", "remove", "--reason", "no longer offered", "--wait", "30s", "--revision", f.lastChange(other, "draft"), "draft")
 	assert.NilError(t, err, "%s", out)
 
 	// The first requests wait in the frozen host's queue.
@@ -48,8 +48,8 @@
 	for range cap(replies) {
 		go func() { replies <- send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false)) }()
 	}
-	f.await("the edit is still accepted", func() bool {
-		out, err := f.command(other, "catalogue", "status", "--json")
+	f.waitFor("the edit is still accepted", func() bool {
+		out, err := f.runCommand(other, "catalogue", "status", "--json")
 		var s struct {
 			Accepted bool `json:"accepted"`
 		}
@@ -61,9 +61,9 @@
 		assert.Assert(t, r.status != 200, "served by a removed entry: %+v", r)
 	}
 
-	f.groups = listed
-	f.put(f.hosts.Control, "/hosts", f.groups)
-	f.await("it serves again, by the new catalogue", func() bool {
+	f.hostGroups = listed
+	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
+	f.waitFor("it serves again, by the new catalogue", func() bool {
 		r := send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false))
 		return r.status == 404 && strings.Contains(r.body, "unknownEntry")
 	})
--- a/cmd/jujubewheel/process_test.go
+++ b/cmd/jujubewheel/process_test.go
@@ -23,13 +23,13 @@
 	"jujubewheel/io/jwstand"
 )
 
-// patience bounds how long a test waits for a state to come about.
-const patience = 30 * time.Second
+// waitTimeout bounds how long a test waits for a state to come about.
+const waitTimeout = 30 * time.Second
 
 const testToken = "a token for tests only"
 
-// programs builds the two programs once.
-var programs = sync.OnceValues(func() (string, error) {
+// buildPrograms builds the two programs once.
+var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "jujubewheel")
 	if err != nil {
 		return "", err
@@ -43,7 +43,7 @@
 
 func TestMain(m *testing.M) {
 	code := m.Run()
-	if dir, err := programs(); err == nil {
+	if dir, err := buildPrograms(); err == nil {
 		_ = os.RemoveAll(dir)
 	}
 	os.Exit(code)
@@ -59,9 +59,9 @@
 	arrived chan struct{}
 }
 
-func start(t testing.TB, program string, args ...string) *process {
+func startProgram(t testing.TB, program string, args ...string) *process {
 	t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	assert.NilError(t, err)
 	p := &process{t: t, cmd: exec.Command(filepath.Join(dir, program), args...), ended: make(chan struct{}), arrived: make(chan struct{}, 1)}
 	r, w := io.Pipe()
@@ -74,9 +74,9 @@
 		close(p.ended)
 	}()
 	t.Cleanup(func() {
-		p.end()
+		p.kill()
 		if t.Failed() {
-			t.Logf("%s %v:\n%s", program, args, p.tail(40))
+			t.Logf("%s %v:\n%s", program, args, p.lastLines(40))
 		}
 	})
 	return p
@@ -96,23 +96,23 @@
 	}
 }
 
-func (p *process) tail(n int) []byte {
+func (p *process) lastLines(n int) []byte {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return bytes.Join(p.lines[max(len(p.lines)-n, 0):], []byte("\n"))
 }
 
-// end kills the process and waits for its end.
-func (p *process) end() {
+// kill kills the process and waits for its end.
+func (p *process) kill() {
 	p.signal(syscall.SIGCONT)
 	p.signal(syscall.SIGKILL)
 	<-p.ended
 }
 
-// line waits for a line that holds the text and decodes its JSON.
-func (p *process) line(text string, v any) {
+// waitForLine waits for a line that holds the text and decodes its JSON.
+func (p *process) waitForLine(text string, v any) {
 	p.t.Helper()
-	deadline := time.After(patience)
+	deadline := time.After(waitTimeout)
 	for seen := 0; ; {
 		p.mu.Lock()
 		lines := p.lines[seen:]
@@ -127,9 +127,9 @@
 		select {
 		case <-p.arrived:
 		case <-p.ended:
-			p.t.Fatalf("%v ended before %q:\n%s", p.cmd.Args, text, p.tail(20))
+			p.t.Fatalf("%v ended before %q:\n%s", p.cmd.Args, text, p.lastLines(20))
 		case <-deadline:
-			p.t.Fatalf("%v: no line with %q:\n%s", p.cmd.Args, text, p.tail(20))
+			p.t.Fatalf("%v: no line with %q:\n%s", p.cmd.Args, text, p.lastLines(20))
 		}
 	}
 }
@@ -150,10 +150,10 @@
 	name, region string
 }
 
-// stop ends all nodes at once, before the test is over.
-func (f *fleet) stop() {
+// killNodes ends all nodes at once, before the test is over.
+func (f *fleet) killNodes() {
 	for _, n := range f.nodes {
-		n.end()
+		n.kill()
 	}
 }
 
@@ -163,10 +163,10 @@
 	dir                string
 	kv, hosts, clients jwstand.Ready
 	regions            []string
-	groups             []jwstand.HostGroup
+	hostGroups         []jwstand.HostGroup
 	nodes              []*nodeProcess
 	// platform changes what the nodes of a region reach the platform by.
-	platform map[string][]netip.AddrPort // key-value service, client directory
+	platformAddresses map[string][]netip.AddrPort // key-value service, client directory
 }
 
 func newFleet(t testing.TB, regions ...string) *fleet {
@@ -178,9 +178,9 @@
 			jwstand.Client{Name: "free-" + r, Region: r, Owner: "o"},
 			jwstand.Client{Name: "bound-" + r, Region: r, Owner: "o", Bound: true})
 	}
-	f.kv = f.stand("kv")
-	f.hosts = f.stand("hosts")
-	f.clients = f.stand("clients", "--file", f.write("clients.json", list))
+	f.kv = f.startStandIn("kv")
+	f.hosts = f.startStandIn("hosts")
+	f.clients = f.startStandIn("clients", "--file", f.write("clients.json", list))
 	return f
 }
 
@@ -193,29 +193,29 @@
 	return path
 }
 
-func (f *fleet) stand(kind string, args ...string) jwstand.Ready {
+func (f *fleet) startStandIn(kind string, args ...string) jwstand.Ready {
 	f.t.Helper()
-	p := start(f.t, "jujubestand", append([]string{kind}, args...)...)
+	p := startProgram(f.t, "jujubestand", append([]string{kind}, args...)...)
 	var ready jwstand.Ready
-	p.line(`"control"`, &ready)
+	p.waitForLine(`"control"`, &ready)
 	return ready
 }
 
-// target starts a target and lists it.
-func (f *fleet) target(kind, service, region string, args ...string) jwstand.Ready {
-	ready := f.stand(kind, args...)
-	f.list(ready.Address, map[string]string{"role": "target", "service": service, "region": region, "dataCentre": region + "-1"})
+// startTarget starts a target and lists it.
+func (f *fleet) startTarget(kind, service, region string, args ...string) jwstand.Ready {
+	ready := f.startStandIn(kind, args...)
+	f.addToHostList(ready.Address, map[string]string{"role": "target", "service": service, "region": region, "dataCentre": region + "-1"})
 	return ready
 }
 
-func (f *fleet) list(addr netip.AddrPort, labels map[string]string) {
+func (f *fleet) addToHostList(addr netip.AddrPort, labels map[string]string) {
 	f.t.Helper()
 	labels["state"] = "live"
-	f.groups = append(f.groups, jwstand.HostGroup{Targets: []string{addr.String()}, Labels: labels})
-	f.put(f.hosts.Control, "/hosts", f.groups)
+	f.hostGroups = append(f.hostGroups, jwstand.HostGroup{Targets: []string{addr.String()}, Labels: labels})
+	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
 }
 
-func (f *fleet) put(control netip.AddrPort, path string, v any) {
+func (f *fleet) putControl(control netip.AddrPort, path string, v any) {
 	f.t.Helper()
 	data, err := json.Marshal(v)
 	assert.NilError(f.t, err)
@@ -227,17 +227,17 @@
 	assert.Assert(f.t, resp.StatusCode < 300, "%s %s: %s", control, path, resp.Status)
 }
 
-// node starts a node and lists it; nodes go to its port for other nodes by way
+// startNode starts a node and lists it; nodes go to its port for other nodes by way
 // of through, if that is valid.
-func (f *fleet) node(name, region string, through ...netip.AddrPort) *nodeProcess {
+func (f *fleet) startNode(name, region string, relay ...netip.AddrPort) *nodeProcess {
 	f.t.Helper()
 	var regions []string
 	for _, r := range f.regions {
 		regions = append(regions, fmt.Sprintf(`{"name": %q, "dataCentres": [%q]}`, r, r+"-1"))
 	}
 	advertise := ""
-	if len(through) > 0 {
-		advertise = fmt.Sprintf(`"advertise": {"nodes": %q},`, through[0])
+	if len(relay) > 0 {
+		advertise = fmt.Sprintf(`"advertise": {"nodes": %q},`, relay[0])
 	}
 	text := fmt.Sprintf(`{
 		"node": %q, "region": %q, "dataCentre": %q, %s
@@ -247,27 +247,27 @@
 		"periods": {"exchange": "100ms", "hostsPoll": "100ms", "loadPoll": "100ms", "hostsLag": "3s"},
 		"regions": [%s]
 	}`, name, region, region+"-1", advertise, f.kv.Address, f.hosts.Address, f.clients.Address, testToken, strings.Join(regions, ", "))
-	if by := f.platform[region]; by != nil {
+	if by := f.platformAddresses[region]; by != nil {
 		text = strings.Replace(text, f.kv.Address.String(), by[0].String(), 1)
 		text = strings.Replace(text, f.clients.Address.String(), by[1].String(), 1)
 	}
 	path := filepath.Join(f.dir, name+".jsonc")
 	assert.NilError(f.t, os.WriteFile(path, []byte(text), 0o600))
-	n := &nodeProcess{process: start(f.t, "jujubewheel", "serve", path), name: name, region: region}
-	n.line(`"listening"`, &n.ports)
+	n := &nodeProcess{process: startProgram(f.t, "jujubewheel", "serve", path), name: name, region: region}
+	n.waitForLine(`"listening"`, &n.ports)
 	nodes := n.Nodes
-	if len(through) > 0 {
-		nodes = through[0]
+	if len(relay) > 0 {
+		nodes = relay[0]
 	}
-	f.list(n.Callers, map[string]string{"role": "entry", "name": name, "region": region, "dataCentre": region + "-1", "nodes": nodes.String()})
+	f.addToHostList(n.Callers, map[string]string{"role": "entry", "name": name, "region": region, "dataCentre": region + "-1", "nodes": nodes.String()})
 	f.nodes = append(f.nodes, n)
 	return n
 }
 
-// command runs the command line against a node and returns its output.
-func (f *fleet) command(n *nodeProcess, args ...string) (string, error) {
+// runCommand runs the command line against a node and returns its output.
+func (f *fleet) runCommand(n *nodeProcess, args ...string) (string, error) {
 	f.t.Helper()
-	dir, err := programs()
+	dir, err := buildPrograms()
 	assert.NilError(f.t, err)
 	cmd := exec.Command(filepath.Join(dir, "jujubewheel"), append(args, "--at", n.Operators.String())...)
 	cmd.Env = append(os.Environ(), "JUJUBE_TOKEN="+testToken, "JUJUBE_AUTHOR=test")
@@ -275,11 +275,11 @@
 	return string(out), err
 }
 
-// ready waits until the nodes serve and are level with the catalogue.
-func (f *fleet) ready(revision uint64) {
+// waitReady waits until the nodes serve and are level with the catalogue.
+func (f *fleet) waitReady(revision uint64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
-		f.await(n.name+" ready", func() bool {
+		f.waitFor(n.name+" ready", func() bool {
 			select {
 			case <-n.ended:
 				return true
@@ -293,7 +293,7 @@
 			if resp.StatusCode != http.StatusOK {
 				return false
 			}
-			out, err := f.command(n, "catalogue", "get", "--json")
+			out, err := f.runCommand(n, "catalogue", "get", "--json")
 			var c struct {
 				Revision uint64 `json:"revision"`
 			}
@@ -302,28 +302,28 @@
 	}
 }
 
-func (f *fleet) await(what string, holds func() bool) {
+func (f *fleet) waitFor(what string, condition func() bool) {
 	f.t.Helper()
 	poll.WaitOn(f.t, func(poll.LogT) poll.Result {
-		if holds() {
+		if condition() {
 			return poll.Success()
 		}
 		return poll.Continue("waiting for: %s", what)
-	}, poll.WithTimeout(patience), poll.WithDelay(50*time.Millisecond))
+	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
 // reply is a caller's view of an answer.
 type reply struct {
-	status  int
-	outcome string
-	server  string
-	body    string
-	hosts   []netip.AddrPort
-	err     error // no answer, or it broke off
+	status   int
+	outcome  string
+	servedBy string
+	body     string
+	hosts    []netip.AddrPort
+	err      error // no answer, or it broke off
 }
 
-// whole tells whether the answer came whole.
-func (r reply) whole() bool {
+// complete tells whether the answer came whole.
+func (r reply) complete() bool {
 	if r.err != nil || r.status != http.StatusOK || r.outcome != "served" {
 		return false
 	}
@@ -346,7 +346,7 @@
 	}
 	defer func() { _ = resp.Body.Close() }()
 	data, err := io.ReadAll(resp.Body)
-	out := reply{status: resp.StatusCode, outcome: resp.Header.Get("Jujube-Outcome"), server: resp.Header.Get("Jujube-Served-By"), body: string(data), err: err}
+	out := reply{status: resp.StatusCode, outcome: resp.Header.Get("Jujube-Outcome"), servedBy: resp.Header.Get("Jujube-Served-By"), body: string(data), err: err}
 	if out.outcome == "" {
 		out.outcome = resp.Trailer.Get("Jujube-Outcome")
 	}
@@ -359,8 +359,8 @@
 	return out
 }
 
-// hostsOf asks a node which hosts to use.
-func hostsOf(to netip.AddrPort, workspace string) ([]netip.AddrPort, error) {
+// listHosts asks a node which hosts to use.
+func listHosts(to netip.AddrPort, workspace string) ([]netip.AddrPort, error) {
 	resp, err := http.Get("http://" + to.String() + "/v1/hosts?workspace=" + workspace)
 	if err != nil {
 		return nil, err
@@ -372,8 +372,8 @@
 	return list.Hosts, json.NewDecoder(resp.Body).Decode(&list)
 }
 
-// runs reads a target's journal.
-func (f *fleet) runs(target jwstand.Ready) []jwstand.Run {
+// readJournal reads a target's journal.
+func (f *fleet) readJournal(target jwstand.Ready) []jwstand.Run {
 	f.t.Helper()
 	resp, err := http.Get("http://" + target.Control.String() + "/journal")
 	assert.NilError(f.t, err)
@@ -400,12 +400,12 @@
 	 "keyMemory": "1h", "maxBodySize": 65536}
 ]}`)
 
-// fill puts the test's catalogue in force.
-func (f *fleet) fill() {
+// loadCatalogue puts the test's catalogue in force.
+func (f *fleet) loadCatalogue() {
 	f.t.Helper()
-	f.ready(0)
+	f.waitReady(0)
 	path := f.write("catalogue.json", testCatalogue)
-	out, err := f.command(f.nodes[0], "catalogue", "put", "--reason", "test", "--wait", "20s", path)
+	out, err := f.runCommand(f.nodes[0], "catalogue", "put", "--reason", "test", "--wait", "20s", path)
 	assert.NilError(f.t, err, "%s", out)
-	f.ready(2)
+	f.waitReady(2)
 }
--- a/cmd/jujubewheel/recovery_test.go
+++ b/cmd/jujubewheel/recovery_test.go
@@ -24,15 +24,15 @@
 
 // served sends a lookup-sized draft and tells whether it came whole.
 func served(at netip.AddrPort) bool {
-	return send(at, "draft", "free-east", prompt("menu", 1, false)).whole()
+	return send(at, "draft", "free-east", prompt("menu", 1, false)).complete()
 }
 
-// until polls quickly and returns how long it took.
-func until(b *testing.B, holds func() bool) time.Duration {
+// waitUntil polls quickly and returns how long it took.
+func waitUntil(b *testing.B, condition func() bool) time.Duration {
 	b.Helper()
 	start := time.Now()
-	for !holds() {
-		if time.Since(start) > patience {
+	for !condition() {
+		if time.Since(start) > waitTimeout {
 			b.Fatal("not within the patience of the test")
 		}
 		time.Sleep(2 * time.Millisecond)
@@ -40,7 +40,7 @@
 	return time.Since(start)
 }
 
-func report(b *testing.B, name string, times []time.Duration) {
+func reportMedian(b *testing.B, name string, times []time.Duration) {
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Milliseconds()), name+"-ms")
 }
@@ -48,39 +48,39 @@
 // BenchmarkRecoveryNodeKill measures from the kill of a node until its caller is
 // served by another, and until no node names the dead one to callers.
 func BenchmarkRecoveryNodeKill(b *testing.B) {
-	var elsewhere, unnamed []time.Duration
+	var servedElsewhere, noLongerListed []time.Duration
 	for range b.N {
 		f := newFleet(b, "east")
-		f.target("runner", "writer", "east", "--token", "1ms")
+		f.startTarget("runner", "writer", "east", "--token", "1ms")
 		for i := range 3 {
-			f.node(fmt.Sprintf("e%d", i+1), "east")
+			f.startNode(fmt.Sprintf("e%d", i+1), "east")
 		}
-		f.fill()
-		a, c := f.nodes[0], f.nodes[1]
-		until(b, func() bool { return served(a.Callers) && served(c.Callers) })
-		known, err := hostsOf(a.Callers, "free-east")
+		f.loadCatalogue()
+		killed, other := f.nodes[0], f.nodes[1]
+		waitUntil(b, func() bool { return served(killed.Callers) && served(other.Callers) })
+		known, err := listHosts(killed.Callers, "free-east")
 		assert.NilError(b, err)
-		a.signal(syscall.SIGKILL)
-		<-a.ended
-		groups := f.groups
-		f.groups = slices.DeleteFunc(slices.Clone(groups), func(g jwstand.HostGroup) bool { return g.Labels["name"] == a.name })
-		f.put(f.hosts.Control, "/hosts", f.groups)
-		elsewhere = append(elsewhere, until(b, func() bool {
+		killed.signal(syscall.SIGKILL)
+		<-killed.ended
+		groups := f.hostGroups
+		f.hostGroups = slices.DeleteFunc(slices.Clone(groups), func(g jwstand.HostGroup) bool { return g.Labels["name"] == killed.name })
+		f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
+		servedElsewhere = append(servedElsewhere, waitUntil(b, func() bool {
 			return slices.ContainsFunc(known, func(h netip.AddrPort) bool { return served(h) })
 		}))
-		unnamed = append(unnamed, until(b, func() bool {
+		noLongerListed = append(noLongerListed, waitUntil(b, func() bool {
 			for _, n := range f.nodes[1:] {
-				list, err := hostsOf(n.Callers, "free-east")
-				if err != nil || slices.Contains(list, a.Callers) {
+				list, err := listHosts(n.Callers, "free-east")
+				if err != nil || slices.Contains(list, killed.Callers) {
 					return false
 				}
 			}
 			return true
 		}))
-		f.stop()
+		f.killNodes()
 	}
-	report(b, "servedElsewhere", elsewhere)
-	report(b, "noLongerNamed", unnamed)
+	reportMedian(b, "servedElsewhere", servedElsewhere)
+	reportMedian(b, "noLongerNamed", noLongerListed)
 }
 
 // BenchmarkRecoveryTargetLeaving measures from the moment at which the
@@ -90,29 +90,29 @@
 	var last []time.Duration
 	for range b.N {
 		f := newFleet(b, "east")
-		leaving := f.target("runner", "writer", "east", "--token", "1ms")
-		f.target("runner", "writer", "east", "--token", "1ms")
+		leaving := f.startTarget("runner", "writer", "east", "--token", "1ms")
+		f.startTarget("runner", "writer", "east", "--token", "1ms")
 		for i := range 3 {
-			f.node(fmt.Sprintf("e%d", i+1), "east")
+			f.startNode(fmt.Sprintf("e%d", i+1), "east")
 		}
-		f.fill()
+		f.loadCatalogue()
 		for _, n := range f.nodes {
-			until(b, func() bool { return served(n.Callers) })
+			waitUntil(b, func() bool { return served(n.Callers) })
 		}
 		start := time.Now()
-		f.groups[0].Labels["state"] = "leaving"
-		f.put(f.hosts.Control, "/hosts", f.groups)
+		f.hostGroups[0].Labels["state"] = "leaving"
+		f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
 		for i := 0; time.Since(start) < 4*time.Second; i++ {
 			served(f.nodes[i%3].Callers)
 		}
 		var latest time.Duration
-		for _, r := range f.runs(leaving) {
+		for _, r := range f.readJournal(leaving) {
 			latest = max(latest, r.Began.Sub(start))
 		}
 		last = append(last, latest)
-		f.stop()
+		f.killNodes()
 	}
-	report(b, "lastNewCall", last)
+	reportMedian(b, "lastNewCall", last)
 }
 
 // BenchmarkRecoveryEdit measures from the command of an operator until the
@@ -123,21 +123,21 @@
 			f := newFleet(b, "east", "north", "west")
 			for _, r := range f.regions {
 				for i := range perRegion {
-					f.node(fmt.Sprintf("%s%d", r[:1], i+1), r)
+					f.startNode(fmt.Sprintf("%s%d", r[:1], i+1), r)
 				}
 			}
-			f.fill()
+			f.loadCatalogue()
 			var accepted []time.Duration
 			for i := range b.N {
 				changed := strings.ReplaceAll(string(testCatalogue), `"deadline": "30s"`, fmt.Sprintf(`"deadline": "%ds"`, 31+i))
 				path := f.write("again.json", json.RawMessage(changed))
 				start := time.Now()
-				out, err := f.command(f.nodes[0], "catalogue", "put", "--overwrite", "--reason", "again", "--wait", "20s", path)
+				out, err := f.runCommand(f.nodes[0], "catalogue", "put", "--overwrite", "--reason", "again", "--wait", "20s", path)
 				assert.NilError(b, err, "%s", out)
 				accepted = append(accepted, time.Since(start))
 			}
-			report(b, "accepted", accepted)
-			f.stop()
+			reportMedian(b, "accepted", accepted)
+			f.killNodes()
 		})
 	}
 }
--- a/cmd/jujubewheel/reload_test.go
+++ b/cmd/jujubewheel/reload_test.go
@@ -22,8 +22,8 @@
   },
 }`
 
-// inForce are the bounds that a node tells at its start and after a reload.
-type inForce struct {
+// reportedBounds are the bounds that a node tells at its start and after a reload.
+type reportedBounds struct {
 	Bounds struct{ RetryRatio float64 }
 }
 
@@ -47,25 +47,25 @@
 		assert.NilError(t, os.WriteFile(file, fmt.Appendf(nil, gatewaySettings, append(addrs[:5:5], ratio)...), 0o600))
 	}
 	write("0.1")
-	p := start(t, "jujubewheel", "serve", file)
-	var got inForce
-	p.line(`"started"`, &got)
+	p := startProgram(t, "jujubewheel", "serve", file)
+	var got reportedBounds
+	p.waitForLine(`"started"`, &got)
 	assert.Equal(t, got.Bounds.RetryRatio, 0.1)
 
 	write("0.2")
 	p.signal(syscall.SIGHUP)
-	p.line(`"RetryRatio":0.2`, &got)
+	p.waitForLine(`"RetryRatio":0.2`, &got)
 
 	write("-1")
 	p.signal(syscall.SIGHUP)
 	var refused struct{ Error string }
-	p.line("settings refused", &refused)
+	p.waitForLine("settings refused", &refused)
 	assert.Assert(t, strings.Contains(refused.Error, "retryRatio"), refused.Error)
 
 	write("0.3") // without a signal
-	p.line(`"RetryRatio":0.3`, &got)
+	p.waitForLine(`"RetryRatio":0.3`, &got)
 	assert.Equal(t, got.Bounds.RetryRatio, 0.3)
 
 	p.signal(syscall.SIGTERM)
-	p.line(`"stopped"`, &struct{}{})
+	p.waitForLine(`"stopped"`, &struct{}{})
 }
--- a/cmd/jujubewheel/serve_test.go
+++ b/cmd/jujubewheel/serve_test.go
@@ -16,7 +16,7 @@
 )
 
 func TestServe(t *testing.T) {
-	dir, err := programs()
+	dir, err := buildPrograms()
 	assert.NilError(t, err)
 	testscript.Run(t, testscript.Params{
 		Dir: filepath.Join("testdata", "script"),
@@ -91,7 +91,7 @@
 func listeningCommand(ts *testscript.TestScript, _ bool, args []string) {
 	at, err := netip.ParseAddrPort(args[0])
 	ts.Check(err)
-	for began := time.Now(); time.Since(began) < patience; time.Sleep(10 * time.Millisecond) {
+	for began := time.Now(); time.Since(began) < waitTimeout; time.Sleep(10 * time.Millisecond) {
 		conn, err := net.Dial("tcp", at.String())
 		if err == nil {
 			_ = conn.Close()
--- a/cmd/jujubewheel/stop_test.go
+++ b/cmd/jujubewheel/stop_test.go
@@ -15,23 +15,23 @@
 // end, with success.
 func TestLongStop(t *testing.T) {
 	f := newFleet(t, "east")
-	runner := f.target("runner", "writer", "east", "--token", "100ms")
-	n := f.node("e1", "east")
-	f.fill()
-	f.await("a draft is served", func() bool {
-		return send(n.Callers, "draft", "free-east", prompt("ready?", 1, true)).whole()
+	runner := f.startTarget("runner", "writer", "east", "--token", "100ms")
+	n := f.startNode("e1", "east")
+	f.loadCatalogue()
+	f.waitFor("a draft is served", func() bool {
+		return send(n.Callers, "draft", "free-east", prompt("ready?", 1, true)).complete()
 	})
-	before := len(f.runs(runner))
+	before := len(f.readJournal(runner))
 	answer := make(chan reply, 1)
 	go func() { answer <- send(n.Callers, "draft", "free-east", prompt("menu", 90, true)) }()
-	f.await("the draft runs", func() bool {
-		runs := f.runs(runner)
+	f.waitFor("the draft runs", func() bool {
+		runs := f.readJournal(runner)
 		return len(runs) > before && runs[len(runs)-1].State == jwstand.Running
 	})
 	n.signal(syscall.SIGTERM)
 	n.signal(syscall.SIGTERM)
 	r := <-answer
-	assert.Assert(t, r.whole(), "%+v", r)
+	assert.Assert(t, r.complete(), "%+v", r)
 	<-n.ended
 	assert.Equal(t, n.cmd.ProcessState.ExitCode(), 0)
 }
--- a/cmd/jujubewheel/system_test.go
+++ b/cmd/jujubewheel/system_test.go
@@ -22,42 +22,42 @@
 // a confirmation pressed at two hosts runs once.
 func TestProcesses(t *testing.T) {
 	f := newFleet(t, "east", "north", "west")
-	f.target("runner", "writer", "east", "--token", "1ms")
-	desk := f.target("service", "desk", "west")
+	f.startTarget("runner", "writer", "east", "--token", "1ms")
+	desk := f.startTarget("service", "desk", "west")
 	for _, r := range f.regions {
-		f.node(r[:1]+"1", r)
+		f.startNode(r[:1]+"1", r)
 	}
-	f.node("w2", "west")
-	f.fill()
+	f.startNode("w2", "west")
+	f.loadCatalogue()
 	east, north, west, west2 := f.nodes[0], f.nodes[1], f.nodes[2], f.nodes[3]
 
 	var hosts int
-	f.await("hosts", func() bool {
-		list, err := hostsOf(north.Callers, "bound-west")
+	f.waitFor("hosts", func() bool {
+		list, err := listHosts(north.Callers, "bound-west")
 		hosts = len(list)
 		return err == nil && hosts == 2
 	})
-	f.await("a draft is served", func() bool { return send(east.Callers, "draft", "free-east", prompt("menu", 5, false)).whole() })
+	f.waitFor("a draft is served", func() bool { return send(east.Callers, "draft", "free-east", prompt("menu", 5, false)).complete() })
 	plain := send(east.Callers, "draft", "free-east", prompt("menu", 5, false))
 	assert.Assert(t, strings.Contains(plain.body, jwstand.TextOf("menu", 5)), "%+v", plain)
-	f.await("a draft is served away", func() bool { return send(north.Callers, "draft", "free-north", prompt("menu", 5, true)).whole() })
+	f.waitFor("a draft is served away", func() bool { return send(north.Callers, "draft", "free-north", prompt("menu", 5, true)).complete() })
 	away := send(north.Callers, "draft", "free-north", prompt("menu", 50, true))
-	assert.Assert(t, away.whole(), "%+v", away)
-	assert.Equal(t, away.server, "east")
+	assert.Assert(t, away.complete(), "%+v", away)
+	assert.Equal(t, away.servedBy, "east")
 
-	f.await("a confirmation is served", func() bool {
-		return send(west.Callers, "confirm", "free-west", "{}", "Idempotency-Key", "warm-up").whole()
+	f.waitFor("a confirmation is served", func() bool {
+		return send(west.Callers, "confirm", "free-west", "{}", "Idempotency-Key", "warm-up").complete()
 	})
-	before := len(f.runs(desk))
+	before := len(f.readJournal(desk))
 	first := send(west.Callers, "confirm", "free-west", `{"order":1}`, "Idempotency-Key", "order-1")
 	second := send(west2.Callers, "confirm", "free-west", `{"order":1}`, "Idempotency-Key", "order-1")
 	third := send(north.Callers, "confirm", "free-west", `{"order":1}`, "Idempotency-Key", "order-1")
-	assert.Assert(t, first.whole(), "%+v", first)
+	assert.Assert(t, first.complete(), "%+v", first)
 	assert.Equal(t, second.body, first.body)
 	assert.Equal(t, third.body, first.body)
-	assert.Equal(t, len(f.runs(desk)), before+1)
+	assert.Equal(t, len(f.readJournal(desk)), before+1)
 
-	out, err := f.command(north, "catalogue", "status")
+	out, err := f.runCommand(north, "catalogue", "status")
 	assert.NilError(t, err, "%s", out)
 }
 
@@ -66,14 +66,14 @@
 // node turns away must be served by the host it names.
 func TestRollingStop(t *testing.T) {
 	f := newFleet(t, "east")
-	f.target("runner", "writer", "east", "--token", "10ms", "--slots", "64")
+	f.startTarget("runner", "writer", "east", "--token", "10ms", "--slots", "64")
 	for i := range 3 {
-		f.node(fmt.Sprintf("e%d", i+1), "east")
+		f.startNode(fmt.Sprintf("e%d", i+1), "east")
 	}
-	f.fill()
-	f.await("drafts are served everywhere", func() bool {
+	f.loadCatalogue()
+	f.waitFor("drafts are served everywhere", func() bool {
 		for _, n := range f.nodes {
-			if !send(n.Callers, "draft", "free-east", prompt("menu", 2, true)).whole() {
+			if !send(n.Callers, "draft", "free-east", prompt("menu", 2, true)).complete() {
 				return false
 			}
 		}
@@ -103,7 +103,7 @@
 					// The host was gone before it took the request; a caller
 					// asks another one.
 					for _, n := range f.nodes {
-						if list, err := hostsOf(n.Callers, "free-east"); err == nil && len(list) > 0 {
+						if list, err := listHosts(n.Callers, "free-east"); err == nil && len(list) > 0 {
 							at = list[0]
 							break
 						}
@@ -111,7 +111,7 @@
 					continue
 				}
 				mu.Lock()
-				if r.whole() {
+				if r.complete() {
 					served++
 				} else {
 					failed = append(failed, r)
@@ -122,8 +122,8 @@
 	}
 	for i := range 2 {
 		old := f.nodes[i]
-		f.node(fmt.Sprintf("r%d", i+1), "east")
-		f.ready(2)
+		f.startNode(fmt.Sprintf("r%d", i+1), "east")
+		f.waitReady(2)
 		old.signal(syscall.SIGTERM)
 		<-old.ended
 		assert.Equal(t, old.cmd.ProcessState.ExitCode(), 0)
@@ -141,24 +141,24 @@
 // dropped it. An edit must then be accepted without the dead node's word.
 func TestNodeKilled(t *testing.T) {
 	f := newFleet(t, "east")
-	f.target("runner", "writer", "east", "--token", "1ms")
-	a, b := f.node("e1", "east"), f.node("e2", "east")
-	f.fill()
+	f.startTarget("runner", "writer", "east", "--token", "1ms")
+	a, b := f.startNode("e1", "east"), f.startNode("e2", "east")
+	f.loadCatalogue()
 	gatherer := jwcatalogue.GathererOf([]jwpeer.Peer{
 		{Name: a.name, Region: "east", State: jwpeer.Serving}, {Name: b.name, Region: "east", State: jwpeer.Serving},
 	}, "east")
 	if b.name == gatherer {
 		a, b = b, a
 	}
-	a.end()
-	f.groups = slices.DeleteFunc(f.groups, func(g jwstand.HostGroup) bool { return g.Labels["name"] == a.name })
-	f.put(f.hosts.Control, "/hosts", f.groups)
-	f.await("only the living host is named", func() bool {
-		list, err := hostsOf(b.Callers, "free-east")
+	a.kill()
+	f.hostGroups = slices.DeleteFunc(f.hostGroups, func(g jwstand.HostGroup) bool { return g.Labels["name"] == a.name })
+	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
+	f.waitFor("only the living host is named", func() bool {
+		list, err := listHosts(b.Callers, "free-east")
 		return err == nil && len(list) == 1 && list[0] == b.Callers
 	})
-	f.await("a draft is served", func() bool { return send(b.Callers, "draft", "free-east", prompt("menu", 5, true)).whole() })
+	f.waitFor("a draft is served", func() bool { return send(b.Callers, "draft", "free-east", prompt("menu", 5, true)).complete() })
 	path := f.write("again.json", json.RawMessage(strings.ReplaceAll(string(testCatalogue), `"30s"`, `"31s"`)))
-	out, err := f.command(b, "catalogue", "put", "--overwrite", "--reason", "after the kill", "--wait", "30s", path)
+	out, err := f.runCommand(b, "catalogue", "put", "--overwrite", "--reason", "after the kill", "--wait", "30s", path)
 	assert.NilError(t, err, "%s", out)
 }
