--- a/io/jwbench/loop.go
+++ b/io/jwbench/loop.go
@@ -5,7 +5,8 @@
 	"time"
 )
 
-// loop runs events in the order of their virtual time.
+// loop is a discrete event loop: it runs events in the order of their virtual
+// time.
 type loop struct {
 	now    time.Time
 	events events
@@ -14,7 +15,7 @@
 
 type event struct {
 	at     time.Time
-	serial int // keeps events of the same time in the order they were made
+	serial int // orders events of the same time by when they were added
 	run    func()
 }
 
@@ -24,7 +25,8 @@
 	heap.Push(&l.events, event{at: l.now.Add(max(d, 0)), serial: l.serial, run: f})
 }
 
-// every runs f again and again until the loop ends.
+// every runs f first after the duration first and then once each period, until
+// the loop ends.
 func (l *loop) every(first, period time.Duration, f func()) {
 	l.after(first, func() {
 		f()
@@ -32,7 +34,7 @@
 	})
 }
 
-// until runs all events up to a time.
+// until runs all events up to and including the time end.
 func (l *loop) until(end time.Time) {
 	for len(l.events) > 0 && !l.events[0].at.After(end) {
 		e := heap.Pop(&l.events).(event)
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -10,22 +10,22 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Behaviour of callers and nodes around failures.
+// Retries of callers and restarts of runners.
 const (
-	maxTries        = 4
-	crashRetryDelay = 2 * time.Second // when callers of a crashed target are told to come back, at least
-	restartDelay    = 10 * time.Second
+	maxTries        = 4                // tries of a caller, the first included; poison requests have no limit
+	crashRetryDelay = 2 * time.Second  // minimum delay before the retry of a request whose target crashed
+	restartDelay    = 10 * time.Second // time until a runner that a poison request crashed runs again
 )
 
-// arrive takes a new request of a caller, who gives up at its deadline.
+// arrive counts and sends a new request; its caller gives up at the deadline.
 func (sim *simulation) arrive(q *request) {
 	sim.result.offered(q)
 	sim.after(q.deadline.Sub(sim.now), func() { sim.expire(q) })
 	sim.sendToNode(q)
 }
 
-// sendToNode sends a request to the node of its home region that its workspace uses;
-// the caller of a poison request goes on to another node each time.
+// sendToNode sends a request to the node of its home region that its workspace
+// uses. The caller of a poison request uses the next node at each try.
 func (sim *simulation) sendToNode(q *request) {
 	if q.finished {
 		return
@@ -48,7 +48,7 @@
 	n.route(q)
 }
 
-// routeByRule runs a request by a baseline's rule.
+// routeByRule runs a request on the target that a baseline chooses.
 func (n *node) routeByRule(q *request) {
 	addr, found := n.sim.policy.choose(n, q)
 	if !found {
@@ -75,7 +75,8 @@
 	})
 }
 
-// route runs a request by the real decisions.
+// route runs a request as the project's policy decides: it checks for suspects,
+// places the request in a region and admits it.
 func (n *node) route(q *request) {
 	state, left := n.suspects.Check(q.fingerprint, n.sim.now)
 	if state == jwsuspect.Quarantined && !n.sim.policy.noSuspects {
@@ -113,8 +114,8 @@
 	n.sim.after(n.sim.deployment.LinkDelay, func() { peer.receiveForwarded(q, n, release) })
 }
 
-// receiveForwarded serves a request that a node of another region sent, or gives it
-// back to be tried at home.
+// receiveForwarded serves a request that a node of another region sent, or
+// returns it to that node, which then tries its own region.
 func (n *node) receiveForwarded(q *request, from *node, release func()) {
 	rq := n.query(q)
 	rq.Forwarded = true
@@ -138,7 +139,8 @@
 	})
 }
 
-// serveReturned serves at home what another region had no room for.
+// serveReturned serves a request in its home region after another region had no
+// room for it.
 func (n *node) serveReturned(q *request, release func()) {
 	release()
 	if q.finished {
@@ -173,8 +175,10 @@
 		if end == endCrash {
 			n.suspects.Crashed(choice.Address, now)
 		}
-		// Calls that broke together are all still in flight when the first is
-		// noticed, as they are on a node that ends each in its own goroutine.
+		// The end of a call is recorded after all other events of this moment:
+		// when a target crashes, all its calls are still in flight as the first
+		// failure is noticed. It is the same on a real node, which ends each
+		// call in its own goroutine.
 		n.sim.after(0, func() { n.suspects.End(q.fingerprint, choice.Address, end == endDone, now) })
 		switch end {
 		case endCrash:
@@ -186,6 +190,7 @@
 	})
 }
 
+// targetResults maps how a job ended to the result that the target table takes.
 var targetResults = map[endReason]jwtarget.Result{
 	endDone:    jwtarget.Done,
 	endCrash:   jwtarget.Broken,
@@ -229,7 +234,9 @@
 	return kind{}
 }
 
-// run puts a request on a runner after a delay and brings its answer back.
+// run submits a request to a runner after a delay and delivers its answer. The
+// answer takes delay for its way back, plus the delay between regions if the
+// runner is in another region.
 func (n *node) run(q *request, r *runner, delay time.Duration, done func(endReason)) {
 	way := delay
 	if q.away {
@@ -259,7 +266,8 @@
 	})
 }
 
-// crashed restarts a runner that a poison request took down.
+// crashed counts a crash that a poison request caused and restarts the runner
+// after restartDelay.
 func (sim *simulation) crashed(q *request, r *runner) {
 	if !q.poison {
 		return
@@ -268,8 +276,8 @@
 	sim.after(restartDelay, r.restart)
 }
 
-// retryLater lets the caller come back after a pause, if its answer could still be
-// of use, or gives the request up as not run.
+// retryLater sends the request again after a pause. It counts the request as not
+// run if its tries are used up or the pause would end after the deadline.
 func (sim *simulation) retryLater(q *request, pause time.Duration) {
 	if q.finished {
 		return
@@ -286,7 +294,7 @@
 	sim.after(pause, func() { sim.sendToNode(q) })
 }
 
-// complete counts a whole answer.
+// complete counts a request whose whole answer has come.
 func (sim *simulation) complete(q *request, way time.Duration) {
 	if q.finished {
 		return
@@ -298,7 +306,7 @@
 	sim.result.served(q, sim.now.Add(way))
 }
 
-// expire ends a request whose deadline has passed.
+// expire ends a request whose deadline has passed and cancels its job.
 func (sim *simulation) expire(q *request) {
 	if q.finished {
 		return
--- a/io/jwbench/plot.go
+++ b/io/jwbench/plot.go
@@ -21,7 +21,7 @@
 	value func(*Result) float64
 }
 
-// measures are what the users of the system look at.
+// measures are the figures that matter to users of the system.
 var measures = []measure{
 	{"answers in time, %", func(r *Result) float64 { return r.percent(r.InTime) }},
 	{"first token, p99, s", func(r *Result) float64 { return float64(r.FirstTokenTimes.ValueAtQuantile(99)) / 1e6 }},
@@ -34,9 +34,9 @@
 	panelHeight = 6.5 * vg.Centimeter
 )
 
-// Plot runs the scenarios as Policies does and draws them as one SVG: a column
-// for each deployment, a row for each measure, a group of bars for each
-// scenario.
+// Plot runs the scenarios as Policies does and draws the results as one SVG: a
+// column for each deployment, a row for each measure, a group of bars for each
+// scenario. It returns an error if no deployment has the given names.
 func Plot(w io.Writer, cfg Config) error {
 	seeds := cfg.Seeds
 	if len(seeds) == 0 {
@@ -59,7 +59,8 @@
 	return drawAll(w, columns)
 }
 
-// column draws the measures of one deployment, from the top down.
+// column runs the scenarios for one deployment and returns a plot for each
+// measure, from the top down.
 func (c Config) column(d Deployment, seeds []uint64) ([]*plot.Plot, error) {
 	var names []string
 	results := make(map[string][]*Result) // by policy, in the order of names
@@ -95,7 +96,7 @@
 	p.Legend.Top = true
 	p.Legend.TextStyle.Font.Size = vg.Points(7)
 	p.X.Tick.Label.Font.Size = vg.Points(7)
-	p.X.Tick.Label.Rotation = math.Pi / 10 // long names don't run into each other
+	p.X.Tick.Label.Rotation = math.Pi / 10 // keeps long names from overlapping
 	p.X.Tick.Label.XAlign = text.XRight
 	groups := float64(max(len(names)*(len(policies)+1), 1))
 	width := (panelWidth - 3*vg.Centimeter) / vg.Length(groups)
@@ -118,10 +119,12 @@
 	return p, nil
 }
 
-// legendGroups is left free to the right of the bars, in groups of bars.
+// legendGroups is the width that is left free for the legend to the right of
+// the bars, in groups of bars.
 const legendGroups = 1.2
 
-// barColor gives the project's own policy, the first one, the strongest colour.
+// barColor returns the colour of the i-th policy: the strongest one for the
+// project's own policy, which comes first.
 func barColor(i int) color.Color {
 	if i == 0 {
 		return color.RGBA{R: 0x1f, G: 0x3b, B: 0x73, A: 0xff}
--- a/io/jwbench/policies.go
+++ b/io/jwbench/policies.go
@@ -11,22 +11,23 @@
 	"github.com/pkg/errors"
 )
 
-// Config says what Policies runs; the zero value runs everything with the
-// default seeds.
+// Config selects what Policies, Plot and Subsets run; the zero value selects
+// everything but the ablations, with the default seeds.
 type Config struct {
 	Seeds       []uint64
 	Scenarios   []string // names, empty for all
 	Deployments []string // names, empty for all
 	Policies    []string // names, empty for all
-	Ablations   bool     // also the project's policy without one part each
+	Ablations   bool     // also run the project's policy without each of its parts
 }
 
-// defaultSeeds are used where a Config names none.
+// defaultSeeds are used if Config.Seeds is empty.
 var defaultSeeds = []uint64{1, 2, 3}
 
-// Policies runs the scenarios with every policy and writes one table for each
-// deployment and scenario. Times are in seconds, shares in percent, and the
-// cost is in runner-seconds for one answer in time.
+// Policies runs the scenarios with every selected policy and writes one table
+// for each deployment and scenario. Times are in seconds, shares in percent, and
+// the cost is in runner-seconds for each answer that came in time. It returns an
+// error if no deployment and scenario has the given names.
 func Policies(w io.Writer, cfg Config) error {
 	seeds := cfg.Seeds
 	if len(seeds) == 0 {
@@ -77,9 +78,9 @@
 	return out
 }
 
-// Subsets compares how many targets each node uses, and how often it asks for
-// their load, in a region of 250 model runners behind 75 nodes. The load is
-// nine tenths of the capacity.
+// Subsets compares sizes of the subset of targets that each node uses, and
+// intervals at which it polls their load, in a region of 250 model runners and
+// 75 nodes. The load is nine tenths of the capacity. Config.Seeds alone is used.
 func Subsets(w io.Writer, cfg Config) error {
 	seeds := cfg.Seeds
 	if len(seeds) == 0 {
@@ -103,7 +104,7 @@
 	return errors.Wrap(writeTable(w, d, s, policies, seeds), "table: subsets")
 }
 
-// writeTable writes the results of one scenario, a line for each policy.
+// writeTable runs one scenario with each policy and writes a line for each.
 func writeTable(w io.Writer, d Deployment, s Scenario, policies []policy, seeds []uint64) error {
 	fmt.Fprintf(w, "\n%s %s\n", d.Name, s.Name)
 	tw := tabwriter.NewWriter(w, 0, 0, 2, ' ', tabwriter.AlignRight)
@@ -121,7 +122,7 @@
 	return tw.Flush()
 }
 
-// quantiles writes the quantiles of a histogram in seconds.
+// quantiles returns the quantiles of a histogram in seconds, as table cells.
 func quantiles(h *hdrhistogram.Histogram) string {
 	var out []string
 	for _, q := range []float64{50, 95, 99, 99.9} {
--- a/io/jwbench/policies_test.go
+++ b/io/jwbench/policies_test.go
@@ -8,11 +8,12 @@
 	"gotest.tools/v3/assert"
 )
 
-// testLength is long enough for the faults and short enough for the race
-// detector.
+// testLength includes all faults of the scenarios and is short enough for runs
+// with the race detector.
 const testLength = 160 * time.Second
 
-// runTestScenario runs one scenario of the first deployment with one seed.
+// runTestScenario runs a scenario of the first deployment for testLength with
+// one seed.
 func runTestScenario(t *testing.T, name string, p policy) *Result {
 	t.Helper()
 	for _, s := range scenarios() {
@@ -36,8 +37,9 @@
 	return policy{}
 }
 
-// Each part of the policy is meant for one kind of trouble. A user notices the
-// lack of a part as late or refused answers when that trouble comes.
+// Each part of the policy handles one kind of overload or failure. Without the
+// part, users get late or rejected answers, more crashes or higher costs in the
+// scenario with that failure.
 func TestEachPartImprovesResults(t *testing.T) {
 	tests := map[string]struct {
 		scenario, without string
@@ -61,13 +63,14 @@
 	}
 }
 
-// A caller sends a request that crashes every runner it reaches, again and
-// again; others must hardly notice.
+// A caller repeatedly sends a request that crashes every runner that starts it.
+// It must be quarantined after two crashes.
 func TestPoisonTakesDownTwoRunners(t *testing.T) {
 	assert.Equal(t, runTestScenario(t, "poison", projectPolicy).Crashes, 2)
 }
 
-// Two runs with one seed give the same figures, or no figure could be checked.
+// Two runs with the same seed give the same figures; otherwise no figure could
+// be reproduced.
 func TestRunsAreDeterministic(t *testing.T) {
 	var a, b strings.Builder
 	cfg := Config{Seeds: []uint64{5}, Scenarios: []string{"lossAndReturn"}, Deployments: []string{"cladagh"}, Policies: []string{"jujubewheel"}}
--- a/io/jwbench/policy.go
+++ b/io/jwbench/policy.go
@@ -10,26 +10,27 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// policy is one way to decide: the project's with its switches, or a simple
-// one when choose is set.
+// policy is one way to place requests: the project's own, with parts of it
+// switched off, or a simple rule if choose is set.
 type policy struct {
 	name              string
 	router            jwrouter.Policy
 	limiter           jwlimit.Policy
-	subsetSize        int           // targets of a service that a node uses, 0 for the usual number
-	loadInterval      time.Duration // between load reports, 0 for reportEvery
-	anyNode           bool          // callers come to any node, not to the one of their workspace
-	noSuspects        bool
-	noSecondPlacement bool // what this region has no room for is refused, not placed once more
-	// choose returns the target of a request by a simple rule.
+	subsetSize        int           // number of targets of a service that a node uses; 0 for the default
+	loadInterval      time.Duration // time between load reports; 0 for reportInterval
+	anyNode           bool          // callers use a random node of their region instead of the one of their workspace
+	noSuspects        bool          // suspected and quarantined requests are treated like all others
+	noSecondPlacement bool          // a request that this region has no room for is rejected, not placed in another region
+	// choose returns the target of a request by a simple rule, false if there
+	// is none; nil for the project's own policy.
 	choose func(n *node, q *request) (netip.AddrPort, bool)
 }
 
-// projectPolicy is the project's own policy.
+// projectPolicy is the project's own policy with all its parts.
 var projectPolicy = policy{name: "jujubewheel"}
 
-// baselines are the simple rules. They know which targets fail as ours does,
-// but admit everything and suspect nothing.
+// baselines are the simple rules. They avoid failing targets as the project's
+// policy does, but admit every request and treat none as a suspect.
 var baselines = []policy{
 	{name: "random", choose: chooseRandom},
 	{name: "roundRobin", choose: chooseRoundRobin},
@@ -38,7 +39,7 @@
 	{name: "nearestWithRoom", choose: chooseNearest},
 }
 
-// ablations are ours without one part each.
+// ablations are the project's policy, each without one of its parts.
 var ablations = []policy{
 	{name: "noAffinity", router: jwrouter.Policy{NoAffinity: true}},
 	{name: "noPace", router: jwrouter.Policy{NoPace: true}},
@@ -49,7 +50,8 @@
 	{name: "noSecond", noSecondPlacement: true},
 }
 
-// availableTargets returns the addresses of a region's targets that do not rest.
+// availableTargets returns the addresses of a region's targets that calls may
+// be sent to now, without those that the request excludes.
 func availableTargets(n *node, region string, q *request) []netip.AddrPort {
 	var out []netip.AddrPort
 	peer := n.sim.nodes[region][0]
@@ -86,8 +88,8 @@
 	return addr, found
 }
 
-// leastLoaded returns the target of a region with the least outstanding by the last
-// report, and that report.
+// leastLoaded returns the target of a region that had the fewest running and
+// waiting calls in its last report, and that report.
 func leastLoaded(n *node, region string, q *request) (addr netip.AddrPort, load jwtarget.Load, found bool) {
 	reports := n.sim.nodes[region][0].reports
 	if region == n.region {
@@ -102,10 +104,11 @@
 	return addr, load, found
 }
 
-// chooseNearest takes the home region while a target there has a free slot by
-// the last report, then the next region with one, then home all the same. The
-// other regions' reports are as fresh as their own nodes have them, which
-// favours this rule.
+// chooseNearest returns a target of the home region if one has a free slot by
+// its last report, else one of the first other region with a free slot, else
+// one of the home region all the same. For the other regions it reads the
+// reports of their own nodes, without the delay between regions, which favours
+// this rule.
 func chooseNearest(n *node, q *request) (netip.AddrPort, bool) {
 	home, load, found := leastLoaded(n, n.region, q)
 	if (found && load.Running+load.Waiting < load.Slots) || q.bound {
--- a/io/jwbench/result.go
+++ b/io/jwbench/result.go
@@ -6,33 +6,36 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Result is what one policy did in one scenario, over all seeds.
+// Result counts what one policy did in one scenario, over all seeds.
 type Result struct {
-	Offered         int // requests of callers
-	InTime          int // whole answers before their deadline
-	Late            int // given up by the caller while waiting or running
-	NotRun          int // refused to the end
-	Away            int // served in another region
-	Returned        int // sent away and given back
-	Retries         int // tries of callers who came back when they were told to
-	RetriesAdmitted int // of those, taken on
-	Crashes         int // runners that a poison request took down
-
-	BoundViolations int // answers for bound data from another region: always 0
-
-	Cost            float64 // busy runner-seconds and the price of links
+	Offered         int // requests that callers sent
+	InTime          int // requests whose whole answer came before the deadline
+	Late            int // requests whose deadline passed while they waited or ran
+	NotRun          int // requests that were rejected at their last try
+	Away            int // requests served in another region
+	Returned        int // requests forwarded to another region and returned by it
+	Retries         int // tries that callers made after a rejection or a failure
+	RetriesAdmitted int // retries that were admitted
+	Crashes         int // crashes of runners that a poison request caused
+
+	BoundViolations int // answers for bound data from another region; must be 0
+
+	Cost float64 // busy runner-seconds and the price of links, in runner-seconds
+
+	// Histograms in microseconds. A request whose deadline passed counts with
+	// its whole deadline.
 	FirstTokenTimes *hdrhistogram.Histogram
-	DraftTimes      *hdrhistogram.Histogram // whole answers; what was given up counts with its deadline
+	DraftTimes      *hdrhistogram.Histogram // whole answers of drafts
 	ShortTimes      *hdrhistogram.Histogram // whole answers of questions, status checks and confirmations
 
 	owners    map[string]*ownerCount
 	linkPrice float64
 }
 
-// ownerCount tells how much of what an owner asked came in time.
+// ownerCount counts the requests of an owner and those answered in time.
 type ownerCount struct{ offered, inTime int }
 
-// Range of the histograms, in microseconds.
+// Range in microseconds and precision of the histograms.
 const (
 	minMicros         = 1
 	maxMicros         = 120_000_000
@@ -53,11 +56,12 @@
 	return o
 }
 
-// skip leaves out the warm-up and the callers who do the harm, so that the
-// figures are those of the others.
+// skip reports whether a request is left out of the figures: those of the
+// warm-up, poison requests and those of burstOwner. The figures are then those
+// of the callers who suffer from the fault.
 func (r *Result) skip(q *request) bool { return !q.counted || q.poison || q.owner == burstOwner }
 
-// retried counts a try that came when it was told to.
+// retried counts a retry, and whether it was admitted.
 func (r *Result) retried(q *request, admitted bool) {
 	if r.skip(q) || q.tries < 2 {
 		return
@@ -125,7 +129,7 @@
 	_ = h.RecordValue(took.Microseconds())
 }
 
-// add joins the result of another seed.
+// add adds the result of another seed.
 func (r *Result) add(other *Result) {
 	r.Offered += other.Offered
 	r.InTime += other.InTime
@@ -152,8 +156,8 @@
 	}
 }
 
-// Fairness is Jain's index over the shares that owners got of what they asked:
-// 1 when all got the same share.
+// Fairness returns Jain's fairness index over the owners' shares of requests
+// answered in time: 1 if all owners have the same share, 0 without answers.
 func (r *Result) Fairness() float64 {
 	sum, squares, n := 0.0, 0.0, 0.0
 	for _, o := range r.owners {
@@ -171,12 +175,12 @@
 	return sum * sum / (n * squares)
 }
 
-// CostPerAnswer is the cost of one answer in time, in runner-seconds.
+// CostPerAnswer returns the cost of each answer in time, in runner-seconds.
 func (r *Result) CostPerAnswer() float64 {
 	return r.Cost / float64(max(r.InTime, 1))
 }
 
-// percent returns a count as a percentage of what was offered.
+// percent returns a count as a percentage of the requests offered.
 func (r *Result) percent(n int) float64 {
 	return 100 * float64(n) / float64(max(r.Offered, 1))
 }
--- a/io/jwbench/runner.go
+++ b/io/jwbench/runner.go
@@ -8,36 +8,37 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// runner is a fake model engine: it batches continuously, runs the more urgent
-// class first, gets slower as its batch fills, and keeps the prompt prefixes it
-// used last. All calls of a batch advance together, so the runner keeps one
-// clock of work done and each call ends when that clock reaches its mark.
+// runner simulates a model engine: it batches continuously, starts the more
+// urgent class first, gets slower as its batch fills, and caches the prompt
+// prefixes used last. All calls of a batch advance at the same rate, so the
+// runner has one work clock and each call ends when that clock reaches the
+// call's end mark.
 type runner struct {
 	loop          *loop
 	target        jwtarget.Target
 	slots         int
-	speed         float64 // 1 for usual
-	hidesSlowness bool    // reports the usual time between tokens whatever it is
-	down          bool
+	speed         float64 // factor on the usual speed, 1 by default
+	hidesSlowness bool    // load reports give the time between tokens at speed 1
+	down          bool    // the runner refuses connections
 
 	running        []*job
 	waiting        [len(classes)][]*job
-	cachedPrefixes []uint64 // least recently used first
-	maxPrefixes    int      // prefixes kept at most
-	workClock      float64  // seconds of work each running call has had
-	advancedAt     time.Time
-	generation     int     // tells events of an older batch apart
-	busySeconds    float64 // seconds of work done in all
+	cachedPrefixes []uint64  // least recently used first
+	maxPrefixes    int       // size of the prefix cache
+	workClock      float64   // seconds of work that a call running since the start has had
+	advancedAt     time.Time // when workClock was last updated
+	generation     int       // incremented whenever the batch changes, so that outdated events are ignored
+	busySeconds    float64   // runner-seconds used so far, weighted by the share of slots in use
 }
 
-// classes in the order of their priority.
+// classes are in the order of their priority, the most urgent first.
 var classes = [...]jwcatalogue.Class{jwcatalogue.Confirmation, jwcatalogue.Lookup, jwcatalogue.Draft}
 
-// Shape of the fake engine.
+// Speed of the simulated engine.
 const (
-	fullBatchSlowdown  = 0.5                   // how much longer a call takes in a full batch
-	cachedPrefillShare = 0.1                   // of the prefill is left with the prefix in the cache
-	baseTokenTime      = 20 * time.Millisecond // time between tokens alone in a batch
+	fullBatchSlowdown  = 0.5                   // a call takes this share longer in a full batch
+	cachedPrefillShare = 0.1                   // share of the prefill that is left if the prefix is cached
+	baseTokenTime      = 20 * time.Millisecond // time between tokens of a call that is alone in the batch
 )
 
 // endReason tells how a job ended.
@@ -46,23 +47,23 @@
 const (
 	endDone    endReason = "done"
 	endCrash   endReason = "crash"
-	endRefused endReason = "refused" // no connection
-	endGivenUp endReason = "givenUp" // the caller has left
+	endRefused endReason = "refused" // the runner was down and refused the connection
+	endGivenUp endReason = "givenUp" // the caller left at its deadline
 )
 
 // job is one call on a runner.
 type job struct {
 	req            *request
-	firstTokenMark float64 // mark of the first token
-	endMark        float64
-	firstTokenSent bool // the first token is out
-	started        bool
-	gone           bool
+	firstTokenMark float64 // workClock at which the first token is sent
+	endMark        float64 // workClock at which the call ends
+	firstTokenSent bool
+	started        bool // the runner has put the call into its batch
+	gone           bool // the call has ended, was cancelled or was refused
 	onFirstToken   func()
 	onEnd          func(endReason)
 }
 
-// submit takes a job on; a runner that is down refuses it.
+// submit queues a job; a runner that is down refuses it.
 func (r *runner) submit(j *job) {
 	if r.down {
 		j.gone = true
@@ -74,7 +75,7 @@
 	r.step()
 }
 
-// cancel gives a job up.
+// cancel removes a job from the batch or the queue without calling onEnd.
 func (r *runner) cancel(j *job) {
 	if j.gone {
 		return
@@ -89,7 +90,7 @@
 	r.step()
 }
 
-// crash ends all jobs and forgets the cache.
+// crash takes the runner down, ends all its jobs and empties its cache.
 func (r *runner) crash() {
 	r.advance()
 	r.down = true
@@ -109,19 +110,19 @@
 	}
 }
 
-// restart brings a crashed runner back with a cold cache.
+// restart makes a crashed runner accept jobs again; its cache is empty.
 func (r *runner) restart() {
 	r.advance()
 	r.down = false
 }
 
-// rate is how fast the work clock runs.
+// rate returns how many seconds the work clock advances in a second.
 func (r *runner) rate() float64 {
 	fill := float64(len(r.running)) / float64(r.slots)
 	return r.speed / (1 + fullBatchSlowdown*fill)
 }
 
-// advance brings the work clock up to now.
+// advance moves the work clock forward to the current virtual time.
 func (r *runner) advance() {
 	passed := r.loop.now.Sub(r.advancedAt).Seconds()
 	r.advancedAt = r.loop.now
@@ -129,11 +130,13 @@
 	r.busySeconds += passed * float64(len(r.running)) / float64(r.slots)
 }
 
-// clockTolerance allows for rounding when a mark is compared with the clock.
+// clockTolerance allows for rounding errors when a mark is compared with the
+// work clock, in seconds.
 const clockTolerance = 1e-6
 
-// step ends what has reached its mark, starts what fits and waits for the next
-// mark.
+// step ends the jobs whose mark is reached, starts waiting jobs in the free
+// slots and schedules the next step. A poison request that was started crashes
+// the runner.
 func (r *runner) step() {
 	r.advance()
 	var ended []*job
@@ -158,8 +161,8 @@
 	}
 }
 
-// startWaiting fills the free slots and tells whether one of the new calls crashes
-// the runner.
+// startWaiting moves waiting jobs into the free slots and reports whether one of
+// them crashes the runner.
 func (r *runner) startWaiting() (poison bool) {
 	for i := range r.waiting {
 		for len(r.waiting[i]) > 0 && len(r.running) < r.slots {
@@ -175,7 +178,8 @@
 	return poison
 }
 
-// prefill returns the work up to the first token and keeps the prefix.
+// prefill returns the work up to the first token, in seconds, and puts the
+// prefix into the cache.
 func (r *runner) prefill(q *request) float64 {
 	work := q.prefill.Seconds()
 	if q.prefix == 0 {
@@ -193,7 +197,7 @@
 	return work
 }
 
-// schedule wakes the runner at the next mark.
+// schedule runs step at the next mark unless the batch changes before.
 func (r *runner) schedule() {
 	r.generation++
 	if len(r.running) == 0 {
@@ -215,7 +219,7 @@
 	})
 }
 
-// load is the runner's report on itself.
+// load returns the load report of the runner.
 func (r *runner) load() jwtarget.Load {
 	waiting := 0
 	for i := range r.waiting {
--- a/io/jwbench/scenario.go
+++ b/io/jwbench/scenario.go
@@ -8,32 +8,34 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// Scenario is one course of load and failures.
+// Scenario describes how the load changes over time and which failures happen.
 type Scenario struct {
 	Name    string
-	WarmUp  time.Duration // requests before are not counted
-	RunTime time.Duration
-	// Load returns the share of a region's capacity that its callers ask for.
+	WarmUp  time.Duration // requests sent before this time are not counted
+	RunTime time.Duration // time during which requests are sent, warm-up included
+	// Load returns the share of a region's capacity that its callers request
+	// at a time since the start.
 	Load    func(region int, at time.Duration) float64
-	MaxLoad float64 // highest value of Load
-	// Sizes changes the model runners of the regions, nil for the usual ones.
+	MaxLoad float64 // highest value that Load returns
+	// ModelRunners overrides the number of model runners of each region; nil
+	// keeps the numbers of the deployment.
 	ModelRunners []int
-	// Faults is called once at the start.
+	// InjectFaults is called once at the start and schedules the failures.
 	InjectFaults func(sim *simulation, sources []*source)
 }
 
 const (
 	warmUp           = 30 * time.Second
 	scenarioDuration = 270 * time.Second
-	peakPeriod       = 240 * time.Second // of a daily peak, shortened
+	peakPeriod       = 240 * time.Second // a day, shortened: time between two peaks of a region
 )
 
 func constantLoad(load float64) func(int, time.Duration) float64 {
 	return func(int, time.Duration) float64 { return load }
 }
 
-// offsetPeaks lets the regions peak one after the other; between peaks they ask for
-// a fifth of it.
+// offsetPeaks returns a load whose peaks reach the regions one after the other;
+// the lowest load is a fifth of the peak.
 func offsetPeaks(maxLoad float64) func(int, time.Duration) float64 {
 	return func(region int, at time.Duration) float64 {
 		phase := 2 * math.Pi * (at.Seconds()/peakPeriod.Seconds() - float64(region)/3)
@@ -41,7 +43,7 @@
 	}
 }
 
-// Scenarios returns all scenarios.
+// scenarios returns all scenarios.
 func scenarios() []Scenario {
 	list := []Scenario{{Name: "plainPeak", Load: constantLoad(0.9), MaxLoad: 0.9}}
 	for _, peak := range []float64{0.5, 0.8, 1, 1.3, 2} {
@@ -61,13 +63,15 @@
 	return list
 }
 
-// tenfoldLoad asks little of the large region and too much of the small one.
+// tenfoldLoad is low in the large region, which has ten times the runners of
+// the small one, and exceeds the capacity of the small one.
 func tenfoldLoad(region int, _ time.Duration) float64 {
 	return []float64{0.4, 0.7, 2.5}[region]
 }
 
-// loseRunners takes three of the first region's four model runners away and gives
-// them back cold. The brief's two thirds of four is rounded up.
+// loseRunners crashes three of the first region's four model runners and
+// restarts them with empty caches. The scenario is the loss of two thirds of
+// the runners; two thirds of four is rounded up to three.
 func loseRunners(sim *simulation, _ []*source) {
 	lost := sim.pools[poolKey(sim.deployment.Regions[0].Name, writer)][1:]
 	sim.after(90*time.Second, func() {
@@ -82,7 +86,8 @@
 	})
 }
 
-// slowRunner makes one runner five times slower; its reports do not show it.
+// slowRunner makes one runner five times slower, while its load reports still
+// give the usual time between tokens.
 func slowRunner(sim *simulation, _ []*source) {
 	r := sim.pools[poolKey(sim.deployment.Regions[0].Name, writer)][0]
 	sim.after(60*time.Second, func() {
@@ -92,8 +97,8 @@
 	})
 }
 
-// sendPoison lets one caller send a request again and again that crashes each
-// runner that takes it.
+// sendPoison makes one caller repeatedly send a request that crashes each runner
+// that starts it.
 func sendPoison(sim *simulation, sources []*source) {
 	sim.after(60*time.Second, func() {
 		at := sim.now.Sub(epoch)
@@ -105,16 +110,18 @@
 	})
 }
 
-// burstOwner is the owner who asks for far too much.
+// burstOwner is the owner whose requests exceed the capacity of its region.
 const burstOwner = "burster"
 
-// The workspaces of the burster: one free to be served elsewhere, one bound.
+// Workspaces of burstOwner: requests of the first one may be served in another
+// region, those of the second one are bound to their own.
 const (
 	unboundWorkspace = defaultWorkspaces - 1
 	boundWorkspace   = defaultWorkspaces - 10
 )
 
-// ownerBurst lets one owner of the first region ask for four times its capacity.
+// ownerBurst makes one owner of the first region send four times the region's
+// capacity from 90 s to 150 s.
 func ownerBurst(workspace int) func(sim *simulation, sources []*source) {
 	return func(sim *simulation, sources []*source) {
 		overloading := sources[0]
@@ -132,7 +139,7 @@
 	}
 }
 
-// runScenario plays a scenario once.
+// runScenario simulates a scenario once and returns its result.
 func runScenario(d Deployment, s Scenario, p policy, seed uint64) *Result {
 	d.Regions = append([]Region(nil), d.Regions...)
 	for i, n := range s.ModelRunners {
--- a/io/jwbench/traffic.go
+++ b/io/jwbench/traffic.go
@@ -11,32 +11,32 @@
 	"jujubewheel/core/jwsuspect"
 )
 
-// request is one request of a caller, over all its tries.
+// request is one request of a caller, with the state of all its tries.
 type request struct {
 	id           uint64
 	entry        *jwcatalogue.Entry
 	owner        string
-	workspace    int // number of the workspace
-	home         string
+	workspace    int    // number of the workspace
+	home         string // region of the workspace
 	bound        bool
 	prefix       uint64
 	fingerprint  jwsuspect.Fingerprint
 	poison       bool
-	prefill      time.Duration // with nothing cached
+	prefill      time.Duration // work up to the first token with nothing cached
 	decode       time.Duration
 	sentAt       time.Time
 	deadline     time.Time
 	counted      bool // sent after the warm-up
 	tries        int
-	away         bool // the try that runs is in another region
+	away         bool // the present try runs in another region
 	firstTokenAt time.Time
-	finished     bool
+	finished     bool // answered, rejected at the last try or expired
 	job          *job
 	runner       *runner
-	exclude      []netip.AddrPort
+	exclude      []netip.AddrPort // targets that failed the request
 }
 
-// kind is one kind of request with its usual times and its share of traffic.
+// kind is one kind of request with its usual work and its share of the traffic.
 type kind struct {
 	entry   string
 	prefill time.Duration
@@ -51,7 +51,8 @@
 	{"confirm", 0, 200 * time.Millisecond, 0.08},
 }
 
-// work is the expected time of a kind that decisions get to see.
+// work returns the expected work of a kind that the router and limiter are
+// given; half of the prefill is expected to be cached.
 func (k kind) work() time.Duration { return k.prefill/2 + k.decode }
 
 func entries(d Deployment) map[string]*jwcatalogue.Entry {
@@ -69,8 +70,8 @@
 	return out
 }
 
-// capacity is the rate of requests that a region's model runners serve with
-// full batches and half of the prefixes cached.
+// capacity returns the rate, in requests a second, that a region's model runners
+// serve with full batches and half of the prefill work cached.
 func capacity(r Region) float64 {
 	work, share := 0.0, 0.0
 	for _, k := range kinds {
@@ -82,21 +83,22 @@
 	return float64(r.WriterRunners*writerSlots) / (work / share) / share
 }
 
-// Callers of a region.
+// Callers of a region: their workspaces and owners, and how the requests are
+// spread over them.
 const (
 	defaultWorkspaces = 60
 	ownersPerRegion   = 6
 	boundShare        = 0.12
-	workspaceSkew     = 0.7 // of the workspaces: the n-th asks 1/n^skew as often as the first
+	workspaceSkew     = 0.7 // the n-th workspace sends 1/n^workspaceSkew times the requests of the first
 )
 
-// source makes the requests of one region.
+// source generates the requests of one region.
 type source struct {
 	sim       *simulation
 	region    Region
 	rate      func(at time.Duration) float64 // requests a second
-	maxRate   float64                        // highest rate
-	weights   []float64
+	maxRate   float64                        // highest value that rate returns
+	weights   []float64                      // relative request rates of the workspaces
 	weightSum float64
 	warmUp    time.Duration
 	end       time.Duration
@@ -114,8 +116,8 @@
 	return src
 }
 
-// start makes a Poisson stream whose rate changes, by thinning one of the
-// highest rate.
+// start generates requests as a Poisson process whose rate changes: it thins a
+// process of the maximum rate.
 func (s *source) start() {
 	gap := time.Duration(s.sim.rnd.ExpFloat64() / s.maxRate * float64(time.Second))
 	s.sim.after(gap, func() {
@@ -130,7 +132,7 @@
 	})
 }
 
-// randomRequest makes one request.
+// randomRequest returns a request of a random workspace and kind.
 func (s *source) randomRequest(at time.Duration) *request {
 	x := s.sim.rnd.Float64() * s.weightSum
 	workspace := 0
@@ -152,7 +154,8 @@
 	return kinds[0]
 }
 
-// newRequest makes a request of a workspace; its length varies around the usual one.
+// newRequest returns a request of a workspace; its decoding time varies around
+// the usual one of its kind.
 func (s *source) newRequest(workspace int, owner string, k kind, at time.Duration) *request {
 	s.lastID++
 	entry := s.sim.entries[k.entry]
--- a/io/jwbench/world.go
+++ b/io/jwbench/world.go
@@ -13,12 +13,13 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Deployment is the size and the wishes of one operator.
+// Deployment is the size of one operator's system and what the operator
+// optimizes for.
 type Deployment struct {
 	Name      string
 	Regions   []Region
-	LinkDelay time.Duration // one way between regions
-	LinkPrice float64       // of a request sent to another region, in runner-seconds
+	LinkDelay time.Duration // one-way delay between regions
+	LinkPrice float64       // price of a request sent to another region, in runner-seconds
 	Weights   jwcatalogue.Weights
 }
 
@@ -26,13 +27,13 @@
 type Region struct {
 	Name          string
 	Nodes         int
-	WriterRunners int // model runners
-	DeskRunners   int // runners of the plain service
-	Workspaces    int // workspaces, 0 for the usual number
+	WriterRunners int // number of model runners
+	DeskRunners   int // number of runners of the plain service
+	Workspaces    int // number of workspaces; defaultWorkspaces is the minimum
 }
 
-// The deployments of today. Each has twelve model runners and three runners of
-// a plain service over three regions, and nine nodes.
+// deployments returns the two present deployments. Each has twelve model
+// runners, three runners of a plain service and nine nodes over three regions.
 func deployments() []Deployment {
 	return []Deployment{
 		{
@@ -60,16 +61,18 @@
 	return out
 }
 
-// The services and the shape of their fake runners.
+// Names of the services and sizes of their simulated runners.
 const (
 	writer          = "writer"
 	desk            = "desk"
 	writerSlots     = 16
 	deskSlots       = 8
-	writerCacheSize = 12 // prefixes
+	writerCacheSize = 12 // prompt prefixes
 )
 
-// Lags of what nodes hear.
+// Intervals and delays of the state that nodes receive: load reports of
+// targets, and what nodes send each other. localDelay is the one-way delay
+// within a region.
 const (
 	reportInterval = time.Second
 	reportDelay    = 200 * time.Millisecond
@@ -77,7 +80,8 @@
 	localDelay     = 2 * time.Millisecond
 )
 
-// simulation is one run: the nodes with the real decisions, and the fakes.
+// simulation is one run of a scenario: nodes with the real router, limiter and
+// tables, and simulated runners.
 type simulation struct {
 	loop
 	rnd        *rand.Rand
@@ -85,12 +89,12 @@
 	policy     policy
 	nodes      map[string][]*node // by region
 	runners    map[netip.AddrPort]*runner
-	pools      map[string][]*runner // by region and service, see place
+	pools      map[string][]*runner // by region and service, see poolKey
 	entries    map[string]*jwcatalogue.Entry
 	result     *Result
 }
 
-// node is one node of the system.
+// node is one node of the gateway.
 type node struct {
 	sim        *simulation
 	name       string
@@ -99,10 +103,11 @@
 	router     *jwrouter.Router
 	limiter    *jwlimit.Limiter
 	suspects   *jwsuspect.Table
-	reports    map[netip.AddrPort]jwtarget.Load // as they came, for the baselines
-	lastTarget int                              // of round robin
+	reports    map[netip.AddrPort]jwtarget.Load // last load report of each target, for the baselines
+	lastTarget int                              // counter of the round-robin baseline
 }
 
+// epoch is the virtual time at which each simulation starts.
 var epoch = time.Date(2030, 1, 1, 0, 0, 0, 0, time.UTC)
 
 func newSimulation(d Deployment, p policy, seed uint64) *simulation {
@@ -128,6 +133,7 @@
 	return sim
 }
 
+// poolKey returns the key of a region's runners of a service in pools.
 func poolKey(region, service string) string { return region + "/" + service }
 
 func (sim *simulation) addRunners(index int, region Region) []jwtarget.Target {
@@ -178,8 +184,9 @@
 	}
 }
 
-// startReports starts the lagging words: load reports, loads of regions, usage and
-// suspects.
+// startReports starts the periodic exchange of load reports, loads of regions,
+// usage and suspects, all of which arrive with a delay. The nodes of a region
+// poll at different times within the interval.
 func (sim *simulation) startReports() {
 	for _, region := range sim.deployment.Regions {
 		for i, n := range sim.nodes[region.Name] {
@@ -194,7 +201,8 @@
 	}
 }
 
-// pollLoads asks the node's targets for their load.
+// pollLoads reads the load of the node's targets and marks those that are down
+// as failed.
 func (n *node) pollLoads() {
 	for _, target := range n.targets.Used() {
 		r := n.sim.runners[target.Address]
@@ -212,7 +220,8 @@
 	}
 }
 
-// shareState gives the other nodes what this one knows.
+// shareState sends suspects to all other nodes, usage to those of the same
+// region and loads to those of other regions.
 func (n *node) shareState() {
 	usages := n.limiter.Usages(n.sim.now)
 	for _, region := range n.sim.deployment.Regions {
@@ -238,7 +247,8 @@
 	}
 }
 
-// sendLoad tells a node of another region how loaded this one is.
+// sendLoad sends the load of this region, by service, to a node of another
+// region.
 func (n *node) sendLoad(other *node, delay time.Duration) {
 	for _, service := range []string{writer, desk} {
 		room := n.targets.Room(service, n.sim.now)
