--- a/io/jwchart/day.go
+++ b/io/jwchart/day.go
@@ -19,9 +19,10 @@
 	panelHeight = 6 * vg.Centimeter
 )
 
-// Day writes a day as SVG, one panel below the other: requests by how they
-// ended, what was turned away by reason, how old the oldest view of the store
-// was, and which nodes were away. The x axis is in seconds from the first line.
+// Day writes charts of a day to w as SVG, one below the other: requests by
+// outcome, rejected requests by reason, the longest time in seconds for which a
+// node had no answer of the store, and which nodes had lost the store or were
+// not running. The x axis is in seconds from the first line of the logs.
 func Day(w io.Writer, d *jwlogtrace.Day) error {
 	panels := []struct {
 		title string
@@ -49,8 +50,8 @@
 	return errors.Wrap(err, "write plot")
 }
 
-// states puts each node on a line of its own that goes up while it has no
-// store and down while it is away.
+// states returns a series for each node, each at its own height: the value goes
+// up while the node has lost the store and down while it does not run.
 func states(d *jwlogtrace.Day) []jwlogtrace.Series {
 	const step = 0.4
 	var list []jwlogtrace.Series
@@ -65,6 +66,7 @@
 	return list
 }
 
+// lines returns a chart with a line for each series.
 func lines(title string, list []jwlogtrace.Series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
--- a/io/jwchart/day_test.go
+++ b/io/jwchart/day_test.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// Logs of a node that wrote nothing yet.
+// The log of a node may be empty, for example just after its start.
 func TestEmptyDay(t *testing.T) {
 	assert.NilError(t, jwchart.Day(&bytes.Buffer{}, jwlogtrace.DayOf(&jwlogtrace.Log{})))
 }
--- a/io/jwchart/doc.go
+++ b/io/jwchart/doc.go
@@ -1,3 +1,3 @@
-// Package jwchart draws what the logs of nodes tell of a day, so that a bad
-// minute is seen at once.
+// Package jwchart draws charts of a day's requests and node states from the logs
+// of nodes, so that a minute with failures stands out.
 package jwchart
--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -24,13 +24,13 @@
 	callTimeout = 10 * time.Second
 )
 
-// caller sends requests and edits as callers and operators do.
+// caller sends requests as callers do and edits as operators do.
 type caller struct {
 	httpService httpc.Service
-	answers     []answer // all that came, for the summary
+	answers     []answer // recorded for the summary
 }
 
-// request is one request of a caller.
+// request is what a caller sends.
 type request struct {
 	to        netip.AddrPort
 	entry     string
@@ -39,17 +39,17 @@
 	body      []byte
 }
 
-// answer is a caller's view of one answer.
+// answer is an answer as its caller sees it.
 type answer struct {
 	entry          string
-	home           string
+	home           string // region of the workspace
 	status         int
 	outcome        string
-	servedBy       string // that served it
+	servedBy       string // region that served the request
 	body           string
-	events         int
-	firstByteAfter time.Duration // to the first byte of the body
-	completeAfter  time.Duration
+	events         int           // number of tokens in a stream
+	firstByteAfter time.Duration // time until the first line of the body was read
+	completeAfter  time.Duration // time until the body ended
 	err            error
 }
 
@@ -59,7 +59,8 @@
 	return &caller{httpService: httpc.NewServiceWithClient(serviceName, client)}
 }
 
-// record notes answers for the summary; the calls themselves may run side by side.
+// record keeps answers for the summary. Unlike send, it must not be called
+// concurrently.
 func (c *caller) record(answers ...answer) { c.answers = append(c.answers, answers...) }
 
 // send sends a request and reads its whole answer.
@@ -88,7 +89,7 @@
 	return out
 }
 
-// read takes in the body and the outcome, which a stream has in its trailer.
+// read reads the body and the outcome, which a stream has in its trailer.
 func (a *answer) read(resp *http.Response, began time.Time) {
 	var text strings.Builder
 	lines := bufio.NewReader(resp.Body)
@@ -117,7 +118,7 @@
 	}
 }
 
-// served tells whether the whole answer came.
+// served reports whether the whole answer came.
 func (a answer) served() bool {
 	return a.err == nil && a.status == http.StatusOK && a.outcome == "served"
 }
@@ -135,7 +136,8 @@
 	return minted.Key, err
 }
 
-// putEntry writes a new entry and returns how far it is in force.
+// putEntry writes a new entry to the catalogue and returns the status of the
+// change.
 func (c *caller) putEntry(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
@@ -153,7 +155,8 @@
 	return standing, err
 }
 
-// status asks how far a revision is in force.
+// status returns whether the latest change of the catalogue is in force at every
+// node, and which nodes have not confirmed it.
 func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
 	var standing jwoperate.Standing
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/catalogue/status", nil)
@@ -165,6 +168,8 @@
 	return standing, err
 }
 
+// readJSON sends a request and decodes the JSON of its answer into value. A
+// status other than 2xx is an error.
 func (c *caller) readJSON(r *http.Request, value any) (status int, err error) {
 	resp, err := c.httpService.DoRequest(r)
 	if err != nil {
@@ -181,7 +186,7 @@
 	return resp.StatusCode, json.Unmarshal(data, value)
 }
 
-// prompt is the body of a draft.
+// prompt returns the body of a draft.
 func prompt(text string, tokens int) []byte {
 	data, _ := json.Marshal(jwstand.Completion{Model: "menus", Prompt: text, MaxTokens: tokens, Stream: true})
 	return data
--- a/io/jwdemo/catalogue.go
+++ b/io/jwdemo/catalogue.go
@@ -6,7 +6,7 @@
 	"jujubewheel/core/jwcatalogue"
 )
 
-// The entries of the demo.
+// Names of the catalogue entries.
 const (
 	draft        = "menu-draft"
 	lookup       = "order-status"
@@ -14,6 +14,7 @@
 	questionName = "menu-question"
 )
 
+// entries returns the entries that are in force from the start of the demo.
 func entries() []jwcatalogue.Entry {
 	weights := jwcatalogue.Weights{Cost: 1, Tail: 0.3, SentAway: 1}
 	return []jwcatalogue.Entry{
@@ -34,7 +35,8 @@
 	}
 }
 
-// questionEntry is the entry that is added while the regions are parted.
+// questionEntry returns the entry that is added while the regions are
+// disconnected.
 func questionEntry() jwcatalogue.Entry {
 	e := entries()[0]
 	e.Name, e.Class, e.Deadline = questionName, jwcatalogue.Lookup, 8*time.Second
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -15,17 +15,18 @@
 	"jujubewheel/io/jwrest"
 )
 
+// Maximum times that the demo waits for a state.
 const (
-	readyTimeout    = 8 * time.Second
-	acceptTimeout   = 5 * time.Second
-	recoveryTimeout = 5 * time.Second
+	readyTimeout    = 8 * time.Second // for nodes that take edits and have found their targets
+	acceptTimeout   = 5 * time.Second // for an edit to be in force at all nodes
+	recoveryTimeout = 5 * time.Second // for the system to adapt to a failure or its end
 )
 
-// Demo is the demo; its zero value runs.
+// Demo runs the demo; the zero value is ready to use.
 type Demo struct{}
 
-// Run runs the demo and writes what happens to w. It returns an error when
-// anything was not as promised.
+// Run runs the demo and writes what happens to w. It returns an error if the
+// system can't be started or a check fails.
 func (Demo) Run(ctx context.Context, w io.Writer) error {
 	jwrest.Quiet()
 	r := &reporter{w: w}
@@ -47,7 +48,7 @@
 	return r.result()
 }
 
-// demoRun is one run of the demo.
+// demoRun is the state of one run of the demo.
 type demoRun struct {
 	*reporter
 	*system
@@ -102,8 +103,8 @@
 	return d.waitForTargets(ctx)
 }
 
-// waitForTargets sends until each node answers; nodes learn of targets by a list
-// that they read now and then.
+// waitForTargets sends requests until each node has served one for each service.
+// Nodes learn of targets from a list that they poll.
 func (d *demoRun) waitForTargets(ctx context.Context) error {
 	for region, n := range d.nodes {
 		for _, in := range []request{
@@ -177,8 +178,9 @@
 	return nil
 }
 
-// stopHomeRunners takes the runners of a region away, so that its drafts have to
-// be written elsewhere, and those whose data is bound to it nowhere.
+// stopHomeRunners stops the model runners of a region. Its drafts must then be
+// served by another region, and those whose data is bound to it must be
+// rejected.
 func (d *demoRun) stopHomeRunners(ctx context.Context) error {
 	region := regions[1]
 	d.stopRunners(region)
@@ -204,7 +206,9 @@
 	return nil
 }
 
-// partition cuts all links between regions, and one region off the platform.
+// partition cuts all links between regions, and those of one region to the
+// platform. That region must go on serving its own callers, and an edit made
+// meanwhile must not be accepted before the links are back.
 func (d *demoRun) partition(ctx context.Context) error {
 	alone := regions[2]
 	d.disconnect(alone)
@@ -242,8 +246,8 @@
 	return nil
 }
 
-// crashRunners sends a request that ends each runner that takes it, again and again
-// as its caller would.
+// crashRunners repeatedly sends a request that crashes each runner that starts
+// it, as its caller would, until the request is quarantined.
 func (d *demoRun) crashRunners(ctx context.Context) error {
 	region := regions[0]
 	in := request{
--- a/io/jwdemo/demo_test.go
+++ b/io/jwdemo/demo_test.go
@@ -9,8 +9,8 @@
 )
 
 func TestDemo(t *testing.T) {
-	// The demo breaks links, runners and the platform on purpose and looks at
-	// what callers are told; a broken promise is its error.
+	// The demo makes links, runners and the platform fail and checks the
+	// answers; a failed check is its error.
 	var out strings.Builder
 	err := Demo{}.Run(t.Context(), &out)
 	t.Log(out.String())
--- a/io/jwdemo/doc.go
+++ b/io/jwdemo/doc.go
@@ -1,5 +1,5 @@
-// Package jwdemo runs a whole small system in one process: nodes of three
-// regions, stand-ins for the platform and for targets, and links between them
-// that can be cut. It sends requests, breaks things, and tells what happened
-// and whether it was as promised.
+// Package jwdemo runs a small but complete system in one process: nodes of
+// three regions, stand-ins for the platform and for targets, and links between
+// them that can be cut. It sends requests, injects failures, prints what
+// happened and checks that the system kept its guarantees.
 package jwdemo
--- a/io/jwdemo/system.go
+++ b/io/jwdemo/system.go
@@ -22,7 +22,7 @@
 	modelService     = "menu-writer"
 	plainService     = "order-desk"
 	runnersPerRegion = 4
-	linkDelay        = 15 * time.Millisecond // one way between regions and to the platform
+	linkDelay        = 15 * time.Millisecond // one-way delay between regions and to the platform
 	operatorsToken   = "a token of the demo only"
 	// crashPrompt is the text that crashes a model runner whose prompt holds it.
 	crashPrompt = "divide the menu by zero"
@@ -33,13 +33,14 @@
 	loopback = netip.MustParseAddrPort("127.0.0.1:0")
 )
 
-// system is the whole of the demo: one node and a few targets a region.
+// system is the system that the demo runs: one node and a few targets in each
+// region, and the stand-ins for the platform.
 type system struct {
 	hosts         *jwstand.Hosts
 	desks         map[string]*jwstand.Service // by region
 	runners       map[string][]*jwstand.Stand // by region
-	nodeLinks     []*jwstand.Link             // the ways to nodes
-	platformLinks map[string][]*jwstand.Link  // by region, the ways to the platform
+	nodeLinks     []*jwstand.Link             // links to the nodes' ports for other nodes
+	platformLinks map[string][]*jwstand.Link  // by region, links to the platform
 	nodes         map[string]*node            // by region
 
 	ctx  context.Context
@@ -49,13 +50,13 @@
 	errs []error
 }
 
-// node is a node with its counters.
+// node is a node of a region.
 type node struct {
 	*jwnode.Node
 	region string
 }
 
-// start brings everything up; the system runs until close.
+// start starts all parts; the system runs until close.
 func start(ctx context.Context) (*system, error) {
 	s := &system{
 		hosts:         &jwstand.Hosts{},
@@ -105,7 +106,8 @@
 	return nil
 }
 
-// directory has a workspace of each kind in each region.
+// directory returns a client directory with two workspaces in each region, one
+// whose data is bound to the region and one whose data is not.
 func directory() *jwstand.Clients {
 	clients := &jwstand.Clients{}
 	var list []jwstand.Client
@@ -118,7 +120,7 @@
 	return clients
 }
 
-// openTargets starts the targets of a region and returns their lines of the
+// openTargets starts the targets of a region and returns their entries for the
 // host list.
 func (s *system) openTargets(region string) ([]jwstand.HostGroup, error) {
 	var groups []jwstand.HostGroup
@@ -149,8 +151,9 @@
 	}}
 }
 
-// openNode opens the ports of a region's node. Others reach it, and it reaches
-// the platform, through links that can be cut.
+// openNode opens the ports of a region's node and returns its entry for the host
+// list. Other nodes reach it, and it reaches the platform, through links that
+// can be cut.
 func (s *system) openNode(region string, platform ...netip.AddrPort) (jwstand.HostGroup, error) {
 	nodeLink := &jwstand.Link{Name: region, Listen: loopback}
 	links := &jwstand.Links{Control: loopback, Links: []*jwstand.Link{nodeLink}}
@@ -187,7 +190,8 @@
 	}}, nil
 }
 
-// nodeSettings writes the settings of a node as an operator would.
+// nodeSettings returns the settings of a node, parsed from a text such as an
+// operator would write.
 func nodeSettings(region string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
 	type object map[string]any
 	var regionList []object
@@ -216,10 +220,11 @@
 	return jwsettings.Parse(text)
 }
 
-// startStandIn starts a stand-in on a free port.
+// startStandIn starts a stand-in on free ports.
 func (s *system) startStandIn(kind string, p jwstand.Program) (*jwstand.Stand, error) {
 	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
-	// A crash ends no process here; the stand-in goes down until it is revived.
+	// All stand-ins share this process, so that a crash must not end it: the
+	// stand-in goes down until restartRunners.
 	stand.Exit = func(int) { stand.SetFaults(jwstand.Faults{Down: true}) }
 	if err := stand.Listen(); err != nil {
 		return nil, err
@@ -228,7 +233,7 @@
 	return stand, nil
 }
 
-// runPart keeps a part running until close and notes what ended it.
+// runPart runs a part of the system until close and keeps its error for close.
 func (s *system) runPart(part func(context.Context) error) {
 	s.wg.Go(func() {
 		err := part(s.ctx)
@@ -241,7 +246,7 @@
 	})
 }
 
-// close stops everything and returns what went wrong with any part.
+// close stops all parts and returns the first error of any of them.
 func (s *system) close() error {
 	s.stop()
 	s.wg.Wait()
@@ -253,10 +258,11 @@
 	return nil
 }
 
-// disconnect parts the regions from each other, and one of them from the platform too.
+// disconnect cuts all links between regions, and those of one region to the
+// platform.
 func (s *system) disconnect(region string) { s.setCut(region, true) }
 
-// reconnect joins what cut has parted.
+// reconnect restores the links that disconnect has cut.
 func (s *system) reconnect(region string) { s.setCut(region, false) }
 
 func (s *system) setCut(region string, cut bool) {
@@ -301,7 +307,8 @@
 	}
 }
 
-// restartRunners restarts the runners that a request has crashed.
+// restartRunners restarts the runners of a region that are down and returns how
+// many there were.
 func (s *system) restartRunners(region string) (crashed int) {
 	for _, stand := range s.runners[region] {
 		if stand.Faults().Down {
@@ -312,7 +319,8 @@
 	return crashed
 }
 
-// countRuns counts how often the plain services of all regions ran a key.
+// countRuns returns how often the plain services of all regions ran the request
+// with an idempotency key.
 func (s *system) countRuns(key string) int {
 	n := 0
 	for _, desk := range s.desks {
@@ -325,7 +333,8 @@
 	return n
 }
 
-// waitFor polls until a condition holds; what names it in the error.
+// waitFor polls until a condition holds. If it doesn't within the timeout, the
+// error contains what.
 func (s *system) waitFor(timeout time.Duration, what string, condition func() bool) error {
 	end := time.Now().Add(timeout)
 	for !condition() {
--- a/io/jwdemo/teller.go
+++ b/io/jwdemo/teller.go
@@ -11,16 +11,16 @@
 	"github.com/pkg/errors"
 )
 
-// reporter writes what happens and counts what was not as promised.
+// reporter writes what happens and keeps the results of checks.
 type reporter struct {
 	w      io.Writer
-	failed []string
-	passed int
+	failed []string // descriptions of the checks that failed
+	passed int      // number of checks that passed
 }
 
 func (r *reporter) printLine(format string, args ...any) { fmt.Fprintf(r.w, format+"\n", args...) }
 
-// check notes whether something promised holds.
+// check records and writes the result of a check.
 func (r *reporter) check(ok bool, format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
 	if ok {
@@ -32,6 +32,7 @@
 	r.printLine("   NOT AS PROMISED: %s", what)
 }
 
+// result returns an error that lists the failed checks, if any.
 func (r *reporter) result() error {
 	if len(r.failed) == 0 {
 		r.printLine("all %d promises that were looked at held", r.passed)
@@ -40,7 +41,7 @@
 	return errors.Errorf("%d of %d promises broken: %s", len(r.failed), r.passed+len(r.failed), strings.Join(r.failed, "; "))
 }
 
-// writeSummary writes the figures of all answers, an entry a line.
+// writeSummary writes a table of all answers, a line for each entry.
 func (r *reporter) writeSummary(answers []answer) {
 	byEntry := map[string][]answer{}
 	var names []string
@@ -60,10 +61,10 @@
 	_ = w.Flush()
 }
 
-// entryStats are what a caller sees of the answers of one entry.
+// entryStats counts the answers of one entry by outcome, as callers see them.
 type entryStats struct {
 	sent, served, notRun, unknown, away int
-	times                               []time.Duration // of those served
+	times                               []time.Duration // of the served answers, sorted
 }
 
 func statsOf(answers []answer) entryStats {
