--- a/io/jwbench/plot.go
+++ b/io/jwbench/plot.go
@@ -54,7 +54,7 @@
 		columns = append(columns, column)
 	}
 	if len(columns) == 0 {
-		return errors.New("plot: no deployment is named so")
+		return errors.New("plot: no deployment has the given name")
 	}
 	return drawAll(w, columns)
 }
--- a/io/jwchart/day.go
+++ b/io/jwchart/day.go
@@ -28,10 +28,10 @@
 		title string
 		list  []jwlogtrace.Series
 	}{
-		{"requests a second, by how they ended", d.Outcomes},
-		{"turned away a second, by reason", d.Refusals},
-		{"seconds without an answer of the store, the longest of all nodes", []jwlogtrace.Series{d.StoreAge}},
-		{"nodes without the store (up) and away (down), each on its line", states(d)},
+		{"requests a second, by outcome", d.Outcomes},
+		{"rejected a second, by reason", d.Refusals},
+		{"seconds without an answer from the store, maximum of all nodes", []jwlogtrace.Series{d.StoreAge}},
+		{"nodes that lost the store (up) or do not run (down), a line each", states(d)},
 	}
 	canvas := vgsvg.New(width, panelHeight*vg.Length(len(panels)))
 	tiles := draw.Tiles{
--- a/io/jwchart/day_test.go
+++ b/io/jwchart/day_test.go
@@ -19,7 +19,7 @@
 `)))
 	var out bytes.Buffer
 	assert.NilError(t, jwchart.Day(&out, jwlogtrace.DayOf(l)))
-	for _, want := range []string{"<svg", "turned away", "no target has room", "n1"} {
+	for _, want := range []string{"<svg", "rejected a second", "no target has room", "n1"} {
 		assert.Assert(t, strings.Contains(out.String(), want), want)
 	}
 }
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -60,12 +60,12 @@
 		title string
 		run   func(context.Context) error
 	}{
-		{"the catalogue goes in", d.writeCatalogue},
+		{"the catalogue is written", d.writeCatalogue},
 		{"a draft is streamed in each region", d.streamDrafts},
 		{"an order's status is looked up", d.lookUpOrders},
-		{"a confirmation is pressed twice at the same moment", d.confirmTwice},
+		{"a confirmation is sent twice at the same moment", d.confirmTwice},
 		{"irbid-a loses its model runners", d.stopHomeRunners},
-		{"the regions lose each other, and aqaba-a also the platform", d.partition},
+		{"the links between the regions are cut, and those of aqaba-a to the platform", d.partition},
 		{"a request crashes each runner that takes it", d.crashRunners},
 	}
 	for i, step := range steps {
@@ -172,8 +172,8 @@
 	wg.Wait()
 	d.record(both...)
 	runs := d.countRuns(key)
-	d.printLine("   both presses answered after %s and %s; the desk ran it %d time(s)", formatMillis(both[0].completeAfter), formatMillis(both[1].completeAfter), runs)
-	d.check(both[0].served() && both[1].served() && both[0].body == both[1].body, "both presses got the same whole answer")
+	d.printLine("   both calls answered after %s and %s; the desk ran it %d time(s)", formatMillis(both[0].completeAfter), formatMillis(both[1].completeAfter), runs)
+	d.check(both[0].served() && both[1].served() && both[0].body == both[1].body, "both calls got the same whole answer")
 	d.check(runs == 1, "the deposit was taken once")
 	return nil
 }
@@ -222,7 +222,7 @@
 		to: d.nodes[alone].CallersAddr(), entry: confirmation, workspace: "family-" + alone, key: key, body: []byte("deposit 90"),
 	})
 	d.record(c)
-	d.printLine("   %s alone: lookup %s after %s, confirmation by ticket %s after %s",
+	d.printLine("   %s without links: lookup %s after %s, confirmation by ticket %s after %s",
 		alone, a.outcome, formatMillis(a.completeAfter), c.outcome, formatMillis(c.completeAfter))
 	d.check(a.served() && c.served(), "%s went on serving its own callers", alone)
 
@@ -233,7 +233,7 @@
 	}
 	d.printLine("   an edit in %s: written as change %d, accepted: %t, missing: %v",
 		regions[0], standing.Revision, standing.Accepted, standing.Missing)
-	d.check(!standing.Accepted, "the edit was not called accepted during the cut")
+	d.check(!standing.Accepted, "the edit was not reported as accepted during the cut")
 
 	d.reconnect(alone)
 	began := time.Now()
@@ -241,7 +241,7 @@
 		s, err := d.status(ctx, at)
 		return err == nil && s.Accepted && s.Revision == standing.Revision
 	})
-	d.printLine("   mended: the edit is in force everywhere after %s", formatElapsed(began))
+	d.printLine("   links restored: the edit is in force everywhere after %s", formatElapsed(began))
 	d.check(err == nil, "the edit was accepted after the cut")
 	return nil
 }
--- a/io/jwdemo/demo_test.go
+++ b/io/jwdemo/demo_test.go
@@ -15,7 +15,7 @@
 	err := Demo{}.Run(t.Context(), &out)
 	t.Log(out.String())
 	assert.NilError(t, err)
-	assert.Assert(t, strings.Contains(out.String(), "promises that were looked at held"))
+	assert.Assert(t, strings.Contains(out.String(), "checks passed"))
 }
 
 func TestFigures(t *testing.T) {
@@ -49,6 +49,6 @@
 	rep.check(true, "one")
 	assert.NilError(t, rep.result())
 	rep.check(false, "two of %s", "them")
-	assert.ErrorContains(t, rep.result(), "1 of 2 promises broken: two of them")
-	assert.Assert(t, strings.Contains(out.String(), "NOT AS PROMISED: two of them"))
+	assert.ErrorContains(t, rep.result(), "1 of 2 checks failed: two of them")
+	assert.Assert(t, strings.Contains(out.String(), "FAILED: two of them"))
 }
--- a/io/jwdemo/teller.go
+++ b/io/jwdemo/teller.go
@@ -29,16 +29,16 @@
 		return
 	}
 	r.failed = append(r.failed, what)
-	r.printLine("   NOT AS PROMISED: %s", what)
+	r.printLine("   FAILED: %s", what)
 }
 
 // result returns an error that lists the failed checks, if any.
 func (r *reporter) result() error {
 	if len(r.failed) == 0 {
-		r.printLine("all %d promises that were looked at held", r.passed)
+		r.printLine("all %d checks passed", r.passed)
 		return nil
 	}
-	return errors.Errorf("%d of %d promises broken: %s", len(r.failed), r.passed+len(r.failed), strings.Join(r.failed, "; "))
+	return errors.Errorf("%d of %d checks failed: %s", len(r.failed), r.passed+len(r.failed), strings.Join(r.failed, "; "))
 }
 
 // writeSummary writes a table of all answers, a line for each entry.
