--- a/cmd/jujubebench/day.go
+++ b/cmd/jujubebench/day.go
@@ -10,12 +10,12 @@
 	"jujubewheel/io/jwlogtrace"
 )
 
-// dayCommand draws a day.
+// dayCommand draws charts of a day from the logs of nodes.
 type dayCommand struct {
 	Files []string `arg:"" type:"existingfile" help:"Logs of nodes; - for standard input."`
 }
 
-// Run writes the plot to standard output.
+// Run writes the charts to standard output as SVG.
 func (c *dayCommand) Run() error {
 	log := &jwlogtrace.Log{}
 	for _, file := range c.Files {
@@ -26,6 +26,7 @@
 	return jwchart.Day(os.Stdout, jwlogtrace.DayOf(log))
 }
 
+// readFile adds the lines of a log file, or of standard input if file is "-".
 func readFile(into *jwlogtrace.Log, file string) error {
 	var r io.Reader = os.Stdin
 	if file != "-" {
--- a/cmd/jujubebench/main.go
+++ b/cmd/jujubebench/main.go
@@ -105,6 +105,8 @@
 	return encoder.Encode(report)
 }
 
+// directShare returns the share of requests that are sent directly to targets
+// instead of nodes.
 func directShare(targets, nodes bool) float64 {
 	switch {
 	case !targets:
@@ -116,6 +118,7 @@
 	}
 }
 
+// readMix returns the built-in mix of that name or reads one from a JSON file.
 func readMix(name string) (jwload.Mix, error) {
 	if mix, found := jwload.Mixes[name]; found {
 		return mix, nil
@@ -127,7 +130,8 @@
 	return jwload.ParseMix(body)
 }
 
-// parseHosts reads IP:PORT or REGION=IP:PORT.
+// parseHosts parses texts of the form IP:PORT or REGION=IP:PORT and returns the
+// hosts by region; the region of a host without one is empty.
 func parseHosts(texts []string) (map[string][]netip.AddrPort, error) {
 	hosts := make(map[string][]netip.AddrPort)
 	for _, text := range texts {
@@ -144,7 +148,8 @@
 	return hosts, nil
 }
 
-// regionShares gives each region its share; without shares all are equal.
+// regionShares returns the regions with their shares of the load, sorted by
+// name. Without shares it returns the regions of the hosts with equal shares.
 func regionShares(shares map[string]float64, hosts map[string][]netip.AddrPort) []jwload.Region {
 	var regions []jwload.Region
 	for name, share := range shares {
@@ -166,7 +171,7 @@
 	Owner      string   `default:"load" help:"Owner of the workspaces."`
 }
 
-// Run prints the workspaces.
+// Run prints the workspaces as JSON.
 func (c *clientsCommand) Run() error {
 	var clients []jwstand.Client
 	for _, region := range c.Region {
--- a/cmd/jujubebench/main_test.go
+++ b/cmd/jujubebench/main_test.go
@@ -28,7 +28,7 @@
 	})
 }
 
-// startStandIn serves a program until the test ends.
+// startStandIn runs a stand-in until the test ends.
 func startStandIn(t *testing.T, program jwstand.Program) *jwstand.Stand {
 	t.Helper()
 	stand := &jwstand.Stand{Program: program}
--- a/cmd/jujubebench/policies.go
+++ b/cmd/jujubebench/policies.go
@@ -8,7 +8,7 @@
 	"jujubewheel/io/jwbench"
 )
 
-// policiesCommand compares the node's decisions with simple rules.
+// policiesCommand compares the node's policy with simple rules in a simulation.
 type policiesCommand struct {
 	Seed       []uint64 `help:"Seeds; three of them if left out."`
 	Scenario   []string `help:"Scenarios by name; all if left out."`
@@ -18,8 +18,8 @@
 	Plot       string   `type:"path" help:"Draw the measures to this SVG file instead of printing tables."`
 }
 
-// Run runs the scenarios in virtual time and prints a table for each, or draws
-// them.
+// Run runs the scenarios in virtual time and prints a table for each, or writes
+// a chart if Plot is set.
 func (c *policiesCommand) Run() error {
 	cfg := jwbench.Config{
 		Seeds: c.Seed, Scenarios: c.Scenario, Deployments: c.Deployment, Policies: c.Policy, Ablations: c.Ablations,
@@ -38,12 +38,13 @@
 	return errors.Wrap(f.Close(), "plot")
 }
 
-// subsetsCommand compares sizes of the subset of targets that a node uses.
+// subsetsCommand compares sizes of the subset of targets that a node uses, and
+// intervals at which it polls their load.
 type subsetsCommand struct {
 	Seed []uint64 `help:"Seeds; one if left out."`
 }
 
-// Run prints a table.
+// Run runs the comparison in virtual time and prints a table.
 func (c *subsetsCommand) Run() error {
 	return jwbench.Subsets(os.Stdout, jwbench.Config{Seeds: c.Seed})
 }
--- a/cmd/jujubebench/system.go
+++ b/cmd/jujubebench/system.go
@@ -12,7 +12,8 @@
 	"jujubewheel/io/jwfleet"
 )
 
-// systemCommand measures nodes over sockets, with stand-ins for all else.
+// systemCommand measures nodes over sockets, with stand-ins for the platform and
+// the targets.
 type systemCommand struct {
 	Deployment []string        `default:"zaitoun,cladagh" help:"Deployments by name."`
 	Load       []float64       `default:"0.8,1.3,2" help:"Shares of the capacity of the model runners."`
@@ -22,7 +23,7 @@
 	JSON       bool            `name:"json" help:"Print one JSON object for each trial."`
 }
 
-// Run runs one trial after the other.
+// Run runs one trial after the other and prints the result of each.
 func (c *systemCommand) Run(ctx context.Context) error {
 	faults := c.Fault
 	if len(faults) == 1 && faults[0] == "all" {
@@ -45,6 +46,7 @@
 	return nil
 }
 
+// run runs a trial and prints its result.
 func (c *systemCommand) run(ctx context.Context, t *jwfleet.Trial) error {
 	result, err := t.Run(ctx)
 	if err != nil {
--- a/cmd/jujubestand/main.go
+++ b/cmd/jujubestand/main.go
@@ -34,12 +34,13 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// ports are the flags of every stand-in.
+// ports holds the address flags that the stand-ins share.
 type ports struct {
 	Address netip.AddrPort `default:"127.0.0.1:0" help:"Address to serve on; port 0 picks one."`
 	Control netip.AddrPort `default:"127.0.0.1:0" help:"Address of the control port; port 0 picks one."`
 }
 
+// run serves a stand-in until ctx ends; it prints its addresses once it listens.
 func (p ports) run(ctx context.Context, kind string, program jwstand.Program) error {
 	stand := &jwstand.Stand{Kind: kind, Address: p.Address, Control: p.Control, Program: program}
 	if err := stand.Listen(); err != nil {
@@ -168,7 +169,7 @@
 	return links.Run(ctx)
 }
 
-// parseLink reads NAME=LISTEN,DIAL.
+// parseLink parses a link of the form NAME=LISTEN,DIAL.
 func parseLink(text string) (*jwstand.Link, error) {
 	name, addresses, named := strings.Cut(text, "=")
 	listenText, dialText, paired := strings.Cut(addresses, ",")
@@ -183,7 +184,7 @@
 	return &jwstand.Link{Name: name, Listen: listen, Dial: dial}, errors.Wrapf(err, "link %s", name)
 }
 
-// readFile reads a JSON file into value; an empty name leaves it as it is.
+// readFile decodes a JSON file into value; if name is empty, value is unchanged.
 func readFile(name string, value any) error {
 	if name == "" {
 		return nil
--- a/cmd/jujubestand/main_test.go
+++ b/cmd/jujubestand/main_test.go
@@ -33,7 +33,7 @@
 	})
 }
 
-// freeAddress returns a loopback address that nothing listens on now.
+// freeAddress returns a loopback address whose port was free a moment ago.
 func freeAddress() (string, error) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -43,8 +43,9 @@
 	return listener.Addr().String(), nil
 }
 
-// call is the script command "http METHOD ADDRESS/PATH BODY TEXT": it repeats
-// the call until the answer holds the text, or, with "!", until it fails.
+// call implements the script command "http METHOD ADDRESS/PATH BODY TEXT": it
+// repeats the call until the answer contains the text, or, with "!", until the
+// call fails.
 func call(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 4 {
 		ts.Fatalf("usage: http METHOD ADDRESS/PATH BODY TEXT")
--- a/cmd/jujubewheel/border_test.go
+++ b/cmd/jujubewheel/border_test.go
@@ -15,20 +15,21 @@
 	"gotest.tools/v3/assert"
 )
 
-// nodeRelay relays what nodes send each other. A node has one address for all
-// others, so that a relay can cut a region off only if it knows who dials: it
-// looks up which node's process has the other end of the connection.
+// nodeRelay relays the connections between nodes and can cut a region off. A
+// node has a single address for all other nodes, so that the relay has to find
+// out which region a connection comes from: it looks up which node's process
+// has the other end of the connection.
 type nodeRelay struct {
 	t *testing.T
 
 	mu          sync.Mutex
 	nodes       []*nodeProcess
-	cutRegion   string // region cut off from the others, empty for none
-	crossRegion map[net.Conn]bool
+	cutRegion   string            // region cut off from the others, empty for none
+	crossRegion map[net.Conn]bool // open connections between regions
 }
 
-// listen opens the relay of a node of a region; join has to be called once the
-// node runs.
+// listen opens the relay's port for a node of a region. Connections are relayed
+// from when join is called, once the node runs.
 func (r *nodeRelay) listen(region string) (at netip.AddrPort, join func(*nodeProcess)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(r.t, err)
@@ -52,7 +53,8 @@
 	}
 }
 
-// setCut cuts a region off from the others; what is open is reset.
+// setCut cuts a region off from the others, or none if region is empty, and
+// closes the open connections between regions.
 func (r *nodeRelay) setCut(region string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -63,7 +65,8 @@
 	clear(r.crossRegion)
 }
 
-// allow tells whether a connection may pass now, and keeps it if it crosses.
+// allow reports whether a connection between two regions is relayed now, and
+// remembers it for setCut if the regions differ.
 func (r *nodeRelay) allow(conn net.Conn, from, to string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -80,6 +83,8 @@
 	return true
 }
 
+// forward copies between a connection and the node that it is meant for, until
+// either end closes.
 func (r *nodeRelay) forward(near net.Conn, region string, to netip.AddrPort) {
 	defer func() { _ = near.Close() }()
 	if !r.allow(near, r.dialingRegion(near), region) {
@@ -97,8 +102,8 @@
 	_, _ = io.Copy(near, far)
 }
 
-// dialingRegion returns the region of the node that has the other end, empty if
-// that is none of them.
+// dialingRegion returns the region of the node that has the other end of a
+// connection, empty if none of the nodes has it.
 func (r *nodeRelay) dialingRegion(near net.Conn) string {
 	r.mu.Lock()
 	nodes := r.nodes
@@ -116,7 +121,8 @@
 	return ""
 }
 
-// socketInode finds the socket of a connection in the kernel's list.
+// socketInode returns the inode of the socket with a local and a remote port,
+// from the kernel's list of TCP connections; it is empty if there is none.
 func socketInode(local, remote int) string {
 	f, err := os.Open("/proc/net/tcp")
 	if err != nil {
--- a/cmd/jujubewheel/doc.go
+++ b/cmd/jujubewheel/doc.go
@@ -1,2 +1,3 @@
-// Command jujubewheel runs a node of the gateway and speaks to running ones.
+// Command jujubewheel runs a node of the gateway and sends operators' commands
+// to running nodes.
 package main
--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -19,29 +19,31 @@
 	"jujubewheel/platform"
 )
 
-// memoryDivisor is the part of the memory that the runtime keeps to: half, as
-// bytes that wait in the kernel count too.
+// memoryDivisor divides the memory that the process may use to get the memory
+// limit of the Go runtime. The limit is half of it, as bytes waiting in the
+// kernel's buffers count too.
 const memoryDivisor = 2
 
-// gcPercent makes the runtime collect sooner than by default: the memory of a host at
-// its peak is dear, and its processor is mostly idle.
+// gcPercent makes the runtime collect garbage more often than by default, as
+// peak memory is scarce on a host while its processor is mostly idle.
 const gcPercent = 15
 
-// targetDialTimeout is how long a target of the own region may take to accept a
-// connection: some twenty ways there and back.
+// targetDialTimeout is how long a target of the same region may take to accept a
+// connection: about twenty round trips.
 const targetDialTimeout = 300 * time.Millisecond
 
-// nodeIdleTimeout is how long an unused connection to another node is kept: half as
-// long as that one does. To open one across regions takes a way there and back.
+// nodeIdleTimeout is how long an idle connection to another node is kept: half
+// of the time after which that node closes it. Connections are kept because
+// opening one across regions takes a round trip.
 const nodeIdleTimeout = jwrest.DefaultIdleTimeout / 2
 
-// settingsPollInterval is how often the settings file is looked at: it may change
-// without a signal.
+// settingsPollInterval is the time between checks of the settings file, which
+// may change without a signal.
 const settingsPollInterval = 2 * time.Second
 
-// gateway runs a node that serves by the feed of the platform's store.
+// gateway runs a node that takes its configuration from the platform's store.
 type gateway struct {
-	hup <-chan os.Signal // the settings are to be read anew
+	hup <-chan os.Signal // receives SIGHUP: the settings are to be reloaded
 }
 
 // Run implements jwcommand.Runner.
@@ -80,8 +82,9 @@
 	return gw.Run(ctx)
 }
 
-// watchSettings reads the settings file anew at each SIGHUP and when it has changed.
-// A file with faults is refused and the settings before it stay.
+// watchSettings reloads the settings file at each signal on reload and when the
+// file has changed, and sends the new settings on the returned channel. A file
+// with faults is rejected and the previous settings stay in force.
 func watchSettings(ctx context.Context, reload <-chan os.Signal, file string, log logr.Logger) <-chan *jwsettings.Settings {
 	out := make(chan *jwsettings.Settings)
 	go func() {
@@ -114,6 +117,8 @@
 	return out
 }
 
+// errorText returns the reason why settings were rejected; without an error,
+// they have no gateway section.
 func errorText(err error) string {
 	if err == nil {
 		return "no gateway in it"
@@ -121,7 +126,7 @@
 	return err.Error()
 }
 
-// modTime returns when a file changed last, zero if it can't be told.
+// modTime returns the modification time of a file, zero if it can't be read.
 func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
@@ -130,7 +135,8 @@
 	return info.ModTime()
 }
 
-// countCalls counts the calls of the store by kind and status; 0 is no answer.
+// countCalls returns a function that counts calls to the store by kind and
+// status; status 0 means that there was no answer.
 func countCalls(m *jwmeter.Meter) func(call string, status int) {
 	return func(call string, status int) {
 		m.Counter("store_calls_total", jwmeter.Tags{"call": call, "status": strconv.Itoa(status)}).Inc(1)
--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -14,7 +14,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// mintTicket mints a key at a node.
+// mintTicket has a node mint an idempotency key.
 func mintTicket(at netip.AddrPort) (string, error) {
 	resp, err := http.Post("http://"+at.String()+"/v1/tickets", "", nil)
 	if err != nil {
@@ -27,14 +27,16 @@
 	return ticket.Key, json.NewDecoder(resp.Body).Decode(&ticket)
 }
 
-// oneEntryCatalogue is a catalogue of one entry, like the draft of the test's one.
+// oneEntryCatalogue returns a catalogue with one entry of the given name, which
+// is otherwise the draft of testCatalogue.
 func oneEntryCatalogue(name string) string {
 	const last = `"maxBodySize": 1048576}`
 	first, _, _ := strings.Cut(string(testCatalogue), last)
 	return strings.Replace(first, `"draft"`, `"`+name+`"`, 1) + last + "]}"
 }
 
-// revision asks a node which catalogue is in force there.
+// revision returns the revision of the catalogue in force at a node, 0 if it
+// can't be read.
 func (f *fleet) revision(n *nodeProcess) uint64 {
 	out, err := f.runCommand(n, "catalogue", "get", "--json")
 	var c struct {
@@ -46,7 +48,7 @@
 	return c.Revision
 }
 
-// nodeBehindRelay starts a node that others reach by way of the border.
+// nodeBehindRelay starts a node that other nodes reach through the relay.
 func (f *fleet) nodeBehindRelay(relay *nodeRelay, name, region string) *nodeProcess {
 	at, join := relay.listen(region)
 	n := f.startNode(name, region, at)
@@ -54,13 +56,13 @@
 	return n
 }
 
-// The wide-area network parts one region from the others and from the
-// platform's key-value service and directory. Its own callers must notice
-// nothing: drafts, lookups and confirmations by ticket go on, and a node that
-// is started there meanwhile serves as well. An operator elsewhere edits the
-// catalogue; told that the change is in force everywhere, the operator would
-// trust a limit that the region does not keep. After the cut the change comes
-// into force there by itself, and no node ever goes back.
+// A network failure cuts one region off from the others and from the platform's
+// key-value service and directory. The region must go on serving its own
+// callers: drafts and confirmations by ticket, also at a node that is started
+// there meanwhile. An edit made in another region must not be reported as in
+// force everywhere, as the operator would rely on a limit that the cut-off
+// region does not apply. After the cut the edit must come into force there by
+// itself, and no node may ever return to an older revision.
 func TestIsolatedRegion(t *testing.T) {
 	f := newFleet(t, "east", "west")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
@@ -133,8 +135,8 @@
 	checkRevisions()
 }
 
-// checkRevisionsNeverFall notes the revisions of nodes until the returned function is
-// called, which fails the test if one ever fell.
+// checkRevisionsNeverFall polls the revisions of nodes until the returned
+// function is called, and fails the test if one of them falls.
 func (f *fleet) checkRevisionsNeverFall(nodes ...*nodeProcess) func() {
 	stop := make(chan struct{})
 	var wg sync.WaitGroup
--- a/cmd/jujubewheel/main.go
+++ b/cmd/jujubewheel/main.go
@@ -12,7 +12,7 @@
 )
 
 func main() {
-	// From the first moment on: by default this signal ends the process.
+	// SIGHUP is caught from the start on, as it ends the process by default.
 	hup := make(chan os.Signal, 1)
 	signal.Notify(hup, syscall.SIGHUP)
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -29,7 +29,7 @@
 	os.Exit(int(code))
 }
 
-// node runs a node with all its parts.
+// node runs a node that is configured without a gateway section.
 type node struct{}
 
 // Run implements jwcommand.Runner.
--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -13,19 +13,20 @@
 	"jujubewheel/io/jwstand"
 )
 
-// eastNodes are the nodes of the region east.
+// eastNodes lists the nodes of the region east as peers of a jwclaim.Keeper.
 type eastNodes struct{}
 
 func (eastNodes) Serving(string) []string { return []string{"e1", "e2", "e3"} }
 
-// claimWriter names the node of the east that writes the claims of a key, and so
-// runs it wherever it is pressed.
+// claimWriter returns the node of the region east that writes the claim of a
+// key, and so runs its request whichever node receives it.
 func claimWriter(key string) string {
 	k := &jwclaim.Keeper{Salt: []byte(jwsettings.DefaultSalt), Peers: eastNodes{}}
 	return k.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key})
 }
 
-// keyOfOtherNode returns a key that another node runs.
+// keyOfOtherNode returns a key whose claim is written by another node than the
+// given one.
 func keyOfOtherNode(t *testing.T, node, name string) string {
 	t.Helper()
 	for i := range 1000 {
@@ -37,12 +38,12 @@
 	return ""
 }
 
-// A family presses the deposit button, the page hangs, and they press again:
-// at the same host, at another, in another region; while the first press still
-// runs, after the node that took it was killed, while it was paused and after
-// it woke, after the service took a claim but its reply was lost, and while the
-// service is down. The deposit must be taken once for each key, and whoever
-// gets an answer gets the same one.
+// A confirmation is retried with the same key at the same host, at another one
+// and in another region: while the first request still runs, after its node was
+// killed, while that node is paused and after it resumes, after the key-value
+// service has written the claim but its reply was lost, and while the key-value
+// service is down. The confirmation must run once for each key, and all answers
+// of a key must be the same.
 func TestConfirmationRunsOncePerKey(t *testing.T) {
 	f := newFleet(t, "east", "west")
 	desk := f.startTarget("service", "desk", "east", "--work", "400ms")
@@ -66,7 +67,7 @@
 		f.waitFor(key+" runs", func() bool { return runs(key) > 0 })
 	}
 
-	// At four hosts at once.
+	// Four hosts receive the same key at the same time.
 	var wg sync.WaitGroup
 	answers := make([]reply, 4)
 	for i, n := range []*nodeProcess{e1, e2, e3, w1} {
@@ -86,7 +87,7 @@
 	f.waitFor("served in the end", func() bool { return press(e2, "lost-reply").complete() })
 	assert.Equal(t, runs("lost-reply"), 1)
 
-	// The node that runs it is paused, then wakes.
+	// The node that runs the request is paused, then resumes.
 	byName := map[string]*nodeProcess{"e1": e1, "e2": e2, "e3": e3}
 	othersThan := func(excluded *nodeProcess) (left []*nodeProcess) {
 		for _, n := range []*nodeProcess{e1, e2, e3, w1} {
@@ -114,7 +115,7 @@
 	}
 	assert.Equal(t, runs(pausedKey), 1)
 
-	// The node that runs it is killed.
+	// The node that runs the request is killed.
 	killedKey := keyOfOtherNode(t, pausedNode.name, "killed")
 	killed := byName[claimWriter(killedKey)]
 	go press(killed, killedKey)
@@ -127,7 +128,8 @@
 	}
 	assert.Equal(t, runs(killedKey), 1)
 
-	// The service is down: own keys wait, tickets go on.
+	// The key-value service is down: keys chosen by callers are not run, keys
+	// minted as tickets are.
 	f.putControl(f.kv.Control, "/faults", jwstand.Faults{Down: true})
 	one, two := left[0], left[1]
 	r := press(one, "down")
--- a/cmd/jujubewheel/pause_test.go
+++ b/cmd/jujubewheel/pause_test.go
@@ -12,7 +12,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// lastChange returns the number of an entry's last change.
+// lastChange returns the revision of an entry's last change.
 func (f *fleet) lastChange(n *nodeProcess, entry string) string {
 	f.t.Helper()
 	out, err := f.runCommand(n, "catalogue", "get", entry)
@@ -24,10 +24,11 @@
 	return e.Revision.String()
 }
 
-// A host is frozen for so long that the platform's list drops it. An edit made
-// meanwhile is accepted without it. When the host wakes, its node has the old
-// catalogue and doesn't know that time has passed; a caller that comes in that
-// moment must not be served by an entry that was removed for good.
+// A host is paused for so long that the platform removes it from the host list.
+// An entry is removed meanwhile, and this edit is accepted without the host.
+// When the host resumes, its node still has the old catalogue and has not
+// noticed the pause yet; requests that arrive at that moment must not be served
+// by the removed entry.
 func TestFrozenNodeWakes(t *testing.T) {
 	f := newFleet(t, "east")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
@@ -43,7 +44,7 @@
 	out, err := f.runCommand(other, "catalogue", "remove", "--reason", "no longer offered", "--wait", "30s", "--revision", f.lastChange(other, "draft"), "draft")
 	assert.NilError(t, err, "%s", out)
 
-	// The first requests wait in the frozen host's queue.
+	// The first requests wait in the paused host's accept queue.
 	replies := make(chan reply, 8)
 	for range cap(replies) {
 		go func() { replies <- send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false)) }()
--- a/cmd/jujubewheel/process_test.go
+++ b/cmd/jujubewheel/process_test.go
@@ -23,12 +23,13 @@
 	"jujubewheel/io/jwstand"
 )
 
-// waitTimeout bounds how long a test waits for a state to come about.
+// waitTimeout is how long a test waits at most for an expected state.
 const waitTimeout = 30 * time.Second
 
 const testToken = "a token for tests only"
 
-// buildPrograms builds the two programs once.
+// buildPrograms builds jujubewheel and jujubestand once and returns their
+// directory.
 var buildPrograms = sync.OnceValues(func() (string, error) {
 	dir, err := os.MkdirTemp("", "jujubewheel")
 	if err != nil {
@@ -49,16 +50,18 @@
 	os.Exit(code)
 }
 
-// process is one program of the system as a process of its own.
+// process is a running program of the system and its output.
 type process struct {
 	t       testing.TB
 	cmd     *exec.Cmd
-	ended   chan struct{}
+	ended   chan struct{} // closed when the process has ended
 	mu      sync.Mutex
-	lines   [][]byte
-	arrived chan struct{}
+	lines   [][]byte      // of standard output and standard error
+	arrived chan struct{} // receives a value when lines were added
 }
 
+// startProgram starts a program; it is killed when the test ends, and its last
+// lines are logged if the test failed.
 func startProgram(t testing.TB, program string, args ...string) *process {
 	t.Helper()
 	dir, err := buildPrograms()
@@ -109,7 +112,8 @@
 	<-p.ended
 }
 
-// waitForLine waits for a line that holds the text and decodes its JSON.
+// waitForLine waits for a line that contains text and decodes the line as JSON
+// into v.
 func (p *process) waitForLine(text string, v any) {
 	p.t.Helper()
 	deadline := time.After(waitTimeout)
@@ -136,28 +140,28 @@
 
 func (p *process) signal(s syscall.Signal) { _ = p.cmd.Process.Signal(s) }
 
-// ports are where a node listens.
+// ports holds the addresses on which a node listens.
 type ports struct {
 	Callers   netip.AddrPort `json:"callers"`
 	Operators netip.AddrPort `json:"operators"`
 	Nodes     netip.AddrPort `json:"nodes"`
 }
 
-// nodeProcess is a node as a process.
+// nodeProcess is a node that runs as a process.
 type nodeProcess struct {
 	*process
 	ports
 	name, region string
 }
 
-// killNodes ends all nodes at once, before the test is over.
+// killNodes kills all nodes before the end of the test.
 func (f *fleet) killNodes() {
 	for _, n := range f.nodes {
 		n.kill()
 	}
 }
 
-// fleet is the whole system as processes.
+// fleet is a whole system, each part of which runs as a process.
 type fleet struct {
 	t                  testing.TB
 	dir                string
@@ -165,10 +169,13 @@
 	regions            []string
 	hostGroups         []jwstand.HostGroup
 	nodes              []*nodeProcess
-	// platform changes what the nodes of a region reach the platform by.
-	platformAddresses map[string][]netip.AddrPort // key-value service, client directory
+	// platformAddresses overrides the addresses by which the nodes of a region
+	// reach the key-value service and the client directory, in this order.
+	platformAddresses map[string][]netip.AddrPort
 }
 
+// newFleet starts the stand-ins of the platform; nodes and targets are started
+// by startNode and startTarget.
 func newFleet(t testing.TB, regions ...string) *fleet {
 	t.Helper()
 	f := &fleet{t: t, dir: t.TempDir(), regions: regions}
@@ -201,7 +208,7 @@
 	return ready
 }
 
-// startTarget starts a target and lists it.
+// startTarget starts a stand-in for a target and adds it to the host list.
 func (f *fleet) startTarget(kind, service, region string, args ...string) jwstand.Ready {
 	ready := f.startStandIn(kind, args...)
 	f.addToHostList(ready.Address, map[string]string{"role": "target", "service": service, "region": region, "dataCentre": region + "-1"})
@@ -227,8 +234,8 @@
 	assert.Assert(f.t, resp.StatusCode < 300, "%s %s: %s", control, path, resp.Status)
 }
 
-// startNode starts a node and lists it; nodes go to its port for other nodes by way
-// of through, if that is valid.
+// startNode starts a node and adds it to the host list. Other nodes connect to
+// it through the address relay, if one is given.
 func (f *fleet) startNode(name, region string, relay ...netip.AddrPort) *nodeProcess {
 	f.t.Helper()
 	var regions []string
@@ -264,7 +271,7 @@
 	return n
 }
 
-// runCommand runs the command line against a node and returns its output.
+// runCommand runs a command of jujubewheel against a node and returns its output.
 func (f *fleet) runCommand(n *nodeProcess, args ...string) (string, error) {
 	f.t.Helper()
 	dir, err := buildPrograms()
@@ -275,7 +282,8 @@
 	return string(out), err
 }
 
-// waitReady waits until the nodes serve and are level with the catalogue.
+// waitReady waits until all running nodes are ready and have at least a revision
+// of the catalogue in force.
 func (f *fleet) waitReady(revision uint64) {
 	f.t.Helper()
 	for _, n := range f.nodes {
@@ -312,17 +320,17 @@
 	}, poll.WithTimeout(waitTimeout), poll.WithDelay(50*time.Millisecond))
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as its caller sees it.
 type reply struct {
 	status   int
 	outcome  string
-	servedBy string
+	servedBy string // region that served the request
 	body     string
-	hosts    []netip.AddrPort
-	err      error // no answer, or it broke off
+	hosts    []netip.AddrPort // hosts that a rejection names
+	err      error            // no answer came, or it broke off
 }
 
-// complete tells whether the answer came whole.
+// complete reports whether the whole answer came.
 func (r reply) complete() bool {
 	if r.err != nil || r.status != http.StatusOK || r.outcome != "served" {
 		return false
@@ -330,6 +338,7 @@
 	return !strings.HasPrefix(r.body, "id:") && !strings.HasPrefix(r.body, "data:") || strings.Contains(r.body, "event: done")
 }
 
+// send sends a request; header lists names and values in turn.
 func send(to netip.AddrPort, entry, workspace, body string, header ...string) reply {
 	r, err := http.NewRequest(http.MethodPost, "http://"+to.String()+"/v1/requests/"+entry, strings.NewReader(body))
 	if err != nil {
@@ -359,7 +368,7 @@
 	return out
 }
 
-// listHosts asks a node which hosts to use.
+// listHosts returns the hosts that a node names for a workspace.
 func listHosts(to netip.AddrPort, workspace string) ([]netip.AddrPort, error) {
 	resp, err := http.Get("http://" + to.String() + "/v1/hosts?workspace=" + workspace)
 	if err != nil {
@@ -372,7 +381,7 @@
 	return list.Hosts, json.NewDecoder(resp.Body).Decode(&list)
 }
 
-// readJournal reads a target's journal.
+// readJournal returns the runs in a target's journal.
 func (f *fleet) readJournal(target jwstand.Ready) []jwstand.Run {
 	f.t.Helper()
 	resp, err := http.Get("http://" + target.Control.String() + "/journal")
@@ -388,7 +397,7 @@
 	return string(data)
 }
 
-// testCatalogue has a draft and a confirmation.
+// testCatalogue has two entries, a draft and a confirmation.
 var testCatalogue = json.RawMessage(`{"entries": [
 	{"name": "draft", "owner": "o", "class": "draft", "service": "writer", "path": "/v1/completions",
 	 "idempotent": true, "bound": false, "deadline": "30s", "firstToken": "5s", "progress": "5s",
@@ -400,7 +409,7 @@
 	 "keyMemory": "1h", "maxBodySize": 65536}
 ]}`)
 
-// loadCatalogue puts the test's catalogue in force.
+// loadCatalogue writes testCatalogue and waits until all nodes have it in force.
 func (f *fleet) loadCatalogue() {
 	f.t.Helper()
 	f.waitReady(0)
--- a/cmd/jujubewheel/recovery_test.go
+++ b/cmd/jujubewheel/recovery_test.go
@@ -15,19 +15,20 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The benchmarks of this file measure how long the system takes to get over a
-// failure, with each part a process of its own. They run with
+// The benchmarks of this file measure how long the system takes to recover from
+// a failure or to apply a change, with each part as a process. They run with
 //
 //	go test -run - -bench Recovery -benchtime 3x ./cmd/jujubewheel
 //
-// and are no part of CI, which asserts no times.
+// and are not part of CI, which makes no assertions about times.
 
-// served sends a lookup-sized draft and tells whether it came whole.
+// served sends a draft of one token and reports whether the whole answer came.
 func served(at netip.AddrPort) bool {
 	return send(at, "draft", "free-east", prompt("menu", 1, false)).complete()
 }
 
-// waitUntil polls quickly and returns how long it took.
+// waitUntil polls every 2 ms until a condition holds and returns how long it
+// took.
 func waitUntil(b *testing.B, condition func() bool) time.Duration {
 	b.Helper()
 	start := time.Now()
@@ -40,13 +41,15 @@
 	return time.Since(start)
 }
 
+// reportMedian reports the median of times as a metric in milliseconds.
 func reportMedian(b *testing.B, name string, times []time.Duration) {
 	slices.Sort(times)
 	b.ReportMetric(float64(times[len(times)/2].Milliseconds()), name+"-ms")
 }
 
-// BenchmarkRecoveryNodeKill measures from the kill of a node until its caller is
-// served by another, and until no node names the dead one to callers.
+// BenchmarkRecoveryNodeKill measures the time from the kill of a node until its
+// caller is served by another node, and until no node names the killed one to
+// callers.
 func BenchmarkRecoveryNodeKill(b *testing.B) {
 	var servedElsewhere, noLongerListed []time.Duration
 	for range b.N {
@@ -83,8 +86,8 @@
 	reportMedian(b, "noLongerNamed", noLongerListed)
 }
 
-// BenchmarkRecoveryTargetLeaving measures from the moment at which the
-// platform's list shows a target as leaving until the last new call that it got
+// BenchmarkRecoveryTargetLeaving measures the time from when the platform's host
+// list shows a target as leaving until the last new call that the target gets
 // from any of three nodes. The target itself goes on taking calls.
 func BenchmarkRecoveryTargetLeaving(b *testing.B) {
 	var last []time.Duration
@@ -115,8 +118,8 @@
 	reportMedian(b, "lastNewCall", last)
 }
 
-// BenchmarkRecoveryEdit measures from the command of an operator until the
-// change is accepted: in force at every node of three regions.
+// BenchmarkRecoveryEdit measures the time from an operator's command until the
+// change is accepted, which means in force at every node of three regions.
 func BenchmarkRecoveryEdit(b *testing.B) {
 	for _, perRegion := range []int{1, 3} {
 		b.Run(fmt.Sprintf("%dNodes", 3*perRegion), func(b *testing.B) {
--- a/cmd/jujubewheel/reload_test.go
+++ b/cmd/jujubewheel/reload_test.go
@@ -22,17 +22,18 @@
   },
 }`
 
-// reportedBounds are the bounds that a node tells at its start and after a reload.
+// reportedBounds decodes the bounds that a node logs at its start and after a
+// reload.
 type reportedBounds struct {
 	Bounds struct{ RetryRatio float64 }
 }
 
-// Settings change while a node runs, with a signal or without one, and once
-// they can't be read. A node that ended at the signal would cut its requests;
-// one that took a broken file would run without bounds.
+// The settings file changes while a node runs, with a signal, without one, and
+// once to a file with a fault. A node that ended at the signal would abort its
+// requests; one that accepted the faulty file would run without bounds.
 func TestReload(t *testing.T) {
 	file := filepath.Join(t.TempDir(), "node.jsonc")
-	var addrs []any // the last one is the store's, where nobody listens
+	var addrs []any // the last one is the store's address, where nothing listens
 	var open []net.Listener
 	for range 5 {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
--- a/cmd/jujubewheel/serve_test.go
+++ b/cmd/jujubewheel/serve_test.go
@@ -34,7 +34,7 @@
 }
 
 // listeners sets TAKEN to an address that is in use, and DOWN and PORT1 to PORT3
-// to addresses that are not.
+// to free addresses.
 func listeners(env *testscript.Env) error {
 	taken, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -57,15 +57,16 @@
 	return nil
 }
 
-// settingsCommand, settings FILE CALLERS OPERATORS NODES, writes the settings of a node
-// that listens there.
+// settingsCommand implements the script command "settings FILE CALLERS OPERATORS
+// NODES", which writes the settings of a node that listens on these addresses.
 func settingsCommand(ts *testscript.TestScript, _ bool, args []string) {
 	text := strings.NewReplacer("CALLERS", args[1], "OPERATORS", args[2], "NODES", args[3], "DOWN", ts.Getenv("DOWN")).
 		Replace(ts.ReadFile("node.jsonc"))
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(text), 0o600))
 }
 
-// replaceCommand, replace FILE FROM TO, changes a file.
+// replaceCommand implements the script command "replace FILE FROM TO", which
+// replaces a text that the file must contain.
 func replaceCommand(ts *testscript.TestScript, _ bool, args []string) {
 	text := ts.ReadFile(args[0])
 	if !strings.Contains(text, args[1]) {
@@ -74,7 +75,8 @@
 	ts.Check(os.WriteFile(ts.MkAbs(args[0]), []byte(strings.ReplaceAll(text, args[1], args[2])), 0o600))
 }
 
-// codeCommand, code N COMMAND..., runs a command that must end with exit code N.
+// codeCommand implements the script command "code N COMMAND...", which runs a
+// command that must end with exit code N.
 func codeCommand(ts *testscript.TestScript, _ bool, args []string) {
 	err := ts.Exec(args[1], args[2:]...)
 	got := "0"
@@ -87,7 +89,8 @@
 	}
 }
 
-// listeningCommand, listening ADDRESS, waits until something listens there.
+// listeningCommand implements the script command "listening ADDRESS", which
+// waits until something listens on the address.
 func listeningCommand(ts *testscript.TestScript, _ bool, args []string) {
 	at, err := netip.ParseAddrPort(args[0])
 	ts.Check(err)
--- a/cmd/jujubewheel/stop_test.go
+++ b/cmd/jujubewheel/stop_test.go
@@ -9,10 +9,10 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A node is stopped, twice even, while a draft of many seconds is written. A
-// second signal, or the one that go-zero sends after 5.5 s by default, must not
-// cost the caller the rest: the whole draft comes, and only then does the node
-// end, with success.
+// A node gets SIGTERM twice while it streams a draft that takes nine seconds.
+// Neither the second signal nor go-zero's, which it sends by default after
+// 5.5 s, may cut the draft off: the whole draft must come, and the node must
+// then exit with code 0.
 func TestLongStop(t *testing.T) {
 	f := newFleet(t, "east")
 	runner := f.startTarget("runner", "writer", "east", "--token", "100ms")
--- a/cmd/jujubewheel/system_test.go
+++ b/cmd/jujubewheel/system_test.go
@@ -16,10 +16,10 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The whole path, each part a process: an operator fills the catalogue, a
-// caller asks which host to use, sends a draft there, plain and streamed, and
-// gets the whole answer; a region without a target has it served by another;
-// a confirmation pressed at two hosts runs once.
+// The usual path with each part as a process: an operator writes the catalogue,
+// a caller asks which hosts to use and gets the whole answer of a draft, plain
+// and streamed. A region without a target has drafts served by another region,
+// and a confirmation that is sent to three hosts runs once.
 func TestProcesses(t *testing.T) {
 	f := newFleet(t, "east", "north", "west")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
@@ -61,9 +61,9 @@
 	assert.NilError(t, err, "%s", out)
 }
 
-// Every node is stopped, one after the other, while callers read long streams
-// and open new ones. No stream may be cut off, and a request that a stopping
-// node turns away must be served by the host it names.
+// Two nodes are replaced one after the other while callers read long streams and
+// open new ones. No stream may be cut off, and a request that a stopping node
+// rejects must be served by the host that it names.
 func TestRollingStop(t *testing.T) {
 	f := newFleet(t, "east")
 	f.startTarget("runner", "writer", "east", "--token", "10ms", "--slots", "64")
@@ -100,8 +100,8 @@
 					continue
 				}
 				if r.err != nil && r.status == 0 && r.body == "" {
-					// The host was gone before it took the request; a caller
-					// asks another one.
+					// The host ended before it received the request; a caller
+					// asks another host for the list.
 					for _, n := range f.nodes {
 						if list, err := listHosts(n.Callers, "free-east"); err == nil && len(list) > 0 {
 							at = list[0]
@@ -135,10 +135,10 @@
 	t.Logf("%d streams served", served)
 }
 
-// A node is killed without a word, the very one that gathers the confirmations
-// of its region. Its callers lose what was in flight, but the other nodes go on
-// serving, and callers are no longer sent to it once the platform's list has
-// dropped it. An edit must then be accepted without the dead node's word.
+// The node that gathers the confirmations of its region is killed. The other
+// node must go on serving, callers must no longer be sent to the killed one once
+// the platform's host list has dropped it, and an edit must be accepted without
+// its confirmation.
 func TestNodeKilled(t *testing.T) {
 	f := newFleet(t, "east")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
