--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -49,11 +49,11 @@
 	desk := f.startTarget("service", "desk", "east", "--work", "400ms")
 	e1, e2, e3, w1 := f.startNode("e1", "east"), f.startNode("e2", "east"), f.startNode("e3", "east"), f.startNode("w1", "west")
 	f.loadCatalogue()
-	press := func(n *nodeProcess, key string, more ...string) reply {
+	confirm := func(n *nodeProcess, key string, more ...string) reply {
 		return send(n.Callers, "confirm", "free-east", `{"deposit":1}`, append([]string{"Idempotency-Key", key}, more...)...)
 	}
 	f.waitFor("confirmations", func() bool {
-		return press(e1, "warm-1").complete() && press(e2, "warm-2").complete() && press(e3, "warm-3").complete() && press(w1, "warm-4").complete()
+		return confirm(e1, "warm-1").complete() && confirm(e2, "warm-2").complete() && confirm(e3, "warm-3").complete() && confirm(w1, "warm-4").complete()
 	})
 	runs := func(key string) (n int) {
 		for _, run := range f.readJournal(desk) {
@@ -71,7 +71,7 @@
 	var wg sync.WaitGroup
 	answers := make([]reply, 4)
 	for i, n := range []*nodeProcess{e1, e2, e3, w1} {
-		wg.Go(func() { answers[i] = press(n, "at-once") })
+		wg.Go(func() { answers[i] = confirm(n, "at-once") })
 	}
 	wg.Wait()
 	for _, r := range answers {
@@ -84,7 +84,7 @@
 
 	// The reply to the claim is lost.
 	f.putControl(f.kv.Control, "/faults", jwstand.Faults{LoseReply: 2})
-	f.waitFor("served in the end", func() bool { return press(e2, "lost-reply").complete() })
+	f.waitFor("served in the end", func() bool { return confirm(e2, "lost-reply").complete() })
 	assert.Equal(t, runs("lost-reply"), 1)
 
 	// The node that runs the request is paused, then resumes.
@@ -100,30 +100,30 @@
 	const pausedKey = "paused"
 	pausedNode := byName[claimWriter(pausedKey)]
 	paused := make(chan reply, 1)
-	go func() { paused <- press(pausedNode, pausedKey) }()
+	go func() { paused <- confirm(pausedNode, pausedKey) }()
 	waitRunning(pausedKey)
 	pausedNode.signal(syscall.SIGSTOP)
 	for _, n := range othersThan(pausedNode) {
-		r := press(n, pausedKey, "Jujube-Timeout", "700ms")
+		r := confirm(n, pausedKey, "Jujube-Timeout", "700ms")
 		assert.Equal(t, r.outcome, "unknown", "%+v", r)
 	}
 	pausedNode.signal(syscall.SIGCONT)
 	first := <-paused
 	assert.Assert(t, first.complete(), "%+v", first)
 	for _, n := range othersThan(pausedNode) {
-		f.waitFor("others get the answer", func() bool { return press(n, pausedKey).body == first.body })
+		f.waitFor("others get the answer", func() bool { return confirm(n, pausedKey).body == first.body })
 	}
 	assert.Equal(t, runs(pausedKey), 1)
 
 	// The node that runs the request is killed.
 	killedKey := keyOfOtherNode(t, pausedNode.name, "killed")
 	killed := byName[claimWriter(killedKey)]
-	go press(killed, killedKey)
+	go confirm(killed, killedKey)
 	waitRunning(killedKey)
 	killed.kill()
 	left := othersThan(killed)
 	for _, n := range append(left, left...) {
-		r := press(n, killedKey)
+		r := confirm(n, killedKey)
 		assert.Equal(t, r.outcome, "unknown", "%+v", r)
 	}
 	assert.Equal(t, runs(killedKey), 1)
@@ -132,17 +132,17 @@
 	// minted as tickets are.
 	f.putControl(f.kv.Control, "/faults", jwstand.Faults{Down: true})
 	one, two := left[0], left[1]
-	r := press(one, "down")
+	r := confirm(one, "down")
 	assert.Assert(t, r.outcome == "unknown" || r.outcome == "notRun", "%+v", r)
 	assert.Equal(t, runs("down"), 0)
 	ticket, err := mintTicket(two.Callers)
 	assert.NilError(t, err)
-	began := press(two, ticket)
+	began := confirm(two, ticket)
 	assert.Assert(t, began.complete(), "%+v", began)
-	assert.Equal(t, press(one, ticket).body, began.body)
+	assert.Equal(t, confirm(one, ticket).body, began.body)
 	assert.Equal(t, runs(ticket), 1)
 	f.putControl(f.kv.Control, "/faults", map[string]bool{"down": false})
-	f.waitFor("own keys again", func() bool { return press(two, "down").complete() })
+	f.waitFor("own keys again", func() bool { return confirm(two, "down").complete() })
 	assert.Equal(t, runs("down"), 1)
 	for _, run := range f.readJournal(desk) {
 		assert.Equal(t, runs(run.Key), 1, run.Key)
