--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -104,7 +104,7 @@
 			last = modTime(file)
 			s, err := jwsettings.Load(file)
 			if err != nil || s.Gateway == nil {
-				log.Info("settings refused, the old ones stay", "file", file, "error", errorText(err))
+				log.Info("settings refused, the previous ones stay in force", "file", file, "error", errorText(err))
 				continue
 			}
 			select {
@@ -121,7 +121,7 @@
 // they have no gateway section.
 func errorText(err error) string {
 	if err == nil {
-		return "no gateway in it"
+		return "no gateway section"
 	}
 	return err.Error()
 }
--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -128,7 +128,7 @@
 	for _, n := range f.nodes {
 		assert.Equal(t, f.revision(n), uint64(3), n.name)
 	}
-	f.waitFor("own keys are claimed again", func() bool {
+	f.waitFor("keys chosen by callers are claimed again", func() bool {
 		return send(w2.Callers, "confirm", "bound-west", "{}", "Idempotency-Key", "own").complete()
 	})
 	assert.Equal(t, len(f.readJournal(desk)), before+3)
@@ -145,7 +145,7 @@
 		for {
 			for _, n := range nodes {
 				if r := f.revision(n); r > 0 {
-					assert.Check(f.t, r >= last[n.name], "%s went back from %d to %d", n.name, last[n.name], r)
+					assert.Check(f.t, r >= last[n.name], "revision of %s fell from %d to %d", n.name, last[n.name], r)
 					last[n.name] = r
 				}
 			}
--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -142,7 +142,7 @@
 	assert.Equal(t, confirm(one, ticket).body, began.body)
 	assert.Equal(t, runs(ticket), 1)
 	f.putControl(f.kv.Control, "/faults", map[string]bool{"down": false})
-	f.waitFor("own keys again", func() bool { return confirm(two, "down").complete() })
+	f.waitFor("keys chosen by callers run again", func() bool { return confirm(two, "down").complete() })
 	assert.Equal(t, runs("down"), 1)
 	for _, run := range f.readJournal(desk) {
 		assert.Equal(t, runs(run.Key), 1, run.Key)
--- a/cmd/jujubewheel/pause_test.go
+++ b/cmd/jujubewheel/pause_test.go
@@ -64,7 +64,7 @@
 
 	f.hostGroups = listed
 	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
-	f.waitFor("it serves again, by the new catalogue", func() bool {
+	f.waitFor("the resumed node serves with the new catalogue", func() bool {
 		r := send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false))
 		return r.status == 404 && strings.Contains(r.body, "unknownEntry")
 	})
--- a/cmd/jujubewheel/recovery_test.go
+++ b/cmd/jujubewheel/recovery_test.go
@@ -34,7 +34,7 @@
 	start := time.Now()
 	for !condition() {
 		if time.Since(start) > waitTimeout {
-			b.Fatal("not within the patience of the test")
+			b.Fatal("condition not met within the timeout")
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/cmd/jujubewheel/system_test.go
+++ b/cmd/jujubewheel/system_test.go
@@ -40,7 +40,7 @@
 	f.waitFor("a draft is served", func() bool { return send(east.Callers, "draft", "free-east", prompt("menu", 5, false)).complete() })
 	plain := send(east.Callers, "draft", "free-east", prompt("menu", 5, false))
 	assert.Assert(t, strings.Contains(plain.body, jwstand.TextOf("menu", 5)), "%+v", plain)
-	f.waitFor("a draft is served away", func() bool { return send(north.Callers, "draft", "free-north", prompt("menu", 5, true)).complete() })
+	f.waitFor("a draft is served by another region", func() bool { return send(north.Callers, "draft", "free-north", prompt("menu", 5, true)).complete() })
 	away := send(north.Callers, "draft", "free-north", prompt("menu", 50, true))
 	assert.Assert(t, away.complete(), "%+v", away)
 	assert.Equal(t, away.servedBy, "east")
