--- a/cmd/jujubebench/main.go
+++ b/cmd/jujubebench/main.go
@@ -24,8 +24,8 @@
 	Clients  clientsCommand  `cmd:"" help:"Prints the workspaces of a load for the client directory stand-in."`
 	Policies policiesCommand `cmd:"" help:"Compares the decisions of a node with simple rules, in virtual time."`
 	System   systemCommand   `cmd:"" help:"Measures nodes over sockets under load and faults."`
-	Subsets  subsetsCommand  `cmd:"" help:"Compares how many targets each node uses and how often it asks for their load."`
-	Day      dayCommand      `cmd:"" help:"Draws what the logs of nodes tell of a day, as SVG."`
+	Subsets  subsetsCommand  `cmd:"" help:"Compares numbers of targets that each node uses and intervals at which it polls their load."`
+	Day      dayCommand      `cmd:"" help:"Draws a day's requests and node states from the logs of nodes, as SVG."`
 }
 
 func main() {
@@ -52,7 +52,7 @@
 	Journal    []string           `help:"Control port of a target whose runs are audited, as IP:PORT or REGION=IP:PORT."`
 	Direct     []netip.AddrPort   `help:"Model engine for direct calls, which take half of the load; all of it without --host."`
 	DirectTo   []netip.AddrPort   `name:"direct-service" help:"Plain service for direct calls."`
-	Follow     bool               `default:"true" negatable:"" help:"Come back after Retry-After and go to the hosts named by an answer."`
+	Follow     bool               `default:"true" negatable:"" help:"Retry after the time in Retry-After and at the hosts that an answer names."`
 	JSON       bool               `name:"json" help:"Print the report as JSON."`
 }
 
--- a/cmd/jujubebench/policies.go
+++ b/cmd/jujubebench/policies.go
@@ -10,12 +10,12 @@
 
 // policiesCommand compares the node's policy with simple rules in a simulation.
 type policiesCommand struct {
-	Seed       []uint64 `help:"Seeds; three of them if left out."`
-	Scenario   []string `help:"Scenarios by name; all if left out."`
-	Deployment []string `help:"Deployments by name; all if left out."`
-	Policy     []string `help:"Policies by name; all if left out."`
-	Ablations  bool     `help:"Also the node's decisions without one part each."`
-	Plot       string   `type:"path" help:"Draw the measures to this SVG file instead of printing tables."`
+	Seed       []uint64 `help:"Seeds; 1, 2 and 3 if omitted."`
+	Scenario   []string `help:"Scenarios by name; all if omitted."`
+	Deployment []string `help:"Deployments by name; all if omitted."`
+	Policy     []string `help:"Policies by name; all if omitted."`
+	Ablations  bool     `help:"Also run the node's policy without each of its parts."`
+	Plot       string   `type:"path" help:"Write a chart to this SVG file instead of printing tables."`
 }
 
 // Run runs the scenarios in virtual time and prints a table for each, or writes
@@ -41,7 +41,7 @@
 // subsetsCommand compares sizes of the subset of targets that a node uses, and
 // intervals at which it polls their load.
 type subsetsCommand struct {
-	Seed []uint64 `help:"Seeds; one if left out."`
+	Seed []uint64 `help:"Seeds; 1 if omitted."`
 }
 
 // Run runs the comparison in virtual time and prints a table.
--- a/cmd/jujubestand/main.go
+++ b/cmd/jujubestand/main.go
@@ -64,7 +64,7 @@
 type hostsCommand struct {
 	ports
 	File string        `type:"existingfile" help:"JSON file with the first list."`
-	Lag  time.Duration `help:"How long a change takes to be shown."`
+	Lag  time.Duration `help:"Time until a change appears in the list."`
 }
 
 // Run serves the list of hosts.
@@ -102,9 +102,9 @@
 	ports
 	Slots       int           `default:"8" help:"Requests in one batch."`
 	MaxWaiting  int           `default:"256" help:"Requests that may queue."`
-	Token       time.Duration `default:"15ms" help:"Time of a token of a lone request."`
+	Token       time.Duration `default:"15ms" help:"Time per token of a request that runs alone."`
 	Growth      float64       `default:"0.05" help:"Share of the token time that each further request adds."`
-	Prefill     time.Duration `default:"200us" help:"Time of a prompt token that is not cached."`
+	Prefill     time.Duration `default:"200us" help:"Time per prompt token that is not cached."`
 	CacheTokens int           `default:"65536" help:"Prompt tokens that the prefix cache holds."`
 	Lag         time.Duration `default:"1s" help:"Age of the load report."`
 }
@@ -136,8 +136,8 @@
 	Links   []string       `arg:"" name:"link" help:"NAME=LISTEN,DIAL, such as ab=127.0.0.1:0,127.0.0.1:8080."`
 	Control netip.AddrPort `default:"127.0.0.1:0" help:"Address of the control port; port 0 picks one."`
 	Delay   time.Duration  `help:"One-way delay."`
-	Jitter  time.Duration  `help:"Most that is added to the delay."`
-	Loss    float64        `help:"Share of chunks that come late as after a lost segment."`
+	Jitter  time.Duration  `help:"Maximum time added to the delay."`
+	Loss    float64        `help:"Share of chunks that are delayed as after a lost segment."`
 	Rate    int64          `help:"Bytes a second each way; 0 for no limit."`
 	Seed    uint64         `default:"1" help:"Seed of jitter and loss."`
 }
