--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -89,13 +89,13 @@
 
 	// The node that runs the request is paused, then resumes.
 	byName := map[string]*nodeProcess{"e1": e1, "e2": e2, "e3": e3}
-	othersThan := func(excluded *nodeProcess) (left []*nodeProcess) {
+	othersThan := func(excluded *nodeProcess) (remaining []*nodeProcess) {
 		for _, n := range []*nodeProcess{e1, e2, e3, w1} {
 			if n != excluded {
-				left = append(left, n)
+				remaining = append(remaining, n)
 			}
 		}
-		return left
+		return remaining
 	}
 	const pausedKey = "paused"
 	pausedNode := byName[claimWriter(pausedKey)]
@@ -121,8 +121,8 @@
 	go confirm(killed, killedKey)
 	waitRunning(killedKey)
 	killed.kill()
-	left := othersThan(killed)
-	for _, n := range append(left, left...) {
+	remaining := othersThan(killed)
+	for _, n := range append(remaining, remaining...) {
 		r := confirm(n, killedKey)
 		assert.Equal(t, r.outcome, "unknown", "%+v", r)
 	}
@@ -131,15 +131,15 @@
 	// The key-value service is down: keys chosen by callers are not run, keys
 	// minted as tickets are.
 	f.putControl(f.kv.Control, "/faults", jwstand.Faults{Down: true})
-	one, two := left[0], left[1]
+	one, two := remaining[0], remaining[1]
 	r := confirm(one, "down")
 	assert.Assert(t, r.outcome == "unknown" || r.outcome == "notRun", "%+v", r)
 	assert.Equal(t, runs("down"), 0)
 	ticket, err := mintTicket(two.Callers)
 	assert.NilError(t, err)
-	began := confirm(two, ticket)
-	assert.Assert(t, began.complete(), "%+v", began)
-	assert.Equal(t, confirm(one, ticket).body, began.body)
+	withTicket := confirm(two, ticket)
+	assert.Assert(t, withTicket.complete(), "%+v", withTicket)
+	assert.Equal(t, confirm(one, ticket).body, withTicket.body)
 	assert.Equal(t, runs(ticket), 1)
 	f.putControl(f.kv.Control, "/faults", map[string]bool{"down": false})
 	f.waitFor("keys chosen by callers run again", func() bool { return confirm(two, "down").complete() })
--- a/cmd/jujubewheel/system_test.go
+++ b/cmd/jujubewheel/system_test.go
@@ -142,23 +142,23 @@
 func TestNodeKilled(t *testing.T) {
 	f := newFleet(t, "east")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
-	a, b := f.startNode("e1", "east"), f.startNode("e2", "east")
+	killed, survivor := f.startNode("e1", "east"), f.startNode("e2", "east")
 	f.loadCatalogue()
 	gatherer := jwcatalogue.GathererOf([]jwpeer.Peer{
-		{Name: a.name, Region: "east", State: jwpeer.Serving}, {Name: b.name, Region: "east", State: jwpeer.Serving},
+		{Name: killed.name, Region: "east", State: jwpeer.Serving}, {Name: survivor.name, Region: "east", State: jwpeer.Serving},
 	}, "east")
-	if b.name == gatherer {
-		a, b = b, a
+	if survivor.name == gatherer {
+		killed, survivor = survivor, killed
 	}
-	a.kill()
-	f.hostGroups = slices.DeleteFunc(f.hostGroups, func(g jwstand.HostGroup) bool { return g.Labels["name"] == a.name })
+	killed.kill()
+	f.hostGroups = slices.DeleteFunc(f.hostGroups, func(g jwstand.HostGroup) bool { return g.Labels["name"] == killed.name })
 	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
 	f.waitFor("only the living host is named", func() bool {
-		list, err := listHosts(b.Callers, "free-east")
-		return err == nil && len(list) == 1 && list[0] == b.Callers
+		list, err := listHosts(survivor.Callers, "free-east")
+		return err == nil && len(list) == 1 && list[0] == survivor.Callers
 	})
-	f.waitFor("a draft is served", func() bool { return send(b.Callers, "draft", "free-east", prompt("menu", 5, true)).complete() })
+	f.waitFor("a draft is served", func() bool { return send(survivor.Callers, "draft", "free-east", prompt("menu", 5, true)).complete() })
 	path := f.write("again.json", json.RawMessage(strings.ReplaceAll(string(testCatalogue), `"30s"`, `"31s"`)))
-	out, err := f.runCommand(b, "catalogue", "put", "--overwrite", "--reason", "after the kill", "--wait", "30s", path)
+	out, err := f.runCommand(survivor, "catalogue", "put", "--overwrite", "--reason", "after the kill", "--wait", "30s", path)
 	assert.NilError(t, err, "%s", out)
 }
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -78,9 +78,9 @@
 // route runs a request as the project's policy decides: it checks for suspects,
 // places the request in a region and admits it.
 func (n *node) route(q *request) {
-	state, left := n.suspects.Check(q.fingerprint, n.sim.now)
+	state, remaining := n.suspects.Check(q.fingerprint, n.sim.now)
 	if state == jwsuspect.Quarantined && !n.sim.policy.noSuspects {
-		n.sim.retryLater(q, left)
+		n.sim.retryLater(q, remaining)
 		return
 	}
 	rq := n.query(q)
@@ -238,23 +238,23 @@
 // answer takes delay for its way back, plus the delay between regions if the
 // runner is in another region.
 func (n *node) run(q *request, r *runner, delay time.Duration, done func(endReason)) {
-	way := delay
+	returnDelay := delay
 	if q.away {
-		way += n.sim.deployment.LinkDelay
+		returnDelay += n.sim.deployment.LinkDelay
 	}
 	q.runner = r
 	q.job = &job{req: q}
 	j := q.job
 	j.onFirstToken = func() {
 		if q.firstTokenAt.IsZero() {
-			q.firstTokenAt = n.sim.now.Add(way)
+			q.firstTokenAt = n.sim.now.Add(returnDelay)
 		}
 	}
 	j.onEnd = func(end endReason) {
 		done(end)
 		switch end {
 		case endDone:
-			n.sim.complete(q, way)
+			n.sim.complete(q, returnDelay)
 		case endCrash:
 			n.sim.crashed(q, r)
 		}
@@ -295,7 +295,7 @@
 }
 
 // complete counts a request whose whole answer has come.
-func (sim *simulation) complete(q *request, way time.Duration) {
+func (sim *simulation) complete(q *request, returnDelay time.Duration) {
 	if q.finished {
 		return
 	}
@@ -303,7 +303,7 @@
 		sim.result.BoundViolations++
 	}
 	q.finished = true
-	sim.result.served(q, sim.now.Add(way))
+	sim.result.served(q, sim.now.Add(returnDelay))
 }
 
 // expire ends a request whose deadline has passed and cancels its job.
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -210,21 +210,21 @@
 // platform. That region must go on serving its own callers, and an edit made
 // meanwhile must not be accepted before the links are back.
 func (d *demoRun) partition(ctx context.Context) error {
-	alone := regions[2]
-	d.disconnect(alone)
-	a := d.lookUpOrder(ctx, alone)
-	d.record(a)
-	key, err := d.ticket(ctx, d.nodes[alone].CallersAddr())
+	isolated := regions[2]
+	d.disconnect(isolated)
+	lookedUp := d.lookUpOrder(ctx, isolated)
+	d.record(lookedUp)
+	key, err := d.ticket(ctx, d.nodes[isolated].CallersAddr())
 	if err != nil {
 		return err
 	}
-	c := d.send(ctx, request{
-		to: d.nodes[alone].CallersAddr(), entry: confirmation, workspace: "family-" + alone, key: key, body: []byte("deposit 90"),
+	confirmed := d.send(ctx, request{
+		to: d.nodes[isolated].CallersAddr(), entry: confirmation, workspace: "family-" + isolated, key: key, body: []byte("deposit 90"),
 	})
-	d.record(c)
+	d.record(confirmed)
 	d.printLine("   %s without links: lookup %s after %s, confirmation by ticket %s after %s",
-		alone, a.outcome, formatMillis(a.completeAfter), c.outcome, formatMillis(c.completeAfter))
-	d.check(a.served() && c.served(), "%s went on serving its own callers", alone)
+		isolated, lookedUp.outcome, formatMillis(lookedUp.completeAfter), confirmed.outcome, formatMillis(confirmed.completeAfter))
+	d.check(lookedUp.served() && confirmed.served(), "%s went on serving its own callers", isolated)
 
 	at := d.nodes[regions[0]].OperatorsAddr()
 	standing, err := d.putEntry(ctx, at, edit("demo-question", questionEntry()), 500*time.Millisecond)
@@ -235,7 +235,7 @@
 		regions[0], standing.Revision, standing.Accepted, standing.Missing)
 	d.check(!standing.Accepted, "the edit was not reported as accepted during the cut")
 
-	d.reconnect(alone)
+	d.reconnect(isolated)
 	began := time.Now()
 	err = d.waitFor(recoveryTimeout, "the edit accepted after the cut", func() bool {
 		s, err := d.status(ctx, at)
--- a/io/jwdemo/teller.go
+++ b/io/jwdemo/teller.go
@@ -68,31 +68,31 @@
 }
 
 func statsOf(answers []answer) entryStats {
-	f := entryStats{sent: len(answers)}
+	stats := entryStats{sent: len(answers)}
 	for _, a := range answers {
 		switch {
 		case a.served():
-			f.served++
-			f.times = append(f.times, a.completeAfter)
+			stats.served++
+			stats.times = append(stats.times, a.completeAfter)
 			if a.servedBy != "" && a.servedBy != a.home {
-				f.away++
+				stats.away++
 			}
 		case a.outcome == "notRun":
-			f.notRun++
+			stats.notRun++
 		default:
-			f.unknown++
+			stats.unknown++
 		}
 	}
-	slices.Sort(f.times)
-	return f
+	slices.Sort(stats.times)
+	return stats
 }
 
-func (f entryStats) row() string {
+func (s entryStats) row() string {
 	median, slowest := "-", "-"
-	if n := len(f.times); n > 0 {
-		median, slowest = formatMillis(f.times[n/2]), formatMillis(f.times[n-1])
+	if n := len(s.times); n > 0 {
+		median, slowest = formatMillis(s.times[n/2]), formatMillis(s.times[n-1])
 	}
-	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%s\t%s", f.sent, f.served, f.notRun, f.unknown, f.away, median, slowest)
+	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%s\t%s", s.sent, s.served, s.notRun, s.unknown, s.away, median, slowest)
 }
 
 func formatMillis(d time.Duration) string { return d.Round(time.Millisecond).String() }
