--- a/io/jwbench/scenario.go
+++ b/io/jwbench/scenario.go
@@ -124,15 +124,15 @@
 // capacity from 90 s to 150 s.
 func ownerBurst(workspace int) func(sim *simulation, sources []*source) {
 	return func(sim *simulation, sources []*source) {
-		overloading := sources[0]
-		rate := 4 * capacity(overloading.region)
+		src := sources[0]
+		rate := 4 * capacity(src.region)
 		until := epoch.Add(150 * time.Second)
 		var next func()
 		next = func() {
 			if sim.now.After(until) {
 				return
 			}
-			sim.arrive(overloading.newRequest(workspace, burstOwner, overloading.randomKind(), sim.now.Sub(epoch)))
+			sim.arrive(src.newRequest(workspace, burstOwner, src.randomKind(), sim.now.Sub(epoch)))
 			sim.after(time.Duration(sim.rnd.ExpFloat64()/rate*float64(time.Second)), next)
 		}
 		sim.after(90*time.Second, next)
@@ -149,9 +149,9 @@
 	sim.result.linkPrice = d.LinkPrice
 	var sources []*source
 	for i, region := range d.Regions {
-		maxRate := capacity(region)
-		rate := func(at time.Duration) float64 { return maxRate * s.Load(i, at) }
-		sources = append(sources, newSource(sim, i, rate, maxRate*s.MaxLoad, s))
+		regionCapacity := capacity(region)
+		rate := func(at time.Duration) float64 { return regionCapacity * s.Load(i, at) }
+		sources = append(sources, newSource(sim, i, rate, regionCapacity*s.MaxLoad, s))
 	}
 	for _, src := range sources {
 		src.start()
