--- a/cmd/jujubebench/main.go
+++ b/cmd/jujubebench/main.go
@@ -24,8 +24,8 @@
 	Clients  clientsCommand  `cmd:"" help:"Prints the workspaces of a load for the client directory stand-in."`
 	Policies policiesCommand `cmd:"" help:"Compares the decisions of a node with simple rules, in virtual time."`
 	System   systemCommand   `cmd:"" help:"Measures nodes over sockets under load and faults."`
-	Subsets  subsetsCommand  `cmd:"" help:"Compares how many targets each node uses and how often it asks for their load."`
-	Day      dayCommand      `cmd:"" help:"Draws what the logs of nodes tell of a day, as SVG."`
+	Subsets  subsetsCommand  `cmd:"" help:"Compares numbers of targets that each node uses and intervals at which it polls their load."`
+	Day      dayCommand      `cmd:"" help:"Draws a day's requests and node states from the logs of nodes, as SVG."`
 }
 
 func main() {
@@ -52,7 +52,7 @@
 	Journal    []string           `help:"Control port of a target whose runs are audited, as IP:PORT or REGION=IP:PORT."`
 	Direct     []netip.AddrPort   `help:"Model engine for direct calls, which take half of the load; all of it without --host."`
 	DirectTo   []netip.AddrPort   `name:"direct-service" help:"Plain service for direct calls."`
-	Follow     bool               `default:"true" negatable:"" help:"Come back after Retry-After and go to the hosts named by an answer."`
+	Follow     bool               `default:"true" negatable:"" help:"Retry after the time in Retry-After and at the hosts that an answer names."`
 	JSON       bool               `name:"json" help:"Print the report as JSON."`
 }
 
@@ -69,7 +69,7 @@
 	load := &jwload.Load{
 		Schedule: jwload.Schedule{
 			Mix:        mix,
-			Regions:    regionsOf(c.Region, hosts),
+			Regions:    regionShares(c.Region, hosts),
 			Workspaces: c.Workspaces,
 			Bound:      c.Bound,
 			Rate:       c.Rate,
@@ -105,6 +105,8 @@
 	return encoder.Encode(report)
 }
 
+// directShare returns the share of requests that are sent directly to targets
+// instead of nodes.
 func directShare(targets, nodes bool) float64 {
 	switch {
 	case !targets:
@@ -116,6 +118,7 @@
 	}
 }
 
+// readMix returns the built-in mix of that name or reads one from a JSON file.
 func readMix(name string) (jwload.Mix, error) {
 	if mix, found := jwload.Mixes[name]; found {
 		return mix, nil
@@ -127,7 +130,8 @@
 	return jwload.ParseMix(body)
 }
 
-// parseHosts reads IP:PORT or REGION=IP:PORT.
+// parseHosts parses texts of the form IP:PORT or REGION=IP:PORT and returns the
+// hosts by region; the region of a host without one is empty.
 func parseHosts(texts []string) (map[string][]netip.AddrPort, error) {
 	hosts := make(map[string][]netip.AddrPort)
 	for _, text := range texts {
@@ -144,8 +148,9 @@
 	return hosts, nil
 }
 
-// regionsOf gives each region its share; without shares all are equal.
-func regionsOf(shares map[string]float64, hosts map[string][]netip.AddrPort) []jwload.Region {
+// regionShares returns the regions with their shares of the load, sorted by
+// name. Without shares it returns the regions of the hosts with equal shares.
+func regionShares(shares map[string]float64, hosts map[string][]netip.AddrPort) []jwload.Region {
 	var regions []jwload.Region
 	for name, share := range shares {
 		regions = append(regions, jwload.Region{Name: name, Share: share})
@@ -166,7 +171,7 @@
 	Owner      string   `default:"load" help:"Owner of the workspaces."`
 }
 
-// Run prints the workspaces.
+// Run prints the workspaces as JSON.
 func (c *clientsCommand) Run() error {
 	var clients []jwstand.Client
 	for _, region := range c.Region {
--- a/cmd/jujubestand/main.go
+++ b/cmd/jujubestand/main.go
@@ -34,12 +34,13 @@
 	k.FatalIfErrorf(k.Run())
 }
 
-// ports are the flags of every stand-in.
+// ports holds the address flags that the stand-ins share.
 type ports struct {
 	Address netip.AddrPort `default:"127.0.0.1:0" help:"Address to serve on; port 0 picks one."`
 	Control netip.AddrPort `default:"127.0.0.1:0" help:"Address of the control port; port 0 picks one."`
 }
 
+// run serves a stand-in until ctx ends; it prints its addresses once it listens.
 func (p ports) run(ctx context.Context, kind string, program jwstand.Program) error {
 	stand := &jwstand.Stand{Kind: kind, Address: p.Address, Control: p.Control, Program: program}
 	if err := stand.Listen(); err != nil {
@@ -63,7 +64,7 @@
 type hostsCommand struct {
 	ports
 	File string        `type:"existingfile" help:"JSON file with the first list."`
-	Lag  time.Duration `help:"How long a change takes to be shown."`
+	Lag  time.Duration `help:"Time until a change appears in the list."`
 }
 
 // Run serves the list of hosts.
@@ -101,9 +102,9 @@
 	ports
 	Slots       int           `default:"8" help:"Requests in one batch."`
 	MaxWaiting  int           `default:"256" help:"Requests that may queue."`
-	Token       time.Duration `default:"15ms" help:"Time of a token of a lone request."`
+	Token       time.Duration `default:"15ms" help:"Time per token of a request that runs alone."`
 	Growth      float64       `default:"0.05" help:"Share of the token time that each further request adds."`
-	Prefill     time.Duration `default:"200us" help:"Time of a prompt token that is not cached."`
+	Prefill     time.Duration `default:"200us" help:"Time per prompt token that is not cached."`
 	CacheTokens int           `default:"65536" help:"Prompt tokens that the prefix cache holds."`
 	Lag         time.Duration `default:"1s" help:"Age of the load report."`
 }
@@ -135,8 +136,8 @@
 	Links   []string       `arg:"" name:"link" help:"NAME=LISTEN,DIAL, such as ab=127.0.0.1:0,127.0.0.1:8080."`
 	Control netip.AddrPort `default:"127.0.0.1:0" help:"Address of the control port; port 0 picks one."`
 	Delay   time.Duration  `help:"One-way delay."`
-	Jitter  time.Duration  `help:"Most that is added to the delay."`
-	Loss    float64        `help:"Share of chunks that come late as after a lost segment."`
+	Jitter  time.Duration  `help:"Maximum time added to the delay."`
+	Loss    float64        `help:"Share of chunks that are delayed as after a lost segment."`
 	Rate    int64          `help:"Bytes a second each way; 0 for no limit."`
 	Seed    uint64         `default:"1" help:"Seed of jitter and loss."`
 }
@@ -168,22 +169,22 @@
 	return links.Run(ctx)
 }
 
-// parseLink reads NAME=LISTEN,DIAL.
+// parseLink parses a link of the form NAME=LISTEN,DIAL.
 func parseLink(text string) (*jwstand.Link, error) {
-	name, ends, named := strings.Cut(text, "=")
-	near, far, paired := strings.Cut(ends, ",")
+	name, addresses, named := strings.Cut(text, "=")
+	listenText, dialText, paired := strings.Cut(addresses, ",")
 	if !named || !paired {
 		return nil, errors.Errorf("link %q is not NAME=LISTEN,DIAL", text)
 	}
-	listen, err := netip.ParseAddrPort(near)
+	listen, err := netip.ParseAddrPort(listenText)
 	if err != nil {
 		return nil, errors.Wrapf(err, "link %s", name)
 	}
-	dial, err := netip.ParseAddrPort(far)
+	dial, err := netip.ParseAddrPort(dialText)
 	return &jwstand.Link{Name: name, Listen: listen, Dial: dial}, errors.Wrapf(err, "link %s", name)
 }
 
-// readFile reads a JSON file into value; an empty name leaves it as it is.
+// readFile decodes a JSON file into value; if name is empty, value is unchanged.
 func readFile(name string, value any) error {
 	if name == "" {
 		return nil
--- a/cmd/jujubewheel/border_test.go
+++ b/cmd/jujubewheel/border_test.go
@@ -15,24 +15,25 @@
 	"gotest.tools/v3/assert"
 )
 
-// border relays what nodes send each other. A node has one address for all
-// others, so that a relay can cut a region off only if it knows who dials: it
-// looks up which node's process has the other end of the connection.
-type border struct {
+// nodeRelay relays the connections between nodes and can cut a region off. A
+// node has a single address for all other nodes, so that the relay has to find
+// out which region a connection comes from: it looks up which node's process
+// has the other end of the connection.
+type nodeRelay struct {
 	t *testing.T
 
-	mu       sync.Mutex
-	nodes    []*nodeProcess
-	cut      string // region cut off from the others, empty for none
-	crossing map[net.Conn]bool
+	mu          sync.Mutex
+	nodes       []*nodeProcess
+	cutRegion   string            // region cut off from the others, empty for none
+	crossRegion map[net.Conn]bool // open connections between regions
 }
 
-// gate opens the relay of a node of a region; join has to be called once the
-// node runs.
-func (b *border) gate(region string) (at netip.AddrPort, join func(*nodeProcess)) {
+// listen opens the relay's port for a node of a region. Connections are relayed
+// from when join is called, once the node runs.
+func (r *nodeRelay) listen(region string) (at netip.AddrPort, join func(*nodeProcess)) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
-	assert.NilError(b.t, err)
-	b.t.Cleanup(func() { _ = l.Close() })
+	assert.NilError(r.t, err)
+	r.t.Cleanup(func() { _ = l.Close() })
 	started := make(chan netip.AddrPort, 1)
 	go func() {
 		to := <-started
@@ -41,48 +42,52 @@
 			if err != nil {
 				return
 			}
-			go b.relay(near, region, to)
+			go r.forward(near, region, to)
 		}
 	}()
 	return l.Addr().(*net.TCPAddr).AddrPort(), func(n *nodeProcess) {
-		b.mu.Lock()
-		defer b.mu.Unlock()
-		b.nodes = append(b.nodes, n)
+		r.mu.Lock()
+		defer r.mu.Unlock()
+		r.nodes = append(r.nodes, n)
 		started <- n.Nodes
 	}
 }
 
-// setCut cuts a region off from the others; what is open is reset.
-func (b *border) setCut(region string) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	b.cut = region
-	for conn := range b.crossing {
+// setCut cuts a region off from the others, or none if region is empty, and
+// closes the open connections between regions.
+func (r *nodeRelay) setCut(region string) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.cutRegion = region
+	for conn := range r.crossRegion {
 		_ = conn.Close()
 	}
-	clear(b.crossing)
+	clear(r.crossRegion)
 }
 
-// admit tells whether a connection may pass now, and keeps it if it crosses.
-func (b *border) admit(near net.Conn, from, to string) bool {
-	b.mu.Lock()
-	defer b.mu.Unlock()
+// allow reports whether a connection between two regions is relayed now, and
+// remembers it for setCut if the regions differ.
+func (r *nodeRelay) allow(conn net.Conn, from, to string) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	if from == to {
 		return true
 	}
-	if b.cut != "" && (from == b.cut || to == b.cut || from == "") {
+	if r.cutRegion != "" && (from == r.cutRegion || to == r.cutRegion || from == "") {
 		return false
 	}
-	if b.crossing == nil {
-		b.crossing = make(map[net.Conn]bool)
+	if r.crossRegion == nil {
+		r.crossRegion = make(map[net.Conn]bool)
 	}
-	b.crossing[near] = true
+	r.crossRegion[conn] = true
 	return true
 }
 
-func (b *border) relay(near net.Conn, region string, to netip.AddrPort) {
+// forward copies between a connection and the node that it is meant for, until
+// either end closes.
+func (r *nodeRelay) forward(near net.Conn, region string, to netip.AddrPort) {
 	defer func() { _ = near.Close() }()
-	if !b.admit(near, b.dialler(near), region) {
+	if !r.allow(near, r.dialingRegion(near), region) {
 		return
 	}
 	far, err := net.Dial("tcp", to.String())
@@ -97,14 +102,14 @@
 	_, _ = io.Copy(near, far)
 }
 
-// dialler returns the region of the node that has the other end, empty if
-// that is none of them.
-func (b *border) dialler(near net.Conn) string {
-	b.mu.Lock()
-	nodes := b.nodes
-	b.mu.Unlock()
+// dialingRegion returns the region of the node that has the other end of a
+// connection, empty if none of the nodes has it.
+func (r *nodeRelay) dialingRegion(near net.Conn) string {
+	r.mu.Lock()
+	nodes := r.nodes
+	r.mu.Unlock()
 	far, here := near.RemoteAddr().(*net.TCPAddr).Port, near.LocalAddr().(*net.TCPAddr).Port
-	inode := inodeOf(far, here)
+	inode := socketInode(far, here)
 	for _, n := range nodes {
 		files, _ := filepath.Glob(fmt.Sprintf("/proc/%d/fd/*", n.cmd.Process.Pid))
 		for _, file := range files {
@@ -116,8 +121,9 @@
 	return ""
 }
 
-// inodeOf finds the socket of a connection in the kernel's list.
-func inodeOf(local, remote int) string {
+// socketInode returns the inode of the socket with a local and a remote port,
+// from the kernel's list of TCP connections; it is empty if there is none.
+func socketInode(local, remote int) string {
 	f, err := os.Open("/proc/net/tcp")
 	if err != nil {
 		return ""
--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -19,89 +19,92 @@
 	"jujubewheel/platform"
 )
 
-// memoryShare is the part of the memory that the runtime keeps to: half, as
-// bytes that wait in the kernel count too.
-const memoryShare = 2
+// memoryDivisor divides the memory that the process may use to get the memory
+// limit of the Go runtime. The limit is half of it, as bytes waiting in the
+// kernel's buffers count too.
+const memoryDivisor = 2
 
-// gcPercent makes the runtime collect sooner than by default: the memory of a host at
-// its peak is dear, and its processor is mostly idle.
+// gcPercent makes the runtime collect garbage more often than by default, as
+// peak memory is scarce on a host while its processor is mostly idle.
 const gcPercent = 15
 
-// targetDial is how long a target of the own region may take to accept a
-// connection: some twenty ways there and back.
-const targetDial = 300 * time.Millisecond
+// targetDialTimeout is how long a target of the same region may take to accept a
+// connection: about twenty round trips.
+const targetDialTimeout = 300 * time.Millisecond
 
-// nodeIdle is how long an unused connection to another node is kept: half as
-// long as that one does. To open one across regions takes a way there and back.
-const nodeIdle = jwrest.DefaultIdleTimeout / 2
+// nodeIdleTimeout is how long an idle connection to another node is kept: half
+// of the time after which that node closes it. Connections are kept because
+// opening one across regions takes a round trip.
+const nodeIdleTimeout = jwrest.DefaultIdleTimeout / 2
 
-// settingsPoll is how often the settings file is looked at: it may change
-// without a signal.
-const settingsPoll = 2 * time.Second
+// settingsPollInterval is the time between checks of the settings file, which
+// may change without a signal.
+const settingsPollInterval = 2 * time.Second
 
-// gateway runs a node that serves by the feed of the platform's store.
+// gateway runs a node that takes its configuration from the platform's store.
 type gateway struct {
-	hup <-chan os.Signal // the settings are to be read anew
+	hup <-chan os.Signal // receives SIGHUP: the settings are to be reloaded
 }
 
 // Run implements jwcommand.Runner.
 func (g gateway) Run(ctx context.Context, n jwcommand.Node) error {
-	o := n.Settings.Gateway
+	options := n.Settings.Gateway
 	debug.SetGCPercent(gcPercent)
-	if o.Memory > 0 {
-		debug.SetMemoryLimit(o.Memory / memoryShare)
+	if options.Memory > 0 {
+		debug.SetMemoryLimit(options.Memory / memoryDivisor)
 	}
 	queue := &jwlog.Queue{W: os.Stdout}
-	ended, written := make(chan struct{}), make(chan struct{})
+	stopQueue, queueDone := make(chan struct{}), make(chan struct{})
 	go func() {
-		queue.Run(ended)
-		close(written)
+		queue.Run(stopQueue)
+		close(queueDone)
 	}()
 	defer func() {
-		close(ended)
-		<-written
+		close(stopQueue)
+		<-queueDone
 	}()
 	log := jwlog.New(queue, n.Verbose).WithValues("node", n.Settings.Node)
 	meter := &jwmeter.Meter{Log: log}
 	defer meter.Close()
-	whole := &jwgateway.Gateway{
+	gw := &jwgateway.Gateway{
 		Settings:  n.Settings,
-		Feed:      &platform.Store{Address: o.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
-		Records:   platform.Records{Regions: o.DataCentres},
+		Feed:      &platform.Store{Address: options.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
+		Records:   platform.Records{Regions: options.DataCentres},
 		Dialect:   platform.Headers{},
-		Targets:   &jwconn.Pool{DialTimeout: targetDial},
-		Nodes:     &jwconn.Pool{Idle: nodeIdle},
+		Targets:   &jwconn.Pool{DialTimeout: targetDialTimeout},
+		Nodes:     &jwconn.Pool{Idle: nodeIdleTimeout},
 		Log:       log,
 		Meter:     meter,
 		LostLines: queue.Lost,
 		Decisions: jwlog.NewDecisions(queue, queue.Minor(), n.Settings.Node),
-		Reload:    reloads(ctx, g.hup, n.File, log),
+		Reload:    watchSettings(ctx, g.hup, n.File, log),
 	}
-	return whole.Run(ctx)
+	return gw.Run(ctx)
 }
 
-// reloads reads the settings file anew at each SIGHUP and when it has changed.
-// A file with faults is refused and the settings before it stay.
-func reloads(ctx context.Context, hup <-chan os.Signal, file string, log logr.Logger) <-chan *jwsettings.Settings {
+// watchSettings reloads the settings file at each signal on reload and when the
+// file has changed, and sends the new settings on the returned channel. A file
+// with faults is rejected and the previous settings stay in force.
+func watchSettings(ctx context.Context, reload <-chan os.Signal, file string, log logr.Logger) <-chan *jwsettings.Settings {
 	out := make(chan *jwsettings.Settings)
 	go func() {
-		last := modified(file)
-		tick := time.NewTicker(settingsPoll)
+		last := modTime(file)
+		tick := time.NewTicker(settingsPollInterval)
 		defer tick.Stop()
 		for {
 			select {
 			case <-ctx.Done():
 				return
-			case <-hup:
+			case <-reload:
 			case <-tick.C:
-				if at := modified(file); at.Equal(last) {
+				if modifiedAt := modTime(file); modifiedAt.Equal(last) {
 					continue
 				}
 			}
-			last = modified(file)
+			last = modTime(file)
 			s, err := jwsettings.Load(file)
 			if err != nil || s.Gateway == nil {
-				log.Info("settings refused, the old ones stay", "file", file, "error", errorText(err))
+				log.Info("settings refused, the previous ones stay in force", "file", file, "error", errorText(err))
 				continue
 			}
 			select {
@@ -114,15 +117,17 @@
 	return out
 }
 
+// errorText returns the reason why settings were rejected; without an error,
+// they have no gateway section.
 func errorText(err error) string {
 	if err == nil {
-		return "no gateway in it"
+		return "no gateway section"
 	}
 	return err.Error()
 }
 
-// modified returns when a file changed last, zero if it can't be told.
-func modified(file string) time.Time {
+// modTime returns the modification time of a file, zero if it can't be read.
+func modTime(file string) time.Time {
 	info, err := os.Stat(file)
 	if err != nil {
 		return time.Time{}
@@ -130,7 +135,8 @@
 	return info.ModTime()
 }
 
-// countCalls counts the calls of the store by kind and status; 0 is no answer.
+// countCalls returns a function that counts calls to the store by kind and
+// status; status 0 means that there was no answer.
 func countCalls(m *jwmeter.Meter) func(call string, status int) {
 	return func(call string, status int) {
 		m.Counter("store_calls_total", jwmeter.Tags{"call": call, "status": strconv.Itoa(status)}).Inc(1)
--- a/cmd/jujubewheel/stop_test.go
+++ b/cmd/jujubewheel/stop_test.go
@@ -9,29 +9,29 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A node is stopped, twice even, while a draft of many seconds is written. A
-// second signal, or the one that go-zero sends after 5.5 s by default, must not
-// cost the caller the rest: the whole draft comes, and only then does the node
-// end, with success.
+// A node gets SIGTERM twice while it streams a draft that takes nine seconds.
+// Neither the second signal nor go-zero's, which it sends by default after
+// 5.5 s, may cut the draft off: the whole draft must come, and the node must
+// then exit with code 0.
 func TestLongStop(t *testing.T) {
 	f := newFleet(t, "east")
-	runner := f.target("runner", "writer", "east", "--token", "100ms")
-	n := f.node("e1", "east")
-	f.fill()
-	f.await("a draft is served", func() bool {
-		return send(n.Callers, "draft", "free-east", prompt("ready?", 1, true)).whole()
+	runner := f.startTarget("runner", "writer", "east", "--token", "100ms")
+	n := f.startNode("e1", "east")
+	f.loadCatalogue()
+	f.waitFor("a draft is served", func() bool {
+		return send(n.Callers, "draft", "free-east", prompt("ready?", 1, true)).complete()
 	})
-	before := len(f.runs(runner))
+	before := len(f.readJournal(runner))
 	answer := make(chan reply, 1)
 	go func() { answer <- send(n.Callers, "draft", "free-east", prompt("menu", 90, true)) }()
-	f.await("the draft runs", func() bool {
-		runs := f.runs(runner)
+	f.waitFor("the draft runs", func() bool {
+		runs := f.readJournal(runner)
 		return len(runs) > before && runs[len(runs)-1].State == jwstand.Running
 	})
 	n.signal(syscall.SIGTERM)
 	n.signal(syscall.SIGTERM)
 	r := <-answer
-	assert.Assert(t, r.whole(), "%+v", r)
+	assert.Assert(t, r.complete(), "%+v", r)
 	<-n.ended
 	assert.Equal(t, n.cmd.ProcessState.ExitCode(), 0)
 }
--- a/io/jwchart/day.go
+++ b/io/jwchart/day.go
@@ -19,18 +19,19 @@
 	panelHeight = 6 * vg.Centimeter
 )
 
-// Day writes a day as SVG, one panel below the other: requests by how they
-// ended, what was turned away by reason, how old the oldest view of the store
-// was, and which nodes were away. The x axis is in seconds from the first line.
+// Day writes charts of a day to w as SVG, one below the other: requests by
+// outcome, rejected requests by reason, the longest time in seconds for which a
+// node had no answer of the store, and which nodes had lost the store or were
+// not running. The x axis is in seconds from the first line of the logs.
 func Day(w io.Writer, d *jwlogtrace.Day) error {
 	panels := []struct {
 		title string
 		list  []jwlogtrace.Series
 	}{
-		{"requests a second, by how they ended", d.Outcomes},
-		{"turned away a second, by reason", d.Refusals},
-		{"seconds without an answer of the store, the longest of all nodes", []jwlogtrace.Series{d.StoreAge}},
-		{"nodes without the store (up) and away (down), each on its line", states(d)},
+		{"requests a second, by outcome", d.Outcomes},
+		{"rejected a second, by reason", d.Refusals},
+		{"seconds without an answer from the store, maximum of all nodes", []jwlogtrace.Series{d.StoreAge}},
+		{"nodes that lost the store (up) or do not run (down), a line each", states(d)},
 	}
 	canvas := vgsvg.New(width, panelHeight*vg.Length(len(panels)))
 	tiles := draw.Tiles{
@@ -49,8 +50,8 @@
 	return errors.Wrap(err, "write plot")
 }
 
-// states puts each node on a line of its own that goes up while it has no
-// store and down while it is away.
+// states returns a series for each node, each at its own height: the value goes
+// up while the node has lost the store and down while it does not run.
 func states(d *jwlogtrace.Day) []jwlogtrace.Series {
 	const step = 0.4
 	var list []jwlogtrace.Series
@@ -65,6 +66,7 @@
 	return list
 }
 
+// lines returns a chart with a line for each series.
 func lines(title string, list []jwlogtrace.Series) (*plot.Plot, error) {
 	p := plot.New()
 	p.Title.Text = title
--- a/io/jwchart/day_test.go
+++ b/io/jwchart/day_test.go
@@ -19,12 +19,12 @@
 `)))
 	var out bytes.Buffer
 	assert.NilError(t, jwchart.Day(&out, jwlogtrace.DayOf(l)))
-	for _, want := range []string{"<svg", "turned away", "no target has room", "n1"} {
+	for _, want := range []string{"<svg", "rejected a second", "no target has room", "n1"} {
 		assert.Assert(t, strings.Contains(out.String(), want), want)
 	}
 }
 
-// Logs of a node that wrote nothing yet.
+// The log of a node may be empty, for example just after its start.
 func TestEmptyDay(t *testing.T) {
 	assert.NilError(t, jwchart.Day(&bytes.Buffer{}, jwlogtrace.DayOf(&jwlogtrace.Log{})))
 }
--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -24,13 +24,13 @@
 	callTimeout = 10 * time.Second
 )
 
-// caller sends requests and edits as callers and operators do.
+// caller sends requests as callers do and edits as operators do.
 type caller struct {
-	service httpc.Service
-	answers []answer // all that came, for the summary
+	httpService httpc.Service
+	answers     []answer // recorded for the summary
 }
 
-// request is one request of a caller.
+// request is what a caller sends.
 type request struct {
 	to        netip.AddrPort
 	entry     string
@@ -39,28 +39,29 @@
 	body      []byte
 }
 
-// answer is a caller's view of one answer.
+// answer is an answer as its caller sees it.
 type answer struct {
-	entry   string
-	home    string
-	status  int
-	outcome string
-	region  string // that served it
-	body    string
-	events  int
-	first   time.Duration // to the first byte of the body
-	whole   time.Duration
-	err     error
+	entry          string
+	home           string // region of the workspace
+	status         int
+	outcome        string
+	servedBy       string // region that served the request
+	body           string
+	events         int           // number of tokens in a stream
+	firstByteAfter time.Duration // time until the first line of the body was read
+	completeAfter  time.Duration // time until the body ended
+	err            error
 }
 
 func newCaller() *caller {
 	breaker.NoBreakerFor(serviceName)
 	client := &http.Client{Transport: &http.Transport{}, Timeout: callTimeout}
-	return &caller{service: httpc.NewServiceWithClient(serviceName, client)}
+	return &caller{httpService: httpc.NewServiceWithClient(serviceName, client)}
 }
 
-// keep notes answers for the summary; the calls themselves may run side by side.
-func (c *caller) keep(answers ...answer) { c.answers = append(c.answers, answers...) }
+// record keeps answers for the summary. Unlike send, it must not be called
+// concurrently.
+func (c *caller) record(answers ...answer) { c.answers = append(c.answers, answers...) }
 
 // send sends a request and reads its whole answer.
 func (c *caller) send(ctx context.Context, in request) answer {
@@ -76,26 +77,26 @@
 	if in.key != "" {
 		r.Header.Set("Idempotency-Key", in.key)
 	}
-	resp, err := c.service.DoRequest(r)
+	resp, err := c.httpService.DoRequest(r)
 	if err != nil {
 		out.err = err
 		return out
 	}
 	defer resp.Body.Close()
 	out.status = resp.StatusCode
-	out.region = resp.Header.Get("Jujube-Served-By")
+	out.servedBy = resp.Header.Get("Jujube-Served-By")
 	out.read(resp, began)
 	return out
 }
 
-// read takes in the body and the outcome, which a stream has in its trailer.
+// read reads the body and the outcome, which a stream has in its trailer.
 func (a *answer) read(resp *http.Response, began time.Time) {
 	var text strings.Builder
 	lines := bufio.NewReader(resp.Body)
 	for {
 		line, err := lines.ReadString('\n')
-		if line != "" && a.first == 0 {
-			a.first = time.Since(began)
+		if line != "" && a.firstByteAfter == 0 {
+			a.firstByteAfter = time.Since(began)
 		}
 		if strings.HasPrefix(line, "data: {\"id\"") {
 			a.events++
@@ -109,7 +110,7 @@
 			break
 		}
 	}
-	a.whole = time.Since(began)
+	a.completeAfter = time.Since(began)
 	a.body = text.String()
 	a.outcome = resp.Header.Get("Jujube-Outcome")
 	if a.outcome == "" {
@@ -117,7 +118,7 @@
 	}
 }
 
-// served tells whether the whole answer came.
+// served reports whether the whole answer came.
 func (a answer) served() bool {
 	return a.err == nil && a.status == http.StatusOK && a.outcome == "served"
 }
@@ -131,12 +132,13 @@
 	var minted struct {
 		Key string `json:"key"`
 	}
-	_, err = c.read(r, &minted)
+	_, err = c.readJSON(r, &minted)
 	return minted.Key, err
 }
 
-// put writes a new entry and returns how far it is in force.
-func (c *caller) put(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
+// putEntry writes a new entry to the catalogue and returns the status of the
+// change.
+func (c *caller) putEntry(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
 		return jwoperate.Standing{}, err
@@ -146,27 +148,30 @@
 	if err != nil {
 		return jwoperate.Standing{}, err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
+	r.Header.Set("Authorization", "Bearer "+operatorsToken)
 	r.Header.Set("If-None-Match", "*")
 	var standing jwoperate.Standing
-	_, err = c.read(r, &standing)
+	_, err = c.readJSON(r, &standing)
 	return standing, err
 }
 
-// standing asks how far a revision is in force.
-func (c *caller) standing(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
+// status returns whether the latest change of the catalogue is in force at every
+// node, and which nodes have not confirmed it.
+func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
 	var standing jwoperate.Standing
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/catalogue/status", nil)
 	if err != nil {
 		return standing, err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
-	_, err = c.read(r, &standing)
+	r.Header.Set("Authorization", "Bearer "+operatorsToken)
+	_, err = c.readJSON(r, &standing)
 	return standing, err
 }
 
-func (c *caller) read(r *http.Request, value any) (status int, err error) {
-	resp, err := c.service.DoRequest(r)
+// readJSON sends a request and decodes the JSON of its answer into value. A
+// status other than 2xx is an error.
+func (c *caller) readJSON(r *http.Request, value any) (status int, err error) {
+	resp, err := c.httpService.DoRequest(r)
 	if err != nil {
 		return 0, err
 	}
@@ -181,7 +186,7 @@
 	return resp.StatusCode, json.Unmarshal(data, value)
 }
 
-// prompt is the body of a draft.
+// prompt returns the body of a draft.
 func prompt(text string, tokens int) []byte {
 	data, _ := json.Marshal(jwstand.Completion{Model: "menus", Prompt: text, MaxTokens: tokens, Stream: true})
 	return data
--- a/io/jwdemo/catalogue.go
+++ b/io/jwdemo/catalogue.go
@@ -6,14 +6,15 @@
 	"jujubewheel/core/jwcatalogue"
 )
 
-// The entries of the demo.
+// Names of the catalogue entries.
 const (
 	draft        = "menu-draft"
 	lookup       = "order-status"
 	confirmation = "order-confirmation"
-	newEntry     = "menu-question"
+	questionName = "menu-question"
 )
 
+// entries returns the entries that are in force from the start of the demo.
 func entries() []jwcatalogue.Entry {
 	weights := jwcatalogue.Weights{Cost: 1, Tail: 0.3, SentAway: 1}
 	return []jwcatalogue.Entry{
@@ -34,9 +35,10 @@
 	}
 }
 
-// question is the entry that is added while the regions are parted.
-func question() jwcatalogue.Entry {
+// questionEntry returns the entry that is added while the regions are
+// disconnected.
+func questionEntry() jwcatalogue.Entry {
 	e := entries()[0]
-	e.Name, e.Class, e.Deadline = newEntry, jwcatalogue.Lookup, 8*time.Second
+	e.Name, e.Class, e.Deadline = questionName, jwcatalogue.Lookup, 8*time.Second
 	return e
 }
--- a/io/jwdemo/teller.go
+++ b/io/jwdemo/teller.go
@@ -11,37 +11,38 @@
 	"github.com/pkg/errors"
 )
 
-// teller writes what happens and counts what was not as promised.
-type teller struct {
+// reporter writes what happens and keeps the results of checks.
+type reporter struct {
 	w      io.Writer
-	broken []string
-	kept   int
+	failed []string // descriptions of the checks that failed
+	passed int      // number of checks that passed
 }
 
-func (t *teller) say(format string, args ...any) { fmt.Fprintf(t.w, format+"\n", args...) }
+func (r *reporter) printLine(format string, args ...any) { fmt.Fprintf(r.w, format+"\n", args...) }
 
-// check notes whether something promised holds.
-func (t *teller) check(holds bool, format string, args ...any) {
+// check records and writes the result of a check.
+func (r *reporter) check(ok bool, format string, args ...any) {
 	what := fmt.Sprintf(format, args...)
-	if holds {
-		t.kept++
-		t.say("   ok: %s", what)
+	if ok {
+		r.passed++
+		r.printLine("   ok: %s", what)
 		return
 	}
-	t.broken = append(t.broken, what)
-	t.say("   NOT AS PROMISED: %s", what)
+	r.failed = append(r.failed, what)
+	r.printLine("   FAILED: %s", what)
 }
 
-func (t *teller) verdict() error {
-	if len(t.broken) == 0 {
-		t.say("all %d promises that were looked at held", t.kept)
+// result returns an error that lists the failed checks, if any.
+func (r *reporter) result() error {
+	if len(r.failed) == 0 {
+		r.printLine("all %d checks passed", r.passed)
 		return nil
 	}
-	return errors.Errorf("%d of %d promises broken: %s", len(t.broken), t.kept+len(t.broken), strings.Join(t.broken, "; "))
+	return errors.Errorf("%d of %d checks failed: %s", len(r.failed), r.passed+len(r.failed), strings.Join(r.failed, "; "))
 }
 
-// summary writes the figures of all answers, an entry a line.
-func (t *teller) summary(answers []answer) {
+// writeSummary writes a table of all answers, a line for each entry.
+func (r *reporter) writeSummary(answers []answer) {
 	byEntry := map[string][]answer{}
 	var names []string
 	for _, a := range answers {
@@ -51,49 +52,49 @@
 		byEntry[a.entry] = append(byEntry[a.entry], a)
 	}
 	slices.Sort(names)
-	t.say("\nsummary")
-	w := tabwriter.NewWriter(t.w, 0, 8, 2, ' ', 0)
+	r.printLine("\nsummary")
+	w := tabwriter.NewWriter(r.w, 0, 8, 2, ' ', 0)
 	fmt.Fprintln(w, "   ENTRY\tSENT\tSERVED\tNOT RUN\tUNKNOWN\tSENT AWAY\tMEDIAN\tSLOWEST")
 	for _, name := range names {
-		fmt.Fprintln(w, "   "+name+"\t"+figuresOf(byEntry[name]).row())
+		fmt.Fprintln(w, "   "+name+"\t"+statsOf(byEntry[name]).row())
 	}
 	_ = w.Flush()
 }
 
-// figures are what a caller sees of the answers of one entry.
-type figures struct {
+// entryStats counts the answers of one entry by outcome, as callers see them.
+type entryStats struct {
 	sent, served, notRun, unknown, away int
-	times                               []time.Duration // of those served
+	times                               []time.Duration // of the served answers, sorted
 }
 
-func figuresOf(answers []answer) figures {
-	f := figures{sent: len(answers)}
+func statsOf(answers []answer) entryStats {
+	stats := entryStats{sent: len(answers)}
 	for _, a := range answers {
 		switch {
 		case a.served():
-			f.served++
-			f.times = append(f.times, a.whole)
-			if a.region != "" && a.region != a.home {
-				f.away++
+			stats.served++
+			stats.times = append(stats.times, a.completeAfter)
+			if a.servedBy != "" && a.servedBy != a.home {
+				stats.away++
 			}
 		case a.outcome == "notRun":
-			f.notRun++
+			stats.notRun++
 		default:
-			f.unknown++
+			stats.unknown++
 		}
 	}
-	slices.Sort(f.times)
-	return f
+	slices.Sort(stats.times)
+	return stats
 }
 
-func (f figures) row() string {
+func (s entryStats) row() string {
 	median, slowest := "-", "-"
-	if n := len(f.times); n > 0 {
-		median, slowest = short(f.times[n/2]), short(f.times[n-1])
+	if n := len(s.times); n > 0 {
+		median, slowest = formatMillis(s.times[n/2]), formatMillis(s.times[n-1])
 	}
-	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%s\t%s", f.sent, f.served, f.notRun, f.unknown, f.away, median, slowest)
+	return fmt.Sprintf("%d\t%d\t%d\t%d\t%d\t%s\t%s", s.sent, s.served, s.notRun, s.unknown, s.away, median, slowest)
 }
 
-func short(d time.Duration) string { return d.Round(time.Millisecond).String() }
+func formatMillis(d time.Duration) string { return d.Round(time.Millisecond).String() }
 
-func since(began time.Time) string { return short(time.Since(began)) }
+func formatElapsed(began time.Time) string { return formatMillis(time.Since(began)) }
