--- a/core/jwdirectory/watcher.go
+++ b/core/jwdirectory/watcher.go
@@ -23,8 +23,8 @@
 	Failed func(err error) // called with each error; may be nil
 }
 
-// retryEmpty is the interval between reads while the table is empty.
-const retryEmpty = 500 * time.Millisecond
+// emptyRetryInterval is the interval between reads while the table is empty.
+const emptyRetryInterval = 500 * time.Millisecond
 
 // Run polls the directory until ctx ends and returns the error of ctx.
 func (w *Watcher) Run(ctx context.Context) error {
@@ -32,7 +32,7 @@
 		w.read(ctx)
 		pause := w.Period/2 + time.Duration(rand.Int64N(int64(w.Period)))
 		if w.Table.Current() == nil {
-			pause = retryEmpty
+			pause = emptyRetryInterval
 		}
 		select {
 		case <-ctx.Done():
--- a/core/jwdrain/drain.go
+++ b/core/jwdrain/drain.go
@@ -23,9 +23,9 @@
 
 // Default durations of a Drain, used for fields that are not set.
 const (
-	DefaultFlush    = 10 * time.Second
-	DefaultHandover = 10 * time.Second
-	DefaultLinger   = 5 * time.Second
+	DefaultFlushTimeout    = 10 * time.Second
+	DefaultHandoverTimeout = 10 * time.Second
+	DefaultLinger          = 5 * time.Second
 )
 
 // ErrNoSuccessor is returned by Run when no node took the keys over. The outcome
@@ -49,9 +49,9 @@
 type Counts struct {
 	InFlight  int // calls in flight now
 	Turned    int // calls rejected since the stop began
-	Cut       int // calls still in flight when Limit had passed or Run's ctx ended
+	Cut       int // calls still in flight when InFlightTimeout had passed or Run's ctx ended
 	Lost      int // those of Cut with a key that may have run
-	Unflushed int // 1 if claims or releases were still unwritten after Flush
+	Unflushed int // 1 if claims or releases were still unwritten after FlushTimeout
 	Failed    int // successors that did not take over
 }
 
@@ -63,16 +63,16 @@
 	// order of preference, without those that are leaving. It is called once no
 	// call is in flight.
 	Successors func() []jwclaim.Successor
-	// Limit is the longest wait for calls in flight; 0 means no limit. Calls cut
-	// off after it are counted, and the outcome of their keys is unknown.
-	Limit    time.Duration
-	Flush    time.Duration // longest wait for the store after the last call
-	Handover time.Duration // longest wait for one successor
+	// InFlightTimeout is the longest wait for calls in flight; 0 means no limit.
+	// Calls cut off after it are counted, and the outcome of their keys is unknown.
+	InFlightTimeout time.Duration
+	FlushTimeout    time.Duration // longest wait for the store after the last call
+	HandoverTimeout time.Duration // longest wait for one successor
 	// Linger is how long the node still answers after the handover, so that
 	// other nodes learn which node holds its keys now.
 	Linger time.Duration
-	// Changed is called with each new state, in order; may be nil.
-	Changed func(State)
+	// OnStateChange is called with each new state, in order; may be nil.
+	OnStateChange func(State)
 
 	mu     sync.Mutex
 	state  State // empty for Serving
@@ -115,10 +115,10 @@
 		return nil, false
 	}
 	d.counts.InFlight++
-	return sync.OnceFunc(d.leave), true
+	return sync.OnceFunc(d.callDone), true
 }
 
-func (d *Drain) leave() {
+func (d *Drain) callDone() {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts.InFlight--
@@ -129,33 +129,33 @@
 }
 
 // Run carries out the stop and returns once the process may end. When ctx ends,
-// calls in flight are cut off as after Limit; the later steps are still taken,
-// each with its own timeout. Run returns the first error: calls cut off, claims
-// not written, or ErrNoSuccessor.
+// calls in flight are cut off as after InFlightTimeout; the later steps are still
+// taken, each with its own timeout. Run returns the first error: calls cut off,
+// claims not written, or ErrNoSuccessor.
 func (d *Drain) Run(ctx context.Context) error {
-	idle, first := d.stopAdmitting()
-	if !first {
+	idle, begun := d.stopAdmitting()
+	if !begun {
 		return errors.New("drain: stop already under way")
 	}
 	d.Keys.Close()
-	d.changed(Leaving)
+	d.notify(Leaving)
 	err := d.waitIdle(ctx, idle)
 	if err != nil {
 		// Cut off calls before the handover: the successor would not know of a
 		// call that ended later and could run it again.
-		d.cut()
+		d.cutCalls()
 	}
-	err = firstOf(err, d.flush(context.WithoutCancel(ctx)))
-	handed := d.handOver(context.WithoutCancel(ctx))
-	if handed == nil {
-		d.finish(HandedOver)
-		pause(ctx, orDefault(d.Linger, DefaultLinger))
+	err = firstError(err, d.flush(context.WithoutCancel(ctx)))
+	handoverErr := d.handOver(context.WithoutCancel(ctx))
+	if handoverErr == nil {
+		d.setState(HandedOver)
+		sleep(ctx, orDefault(d.Linger, DefaultLinger))
 	}
-	d.finish(Gone)
-	return firstOf(err, handed)
+	d.setState(Gone)
+	return firstError(err, handoverErr)
 }
 
-func firstOf(a, b error) error {
+func firstError(a, b error) error {
 	if a != nil {
 		return a
 	}
@@ -181,25 +181,25 @@
 }
 
 func (d *Drain) waitIdle(ctx context.Context, idle <-chan struct{}) error {
-	var limit <-chan time.Time
-	if d.Limit > 0 {
-		t := time.NewTimer(d.Limit)
+	var timeout <-chan time.Time
+	if d.InFlightTimeout > 0 {
+		t := time.NewTimer(d.InFlightTimeout)
 		defer t.Stop()
-		limit = t.C
+		timeout = t.C
 	}
 	var cause error
 	select {
 	case <-idle:
 		return nil
-	case <-limit:
-		cause = errors.Errorf("limit of %v passed", d.Limit)
+	case <-timeout:
+		cause = errors.Errorf("limit of %v passed", d.InFlightTimeout)
 	case <-ctx.Done():
 		cause = ctx.Err()
 	}
 	return errors.Wrap(cause, "drain: calls cut off")
 }
 
-func (d *Drain) cut() {
+func (d *Drain) cutCalls() {
 	lost := d.Keys.Cut()
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -208,7 +208,7 @@
 }
 
 func (d *Drain) flush(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, orDefault(d.Flush, DefaultFlush))
+	ctx, cancel := context.WithTimeout(ctx, orDefault(d.FlushTimeout, DefaultFlushTimeout))
 	defer cancel()
 	err := d.Keys.Flush(ctx)
 	if err != nil {
@@ -221,52 +221,52 @@
 
 // handOver tries the successors in order until one takes over.
 func (d *Drain) handOver(ctx context.Context) error {
-	last := ErrNoSuccessor
+	lastErr := ErrNoSuccessor
 	var successors []jwclaim.Successor
 	if d.Successors != nil {
 		successors = d.Successors()
 	}
 	for _, s := range successors {
-		err := d.handTo(ctx, s)
+		err := d.handOverTo(ctx, s)
 		if err == nil {
 			return nil
 		}
-		last = errors.Wrapf(ErrNoSuccessor, "%v", err)
+		lastErr = errors.Wrapf(ErrNoSuccessor, "%v", err)
 		d.mu.Lock()
 		d.counts.Failed++
 		d.mu.Unlock()
 	}
-	return errors.Wrap(last, "drain")
+	return errors.Wrap(lastErr, "drain")
 }
 
-func (d *Drain) handTo(ctx context.Context, s jwclaim.Successor) error {
-	ctx, cancel := context.WithTimeout(ctx, orDefault(d.Handover, DefaultHandover))
+func (d *Drain) handOverTo(ctx context.Context, s jwclaim.Successor) error {
+	ctx, cancel := context.WithTimeout(ctx, orDefault(d.HandoverTimeout, DefaultHandoverTimeout))
 	defer cancel()
 	return d.Keys.Handover(ctx, s)
 }
 
-func (d *Drain) finish(s State) {
+func (d *Drain) setState(s State) {
 	d.mu.Lock()
 	d.state = s
 	d.mu.Unlock()
-	d.changed(s)
+	d.notify(s)
 }
 
-func (d *Drain) changed(s State) {
-	if d.Changed != nil {
-		d.Changed(s)
+func (d *Drain) notify(s State) {
+	if d.OnStateChange != nil {
+		d.OnStateChange(s)
 	}
 }
 
-func orDefault(t, other time.Duration) time.Duration {
-	if t > 0 {
-		return t
+func orDefault(d, fallback time.Duration) time.Duration {
+	if d > 0 {
+		return d
 	}
-	return other
+	return fallback
 }
 
-func pause(ctx context.Context, t time.Duration) {
-	timer := time.NewTimer(t)
+func sleep(ctx context.Context, d time.Duration) {
+	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
 	case <-timer.C:
--- a/core/jwdrain/drain_test.go
+++ b/core/jwdrain/drain_test.go
@@ -96,10 +96,10 @@
 				k := &keys{flush: tc.flush, results: tc.results}
 				var states []State
 				d := &Drain{
-					Keys:       k,
-					Limit:      tc.limit,
-					Successors: func() []jwclaim.Successor { return []jwclaim.Successor{successor("a"), successor("b")} },
-					Changed:    func(s State) { states = append(states, s) },
+					Keys:            k,
+					InFlightTimeout: tc.limit,
+					Successors:      func() []jwclaim.Successor { return []jwclaim.Successor{successor("a"), successor("b")} },
+					OnStateChange:   func(s State) { states = append(states, s) },
 				}
 				if tc.call > 0 {
 					done, ok := d.Enter()
--- a/core/jwhost/watcher.go
+++ b/core/jwhost/watcher.go
@@ -19,17 +19,17 @@
 	Table  *Table
 	Period time.Duration // mean time between two reads
 	Now    func() time.Time
-	Apply  func(hosts []Host, now time.Time) // called with each list that differs, and with an unchanged one after applyAgain
+	Apply  func(hosts []Host, now time.Time) // called with each list that differs, and with an unchanged one after reapplyInterval
 	Failed func(err error)                   // called with each error of List; may be nil
 
-	applied time.Time // when Apply was last called
-	last    []Host
+	lastApplied time.Time // when Apply was last called
+	lastHosts   []Host
 }
 
-// applyAgain is the interval at which an unchanged list is applied again, since
-// its effect depends on the time: a target's own report that it is leaving
+// reapplyInterval is the interval at which an unchanged list is applied again,
+// since its effect depends on the time: a target's own report that it is leaving
 // overrides a list that says otherwise, but only for a limited time.
-const applyAgain = 30 * time.Second
+const reapplyInterval = 30 * time.Second
 
 // Run polls the list until ctx ends and returns the error of ctx. While the list
 // can't be read, the last one stays in force.
@@ -47,8 +47,8 @@
 		default:
 			now := w.Now()
 			w.Table.Set(hosts, now)
-			if now.Sub(w.applied) >= applyAgain || !same(hosts, w.last) {
-				w.applied, w.last = now, hosts
+			if now.Sub(w.lastApplied) >= reapplyInterval || !sameSlice(hosts, w.lastHosts) {
+				w.lastApplied, w.lastHosts = now, hosts
 				w.Apply(hosts, now)
 			}
 		}
@@ -66,7 +66,7 @@
 // while the platform can't be reached. The list is not stored in the table: a
 // node must not be considered gone because a list from another node lacks it.
 func (w *Watcher) askPeer(ctx context.Context) {
-	if w.Peer == nil || w.last != nil {
+	if w.Peer == nil || w.lastHosts != nil {
 		return
 	}
 	hosts, err := w.Peer.Hosts(ctx)
@@ -76,9 +76,9 @@
 	w.Apply(hosts, w.Now())
 }
 
-// same reports whether two lists are the same slice, which the lister returns
+// sameSlice reports whether two lists are the same slice, which the lister returns
 // again when the platform reports no change. Applying thousands of hosts again in
 // each period would cost a node more than all its other control work.
-func same(a, b []Host) bool {
+func sameSlice(a, b []Host) bool {
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
--- a/core/jwhost/watcher_test.go
+++ b/core/jwhost/watcher_test.go
@@ -37,7 +37,7 @@
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, applied.Load(), int64(2))
-		time.Sleep(applyAgain + 3*time.Second)
+		time.Sleep(reapplyInterval + 3*time.Second)
 		synctest.Wait()
 		assert.Equal(t, applied.Load(), int64(3))
 		cancel()
--- a/io/jwnode/assemble.go
+++ b/io/jwnode/assemble.go
@@ -37,7 +37,7 @@
 		Name: s.Node, Region: s.Region, DataCentre: s.DataCentre,
 		Incarnation: incarnation, State: jwpeer.Joining, Sequence: 1,
 	}, time.Now())
-	n.meetSeeds(time.Now())
+	n.addSeeds(time.Now())
 }
 
 // assembleBoard sets the name and region of this node in the tables, and the
@@ -49,12 +49,12 @@
 	n.board.Limiter.Node = s.Node
 	n.board.Suspects.Node = s.Node
 	n.board.Suspects.Region = s.Region
-	n.board.Regions.Links = links(s)
+	n.board.Regions.Links = regionLinks(s)
 }
 
-// links returns the link from this node's region to each region, by the name of
-// the region.
-func links(s *jwsettings.Settings) map[string]jwrouter.Link {
+// regionLinks returns the link from this node's region to each region, by the
+// name of the region.
+func regionLinks(s *jwsettings.Settings) map[string]jwrouter.Link {
 	out := make(map[string]jwrouter.Link)
 	for _, r := range s.Regions {
 		l := s.Link(s.Region, r.Name)
@@ -74,9 +74,9 @@
 	}
 	n.drain.Keys = n.keeper
 	n.drain.Successors = n.successors
-	n.drain.Limit = s.DrainLimit
+	n.drain.InFlightTimeout = s.DrainLimit
 	n.drain.Linger = linger
-	n.drain.Changed = n.drainChanged
+	n.drain.OnStateChange = n.drainChanged
 }
 
 // assembleDispatcher creates the router and the dispatcher of the request path.
@@ -87,7 +87,7 @@
 	}
 	n.dispatcher = &jwdispatch.Dispatcher{
 		Self: n.self, Board: &n.board, Router: router, Targets: n.targets, Peers: n.pool, Claims: n.keeper,
-		Crashed:  n.crashed,
+		Crashed:  n.reportCrash,
 		Departed: func(p jwpeer.Peer) bool { return n.departures.Gone(memberOf(p)) },
 		Now:      time.Now, Counter: &counter{meter: n.Meter, settings: s}, Tracer: n.tracer,
 	}
@@ -99,7 +99,7 @@
 	s := n.Settings
 	n.editor = &jwcatalogue.Editor{Store: n.store, Table: &n.board.Catalogue}
 	n.follower = &jwcatalogue.Follower{
-		Store: n.store, Table: &n.board.Catalogue, Watcher: n.watches,
+		Store: n.store, Table: &n.board.Catalogue, Watcher: n.watchesStore,
 		Source: &changeSource{peers: &n.board.Peers, pool: n.pool, self: s.Node},
 	}
 	n.departures = &jwcatalogue.Departures{Hosts: &n.board.Hosts, Lag: s.Periods.HostsLag}
@@ -109,7 +109,7 @@
 	n.membership = &jwcatalogue.Membership{
 		Member: jwcatalogue.Member{Name: s.Node, Region: s.Region, Incarnation: incarnation},
 		Store:  n.store, Follower: n.follower,
-		Sponsors: &sponsors{peers: &n.board.Peers, pool: n.pool}, Adoptions: n.adoptions,
+		Sponsors: &sponsorClient{peers: &n.board.Peers, pool: n.pool}, Adoptions: n.adoptions,
 	}
 	n.gatherer = &jwcatalogue.Gatherer{
 		Name: s.Node, Region: s.Region, Store: n.store, Table: &n.board.Catalogue, Peers: freshPeers{&n.board.Peers},
@@ -124,7 +124,7 @@
 	reporter := &jwboard.Reporter{Board: &n.board, Moves: n.keeper, Now: time.Now}
 	n.exchange = &jwpeer.Exchange{
 		Table: &n.board.Peers, Partner: n.pool, News: reporter,
-		Period: s.Periods.Exchange, Beat: beat, Timeout: exchangeTimeout, Silence: silence,
+		Period: s.Periods.Exchange, Beat: stateReportInterval, Timeout: exchangeTimeout, Silence: peerTimeout,
 		Now: time.Now, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Gatherer: jwcatalogue.GathererOf,
 	}
@@ -136,10 +136,10 @@
 	server := &jwforward.Server{
 		Credentials: n.nodeCredentials(),
 		Dispatcher:  n.dispatcher, Gate: &n.drain, Ready: n.ready, Exchanger: n.exchange,
-		Adopter:   &adopter{keeper: n.keeper, audit: n.Audit},
-		Sponsor:   &sponsor{adoptions: n.adoptions, region: n.Settings.Region},
+		Adopter:   &auditedAdopter{keeper: n.keeper, audit: n.Audit},
+		Sponsor:   &sponsorServer{adoptions: n.adoptions, region: n.Settings.Region},
 		Catalogue: &changeRecords{&n.board.Catalogue}, Workspaces: &n.board.Directory, HostList: &n.board.Hosts,
 		MaxBody: n.Settings.Limits.MaxBody,
 	}
-	n.grpc = server.GRPC()
+	n.grpcServer = server.GRPC()
 }
--- a/io/jwnode/counter.go
+++ b/io/jwnode/counter.go
@@ -19,7 +19,7 @@
 	settings *jwsettings.Settings
 	ended    sync.Map // endedTags to tally.Counter
 	tried    sync.Map // triedTags to tally.Counter
-	seen     sync.Map // seenTags to *seenHandles
+	served   sync.Map // servedTags to *servedMetrics
 }
 
 type endedTags struct {
@@ -57,49 +57,49 @@
 	h.(tally.Counter).Inc(1)
 }
 
-type seenTags struct {
+type servedTags struct {
 	entry, servedBy string
 }
 
-// seenHandles holds the metrics of served requests: how long callers waited and,
+// servedMetrics holds the metrics of served requests: how long callers waited and,
 // for those served in another region, the traffic over the link and its cost.
-type seenHandles struct {
-	first, whole      tally.Histogram
-	away, bytes, cost tally.Counter // nil for requests served in this region
-	price             float64       // cost of a byte in units of 1e-9, which is the cost of a GB
+type servedMetrics struct {
+	first, whole          tally.Histogram
+	sentAway, bytes, cost tally.Counter // nil for requests served in this region
+	price                 float64       // cost of a byte in units of 1e-9, the same number as the cost of a GB
 }
 
 // Seen records the duration of one served request and, if another region served
 // it, the bytes sent over the link and their cost.
 func (c *counter) Seen(entry string, s jwdispatch.Seen) {
-	h := c.handles(seenTags{entry, s.ServedBy})
+	h := c.metricsFor(servedTags{entry, s.ServedBy})
 	h.first.RecordDuration(s.First)
 	h.whole.RecordDuration(s.Whole)
-	if h.away == nil {
+	if h.sentAway == nil {
 		return
 	}
-	h.away.Inc(1)
+	h.sentAway.Inc(1)
 	h.bytes.Inc(s.Bytes)
 	h.cost.Inc(int64(float64(s.Bytes) * h.price))
 }
 
-// handles returns the metric handles for the tags, creating them on first use.
-func (c *counter) handles(tags seenTags) *seenHandles {
-	if h, found := c.seen.Load(tags); found {
-		return h.(*seenHandles)
+// metricsFor returns the metrics for the tags, creating them on first use.
+func (c *counter) metricsFor(tags servedTags) *servedMetrics {
+	if h, found := c.served.Load(tags); found {
+		return h.(*servedMetrics)
 	}
-	entry := jwmeter.Tags{"entry": tags.entry}
-	made := &seenHandles{
-		first: c.meter.Durations("first_byte_seconds", entry),
-		whole: c.meter.Durations("answer_seconds", entry),
+	entryTags := jwmeter.Tags{"entry": tags.entry}
+	created := &servedMetrics{
+		first: c.meter.Durations("first_byte_seconds", entryTags),
+		whole: c.meter.Durations("answer_seconds", entryTags),
 	}
 	if tags.servedBy != "" && tags.servedBy != c.settings.Region {
-		to := jwmeter.Tags{"entry": tags.entry, "region": tags.servedBy}
-		made.away = c.meter.Counter("sent_away_total", to)
-		made.bytes = c.meter.Counter("sent_away_bytes_total", to)
-		made.cost = c.meter.Counter("sent_away_cost_nanos_total", to)
-		made.price = c.settings.Link(c.settings.Region, tags.servedBy).CostPerGB
+		regionTags := jwmeter.Tags{"entry": tags.entry, "region": tags.servedBy}
+		created.sentAway = c.meter.Counter("sent_away_total", regionTags)
+		created.bytes = c.meter.Counter("sent_away_bytes_total", regionTags)
+		created.cost = c.meter.Counter("sent_away_cost_nanos_total", regionTags)
+		created.price = c.settings.Link(c.settings.Region, tags.servedBy).CostPerGB
 	}
-	h, _ := c.seen.LoadOrStore(tags, made)
-	return h.(*seenHandles)
+	h, _ := c.served.LoadOrStore(tags, created)
+	return h.(*servedMetrics)
 }
--- a/io/jwnode/hosts.go
+++ b/io/jwnode/hosts.go
@@ -26,11 +26,11 @@
 		}
 	}
 	n.board.Targets.Set(targets, now)
-	n.meetPeers(peers, now)
+	n.addPeers(peers, now)
 }
 
-// meetSeeds adds the seed nodes of the settings to the table of peers.
-func (n *Node) meetSeeds(now time.Time) {
+// addSeeds adds the seed nodes of the settings to the table of peers.
+func (n *Node) addSeeds(now time.Time) {
 	var peers []jwpeer.Peer
 	for _, s := range n.Settings.Seeds {
 		if s.Node == n.Settings.Node {
@@ -40,20 +40,20 @@
 			Name: s.Node, Region: n.Settings.Region, DataCentre: n.Settings.DataCentre, Nodes: s.Address, State: jwpeer.Joining,
 		})
 	}
-	n.meetPeers(peers, now)
+	n.addPeers(peers, now)
 }
 
-// meetPeers adds listed nodes to the table of peers, so that exchanges with them
+// addPeers adds listed nodes to the table of peers, so that exchanges with them
 // can begin. A state that a node reported itself always takes precedence over
 // the list.
-func (n *Node) meetPeers(peers []jwpeer.Peer, now time.Time) {
-	var unknown []jwpeer.Peer
+func (n *Node) addPeers(peers []jwpeer.Peer, now time.Time) {
+	var added []jwpeer.Peer
 	for _, p := range peers {
 		if known, ok := n.board.Peers.Get(p.Name); !ok || known.Nodes != p.Nodes && known.Incarnation == "" {
-			unknown = append(unknown, p)
+			added = append(added, p)
 		}
 	}
-	n.board.Peers.Merge(unknown, now)
+	n.board.Peers.Merge(added, now)
 }
 
 func targetOf(h jwhost.Host) jwtarget.Target {
--- a/io/jwnode/keys.go
+++ b/io/jwnode/keys.go
@@ -25,7 +25,7 @@
 	for _, k := range []struct {
 		port  string
 		files jwsettings.KeyFiles
-		into  **jwkeys.Keeper
+		dst   **jwkeys.Keeper
 	}{
 		{"callers", files.Callers, &n.keys.callers},
 		{"operators", files.Operators, &n.keys.operators},
@@ -38,7 +38,7 @@
 		if err := keeper.Load(); err != nil {
 			return err
 		}
-		*k.into = keeper
+		*k.dst = keeper
 	}
 	return nil
 }
@@ -76,15 +76,15 @@
 // identify returns the node that is expected at an address; ok is false if none
 // is known there.
 func (n *Node) identify(address netip.AddrPort) (jwkeys.Identity, bool) {
-	at := n.board.Peers.Select(func(p jwpeer.Peer) bool { return p.Nodes == address && p.State != jwpeer.Gone })
-	if len(at) == 0 {
+	candidates := n.board.Peers.Select(func(p jwpeer.Peer) bool { return p.Nodes == address && p.State != jwpeer.Gone })
+	if len(candidates) == 0 {
 		return jwkeys.Identity{}, false
 	}
 	// The entry of a replaced host may stay at the address for a while. The node
 	// there is the one that started last, since incarnations are ordered by the
 	// time of the start.
-	newest := at[0]
-	for _, p := range at[1:] {
+	newest := candidates[0]
+	for _, p := range candidates[1:] {
 		if p.Incarnation > newest.Incarnation {
 			newest = p
 		}
--- a/io/jwnode/life.go
+++ b/io/jwnode/life.go
@@ -16,23 +16,23 @@
 	"jujubewheel/io/jwforward"
 )
 
-// joinRetry is the interval at which a joining node checks whether the client
-// directory has arrived.
-const joinRetry = 200 * time.Millisecond
+// joinPollInterval is the interval at which a joining node checks whether the
+// client directory has arrived.
+const joinPollInterval = 200 * time.Millisecond
 
-// live joins the system, serves until the context stop ends or the node may no
-// longer serve, and leaves. The parts of the node run until work ends.
-func (n *Node) live(stop, work context.Context) error {
-	member, cancel := context.WithCancel(work)
+// runLifecycle joins the system, serves until the context stop ends or the node
+// may no longer serve, and leaves. The parts of the node run until work ends.
+func (n *Node) runLifecycle(stop, work context.Context) error {
+	joinCtx, cancel := context.WithCancel(work)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- n.join(member) }()
+	joinEnded := make(chan error, 1)
+	go func() { joinEnded <- n.join(joinCtx) }()
 	var err error
 	select {
 	case <-stop.Done():
 		cancel()
-		<-ended
-	case err = <-ended:
+		<-joinEnded
+	case err = <-joinEnded:
 	case <-work.Done():
 		return nil
 	}
@@ -47,7 +47,7 @@
 func (n *Node) join(ctx context.Context) error {
 	for n.board.Directory.Current() == nil {
 		select {
-		case <-time.After(joinRetry):
+		case <-time.After(joinPollInterval):
 		case <-ctx.Done():
 			return nil
 		}
@@ -125,17 +125,17 @@
 	case jwdrain.Gone:
 		n.setState(jwpeer.Gone)
 		// Give the exchanges time to send the last state.
-		time.Sleep(lastExchange)
+		time.Sleep(finalExchangeWait)
 	}
 }
 
-// lastExchange is how long a stopping node waits for its exchanges to tell the
+// finalExchangeWait is how long a stopping node waits for its exchanges to tell the
 // other nodes that it is gone.
-const lastExchange = 500 * time.Millisecond
+const finalExchangeWait = 500 * time.Millisecond
 
 // successors returns the other serving nodes of the region in random order.
 func (n *Node) successors() []jwclaim.Successor {
-	peers := servingBeside(&n.board.Peers, n.self.Region, n.self.Node)
+	peers := otherServingPeers(&n.board.Peers, n.self.Region, n.self.Node)
 	rand.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
 	var out []jwclaim.Successor
 	for _, p := range peers {
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -18,19 +18,19 @@
 type freshPeers struct{ table *jwpeer.Table }
 
 // Peers returns the nodes seen recently, including this one.
-func (h freshPeers) Peers() []jwpeer.Peer { return h.table.Fresh(time.Now().Add(-silence)) }
+func (f freshPeers) Peers() []jwpeer.Peer { return f.table.Fresh(time.Now().Add(-peerTimeout)) }
 
-// servingBeside returns the serving nodes of a region except the one with the
+// otherServingPeers returns the serving nodes of a region except the one with the
 // given name.
-func servingBeside(table *jwpeer.Table, region, name string) []jwpeer.Peer {
+func otherServingPeers(table *jwpeer.Table, region, name string) []jwpeer.Peer {
 	return table.Select(func(p jwpeer.Peer) bool {
 		return p.Region == region && p.Name != name && p.State == jwpeer.Serving
 	})
 }
 
-// sponsors asks other nodes of the region to confirm catalogue revisions on
+// sponsorClient asks other nodes of the region to confirm catalogue revisions on
 // behalf of this node while the platform can't be reached.
-type sponsors struct {
+type sponsorClient struct {
 	peers *jwpeer.Table
 	pool  *jwforward.Pool
 }
@@ -38,41 +38,41 @@
 // Adopt asks a random serving peer to confirm revisions on behalf of this node.
 // It returns the peer's name and the catalogue changes after a revision, or a
 // checkpoint if the peer no longer keeps them.
-func (s *sponsors) Adopt(ctx context.Context, m jwcatalogue.Member, after uint64) (string, []jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
-	serving := servingBeside(s.peers, m.Region, m.Name)
+func (s *sponsorClient) Adopt(ctx context.Context, m jwcatalogue.Member, after uint64) (string, []jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
+	serving := otherServingPeers(s.peers, m.Region, m.Name)
 	if len(serving) == 0 {
 		return "", nil, nil, errors.New("no peer of the region serves")
 	}
-	of := serving[rand.IntN(len(serving))]
+	peer := serving[rand.IntN(len(serving))]
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	records, checkpoint, err := s.pool.AskAdopt(ctx, of, peerOfMember(m), after)
+	records, checkpoint, err := s.pool.AskAdopt(ctx, peer, peerOfMember(m), after)
 	if err != nil {
 		return "", nil, nil, err
 	}
-	changes, cp, err := decodeChanges(of.Name, records, checkpoint)
-	return of.Name, changes, cp, err
+	changes, cp, err := decodeChanges(peer.Name, records, checkpoint)
+	return peer.Name, changes, cp, err
 }
 
 // Release tells a peer that it need no longer confirm revisions for this node.
 // There is nothing to tell a peer that is gone.
-func (s *sponsors) Release(ctx context.Context, sponsor string, m jwcatalogue.Member) error {
-	of, known := s.peers.Get(sponsor)
-	if !known || of.State == jwpeer.Gone {
+func (s *sponsorClient) Release(ctx context.Context, sponsor string, m jwcatalogue.Member) error {
+	peer, known := s.peers.Get(sponsor)
+	if !known || peer.State == jwpeer.Gone {
 		return nil
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	return s.pool.AskRelease(ctx, of, peerOfMember(m))
+	return s.pool.AskRelease(ctx, peer, peerOfMember(m))
 }
 
 func peerOfMember(m jwcatalogue.Member) jwpeer.Peer {
 	return jwpeer.Peer{Name: m.Name, Region: m.Region, Incarnation: m.Incarnation}
 }
 
-// sponsor confirms catalogue revisions on behalf of other nodes that can't reach
+// sponsorServer confirms catalogue revisions on behalf of other nodes that can't reach
 // the platform.
-type sponsor struct {
+type sponsorServer struct {
 	adoptions *jwcatalogue.Adoptions
 	region    string
 }
@@ -80,7 +80,7 @@
 // AdoptRecords starts confirming revisions for another node of the region and
 // returns the encoded catalogue changes after a revision, or a checkpoint if they
 // are no longer kept.
-func (s *sponsor) AdoptRecords(node, region, incarnation string, after uint64) (records [][]byte, checkpoint []byte, err error) {
+func (s *sponsorServer) AdoptRecords(node, region, incarnation string, after uint64) (records [][]byte, checkpoint []byte, err error) {
 	if region != s.region {
 		return nil, nil, errors.Errorf("answer for %s: this node is not of region %s", node, region)
 	}
@@ -93,7 +93,7 @@
 
 // ReleaseNode stops confirming revisions for a node that AdoptRecords was called
 // for.
-func (s *sponsor) ReleaseNode(node, region, incarnation string) {
+func (s *sponsorServer) ReleaseNode(node, region, incarnation string) {
 	s.adoptions.Release(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation})
 }
 
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -37,14 +37,14 @@
 // Intervals and timeouts that are not settings, since no installation had to
 // change them so far.
 const (
-	beat            = 5 * time.Second        // between two reports of this node's own state while nothing changes
-	exchangeTimeout = time.Second            // for one state exchange with a peer
-	silence         = 15 * time.Second       // without news of a peer, after which it is no relay and does not count as serving
-	loadTimeout     = time.Second            // for one load report of a target
-	platformTimeout = 2 * time.Second        // for one call to a platform service or to a peer that replaces it
-	confirmEvery    = 200 * time.Millisecond // between checks of the revision of the nodes that this one confirms for
-	shortestPause   = 500 * time.Millisecond // lower bound of the pause after which the node counts as having been paused
-	linger          = 3 * time.Second        // answering after the handover; longer than a call waits for its claim
+	stateReportInterval = 5 * time.Second        // between two reports of this node's own state while nothing changes
+	exchangeTimeout     = time.Second            // for one state exchange with a peer
+	peerTimeout         = 15 * time.Second       // without news of a peer, after which it is no relay and does not count as serving
+	loadTimeout         = time.Second            // for one load report of a target
+	platformTimeout     = 2 * time.Second        // for one call to a platform service or to a peer that replaces it
+	confirmInterval     = 200 * time.Millisecond // between checks of the revision of the nodes that this one confirms for
+	minPauseLimit       = 500 * time.Millisecond // lower bound of the pause after which the node counts as having been paused
+	linger              = 3 * time.Second        // answering after the handover; longer than a call waits for its claim
 )
 
 // Node is one node of the system. Its exported fields are set before Listen or
@@ -55,30 +55,30 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 
-	board      jwboard.Board
-	self       jwrequest.Hop
-	store      *jwconsul.KeyValue
-	pool       *jwforward.Pool
-	targets    *jwtargetclient.Client
-	keeper     *jwclaim.Keeper
-	drain      jwdrain.Drain
-	follower   *jwcatalogue.Follower
-	editor     *jwcatalogue.Editor
-	departures *jwcatalogue.Departures
-	adoptions  *jwcatalogue.Adoptions
-	membership *jwcatalogue.Membership
-	gatherer   *jwcatalogue.Gatherer
-	acceptance *jwcatalogue.Acceptance
-	exchange   *jwpeer.Exchange
-	dispatcher *jwdispatch.Dispatcher
-	callers    *jwrest.Server
-	nodes      net.Listener
-	grpc       *grpc.Server
-	operators  *jwrest.Server
-	tracer     *jwexplain.Tracer
-	keys       keys
-	serving    atomic.Bool
-	pulse      jwclock.Pulse
+	board        jwboard.Board
+	self         jwrequest.Hop
+	store        *jwconsul.KeyValue
+	pool         *jwforward.Pool
+	targets      *jwtargetclient.Client
+	keeper       *jwclaim.Keeper
+	drain        jwdrain.Drain
+	follower     *jwcatalogue.Follower
+	editor       *jwcatalogue.Editor
+	departures   *jwcatalogue.Departures
+	adoptions    *jwcatalogue.Adoptions
+	membership   *jwcatalogue.Membership
+	gatherer     *jwcatalogue.Gatherer
+	acceptance   *jwcatalogue.Acceptance
+	exchange     *jwpeer.Exchange
+	dispatcher   *jwdispatch.Dispatcher
+	callers      *jwrest.Server
+	nodeListener net.Listener
+	grpcServer   *grpc.Server
+	operators    *jwrest.Server
+	tracer       *jwexplain.Tracer
+	keys         keys
+	serving      atomic.Bool
+	pulse        jwclock.Pulse
 }
 
 // Run serves until ctx ends, then stops gracefully: the node accepts no new
@@ -91,14 +91,14 @@
 	work, stop := context.WithCancel(context.WithoutCancel(ctx))
 	defer stop()
 	g, work := errgroup.WithContext(work)
-	n.control(work, g)
-	g.Go(func() error { return errors.Wrap(n.grpc.Serve(n.nodes), "serve nodes") })
+	n.startControllers(work, g)
+	g.Go(func() error { return errors.Wrap(n.grpcServer.Serve(n.nodeListener), "serve nodes") })
 	g.Go(func() error { return n.callers.Run(work) })
 	g.Go(func() error { return n.operators.Run(work) })
 	g.Go(func() error {
-		err := n.live(ctx, work)
+		err := n.runLifecycle(ctx, work)
 		stop()
-		n.grpc.GracefulStop()
+		n.grpcServer.GracefulStop()
 		return err
 	})
 	err := g.Wait()
@@ -115,13 +115,13 @@
 		return nil
 	}
 	s := n.Settings
-	n.pulse.Limit = max(s.Periods.HostsLag/2, shortestPause)
+	n.pulse.Limit = max(s.Periods.HostsLag/2, minPauseLimit)
 	n.self = jwrequest.Hop{Node: s.Node, Region: s.Region, DataCentre: s.DataCentre}
-	nodes, err := net.Listen("tcp", s.Listen.Nodes.String())
+	nodeListener, err := net.Listen("tcp", s.Listen.Nodes.String())
 	if err != nil {
 		return errors.Wrapf(err, "listen for nodes: %s", s.Listen.Nodes)
 	}
-	n.nodes = nodes
+	n.nodeListener = nodeListener
 	if err := n.loadKeys(); err != nil {
 		return err
 	}
@@ -145,25 +145,26 @@
 	if err := n.listenOperators(); err != nil {
 		return err
 	}
-	n.announce()
+	n.setAdvertisedAddresses()
 	n.Log.Info("listening", "callers", n.CallersAddr(), "operators", n.OperatorsAddr(), "nodes", n.NodesAddr())
 	return nil
 }
 
-// announce sets the addresses that peers are told, once the ports are open.
-func (n *Node) announce() {
+// setAdvertisedAddresses sets the addresses that are reported to peers, once the
+// ports are open.
+func (n *Node) setAdvertisedAddresses() {
 	s := n.Settings
 	n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
-		p.Callers = advertised(s.Advertise.Callers, n.callers.Addr())
-		p.Nodes = advertised(s.Advertise.Nodes, n.NodesAddr())
+		p.Callers = advertisedAddress(s.Advertise.Callers, n.callers.Addr())
+		p.Nodes = advertisedAddress(s.Advertise.Nodes, n.NodesAddr())
 	})
 }
 
-// advertised returns the address from the settings if it has a port, otherwise
-// the one that the listener is bound to.
-func advertised(set, bound netip.AddrPort) netip.AddrPort {
-	if set.IsValid() && set.Port() != 0 {
-		return set
+// advertisedAddress returns the address from the settings if it has a port,
+// otherwise the one that the listener is bound to.
+func advertisedAddress(configured, bound netip.AddrPort) netip.AddrPort {
+	if configured.IsValid() && configured.Port() != 0 {
+		return configured
 	}
 	return bound
 }
@@ -175,7 +176,7 @@
 // NodesAddr returns the address of the listener for other nodes. It is valid
 // once Listen has returned.
 func (n *Node) NodesAddr() netip.AddrPort {
-	bound, ok := n.nodes.Addr().(*net.TCPAddr)
+	bound, ok := n.nodeListener.Addr().(*net.TCPAddr)
 	if !ok {
 		return netip.AddrPort{}
 	}
@@ -183,8 +184,8 @@
 	return netip.AddrPortFrom(a.Addr().Unmap(), a.Port())
 }
 
-// control starts the controllers in g; they run until ctx ends.
-func (n *Node) control(ctx context.Context, g *errgroup.Group) {
+// startControllers starts the controllers in g; they run until ctx ends.
+func (n *Node) startControllers(ctx context.Context, g *errgroup.Group) {
 	s := n.Settings
 	hosts := &jwhost.Watcher{
 		List:  &jwconsul.HostList{Address: s.Platform.Hosts, Path: s.Platform.HostsPath, Timeout: platformTimeout},
@@ -199,10 +200,10 @@
 	poller := &jwtarget.Poller{
 		Table: &n.board.Targets, Source: n.targets, Period: s.Periods.LoadPoll, Timeout: loadTimeout,
 		Workers: s.Workers, Now: time.Now, Leaving: func(netip.AddrPort) { n.exchange.Nudge() },
-		Busy: n.carriesMuch,
+		Busy: n.isBusyRelay,
 	}
 	for _, run := range []func(context.Context) error{
-		hosts.Run, directory.Run, poller.Run, n.exchange.Run, n.follower.Run, n.wakeFollower, n.gatherer.Run, n.keeper.Run, n.reportRevision, n.tend,
+		hosts.Run, directory.Run, poller.Run, n.exchange.Run, n.follower.Run, n.wakeFollower, n.gatherer.Run, n.keeper.Run, n.reportRevision, n.maintainTables,
 		n.observer().Run, n.keys.run,
 	} {
 		g.Go(func() error { return run(ctx) })
@@ -223,7 +224,7 @@
 		}
 		select {
 		case <-changed:
-		case <-time.After(confirmEvery):
+		case <-time.After(confirmInterval):
 		case <-ctx.Done():
 			return ctx.Err()
 		}
@@ -248,16 +249,17 @@
 	}
 }
 
-// tend does the periodic work on the tables once a second: it removes expired
-// peers and limiter entries, and sets which serving nodes share the region's
-// limits and reports of suspect requests.
-func (n *Node) tend(ctx context.Context) error {
+// maintainTables does the periodic work on the tables once a second: it removes
+// expired peers and idle owners of the limiter, and sets which serving nodes
+// share the region's limits, reports of suspect requests and routing of requests
+// to other regions.
+func (n *Node) maintainTables(ctx context.Context) error {
 	for {
 		now := time.Now()
 		n.board.Peers.Forget(now.Add(-jwpeer.MostAge))
 		n.board.Limiter.Forget(now)
 		var members []string
-		for _, p := range n.board.Peers.Fresh(now.Add(-silence)) {
+		for _, p := range n.board.Peers.Fresh(now.Add(-peerTimeout)) {
 			if p.Region == n.self.Region && p.State == jwpeer.Serving {
 				members = append(members, p.Name)
 			}
@@ -273,20 +275,20 @@
 	}
 }
 
-// carriesMuch reports whether this node relays state for many others. In a small
+// isBusyRelay reports whether this node relays state for many others. In a small
 // system, with two nodes a data centre, each node is a relay but has few
 // messages to pass on.
-func (n *Node) carriesMuch() bool {
-	return n.exchange.IsRelay() && n.board.Peers.Len() > manyPeers
+func (n *Node) isBusyRelay() bool {
+	return n.exchange.IsRelay() && n.board.Peers.Len() > busyRelayPeers
 }
 
-// manyPeers is the number of known nodes above which a relay's messages are a
+// busyRelayPeers is the number of known nodes above which a relay's messages are a
 // noticeable load.
-const manyPeers = 100
+const busyRelayPeers = 100
 
-// watches reports whether this node watches the platform's key-value service
+// watchesStore reports whether this node watches the platform's key-value service
 // for catalogue changes.
-func (n *Node) watches() bool {
+func (n *Node) watchesStore() bool {
 	return n.exchange.IsRelay()
 }
 
--- a/io/jwnode/observe.go
+++ b/io/jwnode/observe.go
@@ -2,9 +2,9 @@
 
 import "jujubewheel/io/jwobserver"
 
-// listPeriods is the age of the host list, in poll periods, above which the
+// maxListAgePeriods is the age of the host list, in poll periods, above which the
 // observer reports that the list can't be read.
-const listPeriods = 10
+const maxListAgePeriods = 10
 
 // observer returns the part that exports the state of the board as gauges and
 // records its changes in the audit trail.
@@ -12,7 +12,7 @@
 	s := n.Settings
 	o := &jwobserver.Observer{
 		Node: s.Node, Region: s.Region, Board: &n.board, Meter: n.Meter, Audit: n.Audit,
-		Silence: silence, ListAge: listPeriods * s.Periods.HostsPoll,
+		Silence: peerTimeout, ListAge: maxListAgePeriods * s.Periods.HostsPoll,
 		Store: n.store, Follower: n.follower, Claims: n.keeper, Drain: &n.drain,
 	}
 	for _, r := range s.Regions {
--- a/io/jwnode/operators.go
+++ b/io/jwnode/operators.go
@@ -11,7 +11,7 @@
 func (n *Node) listenOperators() error {
 	s := n.Settings
 	operators := &jwoperate.Operators{
-		Token: s.Operators.Token, Table: &n.board.Catalogue, Editor: n.editor, Acceptance: &accepted{Acceptance: n.acceptance, audit: n.Audit},
+		Token: s.Operators.Token, Table: &n.board.Catalogue, Editor: n.editor, Acceptance: &auditedAcceptance{Acceptance: n.acceptance, audit: n.Audit},
 		Members:   n.acceptance,
 		Explainer: n.tracer, Peers: &n.board.Peers, Targets: &n.board.Targets, Audit: n.Audit,
 		Metrics: n.Meter.Handler(), Ready: n.ready, Log: n.Log,
--- a/io/jwnode/sources.go
+++ b/io/jwnode/sources.go
@@ -15,8 +15,8 @@
 	"jujubewheel/io/jwforward"
 )
 
-// mostChanges is the maximum number of catalogue changes in one answer of a peer.
-const mostChanges = 256
+// maxChanges is the maximum number of catalogue changes in one answer of a peer.
+const maxChanges = 256
 
 // servingPeers tells the claim keeper which nodes of a region serve and were seen
 // recently.
@@ -25,7 +25,7 @@
 // Serving returns the names of the serving nodes of a region, this one included.
 func (s servingPeers) Serving(region string) []string {
 	var out []string
-	for _, p := range s.table.Fresh(time.Now().Add(-silence)) {
+	for _, p := range s.table.Fresh(time.Now().Add(-peerTimeout)) {
 		if p.Region == region && p.State == jwpeer.Serving {
 			out = append(out, p.Name)
 		}
@@ -50,14 +50,14 @@
 	if len(ahead) == 0 {
 		return nil, nil, nil
 	}
-	from := ahead[rand.IntN(len(ahead))]
+	peer := ahead[rand.IntN(len(ahead))]
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	records, checkpoint, err := s.pool.ChangeRecords(ctx, from, after, mostChanges)
+	records, checkpoint, err := s.pool.ChangeRecords(ctx, peer, after, maxChanges)
 	if err != nil {
 		return nil, nil, err
 	}
-	return decodeChanges(from.Name, records, checkpoint)
+	return decodeChanges(peer.Name, records, checkpoint)
 }
 
 func decodeChanges(from string, records [][]byte, checkpoint []byte) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
@@ -82,14 +82,14 @@
 // changeRecords serves encoded catalogue changes to other nodes.
 type changeRecords struct{ table *jwcatalogue.Table }
 
-// ChangeRecords returns at most the given number of changes after a revision as
-// JSON records, or a checkpoint when they are no longer kept. The last result is
-// this node's revision.
-func (c *changeRecords) ChangeRecords(after uint64, most int) (records [][]byte, checkpoint []byte, revision uint64) {
-	if most <= 0 || most > mostChanges {
-		most = mostChanges
+// ChangeRecords returns at most limit changes after a revision as JSON records,
+// or a checkpoint when they are no longer kept, and this node's revision. A limit
+// of 0 or above maxChanges means maxChanges.
+func (c *changeRecords) ChangeRecords(after uint64, limit int) (records [][]byte, checkpoint []byte, revision uint64) {
+	if limit <= 0 || limit > maxChanges {
+		limit = maxChanges
 	}
-	records, checkpoint, err := encodeChanges(c.table.Changes(after, most))
+	records, checkpoint, err := encodeChanges(c.table.Changes(after, limit))
 	if err != nil {
 		return nil, nil, c.table.Revision()
 	}
@@ -141,7 +141,7 @@
 // Fetch returns the directory of a random serving peer of the region, or nil if
 // it still has the given version.
 func (s *directorySource) Fetch(ctx context.Context, version string) (*jwdirectory.Snapshot, error) {
-	peers := servingBeside(s.peers, s.self.Region, s.self.Node)
+	peers := otherServingPeers(s.peers, s.self.Region, s.self.Node)
 	if len(peers) == 0 {
 		return nil, errors.New("get directory: no peer of the region serves")
 	}
