--- a/core/jwdrain/drain.go
+++ b/core/jwdrain/drain.go
@@ -135,7 +135,7 @@
 func (d *Drain) Run(ctx context.Context) error {
 	idle, begun := d.stopAdmitting()
 	if !begun {
-		return errors.New("drain: stop already under way")
+		return errors.New("drain: stop has already begun")
 	}
 	d.Keys.Close()
 	d.notify(Leaving)
@@ -192,7 +192,7 @@
 	case <-idle:
 		return nil
 	case <-timeout:
-		cause = errors.Errorf("limit of %v passed", d.InFlightTimeout)
+		cause = errors.Errorf("calls still in flight after %v", d.InFlightTimeout)
 	case <-ctx.Done():
 		cause = ctx.Err()
 	}
@@ -216,7 +216,7 @@
 		defer d.mu.Unlock()
 		d.counts.Unflushed = 1
 	}
-	return errors.Wrap(err, "drain")
+	return errors.Wrap(err, "drain: write claims to the store")
 }
 
 // handOver tries the successors in order until one takes over.
--- a/io/jwnode/life.go
+++ b/io/jwnode/life.go
@@ -97,16 +97,16 @@
 	switch err := n.drain.Run(ctx); {
 	case errors.Is(err, jwdrain.ErrNoSuccessor):
 		// The last node of a region has nobody to hand over to.
-		n.Log.Info("stopped without a successor: its tickets are unknown from now on", "reason", err.Error())
+		n.Log.Info("stopped without a successor: the outcome of requests with this node's tickets is unknown from now on", "reason", err.Error())
 	case err != nil:
-		n.Log.Error(err, "stop left something undone")
+		n.Log.Error(err, "stop finished with errors")
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := n.membership.Leave(ctx); err != nil {
 		// The gatherer of the region no longer waits for this node once it has
 		// seen its last state.
-		n.Log.Error(err, "member record left behind")
+		n.Log.Error(err, "member record not removed")
 	}
 }
 
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -41,7 +41,7 @@
 func (s *sponsorClient) Adopt(ctx context.Context, m jwcatalogue.Member, after uint64) (string, []jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
 	serving := otherServingPeers(s.peers, m.Region, m.Name)
 	if len(serving) == 0 {
-		return "", nil, nil, errors.New("no peer of the region serves")
+		return "", nil, nil, errors.New("find sponsor: no other node of the region serves")
 	}
 	peer := serving[rand.IntN(len(serving))]
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
@@ -82,11 +82,11 @@
 // are no longer kept.
 func (s *sponsorServer) AdoptRecords(node, region, incarnation string, after uint64) (records [][]byte, checkpoint []byte, err error) {
 	if region != s.region {
-		return nil, nil, errors.Errorf("answer for %s: this node is not of region %s", node, region)
+		return nil, nil, errors.Errorf("confirm revisions for node %q: this node is not in region %q", node, region)
 	}
 	changes, cp, err := s.adoptions.Adopt(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation}, after)
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "answer for %s", node)
+		return nil, nil, errors.Wrapf(err, "confirm revisions for node %q", node)
 	}
 	return encodeChanges(changes, cp)
 }
--- a/io/jwnode/sources.go
+++ b/io/jwnode/sources.go
@@ -65,7 +65,7 @@
 	for _, r := range records {
 		c, err := jwcatalogue.ParseChange(r)
 		if err != nil {
-			return nil, nil, errors.Wrapf(err, "read change of %s", from)
+			return nil, nil, errors.Wrapf(err, "decode change from peer %q", from)
 		}
 		changes = append(changes, c)
 	}
@@ -74,7 +74,7 @@
 	}
 	cp, err := jwcatalogue.ParseCheckpoint(checkpoint)
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "read checkpoint of %s", from)
+		return nil, nil, errors.Wrapf(err, "decode checkpoint from peer %q", from)
 	}
 	return changes, &cp, nil
 }
@@ -124,7 +124,7 @@
 		return p.Region == s.self.Region && p.Name != s.self.Node && p.State != jwpeer.Gone
 	})
 	if len(peers) == 0 {
-		return nil, errors.New("get hosts: no peer of the region is known")
+		return nil, errors.New("get hosts: no other node of the region is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
@@ -143,7 +143,7 @@
 func (s *directorySource) Fetch(ctx context.Context, version string) (*jwdirectory.Snapshot, error) {
 	peers := otherServingPeers(s.peers, s.self.Region, s.self.Node)
 	if len(peers) == 0 {
-		return nil, errors.New("get directory: no peer of the region serves")
+		return nil, errors.New("get directory: no other node of the region serves")
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
