--- a/core/jwdrain/drain_test.go
+++ b/core/jwdrain/drain_test.go
@@ -13,11 +13,11 @@
 	"jujubewheel/core/jwclaim"
 )
 
-// keys records the steps of a stop in order.
+// keys implements Keys and records the steps of a stop in order.
 type keys struct {
 	steps   []string
-	flush   error
-	results map[string]error // of Handover by successor
+	flush   error            // returned by Flush
+	results map[string]error // returned by Handover, by name of the successor
 }
 
 func (k *keys) Close()   { k.steps = append(k.steps, "close") }
@@ -41,14 +41,14 @@
 	return jwclaim.Receipt{}, nil
 }
 
-// A stop that hands its keys on while a call still runs, or lets the process
-// end before the handover, leaves callers with an unknown deposit or, worse,
-// one that is charged twice. Each case fixes the order of the steps.
+// A stop that hands over its keys while a call still runs, or that lets the
+// process end before the handover, makes the outcome of requests unknown or, in
+// the worst case, lets one run twice. Each case checks the order of the steps.
 func TestStop(t *testing.T) {
 	refuse := errors.New("refused")
 	for name, tc := range map[string]struct {
 		limit   time.Duration
-		call    time.Duration // how long the call in flight goes on, 0 for none
+		call    time.Duration // duration of the call in flight, 0 for none
 		flush   error
 		results map[string]error
 		steps   []string
@@ -116,8 +116,8 @@
 	}
 }
 
-// A call that is let in just as the stop begins would be cut off by the end of
-// the process: its caller sees the connection close without an answer.
+// A call that is admitted after the stop has begun would be cut off by the end of
+// the process, and its caller would see the connection close without an answer.
 func TestEnterAgainstStop(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &keys{}
@@ -138,8 +138,8 @@
 	})
 }
 
-// An end of the stop's own ctx, as on a second signal, must not skip the
-// handover: every restart would leave unknown tickets behind.
+// The end of the stop's context, as on a second signal, must not skip the
+// handover: every restart would otherwise leave tickets with an unknown outcome.
 func TestEndedStopStillHandsOver(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		k := &keys{}
--- a/core/jwdrain/keeper_test.go
+++ b/core/jwdrain/keeper_test.go
@@ -15,7 +15,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// down is a store in the middle of an outage.
+// down is a store that is unavailable.
 type down struct{}
 
 func (down) Get(context.Context, string) (jwstore.Item, bool, error) {
@@ -38,7 +38,7 @@
 	return false, jwstore.ErrUnavailable
 }
 
-// beside hands records to a keeper in the same process.
+// beside is a successor in the same process: it hands records to another keeper.
 type beside struct{ k *jwclaim.Keeper }
 
 func (b beside) Holder() jwclaim.Holder {
@@ -55,9 +55,10 @@
 	})
 }
 
-// A node is replaced while the store is down and a confirmation still runs.
-// The caller whose page hung presses again, at the successor: it has to see
-// the one answer, and neither unknown nor a second charge.
+// A node stops while the store is down and a confirmation still runs. A caller
+// that got no answer sends the request again, to the successor. It must get the
+// answer of the first run: the outcome must not be unknown, and the request must
+// not run twice.
 func TestStopWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
--- a/core/jwhost/watcher_test.go
+++ b/core/jwhost/watcher_test.go
@@ -10,12 +10,15 @@
 	"gotest.tools/v3/assert"
 )
 
+// lists is a Lister whose list can be replaced.
 type lists struct {
 	now atomic.Pointer[[]Host]
 }
 
 func (l *lists) Hosts(context.Context) ([]Host, error) { return *l.now.Load(), nil }
 
+// A list that has not changed is applied only once per reapplyInterval, but the
+// time in the table is updated with each read.
 func TestUnchangedListIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &lists{}
@@ -32,7 +35,7 @@
 		synctest.Wait()
 		assert.Equal(t, applied.Load(), int64(1))
 		_, taken := w.Table.Hosts()
-		assert.Assert(t, time.Since(taken) <= 2*time.Second) // an unchanged list is still a fresh one
+		assert.Assert(t, time.Since(taken) <= 2*time.Second) // the time is updated though the list is unchanged
 		l.now.Store(&[]Host{{Name: "b"}})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -17,7 +17,8 @@
 	"jujubewheel/io/jwstand"
 )
 
-// quick answers at once, so that what is measured is the way there.
+// quick is a target that answers at once, so that the benchmarks measure the path
+// to it.
 type quick struct{}
 
 const (
@@ -26,8 +27,8 @@
 	quickToken  = "data: {\"choices\":[{\"text\":\" hake\"}]}\n\n"
 )
 
-// Handler answers whole, or with as many tokens as the body is long, each after
-// the pause that the query names.
+// Handler answers with one whole body, or streams one token for each byte of the
+// request's body with quickPause before each.
 func (quick) Handler(func() jwstand.Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
@@ -56,8 +57,8 @@
 
 const quickPause = 5 * time.Millisecond
 
-// quickPath starts one node before one quick target and returns where to send
-// requests directly and by way of the node.
+// quickPath starts one quick target and one node, and returns the URLs for
+// sending requests directly to the target and through the node.
 func quickPath(b *testing.B) (direct, node string) {
 	s := newSystem(b, "east")
 	target := s.stand("runner", quick{})
@@ -76,7 +77,8 @@
 
 func quickURL(a netip.AddrPort, path string) string { return "http://" + a.String() + path }
 
-// post sends one request and returns the bytes of its answer.
+// post sends one request and returns the number of bytes in the body of the
+// answer.
 func post(client *http.Client, url, body, accept string) (int64, error) {
 	r, err := http.NewRequest(http.MethodPost, url, strings.NewReader(body))
 	if err != nil {
@@ -97,8 +99,9 @@
 	return &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 1024}}
 }
 
-// BenchmarkRequest sends whole requests, at a target and by way of a node; the
-// difference is what a node adds. Allocations are those of all parts together.
+// BenchmarkRequest sends requests that are not streamed, directly to a target and
+// through a node; the difference is the cost of the node. The allocations include
+// those of the client and the target.
 func BenchmarkRequest(b *testing.B) {
 	direct, node := quickPath(b)
 	body := string(bytes.Repeat([]byte("x"), 1024))
@@ -118,8 +121,8 @@
 	}
 }
 
-// BenchmarkStreams holds 500 streams open at once; one operation is a token of
-// one of them.
+// BenchmarkStreams keeps 500 streams open at the same time; one operation is one
+// token of one stream.
 func BenchmarkStreams(b *testing.B) {
 	const streams = 500
 	direct, node := quickPath(b)
@@ -145,16 +148,17 @@
 	}
 }
 
-// The size that a node's control work is measured at.
+// The size of the system in BenchmarkControl.
 const (
 	manyNodes   = 970
 	manyRunners = 3200
 	manyRegions = 13
 )
 
-// BenchmarkControl lets a node that knows the hosts of a large system run
-// without requests; one operation is a second. No other node answers, so what
-// exchanges carry is not in it.
+// BenchmarkControl runs a node that knows the hosts of a large system, without
+// requests; one operation is a second. No other node answers, so the cost of the
+// exchanged state is not included. The metric core is the number of processor
+// cores in use.
 func BenchmarkControl(b *testing.B) {
 	s := newSystem(b, "east")
 	for i := range manyNodes + manyRunners {
@@ -179,7 +183,7 @@
 	b.ReportMetric((cpuTime(b)-before).Seconds()/float64(b.N), "core")
 }
 
-// cpuTime is the processor time that this process has used.
+// cpuTime returns the processor time that this process has used.
 func cpuTime(b *testing.B) time.Duration {
 	var u syscall.Rusage
 	assert.NilError(b, syscall.Getrusage(syscall.RUSAGE_SELF, &u))
--- a/io/jwnode/bound_test.go
+++ b/io/jwnode/bound_test.go
@@ -24,9 +24,10 @@
 	"jujubewheel/io/jwstand"
 )
 
+// secret marks the bound data in the traffic and the stored records.
 const secret = "langoustine-7c1f"
 
-// lines keeps log lines of several nodes.
+// lines collects the log lines of several nodes.
 type lines struct {
 	mu  sync.Mutex
 	all bytes.Buffer
@@ -38,8 +39,8 @@
 	l.all.WriteString(prefix + args + "\n")
 }
 
-// tracesOf returns in which forms a body, its answers or a hash of it could be
-// told.
+// tracesOf returns the byte sequences that would reveal a body: the secret in it,
+// its answer, and its hashes in binary and hexadecimal form.
 func tracesOf(entry, body, answer string) [][]byte {
 	mark := jwsuspect.FingerprintOf(entry, []byte(body))
 	sum := sha256.Sum256([]byte(body))
@@ -47,12 +48,11 @@
 	return append(out, []byte(hex.EncodeToString(mark[:])), []byte(hex.EncodeToString(sum[:])))
 }
 
-// A caterer's data must not leave its region, by law. While its targets break,
-// crash and run out, and while callers come to the wrong region or a node
-// sends their requests on by mistake, the data could leave by a retry, a
-// failover, a warning about a crash, a log line or a record in the platform's
-// service, and nobody would notice until an audit found it abroad. Every byte
-// between the regions and to the platform is read for it.
+// Bound data must not leave its home region, by law. It could leave unnoticed by
+// a retry, a failover, a report of a crash, a log line or a record in the
+// platform's key-value service. The test makes targets fail, crash and run out,
+// sends requests to the wrong region and forwards them there by mistake, and
+// searches every byte between the regions and to the platform for the data.
 func TestBoundDataStays(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east", "west")
@@ -86,7 +86,7 @@
 	assert.Equal(t, s.send(at, "confirm", "bound-east", order, header{"Idempotency-Key": "k"}).outcome, "served")
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
 
-	// The first target breaks in the midst of a stream, then there is none.
+	// The first target fails in the middle of a stream, then no target is left.
 	go func() {
 		time.Sleep(15 * time.Millisecond)
 		one.SetFaults(jwstand.Faults{Down: true})
@@ -102,14 +102,15 @@
 	two.SetFaults(jwstand.Faults{})
 	s.await("targets back", func() bool { return ask().outcome == "served" })
 
-	// It crashes both targets and is put in quarantine.
+	// A body crashes both targets and is quarantined.
 	one.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	two.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	poison := prompt(text+"poison", 40, true)
 	s.await("quarantine", func() bool {
 		return s.send(at, "draft", "bound-east", poison, nil).status == http.StatusUnprocessableEntity
 	})
-	// A region hears of what isn't bound, so that this shows that it would hear.
+	// The other region does get fingerprints of requests that aren't bound. Without
+	// this check, their absence for bound ones would prove nothing.
 	free := prompt("free poison", 40, true)
 	s.await("quarantine of what is free", func() bool {
 		return s.send(at, "local", "free-east", free, nil).status == http.StatusUnprocessableEntity
@@ -120,7 +121,8 @@
 		return state == jwsuspect.Quarantined
 	})
 
-	// What comes to the wrong region is turned away by its headers alone.
+	// A bound request that reaches the wrong region is rejected before its body is
+	// read.
 	turnedAwayUnread(t, away, home)
 
 	for name, passed := range s.taps.passed() {
@@ -132,7 +134,8 @@
 	assert.Assert(t, bytes.Contains(s.taps.passed()["west/w1"], mark[:]) || bytes.Contains(s.taps.passed()["west/w2"], mark[:]) ||
 		bytes.Contains(s.taps.passed()["east/e1"], mark[:]), "the relays do not see what passes")
 
-	// A node that takes the other for the home of bound data sends it there.
+	// A node wrongly takes another region for the home of bound data and forwards a
+	// request there.
 	for entry, key := range map[string]string{"draft": "", "confirm": "k2"} {
 		forged := &jwrequest.Request{
 			ID: "forged", Workspace: "bound-east", Entry: entry, Key: key, Body: []byte(body),
@@ -148,8 +151,8 @@
 	s.checkKept(&log, append(tracesOf("draft", body, jwstand.TokenOf(text, 1)), tracesOf("draft", poison, order)...))
 }
 
-// turnedAwayUnread sends the headers of a bound request and no byte of its
-// body.
+// turnedAwayUnread sends only the headers of a bound request to the wrong region
+// and checks that the answer names a host of the home region.
 func turnedAwayUnread(t *testing.T, away, home *running) {
 	t.Helper()
 	conn, err := net.Dial("tcp", away.CallersAddr().String())
@@ -166,7 +169,8 @@
 	assert.Assert(t, !bytes.Contains(answer[:n], []byte(away.CallersAddr().String())), "%s", answer[:n])
 }
 
-// checkKept looks for the data in what nodes and the platform's service keep.
+// checkKept searches the log, the audit trails and the key-value store for the
+// data.
 func (s *system) checkKept(log *lines, forms [][]byte) {
 	s.t.Helper()
 	kept := map[string][]byte{}
--- a/io/jwnode/keys_test.go
+++ b/io/jwnode/keys_test.go
@@ -14,8 +14,8 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// With certificates on all ports a request still finds its way to another
-// region, and the operators' port answers over TLS.
+// With certificates on the ports for nodes and operators, a request is still
+// served in another region, and the operators' port answers over TLS.
 func TestWholePathOverTLS(t *testing.T) {
 	authority := jwkeystest.New(t)
 	s := newSystem(t, "east", "west")
@@ -41,8 +41,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-// A host that no authority of ours knows is given a node's name. The nodes must
-// not take it for one of them, or it would be sent callers' data.
+// A node whose certificate comes from another authority is in the host list. The
+// other nodes must not accept it as a peer, or they would send it callers' data.
 func TestForeignNode(t *testing.T) {
 	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
 	s := newSystem(t, "east")
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -11,8 +11,8 @@
 	"jujubewheel/io/jwstand"
 )
 
-// linked is a system in which one region has the callers and another the
-// targets, with links between all nodes.
+// linked starts a system in which callers use one region and the targets are in
+// another, with a link in front of each node.
 func linked(t *testing.T) (s *system, near *running, r *jwstand.Runner) {
 	s = newSystem(t, "east", "west")
 	s.links = map[string]*jwstand.Link{}
@@ -29,7 +29,8 @@
 	return s, near, r
 }
 
-// passed counts the bytes that came from the other region's nodes.
+// passed returns the number of bytes that the nodes of the other region have sent
+// back over their links.
 func (s *system) passed() (n uint64) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
@@ -39,6 +40,7 @@
 	return n
 }
 
+// weather sets the faults of the links to the other region's nodes.
 func (s *system) weather(w jwstand.Weather) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
@@ -47,11 +49,10 @@
 	}
 }
 
-// A firewall between two regions loses track of the connections that are open:
-// they go silent for good, while new ones work. A node that went on using them
-// would leave its callers waiting until their deadlines, one after another.
-// Held up one way only, cut, or with every segment late, the regions must find back
-// as well once the link is mended.
+// A firewall between two regions drops its state: open connections go silent for
+// good, while new ones work. If a node kept using the silent ones, one caller
+// after another would wait until its deadline. The regions must also recover
+// after a link that was blocked in one direction, cut, or slow and lossy.
 func TestLinksBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, _ := linked(t)
@@ -63,7 +64,7 @@
 	}
 	tests := map[string]struct {
 		fault jwstand.Weather
-		comes string // outcome that must come about while the fault lasts
+		comes string // outcome that must occur while the fault lasts
 	}{
 		"silent":  {jwstand.Weather{Silent: true}, "served"},
 		"one way": {jwstand.Weather{Hold: jwstand.Forward}, "notRun"},
@@ -92,9 +93,9 @@
 	}
 }
 
-// The link between two regions is cut while a draft passes it. The caller has
-// the first half by then; an end that looks regular would pass it off as the
-// whole draft.
+// The link between two regions is cut while streams pass over it. Each caller has
+// part of its answer by then, and must not see a regular end, which would make
+// that part look like the whole answer.
 func TestStreamCutBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, r := linked(t)
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -19,7 +19,8 @@
 	"jujubewheel/io/jwforward"
 )
 
-// misdirect has a node believe that a workspace lives elsewhere.
+// misdirect changes the node's directory so that a workspace has another home
+// region.
 func (n *running) misdirect(workspace, region string) {
 	have := n.board.Directory.Current()
 	next := &jwdirectory.Snapshot{Version: have.Version + "+", Workspaces: maps.Clone(have.Workspaces)}
@@ -29,7 +30,7 @@
 	n.board.Directory.Set(next)
 }
 
-// forwards counts how often a request was sent from node to node.
+// forwards returns how often a request was forwarded from one node to another.
 func (s *system) forwards(id string) int {
 	n := 0
 	for _, node := range s.nodes {
@@ -44,11 +45,11 @@
 	return n
 }
 
-// A workspace moves from one region to another while the client directory
-// reaches the nodes at different times, or a change of the catalogue does.
-// Each node then takes another region for the home of a request. Sent on each
-// time, it would go round until its deadline, the links would fill with it,
-// and its caller would wait for nothing.
+// The client directory or a catalogue change reaches the nodes at different times
+// while a workspace moves to another region, so that each node takes another
+// region for the home of a request. If every node forwarded it, the request would
+// loop until its deadline and load the links for nothing. Each request may be
+// forwarded at most once.
 func TestNodesDisagree(t *testing.T) {
 	s := newSystem(t, "east", "north", "west")
 	runner, _ := s.runner("east")
@@ -72,7 +73,7 @@
 		n.misdirect("lost", ring[region])
 		n.misdirect("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
 	}
-	// At one node the confirmation may be repeated, at the others not.
+	// At one node the confirmation is idempotent, at the others it is not.
 	repeated := confirmation()
 	repeated.Idempotent, repeated.KeyMemory, repeated.Regions = true, 0, []string{"*"}
 	assert.NilError(t, nodes["north"].board.Catalogue.Apply(jwcatalogue.Change{
@@ -91,15 +92,15 @@
 			}
 		}
 	}
-	assert.Assert(t, len(runner.Journal.Runs()) > 0) // the drafts found a way all the same
+	assert.Assert(t, len(runner.Journal.Runs()) > 0) // drafts were served nevertheless
 }
 
 func ptr[T any](v T) *T { return &v }
 
-// A node of another version, or one with a fault, sends a request on with a
-// hop record that is empty, too long or made up. Taken at its word, the request
-// could be sent round without end; each node must serve it, or refuse it, and
-// send it nowhere.
+// A faulty node, or one of another version, forwards a request with a list of
+// hops that is empty, too long or forged. A node that relied on the list could
+// forward the request in an endless loop; it must serve the request or reject it,
+// and never forward it.
 func TestForgedHops(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	s.runner("west")
@@ -141,7 +142,7 @@
 				assert.NilError(t, err)
 				want := tc.outcome
 				if entry == "confirm" {
-					want = jwrequest.Unknown // its key was not looked up
+					want = jwrequest.Unknown // the node did not look up the key
 				}
 				assert.Equal(t, a.Head.Status, tc.status, "%+v", a.Head)
 				assert.Equal(t, a.Head.Outcome, want, "%+v", a.Head)
--- a/io/jwnode/node_test.go
+++ b/io/jwnode/node_test.go
@@ -11,9 +11,9 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A caller asks a node which host to use, sends a draft there, plain and
-// streamed, and gets the whole answer; what its own region has no target for
-// is served by another.
+// A caller asks a node which host to use, sends a draft there, once plain and
+// once streamed, and gets the whole answers. A region without a target has its
+// drafts served in another region.
 func TestWholePath(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	s.runner("east")
@@ -51,8 +51,8 @@
 	assert.Assert(t, strings.Contains(away.body, "event: done"))
 }
 
-// A family presses the deposit button twice, at two hosts. The deposit must be
-// taken once, and both presses get the same answer.
+// A caller sends the same confirmation twice, to two nodes. It must run once, and
+// both calls get the same answer. The same key with another body is rejected.
 func TestConfirmationPressedTwice(t *testing.T) {
 	s := newSystem(t, "east")
 	desk, _ := s.service("east")
@@ -75,9 +75,10 @@
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
 }
 
-// A caller asks a host abroad for a ticket. It would be run by that host alone,
-// while the confirmations of its workspace run at home, so the family would
-// press with a key that nobody ever runs.
+// A caller asks a node outside its home region for a ticket. Only the node that
+// mints a ticket can run it, but confirmations of a workspace run in its home
+// region, so such a ticket could never be used. The node must name hosts of the
+// home region instead.
 func TestTicketIsMintedAtHome(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	desk, _ := s.service("east")
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -23,7 +23,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// refusalSystem is a system for refusals of every kind.
+// refusalSystem is a system in which requests can be refused for each reason.
 type refusalSystem struct {
 	*system
 	home, away, leaving *running
@@ -55,7 +55,8 @@
 	return s
 }
 
-// quarantine has a body in flight on two targets that crash.
+// quarantine reports that two targets crashed with a body in flight, which puts
+// the body in quarantine.
 func (s *refusalSystem) quarantine(entry, body string) {
 	mark := jwsuspect.FingerprintOf(entry, []byte(body))
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
@@ -66,7 +67,7 @@
 	}
 }
 
-// forward sends a request to the home node as another node does.
+// forward sends a request to the home node's port for other nodes.
 func (s *refusalSystem) forward(id string, hops jwrequest.Hops) reply {
 	a, err := (&jwforward.Pool{}).Forward(s.t.Context(), s.home.board.Peers.Self(), &jwrequest.Request{
 		ID: id, Workspace: "free-east", Entry: "draft", Body: []byte(prompt("menu", 3, false)), ContentType: "application/json",
@@ -80,10 +81,9 @@
 	return reply{status: a.Head.Status, outcome: string(a.Head.Outcome), body: string(body)}
 }
 
-// A caller that is told that its order was not run orders anew. If the first
-// one ran after all, the kitchen cooks twice and the family pays twice. Each
-// way in which a request can be refused is tried, and the targets' journals
-// must show no trace of it.
+// A caller that gets the outcome notRun sends the request again with a new key.
+// If the first one did run, the order is executed and paid twice. The test
+// refuses requests in each possible way and checks that no target has run them.
 func TestNotRunIsTrue(t *testing.T) {
 	s := newRefusalSystem(t)
 	at := s.home.CallersAddr()
@@ -179,8 +179,8 @@
 	}
 }
 
-// keyOf returns a key whose claims a node writes, so that the request stays
-// there.
+// keyOf returns a key for which a node is the preferred claim writer, so that the
+// node doesn't forward the request.
 func (s *refusalSystem) keyOf(n *running, name string) string {
 	for i := range 1000 {
 		key := fmt.Sprintf("%s-%d", name, i)
@@ -192,7 +192,8 @@
 	return ""
 }
 
-// asks is a request with the header pairs given.
+// asks returns a function that sends a request with the given pairs of header
+// names and values.
 func (s *refusalSystem) asks(to netip.AddrPort, entry, workspace, body string, pairs ...string) func(id string) reply {
 	return func(id string) reply {
 		h := header{"Jujube-Request-Id": id}
@@ -203,7 +204,7 @@
 	}
 }
 
-// forgedTicket is one that looks right but for its last sign.
+// forgedTicket returns a valid ticket with the last character changed.
 func (s *refusalSystem) forgedTicket() string {
 	s.t.Helper()
 	key, err := s.home.keeper.Mint()
@@ -215,9 +216,9 @@
 	return key[:len(key)-1] + last
 }
 
-// A family's deposit ran, but the page hung, and they press again. This press
-// is turned away before anyone looks its key up. Told that nothing ran, they
-// would order under another key and pay twice.
+// A confirmation ran, but the caller did not get the answer and sends it again.
+// The second call is rejected before its key is looked up. If it were answered
+// with notRun, the caller would order under another key and pay twice.
 func TestSecondPressTurnedAway(t *testing.T) {
 	s := newRefusalSystem(t)
 	at := s.home.CallersAddr()
@@ -260,9 +261,9 @@
 	s.settle(revision)
 }
 
-// One target of each service goes down and comes back all the while, and callers press on. Each
-// answer must be whole, each refusal true, and few callers may be left not
-// knowing.
+// One target of each service keeps going down and coming back while callers send
+// requests. Each answer must be whole, each notRun must be true, and more drafts
+// must be served than end with an unknown outcome.
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
 	var journals []*jwstand.Journal
@@ -313,7 +314,7 @@
 				whole := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
 				mu.Lock()
 				if r.outcome == "" {
-					r.outcome = "unknown" // cut off
+					r.outcome = "unknown" // the connection was cut off
 				}
 				outcomes[entry][r.outcome]++
 				told[id] = r.outcome
@@ -342,7 +343,8 @@
 	t.Logf("outcomes: %v", outcomes)
 }
 
-// slowRefuser is a target that thinks for a while and then takes nothing on.
+// slowRefuser is a target that refuses each request, but only once decide is
+// closed.
 type slowRefuser struct {
 	refuser
 	decide chan struct{}
@@ -360,8 +362,9 @@
 	})
 }
 
-// A family presses twice, the second press waits for the first, and the target
-// then refuses. Both were not run, both are told so, and a third press may run.
+// Two calls with the same key arrive, the second waits for the first, and then
+// the target refuses. Both calls must get notRun, and a third one must be able to
+// run.
 func TestJoinedPressRefused(t *testing.T) {
 	s := newSystem(t, "east")
 	program := &slowRefuser{decide: make(chan struct{})}
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -19,14 +19,14 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A target is about to be replaced: the platform's list says so, or the target
-// itself does in its load report. Work that still goes there is cut off with
-// it, and its caller waits for a draft that nobody writes. Every node must stop
-// sending, and what already runs must be finished.
+// A target is about to be replaced, as the platform's host list or its own load
+// report says. Requests sent there after that would be cut off together with the
+// target and never be answered. Every node must stop sending to it, and the
+// requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
 	tests := map[string]func(s *system, at *jwstand.Stand){
 		"by the list": func(s *system, at *jwstand.Stand) {
-			groups := slices.Clone(s.groups) // the stand-in reads the old one
+			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
 				if g.Targets[0] == at.Address.String() {
 					groups[i].Labels = maps.Clone(g.Labels)
@@ -98,9 +98,9 @@
 }
 
 // A request crashes each target that runs it, and its caller sends it again
-// through one node after the other. Left alone it takes the fleet down target
-// by target, and all the others' drafts with it. It may take down two, and
-// innocent requests that ran beside it must not be locked out for it.
+// through one node after another. Without quarantine it would crash all targets
+// in turn, and end all other requests on them. It may crash at most two targets,
+// and other requests that ran at the same time must not be quarantined.
 func TestPoisonThroughManyNodes(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
@@ -153,7 +153,7 @@
 	t.Logf("sent %d times, %d targets crashed, %d of %d innocent requests locked out", sent, len(crashes), lockedOut, innocent)
 }
 
-// refuser is a target that says it is idle and takes nothing on.
+// refuser is a target that reports that it is idle and refuses each request.
 type refuser struct{ calls atomic.Int64 }
 
 // Handler implements jwstand.Program.
@@ -171,10 +171,10 @@
 // Register implements jwstand.Program.
 func (p *refuser) Register(*http.ServeMux) {}
 
-// After an outage every caller presses at once, and the targets, whose load
-// reports lag, refuse what they can't queue. If each refused call were tried
-// again as often as it may be, the rush would be several times as large and
-// hold the targets down.
+// After an outage all callers send requests at once, and the targets, whose load
+// reports lag, refuse those that they can't queue. If each refused call were
+// retried as often as a single request may be, the load would be several times
+// as high and the targets could not recover. The retry budget must bound it.
 func TestRushAfterOutage(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
--- a/io/jwnode/pulse_test.go
+++ b/io/jwnode/pulse_test.go
@@ -12,8 +12,8 @@
 	"jujubewheel/io/jwforward"
 )
 
-// Another node passes a request on to one that does not serve yet, or that was
-// frozen. It must be told that nothing ran, so that it can ask a third.
+// A node forwards a request to one that does not serve yet, or that was paused.
+// The answer must say that nothing ran, so that the first node can try a third.
 func TestForwardToNodeThatDoesNotServe(t *testing.T) {
 	s := newSystem(t, "east")
 	s.runner("east")
--- a/io/jwnode/seeds_test.go
+++ b/io/jwnode/seeds_test.go
@@ -10,9 +10,9 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The whole platform is out of reach: the key-value service, the host list and
-// the directory are on the other side of a cut. A host of the region that is
-// replaced in that time must serve like the others, or the region shrinks with
+// A region is cut off from the whole platform: the key-value service, the host
+// list and the directory. A node that starts during that time, with a peer from
+// the settings, must serve like the others, or the region would lose a node with
 // every restart.
 func TestStartWithoutThePlatform(t *testing.T) {
 	s := newSystem(t, "east")
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -14,10 +14,10 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Something between a node and a target loses track of the open connections:
-// they swallow every byte, while new ones work. A caller whose stream was on
-// one must still get its draft, the part it has followed by the rest, and those
-// who come later must not be given to a silent connection one after the other.
+// A device between a node and a target drops its connection state: open
+// connections lose every byte, while new ones work. A caller whose stream was on
+// such a connection must still get the rest of its answer after the part that it
+// has, and later requests must not be sent over the silent connections.
 func TestSilentTarget(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
@@ -54,9 +54,9 @@
 
 func tail(s string) string { return s[max(0, len(s)-200):] }
 
-// The first press of a key is running when the second comes with a body that
-// breaks off, as when the network fails. The second one was not run, but the
-// first was.
+// A key has run when a second call with it arrives whose body breaks off, as when
+// the network fails. The second call did not run, but the first one did, so the
+// outcome must be unknown rather than notRun.
 func TestBrokenBody(t *testing.T) {
 	s := newSystem(t, "east")
 	desk, _ := s.service("east")
@@ -67,7 +67,7 @@
 	assert.Equal(t, s.send(n.CallersAddr(), "confirm", "free-east", "deposit", header{"Idempotency-Key": "k"}).outcome, "served")
 	tests := map[string]struct{ key, outcome string }{
 		"second press": {"Idempotency-Key: k\r\n", "unknown"},
-		"another key":  {"Idempotency-Key: other\r\n", "unknown"}, // not looked up
+		"another key":  {"Idempotency-Key: other\r\n", "unknown"}, // the node did not look up the key
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -87,9 +87,9 @@
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
 }
 
-// Two callers happen to choose the same request id, and send at the same time,
-// near and far. Whoever kept answers by that id would give one caller the menu
-// of another.
+// Callers in two regions happen to use the same request id at the same time. If a
+// node kept answers by request id alone, a caller would get the answer to another
+// caller's request.
 func TestSameRequestID(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	s.runner("east")
@@ -110,7 +110,7 @@
 			text := fmt.Sprintf("menu of %d", i)
 			r := s.send(n.CallersAddr(), "draft", workspace, prompt(text, 20, i%4 < 2), header{"Jujube-Request-Id": "same"})
 			if r.outcome == "notRun" {
-				return // no room for all at once
+				return // the target has no room for all requests at once
 			}
 			for k := range 20 {
 				assert.Check(t, strings.Contains(r.body, jwstand.TokenOf(text, k+1)), "%d: %+v", i, r)
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -23,8 +23,9 @@
 	"jujubewheel/io/jwstand"
 )
 
-// system is a small whole system on loopback: stand-ins of the platform and of
-// targets, and nodes of several regions, all in this process.
+// system is a complete small system on loopback interfaces: stand-ins for the
+// platform's services and for targets, and nodes of several regions, all in this
+// process.
 type system struct {
 	t                   testing.TB
 	kv                  *jwstand.KeyValue
@@ -37,22 +38,22 @@
 	groups              []jwstand.HostGroup
 	regions             []string
 	tls                 func(name, region string) jwsettings.TLS // nil for plain ports
-	taps                *taps                                    // nil for none
-	links               map[string]*jwstand.Link                 // before the nodes' ports, by name of the node; nil for none
+	taps                *taps                                    // record the nodes' traffic; nil for none
+	links               map[string]*jwstand.Link                 // in front of the nodes' ports, by name of the node; nil for none
 	log                 logr.Logger
 	platform            []*jwstand.Stand  // the key-value service, the host list, the directory
 	seeds               []jwsettings.Seed // for the settings of the nodes that start from now on
-	exchange, hostsPoll string            // periods, empty for short ones
+	exchange, hostsPoll string            // periods in the settings of new nodes; empty for 100ms
 }
 
-// running is a node with what stops it.
+// running is a running node.
 type running struct {
 	*Node
 	stop func()
-	done chan error
+	done chan error // gets the result of Run
 }
 
-// testPatience bounds how long a test waits for a state to come about.
+// testPatience is the longest time that a test waits for a condition.
 const testPatience = 20 * time.Second
 
 func newSystem(t testing.TB, regions ...string) *system {
@@ -72,6 +73,7 @@
 	return s
 }
 
+// stand starts a stand-in program on a port of its own until the test ends.
 func (s *system) stand(kind string, p jwstand.Program) *jwstand.Stand {
 	s.t.Helper()
 	stand := &jwstand.Stand{
@@ -92,7 +94,7 @@
 	return stand
 }
 
-// runner starts a model engine and lists it.
+// runner starts a model engine as a target and adds it to the host list.
 func (s *system) runner(region string) (*jwstand.Runner, *jwstand.Stand) {
 	r := &jwstand.Runner{Engine: jwstand.Engine{Slots: 8, Token: time.Millisecond, Prefill: 10 * time.Microsecond}}
 	stand := s.stand("runner", r)
@@ -100,7 +102,7 @@
 	return r, stand
 }
 
-// service starts a plain service and lists it.
+// service starts a plain service as a target and adds it to the host list.
 func (s *system) service(region string) (*jwstand.Service, *jwstand.Stand) {
 	p := &jwstand.Service{}
 	stand := s.stand("service", p)
@@ -108,13 +110,14 @@
 	return p, stand
 }
 
+// list adds a host to the platform's host list.
 func (s *system) list(addr netip.AddrPort, labels map[string]string) {
 	labels["state"] = "live"
 	s.groups = append(s.groups, jwstand.HostGroup{Targets: []string{addr.String()}, Labels: labels})
 	s.hosts.Set(s.groups)
 }
 
-// node starts a node and lists it.
+// node starts a node and adds it to the host list.
 func (s *system) node(name, region string) *running {
 	s.t.Helper()
 	through := s.taps.node(s.t, name, region)
@@ -152,7 +155,8 @@
 	return n
 }
 
-// link puts a link before the port of a node and returns its address.
+// link puts a link in front of a node's port for other nodes, if the system has
+// links, and returns the address that other nodes use.
 func (s *system) link(n *running, nodes netip.AddrPort) netip.AddrPort {
 	s.t.Helper()
 	if s.links == nil {
@@ -184,7 +188,7 @@
 	return b.String()
 }
 
-// edit puts an entry into the catalogue.
+// edit writes an entry to the catalogue through a node.
 func (s *system) edit(n *running, e jwcatalogue.Entry) {
 	s.t.Helper()
 	_, err := n.editor.Put(s.t.Context(), jwcatalogue.Edit{
@@ -208,8 +212,8 @@
 	}
 }
 
-// settle waits until all nodes serve with the newest catalogue and know each
-// other.
+// settle waits until all nodes serve with a catalogue revision or a newer one and
+// know each other as serving.
 func (s *system) settle(revision uint64) {
 	s.t.Helper()
 	s.await("all nodes level", func() bool {
@@ -236,18 +240,18 @@
 	}, poll.WithTimeout(testPatience), poll.WithDelay(20*time.Millisecond))
 }
 
-// reply is a caller's view of an answer.
+// reply is an answer as a caller sees it.
 type reply struct {
 	status  int
 	outcome string
 	server  string
 	body    string
-	err     error // the answer broke off
+	err     error // no answer, or one that broke off
 }
 
 type header map[string]string
 
-// send sends a request as a caller does.
+// send sends a request to a node's port for callers and reads the whole answer.
 func (s *system) send(to netip.AddrPort, entry, workspace, body string, h header) reply {
 	s.t.Helper()
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodPost, "http://"+to.String()+"/v1/requests/"+entry, bytes.NewReader([]byte(body)))
--- a/io/jwnode/tap_test.go
+++ b/io/jwnode/tap_test.go
@@ -12,14 +12,14 @@
 	"gotest.tools/v3/assert"
 )
 
-// taps relay what leaves and enters the nodes of a region, and keep every
-// byte.
+// taps relays the traffic between the nodes of the regions and to the platform's
+// services, and keeps every byte.
 type taps struct {
 	mu    sync.Mutex
-	bytes map[string]*bytes.Buffer // by name of the node and direction
+	bytes map[string]*bytes.Buffer // by region and name of the node, as in "east/e1"
 }
 
-// tap is one relay.
+// tap is a TCP relay to one address.
 type tap struct {
 	taps *taps
 	name string
@@ -28,7 +28,7 @@
 	t    testing.TB
 }
 
-// through are the relays of one node; nil for none.
+// through holds the relays of one node. Without taps it relays nothing.
 type through struct {
 	taps *taps
 	name string
@@ -36,7 +36,7 @@
 	in   *tap
 }
 
-// node makes the relays of a node; nil taps make none.
+// node creates the relays of a node, or none if ts is nil.
 func (ts *taps) node(t testing.TB, name, region string) *through {
 	if ts == nil {
 		return &through{}
@@ -55,7 +55,8 @@
 
 func (p *tap) address() netip.AddrPort { return p.l.Addr().(*net.TCPAddr).AddrPort() }
 
-// advertise is the setting that has other nodes come through the relay.
+// advertise returns the part of the settings that makes other nodes connect
+// through the relay.
 func (th *through) advertise() string {
 	if th.taps == nil {
 		return ""
@@ -63,7 +64,8 @@
 	return fmt.Sprintf(`"advertise": {"nodes": %q},`, th.in.address())
 }
 
-// open lets other nodes through to the node; it returns the address for them.
+// open starts the relay to the node's port for other nodes and returns the
+// address that they use.
 func (th *through) open(nodes netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return nodes
@@ -73,7 +75,8 @@
 	return th.in.address()
 }
 
-// platform returns where the node reaches a service of the platform.
+// platform returns the address at which the node reaches a service of the
+// platform, through a relay if there are taps.
 func (th *through) platform(to netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return to
@@ -112,7 +115,7 @@
 	_ = from.Close()
 }
 
-// record keeps what passes.
+// record is a writer that keeps the bytes that pass a tap.
 type record struct{ *tap }
 
 // Write implements io.Writer.
@@ -130,7 +133,8 @@
 	return buf.Write(b)
 }
 
-// passed returns all that went through the relays of nodes.
+// passed returns all bytes that went through the relays, by region and name of
+// the node.
 func (ts *taps) passed() map[string][]byte {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
