--- a/core/jwdrain/keeper_test.go
+++ b/core/jwdrain/keeper_test.go
@@ -15,37 +15,38 @@
 	"jujubewheel/core/jwstore"
 )
 
-// down is a store that is unavailable.
-type down struct{}
+// unavailableStore is a store that is unavailable.
+type unavailableStore struct{}
 
-func (down) Get(context.Context, string) (jwstore.Item, bool, error) {
+func (unavailableStore) Get(context.Context, string) (jwstore.Item, bool, error) {
 	return jwstore.Item{}, false, jwstore.ErrUnavailable
 }
 
-func (down) List(context.Context, string) ([]jwstore.Item, error) {
+func (unavailableStore) List(context.Context, string) ([]jwstore.Item, error) {
 	return nil, jwstore.ErrUnavailable
 }
 
-func (down) Wait(context.Context, string, uint64, time.Duration) (jwstore.Item, bool, error) {
+func (unavailableStore) Wait(context.Context, string, uint64, time.Duration) (jwstore.Item, bool, error) {
 	return jwstore.Item{}, false, jwstore.ErrUnavailable
 }
 
-func (down) Swap(context.Context, string, []byte, uint64) (uint64, bool, error) {
+func (unavailableStore) Swap(context.Context, string, []byte, uint64) (uint64, bool, error) {
 	return 0, false, jwstore.ErrUnavailable
 }
 
-func (down) Delete(context.Context, string, uint64) (bool, error) {
+func (unavailableStore) Delete(context.Context, string, uint64) (bool, error) {
 	return false, jwstore.ErrUnavailable
 }
 
-// beside is a successor in the same process: it hands records to another keeper.
-type beside struct{ k *jwclaim.Keeper }
+// localSuccessor is a successor in the same process: it hands records to another
+// keeper.
+type localSuccessor struct{ k *jwclaim.Keeper }
 
-func (b beside) Holder() jwclaim.Holder {
+func (b localSuccessor) Holder() jwclaim.Holder {
 	return jwclaim.Holder{Node: b.k.Node, Region: b.k.Region, Incarnation: b.k.Incarnation}
 }
 
-func (b beside) Handover(_ context.Context, records iter.Seq[jwclaim.Record]) (jwclaim.Receipt, error) {
+func (b localSuccessor) Handover(_ context.Context, records iter.Seq[jwclaim.Record]) (jwclaim.Receipt, error) {
 	return b.k.Adopt(func(yield func(jwclaim.Record, error) bool) {
 		for r := range records {
 			if !yield(r, nil) {
@@ -62,21 +63,21 @@
 func TestStopWithStoreDown(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		var ks [2]*jwclaim.Keeper
+		var keepers [2]*jwclaim.Keeper
 		for i, name := range []string{"a", "b"} {
-			k := &jwclaim.Keeper{Store: down{}, Node: name, Region: "irbid-a", Incarnation: name + "-1", Salt: []byte("salt")}
+			k := &jwclaim.Keeper{Store: unavailableStore{}, Node: name, Region: "irbid-a", Incarnation: name + "-1", Salt: []byte("salt")}
 			go func() { _ = k.Run(ctx) }()
-			ks[i] = k
+			keepers[i] = k
 		}
 		synctest.Wait()
-		ticket, err := ks[0].Mint()
+		ticket, err := keepers[0].Mint()
 		assert.NilError(t, err)
 		ask := jwclaim.Ask{Workspace: "hall", Region: "irbid-a", Key: ticket, Body: sha256.Sum256([]byte("deposit"))}
-		d := &Drain{Keys: ks[0], Successors: func() []jwclaim.Successor { return []jwclaim.Successor{beside{ks[1]}} }}
+		d := &Drain{Keys: keepers[0], Successors: func() []jwclaim.Successor { return []jwclaim.Successor{localSuccessor{keepers[1]}} }}
 
 		done, ok := d.Enter()
 		assert.Assert(t, ok)
-		first, err := ks[0].Begin(ctx, ask)
+		first, err := keepers[0].Begin(ctx, ask)
 		assert.NilError(t, err)
 		assert.NilError(t, first.Call.Dispatched())
 		time.AfterFunc(time.Minute, func() {
@@ -84,7 +85,7 @@
 			done()
 		})
 		assert.NilError(t, d.Run(ctx))
-		again, err := ks[1].Begin(ctx, ask)
+		again, err := keepers[1].Begin(ctx, ask)
 		assert.NilError(t, err)
 		assert.Equal(t, again.Verdict, jwclaim.Replay)
 		assert.Equal(t, string(again.Answer.Body), "paid")
--- a/core/jwhost/watcher_test.go
+++ b/core/jwhost/watcher_test.go
@@ -12,17 +12,17 @@
 
 // lists is a Lister whose list can be replaced.
 type lists struct {
-	now atomic.Pointer[[]Host]
+	current atomic.Pointer[[]Host]
 }
 
-func (l *lists) Hosts(context.Context) ([]Host, error) { return *l.now.Load(), nil }
+func (l *lists) Hosts(context.Context) ([]Host, error) { return *l.current.Load(), nil }
 
 // A list that has not changed is applied only once per reapplyInterval, but the
 // time in the table is updated with each read.
 func TestUnchangedListIsNotApplied(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		l := &lists{}
-		l.now.Store(&[]Host{{Name: "a"}})
+		l.current.Store(&[]Host{{Name: "a"}})
 		var applied atomic.Int64
 		w := &Watcher{
 			List: l, Table: &Table{}, Period: time.Second, Now: time.Now,
@@ -36,7 +36,7 @@
 		assert.Equal(t, applied.Load(), int64(1))
 		_, taken := w.Table.Hosts()
 		assert.Assert(t, time.Since(taken) <= 2*time.Second) // the time is updated though the list is unchanged
-		l.now.Store(&[]Host{{Name: "b"}})
+		l.current.Store(&[]Host{{Name: "b"}})
 		time.Sleep(3 * time.Second)
 		synctest.Wait()
 		assert.Equal(t, applied.Load(), int64(2))
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -17,35 +17,35 @@
 	"jujubewheel/io/jwstand"
 )
 
-// quick is a target that answers at once, so that the benchmarks measure the path
-// to it.
-type quick struct{}
+// instantTarget is a target that answers at once, so that the benchmarks measure
+// the path to it.
+type instantTarget struct{}
 
 const (
-	quickAnswer = `{"choices":[{"text":"a lot of hake, landed this morning"}],"usage":{"completion_tokens":8}}`
-	quickLoad   = "# TYPE vllm:max_num_seqs gauge\nvllm:max_num_seqs 4096\n"
-	quickToken  = "data: {\"choices\":[{\"text\":\" hake\"}]}\n\n"
+	instantAnswer = `{"choices":[{"text":"a lot of hake, landed this morning"}],"usage":{"completion_tokens":8}}`
+	instantLoad   = "# TYPE vllm:max_num_seqs gauge\nvllm:max_num_seqs 4096\n"
+	tokenEvent    = "data: {\"choices\":[{\"text\":\" hake\"}]}\n\n"
 )
 
 // Handler answers with one whole body, or streams one token for each byte of the
-// request's body with quickPause before each.
-func (quick) Handler(func() jwstand.Faults) http.Handler {
+// request's body with tokenPause before each.
+func (instantTarget) Handler(func() jwstand.Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.Method == http.MethodGet {
-			_, _ = io.WriteString(w, quickLoad)
+			_, _ = io.WriteString(w, instantLoad)
 			return
 		}
 		body, _ := io.ReadAll(r.Body)
 		if r.Header.Get("Accept") != "text/event-stream" {
-			w.Header().Set("Content-Length", strconv.Itoa(len(quickAnswer)))
-			_, _ = io.WriteString(w, quickAnswer)
+			w.Header().Set("Content-Length", strconv.Itoa(len(instantAnswer)))
+			_, _ = io.WriteString(w, instantAnswer)
 			return
 		}
 		w.Header().Set("Content-Type", "text/event-stream")
 		control := http.NewResponseController(w)
 		for range body {
-			time.Sleep(quickPause)
-			_, _ = io.WriteString(w, quickToken)
+			time.Sleep(tokenPause)
+			_, _ = io.WriteString(w, tokenEvent)
 			_ = control.Flush()
 		}
 		_, _ = io.WriteString(w, "data: [DONE]\n\n")
@@ -53,29 +53,29 @@
 }
 
 // Register does nothing.
-func (quick) Register(*http.ServeMux) {}
+func (instantTarget) Register(*http.ServeMux) {}
 
-const quickPause = 5 * time.Millisecond
+const tokenPause = 5 * time.Millisecond
 
-// quickPath starts one quick target and one node, and returns the URLs for
-// sending requests directly to the target and through the node.
-func quickPath(b *testing.B) (direct, node string) {
+// startInstantTarget starts one instantTarget and one node, and returns the URLs
+// for sending requests directly to the target and through the node.
+func startInstantTarget(b *testing.B) (direct, node string) {
 	s := newSystem(b, "east")
-	target := s.stand("runner", quick{})
-	s.list(target.Address, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
+	target := s.stand("runner", instantTarget{})
+	s.addHost(target.Address, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("a request is served", func() bool {
 		return s.send(n.CallersAddr(), "draft", "free-east", "x", nil).status == http.StatusOK
 	})
 	s.await("the target's load is known", func() bool {
 		return n.board.Targets.Room("writer", time.Now()).Slots > 1
 	})
-	return quickURL(target.Address, "/v1/completions"), quickURL(n.CallersAddr(), "/v1/requests/draft")
+	return httpURL(target.Address, "/v1/completions"), httpURL(n.CallersAddr(), "/v1/requests/draft")
 }
 
-func quickURL(a netip.AddrPort, path string) string { return "http://" + a.String() + path }
+func httpURL(a netip.AddrPort, path string) string { return "http://" + a.String() + path }
 
 // post sends one request and returns the number of bytes in the body of the
 // answer.
@@ -103,7 +103,7 @@
 // through a node; the difference is the cost of the node. The allocations include
 // those of the client and the target.
 func BenchmarkRequest(b *testing.B) {
-	direct, node := quickPath(b)
+	direct, node := startInstantTarget(b)
 	body := string(bytes.Repeat([]byte("x"), 1024))
 	for name, url := range map[string]string{"direct": direct, "node": node} {
 		b.Run(name, func(b *testing.B) {
@@ -125,7 +125,7 @@
 // token of one stream.
 func BenchmarkStreams(b *testing.B) {
 	const streams = 500
-	direct, node := quickPath(b)
+	direct, node := startInstantTarget(b)
 	for name, url := range map[string]string{"direct": direct, "node": node} {
 		b.Run(name, func(b *testing.B) {
 			client := newClient()
@@ -139,7 +139,7 @@
 				wg.Go(func() {
 					n, err := post(client, url, body, "text/event-stream")
 					assert.Check(b, err)
-					assert.Check(b, n >= int64(tokens*len(quickToken)))
+					assert.Check(b, n >= int64(tokens*len(tokenEvent)))
 				})
 			}
 			wg.Wait()
@@ -150,9 +150,9 @@
 
 // The size of the system in BenchmarkControl.
 const (
-	manyNodes   = 970
-	manyRunners = 3200
-	manyRegions = 13
+	benchNodes   = 970
+	benchTargets = 3200
+	benchRegions = 13
 )
 
 // BenchmarkControl runs a node that knows the hosts of a large system, without
@@ -161,11 +161,11 @@
 // cores in use.
 func BenchmarkControl(b *testing.B) {
 	s := newSystem(b, "east")
-	for i := range manyNodes + manyRunners {
-		region := "region-" + strconv.Itoa(i%manyRegions)
+	for i := range benchNodes + benchTargets {
+		region := "region-" + strconv.Itoa(i%benchRegions)
 		a := netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 1, byte(i >> 8), byte(i)}), 9)
 		labels := map[string]string{"role": "target", "region": region, "dataCentre": region + "-1", "service": "writer", "state": "live"}
-		if i < manyNodes {
+		if i < benchNodes {
 			labels["role"], labels["name"], labels["nodes"] = "entry", "n"+strconv.Itoa(i), a.String()
 			delete(labels, "service")
 		}
@@ -174,7 +174,7 @@
 	s.hosts.Set(s.groups)
 	s.exchange, s.hostsPoll = "500ms", "1s"
 	n := s.node("e1", "east")
-	s.await("the hosts are known", func() bool { return n.board.Peers.Len() >= manyNodes })
+	s.await("the hosts are known", func() bool { return n.board.Peers.Len() >= benchNodes })
 	b.ResetTimer()
 	before := cpuTime(b)
 	for range b.N {
--- a/io/jwnode/bound_test.go
+++ b/io/jwnode/bound_test.go
@@ -27,25 +27,25 @@
 // secret marks the bound data in the traffic and the stored records.
 const secret = "langoustine-7c1f"
 
-// lines collects the log lines of several nodes.
-type lines struct {
+// logLines collects the log lines of several nodes.
+type logLines struct {
 	mu  sync.Mutex
 	all bytes.Buffer
 }
 
-func (l *lines) add(prefix, args string) {
+func (l *logLines) add(prefix, args string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.all.WriteString(prefix + args + "\n")
 }
 
-// tracesOf returns the byte sequences that would reveal a body: the secret in it,
-// its answer, and its hashes in binary and hexadecimal form.
-func tracesOf(entry, body, answer string) [][]byte {
-	mark := jwsuspect.FingerprintOf(entry, []byte(body))
+// revealingForms returns the byte sequences that would reveal a body: the secret
+// in it, its answer, and its hashes in binary and hexadecimal form.
+func revealingForms(entry, body, answer string) [][]byte {
+	fingerprint := jwsuspect.FingerprintOf(entry, []byte(body))
 	sum := sha256.Sum256([]byte(body))
-	out := [][]byte{[]byte(secret), []byte(answer), mark[:], sum[:]}
-	return append(out, []byte(hex.EncodeToString(mark[:])), []byte(hex.EncodeToString(sum[:])))
+	out := [][]byte{[]byte(secret), []byte(answer), fingerprint[:], sum[:]}
+	return append(out, []byte(hex.EncodeToString(fingerprint[:])), []byte(hex.EncodeToString(sum[:])))
 }
 
 // Bound data must not leave its home region, by law. It could leave unnoticed by
@@ -56,13 +56,13 @@
 func TestBoundDataStays(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east", "west")
-	var log lines
+	var log logLines
 	s.log = funcr.New(log.add, funcr.Options{Verbosity: 9})
 	s.taps = &taps{}
-	abroad, _ := s.runner("west")
-	deskAbroad, _ := s.service("west")
-	_, one := s.runner("east")
-	_, two := s.runner("east")
+	runnerWest, _ := s.runner("west")
+	deskWest, _ := s.service("west")
+	_, target1 := s.runner("east")
+	_, target2 := s.runner("east")
 	desk, _ := s.service("east")
 	home := s.node("e1", "east")
 	away := s.node("w1", "west")
@@ -72,67 +72,67 @@
 	local := draft()
 	local.Name, local.Regions = "local", nil
 	s.edit(home, local)
-	s.settle(3)
+	s.awaitRevision(3)
 	s.await("targets", func() bool { return len(home.board.Targets.Used()) == 3 && len(away.board.Targets.Used()) == 2 })
 	s.await("load of west at east", func() bool { return len(home.board.Regions.Loads("writer", time.Now())) > 0 })
 
 	text := secret + strings.Repeat(" menu", 20)
 	body := prompt(text, 40, true)
-	at := home.CallersAddr()
-	ask := func() reply { return s.send(at, "draft", "bound-east", body, nil) }
-	assert.Equal(t, ask().outcome, "served")
-	assert.Equal(t, s.send(at, "draft", "bound-east", prompt(text, 3, false), nil).outcome, "served")
+	homeAddr := home.CallersAddr()
+	sendDraft := func() reply { return s.send(homeAddr, "draft", "bound-east", body, nil) }
+	assert.Equal(t, sendDraft().outcome, "served")
+	assert.Equal(t, s.send(homeAddr, "draft", "bound-east", prompt(text, 3, false), nil).outcome, "served")
 	order := `{"order": "` + secret + `"}`
-	assert.Equal(t, s.send(at, "confirm", "bound-east", order, header{"Idempotency-Key": "k"}).outcome, "served")
+	assert.Equal(t, s.send(homeAddr, "confirm", "bound-east", order, header{"Idempotency-Key": "k"}).outcome, "served")
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
 
 	// The first target fails in the middle of a stream, then no target is left.
 	go func() {
 		time.Sleep(15 * time.Millisecond)
-		one.SetFaults(jwstand.Faults{Down: true})
+		target1.SetFaults(jwstand.Faults{Down: true})
 	}()
-	ask()
-	two.SetFaults(jwstand.Faults{Down: true})
+	sendDraft()
+	target2.SetFaults(jwstand.Faults{Down: true})
 	s.await("no target at home", func() bool {
-		r := ask()
+		r := sendDraft()
 		t.Logf("%+v", r)
 		return r.status == http.StatusServiceUnavailable && r.outcome == "notRun"
 	})
-	one.SetFaults(jwstand.Faults{})
-	two.SetFaults(jwstand.Faults{})
-	s.await("targets back", func() bool { return ask().outcome == "served" })
+	target1.SetFaults(jwstand.Faults{})
+	target2.SetFaults(jwstand.Faults{})
+	s.await("targets back", func() bool { return sendDraft().outcome == "served" })
 
 	// A body crashes both targets and is quarantined.
-	one.SetFaults(jwstand.Faults{CrashOn: "poison"})
-	two.SetFaults(jwstand.Faults{CrashOn: "poison"})
+	target1.SetFaults(jwstand.Faults{CrashOn: "poison"})
+	target2.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	poison := prompt(text+"poison", 40, true)
 	s.await("quarantine", func() bool {
-		return s.send(at, "draft", "bound-east", poison, nil).status == http.StatusUnprocessableEntity
+		return s.send(homeAddr, "draft", "bound-east", poison, nil).status == http.StatusUnprocessableEntity
 	})
 	// The other region does get fingerprints of requests that aren't bound. Without
 	// this check, their absence for bound ones would prove nothing.
 	free := prompt("free poison", 40, true)
 	s.await("quarantine of what is free", func() bool {
-		return s.send(at, "local", "free-east", free, nil).status == http.StatusUnprocessableEntity
+		return s.send(homeAddr, "local", "free-east", free, nil).status == http.StatusUnprocessableEntity
 	})
-	mark := jwsuspect.FingerprintOf("local", []byte(free))
+	fingerprint := jwsuspect.FingerprintOf("local", []byte(free))
 	s.await("west hears", func() bool {
-		state, _ := away.board.Suspects.Check(mark, time.Now())
+		state, _ := away.board.Suspects.Check(fingerprint, time.Now())
 		return state == jwsuspect.Quarantined
 	})
 
 	// A bound request that reaches the wrong region is rejected before its body is
 	// read.
-	turnedAwayUnread(t, away, home)
+	checkRejectedBeforeBody(t, away, home)
 
-	for name, passed := range s.taps.passed() {
-		for _, form := range append(tracesOf("draft", body, jwstand.TokenOf(text, 1)), tracesOf("draft", poison, order)...) {
+	for name, passed := range s.taps.traffic() {
+		for _, form := range append(revealingForms("draft", body, jwstand.TokenOf(text, 1)), revealingForms("draft", poison, order)...) {
 			assert.Assert(t, !bytes.Contains(passed, form), "%q passed %s", form, name)
 		}
 		assert.Assert(t, len(passed) > 0, name)
 	}
-	assert.Assert(t, bytes.Contains(s.taps.passed()["west/w1"], mark[:]) || bytes.Contains(s.taps.passed()["west/w2"], mark[:]) ||
-		bytes.Contains(s.taps.passed()["east/e1"], mark[:]), "the relays do not see what passes")
+	assert.Assert(t, bytes.Contains(s.taps.traffic()["west/w1"], fingerprint[:]) || bytes.Contains(s.taps.traffic()["west/w2"], fingerprint[:]) ||
+		bytes.Contains(s.taps.traffic()["east/e1"], fingerprint[:]), "the relays do not see what passes")
 
 	// A node wrongly takes another region for the home of bound data and forwards a
 	// request there.
@@ -147,18 +147,18 @@
 		_, _ = io.ReadAll(a.Body)
 		assert.Equal(t, a.Head.Status, http.StatusMisdirectedRequest)
 	}
-	assert.Equal(t, len(abroad.Journal.Runs())+len(deskAbroad.Journal.Runs()), 0)
-	s.checkKept(&log, append(tracesOf("draft", body, jwstand.TokenOf(text, 1)), tracesOf("draft", poison, order)...))
+	assert.Equal(t, len(runnerWest.Journal.Runs())+len(deskWest.Journal.Runs()), 0)
+	s.checkStored(&log, append(revealingForms("draft", body, jwstand.TokenOf(text, 1)), revealingForms("draft", poison, order)...))
 }
 
-// turnedAwayUnread sends only the headers of a bound request to the wrong region
-// and checks that the answer names a host of the home region.
-func turnedAwayUnread(t *testing.T, away, home *running) {
+// checkRejectedBeforeBody sends only the headers of a bound request to the wrong
+// region and checks that the answer names a host of the home region.
+func checkRejectedBeforeBody(t *testing.T, away, home *runningNode) {
 	t.Helper()
 	conn, err := net.Dial("tcp", away.CallersAddr().String())
 	assert.NilError(t, err)
 	defer func() { _ = conn.Close() }()
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(testPatience)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(testTimeout)))
 	_, err = io.WriteString(conn, "POST /v1/requests/draft HTTP/1.1\r\nHost: a\r\nJujube-Workspace: bound-east\r\nContent-Length: 5000\r\nExpect: 100-continue\r\n\r\n")
 	assert.NilError(t, err)
 	answer := make([]byte, 4096)
@@ -169,26 +169,26 @@
 	assert.Assert(t, !bytes.Contains(answer[:n], []byte(away.CallersAddr().String())), "%s", answer[:n])
 }
 
-// checkKept searches the log, the audit trails and the key-value store for the
+// checkStored searches the log, the audit trails and the key-value store for the
 // data.
-func (s *system) checkKept(log *lines, forms [][]byte) {
+func (s *system) checkStored(log *logLines, forms [][]byte) {
 	s.t.Helper()
-	kept := map[string][]byte{}
+	stored := map[string][]byte{}
 	log.mu.Lock()
-	kept["log"] = bytes.Clone(log.all.Bytes())
+	stored["log"] = bytes.Clone(log.all.Bytes())
 	log.mu.Unlock()
 	for name, n := range s.nodes {
 		var err error
-		kept["audit of "+name], err = json.Marshal(n.Audit.After(0, 1<<20))
+		stored["audit of "+name], err = json.Marshal(n.Audit.After(0, 1<<20))
 		assert.NilError(s.t, err)
 	}
 	items, err := s.kv.Store.List(context.Background(), "")
 	assert.NilError(s.t, err)
 	for _, item := range items {
-		kept["key "+item.Key] = item.Value
+		stored["key "+item.Key] = item.Value
 	}
 	assert.Assert(s.t, len(items) > 3)
-	for where, data := range kept {
+	for where, data := range stored {
 		for _, form := range forms {
 			assert.Assert(s.t, !bytes.Contains(data, form), "%q in %s", form, where)
 		}
--- a/io/jwnode/keys_test.go
+++ b/io/jwnode/keys_test.go
@@ -29,7 +29,7 @@
 	a := s.node("e1", "east")
 	b := s.node("w1", "west")
 	s.edit(a, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("a draft of west served by east", func() bool {
 		return s.send(b.CallersAddr(), "draft", "free-west", prompt("menu", 5, true), nil).server == "east"
 	})
@@ -57,14 +57,14 @@
 	b := s.node("e2", "east")
 	foreign := s.node("e9", "east")
 	s.await("the two know each other", func() bool {
-		return len(a.board.Peers.Select(serves)) == 2 && len(b.board.Peers.Select(serves)) == 2
+		return len(a.board.Peers.Select(isServing)) == 2 && len(b.board.Peers.Select(isServing)) == 2
 	})
 	s.await("the foreign node serves by its own word", func() bool { return foreign.serving.Load() })
 	time.Sleep(5 * foreign.Settings.Periods.Exchange)
-	for _, n := range []*running{a, b} {
+	for _, n := range []*runningNode{a, b} {
 		p, _ := n.board.Peers.Get("e9")
 		assert.Equal(t, p.Incarnation, "", "%s has heard e9", n.Settings.Node)
 	}
 }
 
-func serves(p jwpeer.Peer) bool { return p.State == jwpeer.Serving }
+func isServing(p jwpeer.Peer) bool { return p.State == jwpeer.Serving }
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -13,7 +13,7 @@
 
 // linked starts a system in which callers use one region and the targets are in
 // another, with a link in front of each node.
-func linked(t *testing.T) (s *system, near *running, r *jwstand.Runner) {
+func linked(t *testing.T) (s *system, near *runningNode, r *jwstand.Runner) {
 	s = newSystem(t, "east", "west")
 	s.links = map[string]*jwstand.Link{}
 	r, _ = s.runner("west")
@@ -22,16 +22,16 @@
 		s.node(name, "west")
 	}
 	s.edit(near, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("drafts are served away", func() bool {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 3, true), nil).outcome == "served"
 	})
 	return s, near, r
 }
 
-// passed returns the number of bytes that the nodes of the other region have sent
-// back over their links.
-func (s *system) passed() (n uint64) {
+// bytesFromWest returns the number of bytes that the nodes of west have sent back
+// over their links.
+func (s *system) bytesFromWest() (n uint64) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
 			n += l.Passed(jwstand.Back)
@@ -40,8 +40,8 @@
 	return n
 }
 
-// weather sets the faults of the links to the other region's nodes.
-func (s *system) weather(w jwstand.Weather) {
+// setLinkFaults sets the faults of the links to the nodes of west.
+func (s *system) setLinkFaults(w jwstand.Weather) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
 			l.SetWeather(w)
@@ -56,15 +56,15 @@
 func TestLinksBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, _ := linked(t)
-	ask := func() reply {
+	sendDraft := func() reply {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 20, true), nil)
 	}
 	for range 20 {
-		ask() // connections to all three
+		sendDraft() // connections to all three
 	}
 	tests := map[string]struct {
-		fault jwstand.Weather
-		comes string // outcome that must occur while the fault lasts
+		fault       jwstand.Weather
+		wantOutcome string // outcome that must occur while the fault lasts
 	}{
 		"silent":  {jwstand.Weather{Silent: true}, "served"},
 		"one way": {jwstand.Weather{Hold: jwstand.Forward}, "notRun"},
@@ -75,20 +75,20 @@
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s.weather(tc.fault)
+			s.setLinkFaults(tc.fault)
 			var longest time.Duration
 			outcomes := map[string]int{}
-			s.await(tc.comes, func() bool {
-				at := time.Now()
-				r := ask()
-				longest = max(longest, time.Since(at))
+			s.await(tc.wantOutcome, func() bool {
+				start := time.Now()
+				r := sendDraft()
+				longest = max(longest, time.Since(start))
 				outcomes[r.outcome]++
 				assert.Check(t, r.outcome != "served" || strings.Contains(r.body, "event: done"), "%+v", r)
-				return r.outcome == tc.comes
+				return r.outcome == tc.wantOutcome
 			})
 			t.Logf("%v, longest wait %v", outcomes, longest)
-			s.weather(jwstand.Weather{})
-			s.await("served again", func() bool { return ask().outcome == "served" })
+			s.setLinkFaults(jwstand.Weather{})
+			s.await("served again", func() bool { return sendDraft().outcome == "served" })
 		})
 	}
 }
@@ -108,9 +108,9 @@
 		}()
 	}
 	s.await("streams pass", func() bool { return len(r.Journal.Runs()) >= before+cap(answers) })
-	passed := s.passed()
-	s.await("some of each has passed", func() bool { return s.passed() > passed+8<<10 })
-	s.weather(jwstand.Weather{Cut: true})
+	bytesBefore := s.bytesFromWest()
+	s.await("some of each has passed", func() bool { return s.bytesFromWest() > bytesBefore+8<<10 })
+	s.setLinkFaults(jwstand.Weather{Cut: true})
 	for range cap(answers) {
 		a := <-answers
 		assert.Check(t, !strings.Contains(a.body, "event: done"), "%+v", a)
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -19,11 +19,11 @@
 	"jujubewheel/io/jwforward"
 )
 
-// misdirect changes the node's directory so that a workspace has another home
+// setHomeRegion changes the node's directory so that a workspace has another home
 // region.
-func (n *running) misdirect(workspace, region string) {
-	have := n.board.Directory.Current()
-	next := &jwdirectory.Snapshot{Version: have.Version + "+", Workspaces: maps.Clone(have.Workspaces)}
+func (n *runningNode) setHomeRegion(workspace, region string) {
+	current := n.board.Directory.Current()
+	next := &jwdirectory.Snapshot{Version: current.Version + "+", Workspaces: maps.Clone(current.Workspaces)}
 	w := next.Workspaces[workspace]
 	w.Name, w.Region, w.Owner = workspace, region, "o"
 	next.Workspaces[workspace] = w
@@ -53,14 +53,14 @@
 func TestNodesDisagree(t *testing.T) {
 	s := newSystem(t, "east", "north", "west")
 	runner, _ := s.runner("east")
-	ring := map[string]string{"east": "north", "north": "west", "west": "east"}
-	nodes := map[string]*running{}
+	nextRegion := map[string]string{"east": "north", "north": "west", "west": "east"}
+	nodes := map[string]*runningNode{}
 	for _, r := range s.regions {
 		nodes[r] = s.node(r[:1]+"1", r)
 	}
 	s.edit(nodes["east"], draft())
 	s.edit(nodes["east"], confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("load of east", func() bool {
 		for _, n := range nodes {
 			if n != nodes["east"] && len(n.board.Regions.Loads("writer", time.Now())) == 0 {
@@ -70,8 +70,8 @@
 		return true
 	})
 	for region, n := range nodes {
-		n.misdirect("lost", ring[region])
-		n.misdirect("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
+		n.setHomeRegion("lost", nextRegion[region])
+		n.setHomeRegion("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
 	}
 	// At one node the confirmation is idempotent, at the others it is not.
 	repeated := confirmation()
@@ -108,9 +108,9 @@
 	s.node("w1", "west")
 	s.edit(e1, draft())
 	s.edit(e1, confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("load of west at east", func() bool { return len(e1.board.Regions.Loads("writer", time.Now())) > 0 })
-	one := jwrequest.Hop{Node: "x", Region: "east", DataCentre: "east-1"}
+	hop := jwrequest.Hop{Node: "x", Region: "east", DataCentre: "east-1"}
 	tests := map[string]struct {
 		hops    jwrequest.Hops
 		status  int // 0 for no answer at all
@@ -118,9 +118,9 @@
 	}{
 		"none":                   {nil, 0, ""},
 		"empty hop":              {jwrequest.Hops{{}}, http.StatusServiceUnavailable, jwrequest.NotRun},
-		"of its own region":      {jwrequest.Hops{one}, http.StatusServiceUnavailable, jwrequest.NotRun},
+		"of its own region":      {jwrequest.Hops{hop}, http.StatusServiceUnavailable, jwrequest.NotRun},
 		"the receiver":           {jwrequest.Hops{{Node: "e1", Region: "east"}}, http.StatusLoopDetected, jwrequest.NotRun},
-		"as long as may be":      {jwrequest.Hops{one, one, one}, http.StatusLoopDetected, jwrequest.NotRun},
+		"as long as may be":      {jwrequest.Hops{hop, hop, hop}, http.StatusLoopDetected, jwrequest.NotRun},
 		"longer than any can be": {make(jwrequest.Hops, 1000), http.StatusLoopDetected, jwrequest.NotRun},
 	}
 	for name, tc := range tests {
@@ -133,7 +133,7 @@
 				}
 				a, err := (&jwforward.Pool{}).Forward(t.Context(), e1.board.Peers.Self(), &jwrequest.Request{
 					ID: id, Workspace: "free-west", Entry: entry, Key: key, Body: []byte(prompt("menu", 3, false)),
-					Deadline: time.Now().Add(testPatience), Hops: tc.hops,
+					Deadline: time.Now().Add(testTimeout), Hops: tc.hops,
 				}, jwdispatch.ForwardRegion)
 				if tc.status == 0 {
 					assert.Equal(t, status.Code(err), codes.FailedPrecondition, "%v", err)
--- a/io/jwnode/node_test.go
+++ b/io/jwnode/node_test.go
@@ -20,7 +20,7 @@
 	a := s.node("e1", "east")
 	b := s.node("w1", "west")
 	s.edit(a, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 
 	resp, err := http.Get("http://" + b.CallersAddr().String() + "/v1/hosts?workspace=bound-east")
 	assert.NilError(t, err)
@@ -53,13 +53,13 @@
 
 // A caller sends the same confirmation twice, to two nodes. It must run once, and
 // both calls get the same answer. The same key with another body is rejected.
-func TestConfirmationPressedTwice(t *testing.T) {
+func TestConfirmationSentTwice(t *testing.T) {
 	s := newSystem(t, "east")
 	desk, _ := s.service("east")
 	a := s.node("e1", "east")
 	b := s.node("e2", "east")
 	s.edit(a, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(a.board.Targets.Used())+len(b.board.Targets.Used()) == 2 })
 
 	key := header{"Idempotency-Key": "deposit-17"}
@@ -84,10 +84,10 @@
 	desk, _ := s.service("east")
 	home, away := s.node("e1", "east"), s.node("w1", "west")
 	s.edit(home, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(home.board.Targets.Used()) == 1 })
 
-	mint := func(n *running) (status int, key string, hosts []string) {
+	mint := func(n *runningNode) (status int, key string, hosts []string) {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.CallersAddr().String()+"/v1/tickets", nil)
 		assert.NilError(t, err)
 		r.Header.Set("Jujube-Workspace", "free-east")
@@ -107,7 +107,7 @@
 
 	status, key, _ := mint(home)
 	assert.Equal(t, status, http.StatusOK)
-	for _, n := range []*running{home, away, home} {
+	for _, n := range []*runningNode{home, away, home} {
 		r := s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": key})
 		assert.Equal(t, r.outcome, "served", r.body)
 	}
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -26,17 +26,17 @@
 // refusalSystem is a system in which requests can be refused for each reason.
 type refusalSystem struct {
 	*system
-	home, away, leaving *running
-	runner              *jwstand.Runner
-	desk                *jwstand.Service
-	runnerAt, deskAt    *jwstand.Stand
-	directory           *jwdirectory.Snapshot
+	home, away, leaving    *runningNode
+	runner                 *jwstand.Runner
+	desk                   *jwstand.Service
+	runnerStand, deskStand *jwstand.Stand
+	directory              *jwdirectory.Snapshot
 }
 
 func newRefusalSystem(t *testing.T) *refusalSystem {
 	s := &refusalSystem{system: newSystem(t, "east", "west")}
-	s.runner, s.runnerAt = s.system.runner("east")
-	s.desk, s.deskAt = s.service("east")
+	s.runner, s.runnerStand = s.system.runner("east")
+	s.desk, s.deskStand = s.service("east")
 	s.home = s.node("e1", "east")
 	s.leaving = s.node("e2", "east")
 	s.away = s.node("w1", "west")
@@ -49,7 +49,7 @@
 	for _, e := range []jwcatalogue.Entry{draft(), confirmation(), tight, nobody, bound} {
 		s.edit(s.home, e)
 	}
-	s.settle(5)
+	s.awaitRevision(5)
 	s.await("targets", func() bool { return len(s.home.board.Targets.Used()) == 2 && len(s.leaving.board.Targets.Used()) == 2 })
 	s.directory = s.home.board.Directory.Current()
 	return s
@@ -58,12 +58,12 @@
 // quarantine reports that two targets crashed with a body in flight, which puts
 // the body in quarantine.
 func (s *refusalSystem) quarantine(entry, body string) {
-	mark := jwsuspect.FingerprintOf(entry, []byte(body))
+	fingerprint := jwsuspect.FingerprintOf(entry, []byte(body))
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		target := netip.MustParseAddrPort(addr)
-		s.home.board.Suspects.Begin(mark, target, false)
+		s.home.board.Suspects.Begin(fingerprint, target, false)
 		s.home.board.Suspects.Crashed(target, time.Now())
-		s.home.board.Suspects.End(mark, target, false, time.Now())
+		s.home.board.Suspects.End(fingerprint, target, false, time.Now())
 	}
 }
 
@@ -71,7 +71,7 @@
 func (s *refusalSystem) forward(id string, hops jwrequest.Hops) reply {
 	a, err := (&jwforward.Pool{}).Forward(s.t.Context(), s.home.board.Peers.Self(), &jwrequest.Request{
 		ID: id, Workspace: "free-east", Entry: "draft", Body: []byte(prompt("menu", 3, false)), ContentType: "application/json",
-		Deadline: time.Now().Add(testPatience), Hops: hops,
+		Deadline: time.Now().Add(testTimeout), Hops: hops,
 	}, jwdispatch.ForwardRegion)
 	if err != nil {
 		return reply{err: err}
@@ -86,11 +86,11 @@
 // refuses requests in each possible way and checks that no target has run them.
 func TestNotRunIsTrue(t *testing.T) {
 	s := newRefusalSystem(t)
-	at := s.home.CallersAddr()
+	addr := s.home.CallersAddr()
 	body := prompt("menu", 3, false)
 	deposit := `{"deposit":1}`
 	key := func(name string) string { return s.keyOf(s.home, name) }
-	assert.Equal(t, s.send(at, "confirm", "free-east", deposit, header{"Idempotency-Key": key("taken")}).outcome, "served")
+	assert.Equal(t, s.send(addr, "confirm", "free-east", deposit, header{"Idempotency-Key": key("taken")}).outcome, "served")
 	tests := map[string]struct {
 		prepare func()
 		send    func(id string) reply
@@ -98,55 +98,55 @@
 		status  int
 		reason  jwdispatch.Reason
 	}{
-		"unknown entry":     {nil, s.asks(at, "nothing", "free-east", body), nil, 404, jwdispatch.ReasonEntry},
-		"unknown workspace": {nil, s.asks(at, "draft", "nobody", body), nil, 403, jwdispatch.ReasonWorkspace},
+		"unknown entry":     {nil, s.sendFunc(addr, "nothing", "free-east", body), nil, 404, jwdispatch.ReasonEntry},
+		"unknown workspace": {nil, s.sendFunc(addr, "draft", "nobody", body), nil, 403, jwdispatch.ReasonWorkspace},
 		"no directory": {
-			func() { s.home.board.Directory.Set(nil) }, s.asks(at, "draft", "free-east", body),
+			func() { s.home.board.Directory.Set(nil) }, s.sendFunc(addr, "draft", "free-east", body),
 			func() { s.home.board.Directory.Set(s.directory) }, 503, jwdispatch.ReasonDirectory,
 		},
-		"no key":           {nil, s.asks(at, "confirm", "free-east", deposit), nil, 400, jwdispatch.ReasonKey},
-		"bound elsewhere":  {nil, s.asks(s.away.CallersAddr(), "draft", "bound-east", body), nil, 421, jwdispatch.ReasonRegion},
-		"entry bound":      {nil, s.asks(s.away.CallersAddr(), "kept", "free-east", body), nil, 421, jwdispatch.ReasonRegion},
+		"no key":           {nil, s.sendFunc(addr, "confirm", "free-east", deposit), nil, 400, jwdispatch.ReasonKey},
+		"bound elsewhere":  {nil, s.sendFunc(s.away.CallersAddr(), "draft", "bound-east", body), nil, 421, jwdispatch.ReasonRegion},
+		"entry bound":      {nil, s.sendFunc(s.away.CallersAddr(), "kept", "free-east", body), nil, 421, jwdispatch.ReasonRegion},
 		"been here":        {nil, func(id string) reply { return s.forward(id, jwrequest.Hops{{Node: "e1"}}) }, nil, 508, jwdispatch.ReasonLoop},
 		"too many hops":    {nil, func(id string) reply { return s.forward(id, make(jwrequest.Hops, 3)) }, nil, 508, jwdispatch.ReasonLoop},
-		"over the limit":   {func() { s.send(at, "tight", "free-east", body, nil) }, s.asks(at, "tight", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
-		"no such target":   {nil, s.asks(at, "nobody", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
-		"body too long":    {nil, s.asks(at, "draft", "free-east", strings.Repeat("x", 2<<20)), nil, 413, jwdispatch.ReasonBody},
-		"malformed header": {nil, s.asks(at, "draft", "free-east", body, "Jujube-Timeout", "soon"), nil, 400, jwdispatch.ReasonHeader},
+		"over the limit":   {func() { s.send(addr, "tight", "free-east", body, nil) }, s.sendFunc(addr, "tight", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
+		"no such target":   {nil, s.sendFunc(addr, "nobody", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
+		"body too long":    {nil, s.sendFunc(addr, "draft", "free-east", strings.Repeat("x", 2<<20)), nil, 413, jwdispatch.ReasonBody},
+		"malformed header": {nil, s.sendFunc(addr, "draft", "free-east", body, "Jujube-Timeout", "soon"), nil, 400, jwdispatch.ReasonHeader},
 		"not serving": {
-			func() { s.home.serving.Store(false) }, s.asks(at, "draft", "free-east", body),
+			func() { s.home.serving.Store(false) }, s.sendFunc(addr, "draft", "free-east", body),
 			func() { s.home.serving.Store(true) }, 503, jwdispatch.ReasonLeaving,
 		},
-		"key too long":  {nil, s.asks(at, "confirm", "free-east", deposit, "Idempotency-Key", strings.Repeat("k", 300)), nil, 400, jwdispatch.ReasonKey},
-		"forged ticket": {nil, s.asks(at, "confirm", "free-east", deposit, "Idempotency-Key", s.forgedTicket()), nil, 400, jwdispatch.ReasonTicket},
+		"key too long":  {nil, s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", strings.Repeat("k", 300)), nil, 400, jwdispatch.ReasonKey},
+		"forged ticket": {nil, s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", s.forgedTicket()), nil, 400, jwdispatch.ReasonTicket},
 		"another body": {
 			nil,
-			s.asks(at, "confirm", "free-east", `{"deposit":2}`, "Idempotency-Key", key("taken")), nil, 409, jwdispatch.ReasonKeyMismatch,
+			s.sendFunc(addr, "confirm", "free-east", `{"deposit":2}`, "Idempotency-Key", key("taken")), nil, 409, jwdispatch.ReasonKeyMismatch,
 		},
 		"quarantined draft": {
 			func() { s.quarantine("draft", prompt("poison", 3, false)) },
-			s.asks(at, "draft", "free-east", prompt("poison", 3, false)), nil, 422, jwdispatch.ReasonQuarantine,
+			s.sendFunc(addr, "draft", "free-east", prompt("poison", 3, false)), nil, 422, jwdispatch.ReasonQuarantine,
 		},
 		"quarantined order": {
 			func() { s.quarantine("confirm", "poison") },
-			s.asks(at, "confirm", "free-east", "poison", "Idempotency-Key", key("poison")), nil, 422, jwdispatch.ReasonQuarantine,
+			s.sendFunc(addr, "confirm", "free-east", "poison", "Idempotency-Key", key("poison")), nil, 422, jwdispatch.ReasonQuarantine,
 		},
 		"draft refused by the target": {
-			func() { s.runnerAt.SetFaults(jwstand.Faults{Leave: true}) }, s.asks(at, "draft", "free-east", body),
-			func() { s.runnerAt.SetFaults(jwstand.Faults{}) }, 503, "",
+			func() { s.runnerStand.SetFaults(jwstand.Faults{Leave: true}) }, s.sendFunc(addr, "draft", "free-east", body),
+			func() { s.runnerStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
 		"order refused by the target": {
-			func() { s.deskAt.SetFaults(jwstand.Faults{Leave: true}) },
-			s.asks(at, "confirm", "free-east", deposit, "Idempotency-Key", key("refused")),
-			func() { s.deskAt.SetFaults(jwstand.Faults{}) }, 503, "",
+			func() { s.deskStand.SetFaults(jwstand.Faults{Leave: true}) },
+			s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", key("refused")),
+			func() { s.deskStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
 		"order with the target down": {
-			func() { s.deskAt.SetFaults(jwstand.Faults{Down: true}) },
-			s.asks(at, "confirm", "free-east", deposit, "Idempotency-Key", key("down")),
-			func() { s.deskAt.SetFaults(jwstand.Faults{}) }, 503, "",
+			func() { s.deskStand.SetFaults(jwstand.Faults{Down: true}) },
+			s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", key("down")),
+			func() { s.deskStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
 		"new key at a node that stops": {
-			s.leaving.keeper.Close, s.asks(s.leaving.CallersAddr(), "confirm", "free-east", deposit, "Idempotency-Key", s.keyOf(s.leaving, "late")),
+			s.leaving.keeper.Close, s.sendFunc(s.leaving.CallersAddr(), "confirm", "free-east", deposit, "Idempotency-Key", s.keyOf(s.leaving, "late")),
 			nil, 503, jwdispatch.ReasonClaim,
 		},
 	}
@@ -163,14 +163,14 @@
 			assert.NilError(t, r.err)
 			assert.Equal(t, r.outcome, "notRun", "%+v", r)
 			assert.Equal(t, r.status, tc.status, "%+v", r)
-			var told struct {
+			var answer struct {
 				Reason jwdispatch.Reason `json:"reason"`
 				Hosts  []netip.AddrPort  `json:"hosts"`
 			}
-			assert.NilError(t, json.Unmarshal([]byte(r.body), &told), r.body)
-			assert.Assert(t, tc.reason == "" || told.Reason == tc.reason, "%+v", r)
-			for _, host := range told.Hosts {
-				assert.Assert(t, r.status != http.StatusMisdirectedRequest || host != s.away.CallersAddr(), "%+v", told)
+			assert.NilError(t, json.Unmarshal([]byte(r.body), &answer), r.body)
+			assert.Assert(t, tc.reason == "" || answer.Reason == tc.reason, "%+v", r)
+			for _, host := range answer.Hosts {
+				assert.Assert(t, r.status != http.StatusMisdirectedRequest || host != s.away.CallersAddr(), "%+v", answer)
 			}
 			for _, run := range append(s.runner.Journal.Runs(), s.desk.Journal.Runs()...) {
 				assert.Assert(t, run.RequestID != id, "%+v", run)
@@ -181,7 +181,7 @@
 
 // keyOf returns a key for which a node is the preferred claim writer, so that the
 // node doesn't forward the request.
-func (s *refusalSystem) keyOf(n *running, name string) string {
+func (s *refusalSystem) keyOf(n *runningNode, name string) string {
 	for i := range 1000 {
 		key := fmt.Sprintf("%s-%d", name, i)
 		if n.keeper.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
@@ -192,9 +192,9 @@
 	return ""
 }
 
-// asks returns a function that sends a request with the given pairs of header
+// sendFunc returns a function that sends a request with the given pairs of header
 // names and values.
-func (s *refusalSystem) asks(to netip.AddrPort, entry, workspace, body string, pairs ...string) func(id string) reply {
+func (s *refusalSystem) sendFunc(to netip.AddrPort, entry, workspace, body string, pairs ...string) func(id string) reply {
 	return func(id string) reply {
 		h := header{"Jujube-Request-Id": id}
 		for i := 0; i < len(pairs); i += 2 {
@@ -219,12 +219,12 @@
 // A confirmation ran, but the caller did not get the answer and sends it again.
 // The second call is rejected before its key is looked up. If it were answered
 // with notRun, the caller would order under another key and pay twice.
-func TestSecondPressTurnedAway(t *testing.T) {
+func TestRepeatRejectedBeforeKeyLookup(t *testing.T) {
 	s := newRefusalSystem(t)
-	at := s.home.CallersAddr()
+	addr := s.home.CallersAddr()
 	key := header{"Idempotency-Key": "deposit"}
 	deposit := strings.Repeat("d", 1000)
-	assert.Equal(t, s.send(at, "confirm", "free-east", deposit, key).outcome, "served")
+	assert.Equal(t, s.send(addr, "confirm", "free-east", deposit, key).outcome, "served")
 	tests := map[string]struct{ prepare, restore func() }{
 		"node stops": {func() { s.home.serving.Store(false) }, func() { s.home.serving.Store(true) }},
 		"no directory": {
@@ -233,23 +233,23 @@
 		},
 		"malformed timeout": {func() { key["Jujube-Timeout"] = "soon" }, func() { delete(key, "Jujube-Timeout") }},
 		"limit of the body lowered": {
-			func() { s.limitBody(999, 6) },
-			func() { s.limitBody(1<<16, 7) },
+			func() { s.setMaxBodySize(999, 6) },
+			func() { s.setMaxBodySize(1<<16, 7) },
 		},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			tc.prepare()
-			again := s.send(at, "confirm", "free-east", deposit, key)
+			again := s.send(addr, "confirm", "free-east", deposit, key)
 			tc.restore()
 			assert.Equal(t, again.outcome, "unknown", "%+v", again)
 		})
 	}
-	assert.Equal(t, s.send(at, "confirm", "free-east", deposit, key).outcome, "served")
+	assert.Equal(t, s.send(addr, "confirm", "free-east", deposit, key).outcome, "served")
 	assert.Equal(t, len(s.desk.Journal.Runs()), 1)
 }
 
-func (s *refusalSystem) limitBody(size int64, revision uint64) {
+func (s *refusalSystem) setMaxBodySize(size int64, revision uint64) {
 	e := confirmation()
 	e.MaxBodySize = size
 	s.t.Helper()
@@ -258,7 +258,7 @@
 		EditID: fmt.Sprintf("limit-%d", revision), Author: "test", Reason: "test", Entry: e.Name, After: &e, IfRevision: before,
 	})
 	assert.NilError(s.t, err)
-	s.settle(revision)
+	s.awaitRevision(revision)
 }
 
 // One target of each service keeps going down and coming back while callers send
@@ -269,18 +269,18 @@
 	var journals []*jwstand.Journal
 	var stands []*jwstand.Stand
 	for range 3 {
-		r, at := s.runner("east")
-		journals, stands = append(journals, &r.Journal), append(stands, at)
+		r, stand := s.runner("east")
+		journals, stands = append(journals, &r.Journal), append(stands, stand)
 	}
 	for range 3 {
-		p, at := s.service("east")
+		p, stand := s.service("east")
 		p.Work = 2 * time.Millisecond
-		journals, stands = append(journals, &p.Journal), append(stands, at)
+		journals, stands = append(journals, &p.Journal), append(stands, stand)
 	}
 	a := s.node("e1", "east")
 	s.edit(a, draft())
 	s.edit(a, confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("targets", func() bool { return len(a.board.Targets.Used()) == 6 })
 
 	stop := make(chan struct{})
@@ -300,7 +300,7 @@
 	})
 	var mu sync.Mutex
 	outcomes := map[string]map[string]int{"draft": {}, "confirm": {}}
-	told := map[string]string{}
+	reported := map[string]string{}
 	var callers sync.WaitGroup
 	for c := range 4 {
 		callers.Go(func() {
@@ -317,7 +317,7 @@
 					r.outcome = "unknown" // the connection was cut off
 				}
 				outcomes[entry][r.outcome]++
-				told[id] = r.outcome
+				reported[id] = r.outcome
 				if r.outcome == "served" {
 					assert.Check(t, whole, "%+v", r)
 				}
@@ -335,7 +335,7 @@
 			assert.Check(t, run.Key == "" || ran[run.RequestID] == 1, "%+v ran twice", run)
 		}
 	}
-	for id, outcome := range told {
+	for id, outcome := range reported {
 		assert.Check(t, outcome != "notRun" || ran[id] == 0, "%s was told notRun and ran", id)
 		assert.Check(t, outcome != "served" || ran[id] > 0, "%s was told served and did not run", id)
 	}
@@ -365,22 +365,22 @@
 // Two calls with the same key arrive, the second waits for the first, and then
 // the target refuses. Both calls must get notRun, and a third one must be able to
 // run.
-func TestJoinedPressRefused(t *testing.T) {
+func TestWaitingRepeatRefused(t *testing.T) {
 	s := newSystem(t, "east")
 	program := &slowRefuser{decide: make(chan struct{})}
-	at := s.stand("refuser", program)
-	s.list(at.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
+	refuserStand := s.stand("refuser", program)
+	s.addHost(refuserStand.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("target", func() bool { return len(n.board.Targets.Used()) == 1 })
 	answers := make(chan reply, 2)
-	press := func() {
+	send := func() {
 		answers <- s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k", "Jujube-Request-Id": "press"})
 	}
-	go press()
+	go send()
 	s.await("the first press is at the target", func() bool { return program.calls.Load() == 1 })
-	go press()
+	go send()
 	s.await("the second press waits", func() bool { return n.drain.Counts().InFlight == 2 })
 	close(program.decide)
 	for range 2 {
@@ -388,7 +388,7 @@
 		assert.Check(t, r.outcome == "notRun", "%+v", r)
 	}
 	desk, _ := s.service("east")
-	at.SetFaults(jwstand.Faults{Down: true})
+	refuserStand.SetFaults(jwstand.Faults{Down: true})
 	s.await("the third press runs", func() bool {
 		return s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k"}).outcome == "served"
 	})
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -24,11 +24,11 @@
 // target and never be answered. Every node must stop sending to it, and the
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
-	tests := map[string]func(s *system, at *jwstand.Stand){
-		"by the list": func(s *system, at *jwstand.Stand) {
+	tests := map[string]func(s *system, stand *jwstand.Stand){
+		"by the list": func(s *system, stand *jwstand.Stand) {
 			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
-				if g.Targets[0] == at.Address.String() {
+				if g.Targets[0] == stand.Address.String() {
 					groups[i].Labels = maps.Clone(g.Labels)
 					groups[i].Labels["state"] = "leaving"
 				}
@@ -36,18 +36,18 @@
 			s.groups = groups
 			s.hosts.Set(groups)
 		},
-		"by its own word": func(_ *system, at *jwstand.Stand) { at.SetFaults(jwstand.Faults{Leave: true}) },
+		"by its own word": func(_ *system, stand *jwstand.Stand) { stand.SetFaults(jwstand.Faults{Leave: true}) },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
 			s := newSystem(t, "east")
-			old, at := s.runner("east")
-			old.Engine.Token = 5 * time.Millisecond
-			nodes := []*running{s.node("e1", "east"), s.node("e2", "east"), s.node("e3", "east")}
+			oldTarget, oldStand := s.runner("east")
+			oldTarget.Engine.Token = 5 * time.Millisecond
+			nodes := []*runningNode{s.node("e1", "east"), s.node("e2", "east"), s.node("e3", "east")}
 			s.edit(nodes[0], draft())
-			s.settle(1)
-			used := func(want int) {
+			s.awaitRevision(1)
+			awaitTargets := func(want int) {
 				s.await("targets", func() bool {
 					for _, n := range nodes {
 						if len(n.board.Targets.Used()) != want {
@@ -57,40 +57,40 @@
 					return true
 				})
 			}
-			used(1)
-			ask := func(i, tokens int) reply {
+			awaitTargets(1)
+			sendDraft := func(i, tokens int) reply {
 				return s.send(nodes[i%3].CallersAddr(), "draft", "free-east", prompt(fmt.Sprintf("%d menu", i), tokens, true), nil)
 			}
 			const running = 6
-			long := make(chan reply, running)
+			longAnswers := make(chan reply, running)
 			for i := range running {
-				go func() { long <- ask(i, 400) }()
+				go func() { longAnswers <- sendDraft(i, 400) }()
 			}
-			s.await("they run on it", func() bool { return len(old.Journal.Runs()) == running })
-			fresh, _ := s.runner("east")
-			used(2)
+			s.await("they run on it", func() bool { return len(oldTarget.Journal.Runs()) == running })
+			newTarget, _ := s.runner("east")
+			awaitTargets(2)
 			began := time.Now()
-			leave(s, at)
+			leave(s, oldStand)
 			s.await("every node knows", func() bool {
 				for _, n := range nodes {
-					if state, _ := n.board.Targets.State(at.Address, time.Now()); state != jwtarget.Leaving {
+					if state, _ := n.board.Targets.State(oldStand.Address, time.Now()); state != jwtarget.Leaving {
 						return false
 					}
 				}
 				return true
 			})
 			t.Logf("every node knew after %v", time.Since(began))
-			before := len(old.Journal.Runs())
+			before := len(oldTarget.Journal.Runs())
 			for i := range 30 {
-				assert.Equal(t, ask(i, 2).outcome, "served")
+				assert.Equal(t, sendDraft(i, 2).outcome, "served")
 			}
-			assert.Equal(t, len(old.Journal.Runs()), before)
-			assert.Assert(t, len(fresh.Journal.Runs()) >= 30)
+			assert.Equal(t, len(oldTarget.Journal.Runs()), before)
+			assert.Assert(t, len(newTarget.Journal.Runs()) >= 30)
 			for range running {
-				r := <-long
+				r := <-longAnswers
 				assert.Assert(t, strings.Contains(r.body, "event: done"), "%+v", r)
 			}
-			for _, run := range old.Journal.Runs() {
+			for _, run := range oldTarget.Journal.Runs() {
 				assert.Equal(t, run.State, jwstand.Finished)
 			}
 		})
@@ -107,50 +107,50 @@
 	var mu sync.Mutex
 	crashes := map[netip.AddrPort]int{}
 	for range 5 {
-		_, at := s.runner("east")
-		at.Exit = func(int) {
+		_, stand := s.runner("east")
+		stand.Exit = func(int) {
 			mu.Lock()
 			defer mu.Unlock()
-			crashes[at.Address]++
+			crashes[stand.Address]++
 		}
-		at.SetFaults(jwstand.Faults{CrashOn: "poison"})
+		stand.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	}
-	var nodes []*running
+	var nodes []*runningNode
 	for i := range 3 {
 		nodes = append(nodes, s.node(fmt.Sprintf("e%d", i), "east"))
 	}
 	s.edit(nodes[0], draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(nodes[0].board.Targets.Used())+len(nodes[1].board.Targets.Used()) == 10 })
 	poison := prompt("poison", 5, false)
-	barred := map[*running]bool{}
-	sent, innocent, lockedOut := 0, 0, 0
+	quarantinedAt := map[*runningNode]bool{}
+	sent, innocent, wronglyQuarantined := 0, 0, 0
 	s.await("barred at every node", func() bool {
-		var beside sync.WaitGroup
+		var others sync.WaitGroup
 		for i := range 6 {
-			beside.Go(func() {
+			others.Go(func() {
 				r := s.send(nodes[i%3].CallersAddr(), "draft", "free-east", prompt(fmt.Sprintf("good %d", i), 20, false), nil)
 				mu.Lock()
 				defer mu.Unlock()
 				innocent++
 				if r.status == http.StatusUnprocessableEntity {
-					lockedOut++
+					wronglyQuarantined++
 				}
 			})
 		}
 		n := nodes[sent%len(nodes)]
 		sent++
 		r := s.send(n.CallersAddr(), "draft", "free-east", poison, nil)
-		beside.Wait()
+		others.Wait()
 		if r.status == http.StatusUnprocessableEntity {
 			assert.Check(t, r.outcome == "notRun", "%+v", r)
-			barred[n] = true
+			quarantinedAt[n] = true
 		}
-		return len(barred) == len(nodes)
+		return len(quarantinedAt) == len(nodes)
 	})
 	assert.Assert(t, len(crashes) <= 2, "crashes by target: %v", crashes)
-	assert.Equal(t, lockedOut, 0)
-	t.Logf("sent %d times, %d targets crashed, %d of %d innocent requests locked out", sent, len(crashes), lockedOut, innocent)
+	assert.Equal(t, wronglyQuarantined, 0)
+	t.Logf("sent %d times, %d targets crashed, %d of %d innocent requests locked out", sent, len(crashes), wronglyQuarantined, innocent)
 }
 
 // refuser is a target that reports that it is idle and refuses each request.
@@ -175,20 +175,20 @@
 // reports lag, refuse those that they can't queue. If each refused call were
 // retried as often as a single request may be, the load would be several times
 // as high and the targets could not recover. The retry budget must bound it.
-func TestRushAfterOutage(t *testing.T) {
+func TestRetriesAfterOutage(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
 	program := &refuser{}
 	for range 4 {
-		at := s.stand("refuser", program).Address
-		s.list(at, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
+		addr := s.stand("refuser", program).Address
+		s.addHost(addr, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	}
 	n := s.node("e1", "east")
 	s.edit(n, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return n.board.Targets.Room("writer", time.Now()).Slots > 4*8 })
 	const callers = 200
-	var tried atomic.Int64
+	var reached atomic.Int64
 	var wg sync.WaitGroup
 	for i := range callers {
 		wg.Go(func() {
@@ -198,7 +198,7 @@
 			for _, trace := range n.tracer.Find(id) {
 				for _, step := range trace.Steps {
 					if step.Step == "target" {
-						tried.Add(1)
+						reached.Add(1)
 						return
 					}
 				}
@@ -206,8 +206,8 @@
 		})
 	}
 	wg.Wait()
-	retries := program.calls.Load() - tried.Load()
-	t.Logf("%d calls of targets for %d requests: %d retries", program.calls.Load(), tried.Load(), retries)
-	assert.Assert(t, tried.Load() >= callers/4, "only %d came to a target", tried.Load())
+	retries := program.calls.Load() - reached.Load()
+	t.Logf("%d calls of targets for %d requests: %d retries", program.calls.Load(), reached.Load(), retries)
+	assert.Assert(t, reached.Load() >= callers/4, "only %d came to a target", reached.Load())
 	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultRetrySaved, "%d retries", retries)
 }
--- a/io/jwnode/pulse_test.go
+++ b/io/jwnode/pulse_test.go
@@ -19,11 +19,11 @@
 	s.runner("east")
 	n := s.node("e1", "east")
 	s.edit(n, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	n.serving.Store(false)
 	_, err := (&jwforward.Pool{}).Forward(t.Context(), n.board.Peers.Self(), &jwrequest.Request{
 		ID: "r", Workspace: "free-east", Entry: "draft", Body: []byte(prompt("menu", 3, false)),
-		Deadline: time.Now().Add(testPatience), Hops: jwrequest.Hops{{Node: "w1", Region: "west", DataCentre: "west-1"}},
+		Deadline: time.Now().Add(testTimeout), Hops: jwrequest.Hops{{Node: "w1", Region: "west", DataCentre: "west-1"}},
 	}, jwdispatch.ForwardRegion)
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
--- a/io/jwnode/seeds_test.go
+++ b/io/jwnode/seeds_test.go
@@ -21,7 +21,7 @@
 	first := s.node("e1", "east")
 	s.edit(first, draft())
 	s.edit(first, confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("targets", func() bool { return len(first.board.Targets.Used()) == 2 })
 
 	for _, p := range s.platform {
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -21,13 +21,13 @@
 func TestSilentTarget(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
-	r, at := s.runner("east")
+	r, stand := s.runner("east")
 	r.Engine.Token = 5 * time.Millisecond
 	n := s.node("e1", "east")
 	e := draft()
 	e.Progress = time.Second
 	s.edit(n, e)
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
 	const running = 6
 	answers := make(chan reply, running)
@@ -41,7 +41,7 @@
 	second.Engine.Token = 5 * time.Millisecond
 	s.await("another target", func() bool { return len(n.board.Targets.Used()) == 2 })
 	began := time.Now()
-	at.SetFaults(jwstand.Faults{Silent: true})
+	stand.SetFaults(jwstand.Faults{Silent: true})
 	for range running {
 		a := <-answers
 		assert.Check(t, strings.Contains(a.body, "event: done") && strings.Count(a.body, "id: ") == 300, "%s %v", tail(a.body), a.err)
@@ -62,7 +62,7 @@
 	desk, _ := s.service("east")
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
 	assert.Equal(t, s.send(n.CallersAddr(), "confirm", "free-east", "deposit", header{"Idempotency-Key": "k"}).outcome, "served")
 	tests := map[string]struct{ key, outcome string }{
@@ -77,7 +77,7 @@
 			_, err = io.WriteString(conn, "POST /v1/requests/confirm HTTP/1.1\r\nHost: a\r\nJujube-Workspace: free-east\r\n"+tc.key+"Content-Length: 7\r\n\r\ndepo")
 			assert.NilError(t, err)
 			assert.NilError(t, conn.(*net.TCPConn).CloseWrite())
-			assert.NilError(t, conn.SetReadDeadline(time.Now().Add(testPatience)))
+			assert.NilError(t, conn.SetReadDeadline(time.Now().Add(testTimeout)))
 			answer, err := io.ReadAll(conn)
 			assert.NilError(t, err)
 			assert.Assert(t, strings.Contains(string(answer), "Jujube-Outcome: "+tc.outcome), "%s", answer)
@@ -95,7 +95,7 @@
 	s.runner("east")
 	near, far := s.node("e1", "east"), s.node("w1", "west")
 	s.edit(near, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("drafts everywhere", func() bool {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 2, true), nil).outcome == "served" &&
 			s.send(far.CallersAddr(), "draft", "free-west", prompt("menu", 2, true), nil).outcome == "served"
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -32,9 +32,9 @@
 	kvStand             *jwstand.Stand
 	hosts               *jwstand.Hosts
 	clients             *jwstand.Clients
-	hostsAt             netip.AddrPort
-	clientAt            netip.AddrPort
-	nodes               map[string]*running
+	hostsAddr           netip.AddrPort
+	clientsAddr         netip.AddrPort
+	nodes               map[string]*runningNode
 	groups              []jwstand.HostGroup
 	regions             []string
 	tls                 func(name, region string) jwsettings.TLS // nil for plain ports
@@ -46,22 +46,22 @@
 	exchange, hostsPoll string            // periods in the settings of new nodes; empty for 100ms
 }
 
-// running is a running node.
-type running struct {
+// runningNode is a node that runs until it is stopped.
+type runningNode struct {
 	*Node
 	stop func()
 	done chan error // gets the result of Run
 }
 
-// testPatience is the longest time that a test waits for a condition.
-const testPatience = 20 * time.Second
+// testTimeout is the longest time that a test waits for a condition.
+const testTimeout = 20 * time.Second
 
 func newSystem(t testing.TB, regions ...string) *system {
 	t.Helper()
-	s := &system{t: t, kv: &jwstand.KeyValue{}, hosts: &jwstand.Hosts{}, clients: &jwstand.Clients{}, nodes: map[string]*running{}, regions: regions, log: logr.Discard()}
+	s := &system{t: t, kv: &jwstand.KeyValue{}, hosts: &jwstand.Hosts{}, clients: &jwstand.Clients{}, nodes: map[string]*runningNode{}, regions: regions, log: logr.Discard()}
 	s.kvStand = s.stand("kv", s.kv)
 	hosts, clients := s.stand("hosts", s.hosts), s.stand("clients", s.clients)
-	s.hostsAt, s.clientAt = hosts.Address, clients.Address
+	s.hostsAddr, s.clientsAddr = hosts.Address, clients.Address
 	s.platform = []*jwstand.Stand{s.kvStand, hosts, clients}
 	var list []jwstand.Client
 	for _, r := range regions {
@@ -98,7 +98,7 @@
 func (s *system) runner(region string) (*jwstand.Runner, *jwstand.Stand) {
 	r := &jwstand.Runner{Engine: jwstand.Engine{Slots: 8, Token: time.Millisecond, Prefill: 10 * time.Microsecond}}
 	stand := s.stand("runner", r)
-	s.list(stand.Address, map[string]string{"role": "target", "service": "writer", "region": region, "dataCentre": region + "-1"})
+	s.addHost(stand.Address, map[string]string{"role": "target", "service": "writer", "region": region, "dataCentre": region + "-1"})
 	return r, stand
 }
 
@@ -106,44 +106,44 @@
 func (s *system) service(region string) (*jwstand.Service, *jwstand.Stand) {
 	p := &jwstand.Service{}
 	stand := s.stand("service", p)
-	s.list(stand.Address, map[string]string{"role": "target", "service": "desk", "region": region, "dataCentre": region + "-1"})
+	s.addHost(stand.Address, map[string]string{"role": "target", "service": "desk", "region": region, "dataCentre": region + "-1"})
 	return p, stand
 }
 
-// list adds a host to the platform's host list.
-func (s *system) list(addr netip.AddrPort, labels map[string]string) {
+// addHost adds a host to the platform's host list.
+func (s *system) addHost(addr netip.AddrPort, labels map[string]string) {
 	labels["state"] = "live"
 	s.groups = append(s.groups, jwstand.HostGroup{Targets: []string{addr.String()}, Labels: labels})
 	s.hosts.Set(s.groups)
 }
 
 // node starts a node and adds it to the host list.
-func (s *system) node(name, region string) *running {
+func (s *system) node(name, region string) *runningNode {
 	s.t.Helper()
-	through := s.taps.node(s.t, name, region)
-	text := fmt.Sprintf(`{"node": %q, "region": %q, "dataCentre": %q, %s
+	relays := s.taps.node(s.t, name, region)
+	settingsJSON := fmt.Sprintf(`{"node": %q, "region": %q, "dataCentre": %q, %s
 		"listen": {"callers": "127.0.0.1:0", "operators": "127.0.0.1:0", "nodes": "127.0.0.1:0"},
 		"platform": {"keyValue": %q, "hosts": %q, "directory": %q},
 		"operators": {"token": "a token for tests only"},
 		"periods": {"exchange": %q, "hostsPoll": %q, "loadPoll": "100ms"},
 		"regions": [%s]}`,
-		name, region, region+"-1", through.advertise(),
-		through.platform(s.kvStand.Address), through.platform(s.hostsAt), through.platform(s.clientAt),
+		name, region, region+"-1", relays.advertise(),
+		relays.platform(s.kvStand.Address), relays.platform(s.hostsAddr), relays.platform(s.clientsAddr),
 		cmp.Or(s.exchange, "100ms"), cmp.Or(s.hostsPoll, "100ms"), s.regionList())
-	settings, err := jwsettings.Parse([]byte(text))
+	settings, err := jwsettings.Parse([]byte(settingsJSON))
 	assert.NilError(s.t, err)
 	settings.Seeds = s.seeds
 	if s.tls != nil {
 		settings.TLS = s.tls(name, region)
 	}
-	n := &running{Node: &Node{Settings: settings, Log: s.log, Audit: &jwaudit.Trail{Node: name, Log: s.log}}, done: make(chan error, 1)}
+	n := &runningNode{Node: &Node{Settings: settings, Log: s.log, Audit: &jwaudit.Trail{Node: name, Log: s.log}}, done: make(chan error, 1)}
 	assert.NilError(s.t, n.Listen())
-	nodes := s.link(n, through.open(n.NodesAddr()))
+	nodes := s.addLink(n, relays.open(n.NodesAddr()))
 	ctx, cancel := context.WithCancel(context.Background())
 	n.stop = cancel
 	go func() { n.done <- n.Run(ctx) }()
 	s.nodes[name] = n
-	s.list(n.CallersAddr(), map[string]string{
+	s.addHost(n.CallersAddr(), map[string]string{
 		"role": "entry", "name": name, "region": region, "dataCentre": region + "-1", "nodes": nodes.String(),
 	})
 	s.t.Cleanup(func() {
@@ -155,9 +155,9 @@
 	return n
 }
 
-// link puts a link in front of a node's port for other nodes, if the system has
-// links, and returns the address that other nodes use.
-func (s *system) link(n *running, nodes netip.AddrPort) netip.AddrPort {
+// addLink puts a link in front of a node's port for other nodes, if the system
+// has links, and returns the address that other nodes use.
+func (s *system) addLink(n *runningNode, nodes netip.AddrPort) netip.AddrPort {
 	s.t.Helper()
 	if s.links == nil {
 		return nodes
@@ -189,7 +189,7 @@
 }
 
 // edit writes an entry to the catalogue through a node.
-func (s *system) edit(n *running, e jwcatalogue.Entry) {
+func (s *system) edit(n *runningNode, e jwcatalogue.Entry) {
 	s.t.Helper()
 	_, err := n.editor.Put(s.t.Context(), jwcatalogue.Edit{
 		EditID: "edit-" + e.Name, Author: "test", Reason: "test", Entry: e.Name, After: &e,
@@ -212,9 +212,9 @@
 	}
 }
 
-// settle waits until all nodes serve with a catalogue revision or a newer one and
-// know each other as serving.
-func (s *system) settle(revision uint64) {
+// awaitRevision waits until all nodes serve with a catalogue revision or a newer
+// one and know each other as serving.
+func (s *system) awaitRevision(revision uint64) {
 	s.t.Helper()
 	s.await("all nodes level", func() bool {
 		for _, n := range s.nodes {
@@ -237,7 +237,7 @@
 			return poll.Success()
 		}
 		return poll.Continue("waiting for: %s", what)
-	}, poll.WithTimeout(testPatience), poll.WithDelay(20*time.Millisecond))
+	}, poll.WithTimeout(testTimeout), poll.WithDelay(20*time.Millisecond))
 }
 
 // reply is an answer as a caller sees it.
--- a/io/jwnode/tap_test.go
+++ b/io/jwnode/tap_test.go
@@ -23,13 +23,13 @@
 type tap struct {
 	taps *taps
 	name string
-	to   netip.AddrPort
+	dst  netip.AddrPort
 	l    net.Listener
 	t    testing.TB
 }
 
-// through holds the relays of one node. Without taps it relays nothing.
-type through struct {
+// nodeTaps holds the relays of one node. Without taps it relays nothing.
+type nodeTaps struct {
 	taps *taps
 	name string
 	t    testing.TB
@@ -37,11 +37,11 @@
 }
 
 // node creates the relays of a node, or none if ts is nil.
-func (ts *taps) node(t testing.TB, name, region string) *through {
+func (ts *taps) node(t testing.TB, name, region string) *nodeTaps {
 	if ts == nil {
-		return &through{}
+		return &nodeTaps{}
 	}
-	th := &through{taps: ts, name: region + "/" + name, t: t}
+	th := &nodeTaps{taps: ts, name: region + "/" + name, t: t}
 	th.in = ts.listen(t, th.name)
 	return th
 }
@@ -57,7 +57,7 @@
 
 // advertise returns the part of the settings that makes other nodes connect
 // through the relay.
-func (th *through) advertise() string {
+func (th *nodeTaps) advertise() string {
 	if th.taps == nil {
 		return ""
 	}
@@ -66,23 +66,23 @@
 
 // open starts the relay to the node's port for other nodes and returns the
 // address that they use.
-func (th *through) open(nodes netip.AddrPort) netip.AddrPort {
+func (th *nodeTaps) open(nodes netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return nodes
 	}
-	th.in.to = nodes
+	th.in.dst = nodes
 	go th.in.run()
 	return th.in.address()
 }
 
 // platform returns the address at which the node reaches a service of the
 // platform, through a relay if there are taps.
-func (th *through) platform(to netip.AddrPort) netip.AddrPort {
+func (th *nodeTaps) platform(to netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return to
 	}
 	p := th.taps.listen(th.t, th.name)
-	p.to = to
+	p.dst = to
 	go p.run()
 	return p.address()
 }
@@ -98,7 +98,7 @@
 }
 
 func (p *tap) relay(near net.Conn) {
-	far, err := net.Dial("tcp", p.to.String())
+	far, err := net.Dial("tcp", p.dst.String())
 	if err != nil {
 		_ = near.Close()
 		return
@@ -133,9 +133,9 @@
 	return buf.Write(b)
 }
 
-// passed returns all bytes that went through the relays, by region and name of
+// traffic returns all bytes that went through the relays, by region and name of
 // the node.
-func (ts *taps) passed() map[string][]byte {
+func (ts *taps) traffic() map[string][]byte {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	out := make(map[string][]byte)
