--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -269,13 +269,13 @@
 	var journals []*jwstand.Journal
 	var stands []*jwstand.Stand
 	for range 3 {
-		r, stand := s.runner("east")
-		journals, stands = append(journals, &r.Journal), append(stands, stand)
+		r, targetStand := s.runner("east")
+		journals, stands = append(journals, &r.Journal), append(stands, targetStand)
 	}
 	for range 3 {
-		p, stand := s.service("east")
+		p, targetStand := s.service("east")
 		p.Work = 2 * time.Millisecond
-		journals, stands = append(journals, &p.Journal), append(stands, stand)
+		journals, stands = append(journals, &p.Journal), append(stands, targetStand)
 	}
 	a := s.node("e1", "east")
 	s.edit(a, draft())
@@ -375,12 +375,12 @@
 	s.awaitRevision(1)
 	s.await("target", func() bool { return len(n.board.Targets.Used()) == 1 })
 	answers := make(chan reply, 2)
-	send := func() {
+	sendConfirmation := func() {
 		answers <- s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k", "Jujube-Request-Id": "press"})
 	}
-	go send()
+	go sendConfirmation()
 	s.await("the first press is at the target", func() bool { return program.calls.Load() == 1 })
-	go send()
+	go sendConfirmation()
 	s.await("the second press waits", func() bool { return n.drain.Counts().InFlight == 2 })
 	close(program.decide)
 	for range 2 {
