--- a/io/jwnode/bound_test.go
+++ b/io/jwnode/bound_test.go
@@ -93,7 +93,7 @@
 	}()
 	sendDraft()
 	target2.SetFaults(jwstand.Faults{Down: true})
-	s.await("no target at home", func() bool {
+	s.await("no target in the home region", func() bool {
 		r := sendDraft()
 		t.Logf("%+v", r)
 		return r.status == http.StatusServiceUnavailable && r.outcome == "notRun"
@@ -112,11 +112,11 @@
 	// The other region does get fingerprints of requests that aren't bound. Without
 	// this check, their absence for bound ones would prove nothing.
 	free := prompt("free poison", 40, true)
-	s.await("quarantine of what is free", func() bool {
+	s.await("quarantine of a request that isn't bound", func() bool {
 		return s.send(homeAddr, "local", "free-east", free, nil).status == http.StatusUnprocessableEntity
 	})
 	fingerprint := jwsuspect.FingerprintOf("local", []byte(free))
-	s.await("west hears", func() bool {
+	s.await("west gets the fingerprint", func() bool {
 		state, _ := away.board.Suspects.Check(fingerprint, time.Now())
 		return state == jwsuspect.Quarantined
 	})
@@ -127,12 +127,12 @@
 
 	for name, passed := range s.taps.traffic() {
 		for _, form := range append(revealingForms("draft", body, jwstand.TokenOf(text, 1)), revealingForms("draft", poison, order)...) {
-			assert.Assert(t, !bytes.Contains(passed, form), "%q passed %s", form, name)
+			assert.Assert(t, !bytes.Contains(passed, form), "%q in the traffic of %s", form, name)
 		}
 		assert.Assert(t, len(passed) > 0, name)
 	}
 	assert.Assert(t, bytes.Contains(s.taps.traffic()["west/w1"], fingerprint[:]) || bytes.Contains(s.taps.traffic()["west/w2"], fingerprint[:]) ||
-		bytes.Contains(s.taps.traffic()["east/e1"], fingerprint[:]), "the relays do not see what passes")
+		bytes.Contains(s.taps.traffic()["east/e1"], fingerprint[:]), "the relays did not record the fingerprint")
 
 	// A node wrongly takes another region for the home of bound data and forwards a
 	// request there.
--- a/io/jwnode/keys_test.go
+++ b/io/jwnode/keys_test.go
@@ -56,14 +56,14 @@
 	a := s.node("e1", "east")
 	b := s.node("e2", "east")
 	foreign := s.node("e9", "east")
-	s.await("the two know each other", func() bool {
+	s.await("both nodes know each other", func() bool {
 		return len(a.board.Peers.Select(isServing)) == 2 && len(b.board.Peers.Select(isServing)) == 2
 	})
-	s.await("the foreign node serves by its own word", func() bool { return foreign.serving.Load() })
+	s.await("the foreign node reports that it serves", func() bool { return foreign.serving.Load() })
 	time.Sleep(5 * foreign.Settings.Periods.Exchange)
 	for _, n := range []*runningNode{a, b} {
 		p, _ := n.board.Peers.Get("e9")
-		assert.Equal(t, p.Incarnation, "", "%s has heard e9", n.Settings.Node)
+		assert.Equal(t, p.Incarnation, "", "%s got a state from e9", n.Settings.Node)
 	}
 }
 
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -23,7 +23,7 @@
 	}
 	s.edit(near, draft())
 	s.awaitRevision(1)
-	s.await("drafts are served away", func() bool {
+	s.await("drafts are served in west", func() bool {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 3, true), nil).outcome == "served"
 	})
 	return s, near, r
@@ -69,7 +69,7 @@
 		"silent":  {jwstand.Weather{Silent: true}, "served"},
 		"one way": {jwstand.Weather{Hold: jwstand.Forward}, "notRun"},
 		"cut":     {jwstand.Weather{Cut: true}, "notRun"},
-		"late and odd": {jwstand.Weather{
+		"slow and lossy": {jwstand.Weather{
 			Delay: jwstand.Duration(50 * time.Millisecond), Jitter: jwstand.Duration(50 * time.Millisecond), Loss: 0.1,
 		}, "served"},
 	}
@@ -109,7 +109,7 @@
 	}
 	s.await("streams pass", func() bool { return len(r.Journal.Runs()) >= before+cap(answers) })
 	bytesBefore := s.bytesFromWest()
-	s.await("some of each has passed", func() bool { return s.bytesFromWest() > bytesBefore+8<<10 })
+	s.await("part of the streams has passed", func() bool { return s.bytesFromWest() > bytesBefore+8<<10 })
 	s.setLinkFaults(jwstand.Weather{Cut: true})
 	for range cap(answers) {
 		a := <-answers
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -116,12 +116,12 @@
 		status  int // 0 for no answer at all
 		outcome jwrequest.Outcome
 	}{
-		"none":                   {nil, 0, ""},
-		"empty hop":              {jwrequest.Hops{{}}, http.StatusServiceUnavailable, jwrequest.NotRun},
-		"of its own region":      {jwrequest.Hops{hop}, http.StatusServiceUnavailable, jwrequest.NotRun},
-		"the receiver":           {jwrequest.Hops{{Node: "e1", Region: "east"}}, http.StatusLoopDetected, jwrequest.NotRun},
-		"as long as may be":      {jwrequest.Hops{hop, hop, hop}, http.StatusLoopDetected, jwrequest.NotRun},
-		"longer than any can be": {make(jwrequest.Hops, 1000), http.StatusLoopDetected, jwrequest.NotRun},
+		"none":                  {nil, 0, ""},
+		"empty hop":             {jwrequest.Hops{{}}, http.StatusServiceUnavailable, jwrequest.NotRun},
+		"in the same region":    {jwrequest.Hops{hop}, http.StatusServiceUnavailable, jwrequest.NotRun},
+		"through the receiver":  {jwrequest.Hops{{Node: "e1", Region: "east"}}, http.StatusLoopDetected, jwrequest.NotRun},
+		"of the maximum length": {jwrequest.Hops{hop, hop, hop}, http.StatusLoopDetected, jwrequest.NotRun},
+		"of 1000 hops":          {make(jwrequest.Hops, 1000), http.StatusLoopDetected, jwrequest.NotRun},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -107,7 +107,7 @@
 		"no key":           {nil, s.sendFunc(addr, "confirm", "free-east", deposit), nil, 400, jwdispatch.ReasonKey},
 		"bound elsewhere":  {nil, s.sendFunc(s.away.CallersAddr(), "draft", "bound-east", body), nil, 421, jwdispatch.ReasonRegion},
 		"entry bound":      {nil, s.sendFunc(s.away.CallersAddr(), "kept", "free-east", body), nil, 421, jwdispatch.ReasonRegion},
-		"been here":        {nil, func(id string) reply { return s.forward(id, jwrequest.Hops{{Node: "e1"}}) }, nil, 508, jwdispatch.ReasonLoop},
+		"same node again":  {nil, func(id string) reply { return s.forward(id, jwrequest.Hops{{Node: "e1"}}) }, nil, 508, jwdispatch.ReasonLoop},
 		"too many hops":    {nil, func(id string) reply { return s.forward(id, make(jwrequest.Hops, 3)) }, nil, 508, jwdispatch.ReasonLoop},
 		"over the limit":   {func() { s.send(addr, "tight", "free-east", body, nil) }, s.sendFunc(addr, "tight", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
 		"no such target":   {nil, s.sendFunc(addr, "nobody", "free-east", body), nil, 503, jwdispatch.ReasonLimit},
@@ -232,7 +232,7 @@
 			func() { s.home.board.Directory.Set(s.directory) },
 		},
 		"malformed timeout": {func() { key["Jujube-Timeout"] = "soon" }, func() { delete(key, "Jujube-Timeout") }},
-		"limit of the body lowered": {
+		"maximum body size lowered": {
 			func() { s.setMaxBodySize(999, 6) },
 			func() { s.setMaxBodySize(1<<16, 7) },
 		},
@@ -336,8 +336,8 @@
 		}
 	}
 	for id, outcome := range reported {
-		assert.Check(t, outcome != "notRun" || ran[id] == 0, "%s was told notRun and ran", id)
-		assert.Check(t, outcome != "served" || ran[id] > 0, "%s was told served and did not run", id)
+		assert.Check(t, outcome != "notRun" || ran[id] == 0, "%s got notRun but ran", id)
+		assert.Check(t, outcome != "served" || ran[id] > 0, "%s got served but did not run", id)
 	}
 	assert.Check(t, outcomes["draft"]["served"] > outcomes["draft"]["unknown"], "%v", outcomes)
 	t.Logf("outcomes: %v", outcomes)
@@ -379,9 +379,9 @@
 		answers <- s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k", "Jujube-Request-Id": "press"})
 	}
 	go sendConfirmation()
-	s.await("the first press is at the target", func() bool { return program.calls.Load() == 1 })
+	s.await("the first call is at the target", func() bool { return program.calls.Load() == 1 })
 	go sendConfirmation()
-	s.await("the second press waits", func() bool { return n.drain.Counts().InFlight == 2 })
+	s.await("the second call waits", func() bool { return n.drain.Counts().InFlight == 2 })
 	close(program.decide)
 	for range 2 {
 		r := <-answers
@@ -389,7 +389,7 @@
 	}
 	desk, _ := s.service("east")
 	refuserStand.SetFaults(jwstand.Faults{Down: true})
-	s.await("the third press runs", func() bool {
+	s.await("the third call runs", func() bool {
 		return s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k"}).outcome == "served"
 	})
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -25,7 +25,7 @@
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
 	tests := map[string]func(s *system, stand *jwstand.Stand){
-		"by the list": func(s *system, stand *jwstand.Stand) {
+		"reported by the host list": func(s *system, stand *jwstand.Stand) {
 			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
 				if g.Targets[0] == stand.Address.String() {
@@ -36,7 +36,7 @@
 			s.groups = groups
 			s.hosts.Set(groups)
 		},
-		"by its own word": func(_ *system, stand *jwstand.Stand) { stand.SetFaults(jwstand.Faults{Leave: true}) },
+		"reported by the target": func(_ *system, stand *jwstand.Stand) { stand.SetFaults(jwstand.Faults{Leave: true}) },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -66,12 +66,12 @@
 			for i := range running {
 				go func() { longAnswers <- sendDraft(i, 400) }()
 			}
-			s.await("they run on it", func() bool { return len(oldTarget.Journal.Runs()) == running })
+			s.await("all requests run on the old target", func() bool { return len(oldTarget.Journal.Runs()) == running })
 			newTarget, _ := s.runner("east")
 			awaitTargets(2)
 			began := time.Now()
 			leave(s, oldStand)
-			s.await("every node knows", func() bool {
+			s.await("every node knows that the target is leaving", func() bool {
 				for _, n := range nodes {
 					if state, _ := n.board.Targets.State(oldStand.Address, time.Now()); state != jwtarget.Leaving {
 						return false
@@ -125,7 +125,7 @@
 	poison := prompt("poison", 5, false)
 	quarantinedAt := map[*runningNode]bool{}
 	sent, innocent, wronglyQuarantined := 0, 0, 0
-	s.await("barred at every node", func() bool {
+	s.await("quarantined at every node", func() bool {
 		var others sync.WaitGroup
 		for i := range 6 {
 			others.Go(func() {
@@ -150,7 +150,7 @@
 	})
 	assert.Assert(t, len(crashes) <= 2, "crashes by target: %v", crashes)
 	assert.Equal(t, wronglyQuarantined, 0)
-	t.Logf("sent %d times, %d targets crashed, %d of %d innocent requests locked out", sent, len(crashes), wronglyQuarantined, innocent)
+	t.Logf("sent %d times, %d targets crashed, %d of %d innocent requests rejected", sent, len(crashes), wronglyQuarantined, innocent)
 }
 
 // refuser is a target that reports that it is idle and refuses each request.
@@ -207,7 +207,7 @@
 	}
 	wg.Wait()
 	retries := program.calls.Load() - reached.Load()
-	t.Logf("%d calls of targets for %d requests: %d retries", program.calls.Load(), reached.Load(), retries)
-	assert.Assert(t, reached.Load() >= callers/4, "only %d came to a target", reached.Load())
+	t.Logf("%d calls to targets for %d requests: %d retries", program.calls.Load(), reached.Load(), retries)
+	assert.Assert(t, reached.Load() >= callers/4, "only %d reached a target", reached.Load())
 	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultRetrySaved, "%d retries", retries)
 }
--- a/io/jwnode/seeds_test.go
+++ b/io/jwnode/seeds_test.go
@@ -39,7 +39,7 @@
 	r := s.send(second.CallersAddr(), "confirm", "bound-east", "{}", header{"Idempotency-Key": key})
 	assert.Equal(t, r.outcome, "served", r.body)
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
-	s.await("the old node names it to callers", func() bool {
+	s.await("the old node knows that it serves", func() bool {
 		p, known := first.board.Peers.Get("e2")
 		return known && p.State == jwpeer.Serving
 	})
@@ -47,5 +47,5 @@
 	for _, p := range s.platform {
 		p.SetFaults(jwstand.Faults{})
 	}
-	s.await("it is a member", second.membership.Registered)
+	s.await("the new node is registered as a member", second.membership.Registered)
 }
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -36,7 +36,7 @@
 			answers <- s.send(n.CallersAddr(), "draft", "free-east", prompt(strings.Repeat("x", i+1)+" menu", 300, true), nil)
 		}()
 	}
-	s.await("streams on it", func() bool { return len(r.Journal.Runs()) == running })
+	s.await("all streams run on the target", func() bool { return len(r.Journal.Runs()) == running })
 	second, _ := s.runner("east")
 	second.Engine.Token = 5 * time.Millisecond
 	s.await("another target", func() bool { return len(n.board.Targets.Used()) == 2 })
@@ -66,8 +66,8 @@
 	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
 	assert.Equal(t, s.send(n.CallersAddr(), "confirm", "free-east", "deposit", header{"Idempotency-Key": "k"}).outcome, "served")
 	tests := map[string]struct{ key, outcome string }{
-		"second press": {"Idempotency-Key: k\r\n", "unknown"},
-		"another key":  {"Idempotency-Key: other\r\n", "unknown"}, // the node did not look up the key
+		"second call": {"Idempotency-Key: k\r\n", "unknown"},
+		"another key": {"Idempotency-Key: other\r\n", "unknown"}, // the node did not look up the key
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -96,7 +96,7 @@
 	near, far := s.node("e1", "east"), s.node("w1", "west")
 	s.edit(near, draft())
 	s.awaitRevision(1)
-	s.await("drafts everywhere", func() bool {
+	s.await("drafts are served in both regions", func() bool {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 2, true), nil).outcome == "served" &&
 			s.send(far.CallersAddr(), "draft", "free-west", prompt("menu", 2, true), nil).outcome == "served"
 	})
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -216,7 +216,7 @@
 // one and know each other as serving.
 func (s *system) awaitRevision(revision uint64) {
 	s.t.Helper()
-	s.await("all nodes level", func() bool {
+	s.await("all nodes serve with the newest catalogue", func() bool {
 		for _, n := range s.nodes {
 			if !n.serving.Load() || n.board.Catalogue.Revision() < revision {
 				return false
