--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -37,7 +37,7 @@
 // Intervals and timeouts that are not settings, since no installation had to
 // change them so far.
 const (
-	stateReportInterval = 5 * time.Second        // between two reports of this node's own state while nothing changes
+	stateReportInterval = 5 * time.Second        // shortest time between two reports of this node's own state while nothing changes
 	exchangeTimeout     = time.Second            // for one state exchange with a peer
 	peerTimeout         = 15 * time.Second       // without news of a peer, after which it is no relay and does not count as serving
 	loadTimeout         = time.Second            // for one load report of a target
