--- a/io/jwnode/assemble.go
+++ b/io/jwnode/assemble.go
@@ -19,7 +19,7 @@
 	"jujubewheel/io/jwtargetclient"
 )
 
-// assemble makes the parts of the node and ties them to the board.
+// assemble creates the parts of the node and connects them to the board.
 func (n *Node) assemble() {
 	s := n.Settings
 	incarnation := uuid.Must(uuid.NewV7()).String()
@@ -37,10 +37,11 @@
 		Name: s.Node, Region: s.Region, DataCentre: s.DataCentre,
 		Incarnation: incarnation, State: jwpeer.Joining, Sequence: 1,
 	}, time.Now())
-	n.meetSeeds(time.Now())
+	n.addSeeds(time.Now())
 }
 
-// assembleBoard sets which node the tables belong to.
+// assembleBoard sets the name and region of this node in the tables, and the
+// links to other regions.
 func (n *Node) assembleBoard() {
 	s := n.Settings
 	n.board.Targets.Node = s.Node
@@ -48,10 +49,12 @@
 	n.board.Limiter.Node = s.Node
 	n.board.Suspects.Node = s.Node
 	n.board.Suspects.Region = s.Region
-	n.board.Regions.Links = links(s)
+	n.board.Regions.Links = regionLinks(s)
 }
 
-func links(s *jwsettings.Settings) map[string]jwrouter.Link {
+// regionLinks returns the link from this node's region to each region, by the
+// name of the region.
+func regionLinks(s *jwsettings.Settings) map[string]jwrouter.Link {
 	out := make(map[string]jwrouter.Link)
 	for _, r := range s.Regions {
 		l := s.Link(s.Region, r.Name)
@@ -60,8 +63,8 @@
 	return out
 }
 
-// assembleKeeper makes the parts that run a key at most once, also over a
-// planned stop.
+// assembleKeeper creates the claim keeper and the drain, which together make
+// sure that a key runs at most once, even when the node is stopped.
 func (n *Node) assembleKeeper(incarnation string) {
 	s := n.Settings
 	n.keeper = &jwclaim.Keeper{
@@ -71,12 +74,12 @@
 	}
 	n.drain.Keys = n.keeper
 	n.drain.Successors = n.successors
-	n.drain.Limit = s.DrainLimit
+	n.drain.InFlightTimeout = s.DrainLimit
 	n.drain.Linger = linger
-	n.drain.Changed = n.drainChanged
+	n.drain.OnStateChange = n.drainChanged
 }
 
-// assembleDispatcher makes the request path.
+// assembleDispatcher creates the router and the dispatcher of the request path.
 func (n *Node) assembleDispatcher() {
 	s := n.Settings
 	router := &jwrouter.Router{
@@ -84,19 +87,19 @@
 	}
 	n.dispatcher = &jwdispatch.Dispatcher{
 		Self: n.self, Board: &n.board, Router: router, Targets: n.targets, Peers: n.pool, Claims: n.keeper,
-		Crashed:  n.crashed,
+		Crashed:  n.reportCrash,
 		Departed: func(p jwpeer.Peer) bool { return n.departures.Gone(memberOf(p)) },
 		Now:      time.Now, Counter: &counter{meter: n.Meter, settings: s}, Tracer: n.tracer,
 	}
 }
 
-// assembleCatalogue makes the parts that bring changes into force and by which
-// a change is known to be in force everywhere.
+// assembleCatalogue creates the parts that bring catalogue changes into force
+// and those that find out whether a change is in force at all nodes.
 func (n *Node) assembleCatalogue(incarnation string) {
 	s := n.Settings
 	n.editor = &jwcatalogue.Editor{Store: n.store, Table: &n.board.Catalogue}
 	n.follower = &jwcatalogue.Follower{
-		Store: n.store, Table: &n.board.Catalogue, Watcher: n.watches,
+		Store: n.store, Table: &n.board.Catalogue, Watcher: n.watchesStore,
 		Source: &changeSource{peers: &n.board.Peers, pool: n.pool, self: s.Node},
 	}
 	n.departures = &jwcatalogue.Departures{Hosts: &n.board.Hosts, Lag: s.Periods.HostsLag}
@@ -106,7 +109,7 @@
 	n.membership = &jwcatalogue.Membership{
 		Member: jwcatalogue.Member{Name: s.Node, Region: s.Region, Incarnation: incarnation},
 		Store:  n.store, Follower: n.follower,
-		Sponsors: &sponsors{peers: &n.board.Peers, pool: n.pool}, Adoptions: n.adoptions,
+		Sponsors: &sponsorClient{peers: &n.board.Peers, pool: n.pool}, Adoptions: n.adoptions,
 	}
 	n.gatherer = &jwcatalogue.Gatherer{
 		Name: s.Node, Region: s.Region, Store: n.store, Table: &n.board.Catalogue, Peers: freshPeers{&n.board.Peers},
@@ -115,28 +118,28 @@
 	n.acceptance = &jwcatalogue.Acceptance{Store: n.store}
 }
 
-// assembleExchange makes what exchanges state with other nodes.
+// assembleExchange creates the exchange of state with other nodes.
 func (n *Node) assembleExchange() {
 	s := n.Settings
 	reporter := &jwboard.Reporter{Board: &n.board, Moves: n.keeper, Now: time.Now}
 	n.exchange = &jwpeer.Exchange{
 		Table: &n.board.Peers, Partner: n.pool, News: reporter,
-		Period: s.Periods.Exchange, Beat: beat, Timeout: exchangeTimeout, Silence: silence,
+		Period: s.Periods.Exchange, Beat: stateReportInterval, Timeout: exchangeTimeout, Silence: peerTimeout,
 		Now: time.Now, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Gatherer: jwcatalogue.GathererOf,
 	}
 	reporter.Nudge = n.exchange.Nudge
 }
 
-// assembleServer makes what answers other nodes.
+// assembleServer creates the gRPC server for other nodes.
 func (n *Node) assembleServer() {
 	server := &jwforward.Server{
 		Credentials: n.nodeCredentials(),
 		Dispatcher:  n.dispatcher, Gate: &n.drain, Ready: n.ready, Exchanger: n.exchange,
-		Adopter:   &adopter{keeper: n.keeper, audit: n.Audit},
-		Sponsor:   &sponsor{adoptions: n.adoptions, region: n.Settings.Region},
+		Adopter:   &auditedAdopter{keeper: n.keeper, audit: n.Audit},
+		Sponsor:   &sponsorServer{adoptions: n.adoptions, region: n.Settings.Region},
 		Catalogue: &changeRecords{&n.board.Catalogue}, Workspaces: &n.board.Directory, HostList: &n.board.Hosts,
 		MaxBody: n.Settings.Limits.MaxBody,
 	}
-	n.grpc = server.GRPC()
+	n.grpcServer = server.GRPC()
 }
--- a/io/jwnode/keys_test.go
+++ b/io/jwnode/keys_test.go
@@ -14,8 +14,8 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// With certificates on all ports a request still finds its way to another
-// region, and the operators' port answers over TLS.
+// With certificates on the ports for nodes and operators, a request is still
+// served in another region, and the operators' port answers over TLS.
 func TestWholePathOverTLS(t *testing.T) {
 	authority := jwkeystest.New(t)
 	s := newSystem(t, "east", "west")
@@ -29,7 +29,7 @@
 	a := s.node("e1", "east")
 	b := s.node("w1", "west")
 	s.edit(a, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("a draft of west served by east", func() bool {
 		return s.send(b.CallersAddr(), "draft", "free-west", prompt("menu", 5, true), nil).server == "east"
 	})
@@ -41,8 +41,8 @@
 	assert.Equal(t, resp.StatusCode, http.StatusOK)
 }
 
-// A host that no authority of ours knows is given a node's name. The nodes must
-// not take it for one of them, or it would be sent callers' data.
+// A node whose certificate comes from another authority is in the host list. The
+// other nodes must not accept it as a peer, or they would send it callers' data.
 func TestForeignNode(t *testing.T) {
 	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
 	s := newSystem(t, "east")
@@ -56,15 +56,15 @@
 	a := s.node("e1", "east")
 	b := s.node("e2", "east")
 	foreign := s.node("e9", "east")
-	s.await("the two know each other", func() bool {
-		return len(a.board.Peers.Select(serves)) == 2 && len(b.board.Peers.Select(serves)) == 2
+	s.await("both nodes know each other", func() bool {
+		return len(a.board.Peers.Select(isServing)) == 2 && len(b.board.Peers.Select(isServing)) == 2
 	})
-	s.await("the foreign node serves by its own word", func() bool { return foreign.serving.Load() })
+	s.await("the foreign node reports that it serves", func() bool { return foreign.serving.Load() })
 	time.Sleep(5 * foreign.Settings.Periods.Exchange)
-	for _, n := range []*running{a, b} {
+	for _, n := range []*runningNode{a, b} {
 		p, _ := n.board.Peers.Get("e9")
-		assert.Equal(t, p.Incarnation, "", "%s has heard e9", n.Settings.Node)
+		assert.Equal(t, p.Incarnation, "", "%s got a state from e9", n.Settings.Node)
 	}
 }
 
-func serves(p jwpeer.Peer) bool { return p.State == jwpeer.Serving }
+func isServing(p jwpeer.Peer) bool { return p.State == jwpeer.Serving }
--- a/io/jwnode/life.go
+++ b/io/jwnode/life.go
@@ -16,22 +16,23 @@
 	"jujubewheel/io/jwforward"
 )
 
-// joinRetry is the pause between attempts to get the catalogue.
-const joinRetry = 200 * time.Millisecond
+// joinPollInterval is the interval at which a joining node checks whether the
+// client directory has arrived.
+const joinPollInterval = 200 * time.Millisecond
 
-// live joins, serves until stop ends or the node may serve no longer, and
-// leaves. The parts of the node run until work ends.
-func (n *Node) live(stop, work context.Context) error {
-	member, cancel := context.WithCancel(work)
+// runLifecycle joins the system, serves until the context stop ends or the node
+// may no longer serve, and leaves. The parts of the node run until work ends.
+func (n *Node) runLifecycle(stop, work context.Context) error {
+	joinCtx, cancel := context.WithCancel(work)
 	defer cancel()
-	ended := make(chan error, 1)
-	go func() { ended <- n.join(member) }()
+	joinEnded := make(chan error, 1)
+	go func() { joinEnded <- n.join(joinCtx) }()
 	var err error
 	select {
 	case <-stop.Done():
 		cancel()
-		<-ended
-	case err = <-ended:
+		<-joinEnded
+	case err = <-joinEnded:
 	case <-work.Done():
 		return nil
 	}
@@ -39,13 +40,14 @@
 	return err
 }
 
-// join gets the directory and the catalogue, begins to serve, and keeps the
-// membership until ctx ends. An error says that another process has this
-// node's name, so that its state would count for this one's.
+// join waits for the directory and the catalogue, starts serving, and keeps the
+// membership until ctx ends. After a pause that was too long it joins again. It
+// returns an error when another process has this node's name, since other nodes
+// would then take that process's state for this one's.
 func (n *Node) join(ctx context.Context) error {
 	for n.board.Directory.Current() == nil {
 		select {
-		case <-time.After(joinRetry):
+		case <-time.After(joinPollInterval):
 		case <-ctx.Done():
 			return nil
 		}
@@ -66,8 +68,9 @@
 	}
 }
 
-// keepMembership returns when ctx ends, when another process has this node's
-// name, or when this one was paused for too long.
+// keepMembership maintains the member record. It returns when ctx ends, when
+// another process has this node's name, or when this one was paused for too
+// long.
 func (n *Node) keepMembership(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.membership.Run(ctx) })
@@ -75,10 +78,10 @@
 	return g.Wait()
 }
 
-// ready reports whether the node may serve.
+// ready reports whether the node may serve: it has joined and was not paused.
 func (n *Node) ready() bool { return n.serving.Load() && n.pulse.Alive() }
 
-// ignoreEnd drops an error that is only the end of ctx.
+// ignoreEnd returns nil instead of err if ctx has ended.
 func ignoreEnd(ctx context.Context, err error) error {
 	if ctx.Err() != nil {
 		return nil
@@ -86,29 +89,32 @@
 	return err
 }
 
-// leave is the planned stop: callers are sent elsewhere, requests in flight are
-// finished, a successor takes the tickets over, and the node says that it goes.
+// leave carries out the planned stop: callers are sent to other hosts, requests
+// in flight are finished, a successor takes over the tickets, and the other
+// nodes are told that this one is gone.
 func (n *Node) leave(ctx context.Context) {
 	n.serving.Store(false)
 	switch err := n.drain.Run(ctx); {
 	case errors.Is(err, jwdrain.ErrNoSuccessor):
 		// The last node of a region has nobody to hand over to.
-		n.Log.Info("stopped without a successor: its tickets are unknown from now on", "reason", err.Error())
+		n.Log.Info("stopped without a successor: the outcome of requests with this node's tickets is unknown from now on", "reason", err.Error())
 	case err != nil:
-		n.Log.Error(err, "stop left something undone")
+		n.Log.Error(err, "stop finished with errors")
 	}
 	ctx, cancel := context.WithTimeout(ctx, leaveTimeout)
 	defer cancel()
 	if err := n.membership.Leave(ctx); err != nil {
-		// The gatherer of the region counts this node out by its last state.
-		n.Log.Error(err, "member record left behind")
+		// The gatherer of the region no longer waits for this node once it has
+		// seen its last state.
+		n.Log.Error(err, "member record not removed")
 	}
 }
 
 // leaveTimeout bounds the wait for the platform at the very end of a stop.
 const leaveTimeout = 3 * time.Second
 
-// drainChanged reports to the others how far the stop is.
+// drainChanged reports the progress of the stop to the other nodes and the audit
+// trail.
 func (n *Node) drainChanged(s jwdrain.State) {
 	switch s {
 	case jwdrain.Leaving:
@@ -118,18 +124,18 @@
 		n.Audit.Add(jwaudit.Record{Kind: jwaudit.Handover, Subject: n.self.Node, To: "handedOver"})
 	case jwdrain.Gone:
 		n.setState(jwpeer.Gone)
-		// The exchanges need a moment to carry the last state.
-		time.Sleep(lastExchange)
+		// Give the exchanges time to send the last state.
+		time.Sleep(finalExchangeWait)
 	}
 }
 
-// lastExchange is how long the exchanges have to report to the others that this node is
-// gone.
-const lastExchange = 500 * time.Millisecond
+// finalExchangeWait is how long a stopping node waits for its exchanges to tell the
+// other nodes that it is gone.
+const finalExchangeWait = 500 * time.Millisecond
 
-// successors are the serving nodes of the region, in random order.
+// successors returns the other serving nodes of the region in random order.
 func (n *Node) successors() []jwclaim.Successor {
-	peers := servingBeside(&n.board.Peers, n.self.Region, n.self.Node)
+	peers := otherServingPeers(&n.board.Peers, n.self.Region, n.self.Node)
 	rand.Shuffle(len(peers), func(i, k int) { peers[i], peers[k] = peers[k], peers[i] })
 	var out []jwclaim.Successor
 	for _, p := range peers {
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -11,9 +11,9 @@
 	"jujubewheel/io/jwstand"
 )
 
-// linked is a system in which one region has the callers and another the
-// targets, with links between all nodes.
-func linked(t *testing.T) (s *system, near *running, r *jwstand.Runner) {
+// linked starts a system in which callers use one region and the targets are in
+// another, with a link in front of each node.
+func linked(t *testing.T) (s *system, near *runningNode, r *jwstand.Runner) {
 	s = newSystem(t, "east", "west")
 	s.links = map[string]*jwstand.Link{}
 	r, _ = s.runner("west")
@@ -22,15 +22,16 @@
 		s.node(name, "west")
 	}
 	s.edit(near, draft())
-	s.settle(1)
-	s.await("drafts are served away", func() bool {
+	s.awaitRevision(1)
+	s.await("drafts are served in west", func() bool {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 3, true), nil).outcome == "served"
 	})
 	return s, near, r
 }
 
-// passed counts the bytes that came from the other region's nodes.
-func (s *system) passed() (n uint64) {
+// bytesFromWest returns the number of bytes that the nodes of west have sent back
+// over their links.
+func (s *system) bytesFromWest() (n uint64) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
 			n += l.Passed(jwstand.Back)
@@ -39,7 +40,8 @@
 	return n
 }
 
-func (s *system) weather(w jwstand.Weather) {
+// setLinkFaults sets the faults of the links to the nodes of west.
+func (s *system) setLinkFaults(w jwstand.Weather) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
 			l.SetWeather(w)
@@ -47,54 +49,53 @@
 	}
 }
 
-// A firewall between two regions loses track of the connections that are open:
-// they go silent for good, while new ones work. A node that went on using them
-// would leave its callers waiting until their deadlines, one after another.
-// Held up one way only, cut, or with every segment late, the regions must find back
-// as well once the link is mended.
+// A firewall between two regions drops its state: open connections go silent for
+// good, while new ones work. If a node kept using the silent ones, one caller
+// after another would wait until its deadline. The regions must also recover
+// after a link that was blocked in one direction, cut, or slow and lossy.
 func TestLinksBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, _ := linked(t)
-	ask := func() reply {
+	sendDraft := func() reply {
 		return s.send(near.CallersAddr(), "draft", "free-east", prompt("menu", 20, true), nil)
 	}
 	for range 20 {
-		ask() // connections to all three
+		sendDraft() // connections to all three
 	}
 	tests := map[string]struct {
-		fault jwstand.Weather
-		comes string // outcome that must come about while the fault lasts
+		fault       jwstand.Weather
+		wantOutcome string // outcome that must occur while the fault lasts
 	}{
 		"silent":  {jwstand.Weather{Silent: true}, "served"},
 		"one way": {jwstand.Weather{Hold: jwstand.Forward}, "notRun"},
 		"cut":     {jwstand.Weather{Cut: true}, "notRun"},
-		"late and odd": {jwstand.Weather{
+		"slow and lossy": {jwstand.Weather{
 			Delay: jwstand.Duration(50 * time.Millisecond), Jitter: jwstand.Duration(50 * time.Millisecond), Loss: 0.1,
 		}, "served"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
-			s.weather(tc.fault)
+			s.setLinkFaults(tc.fault)
 			var longest time.Duration
 			outcomes := map[string]int{}
-			s.await(tc.comes, func() bool {
-				at := time.Now()
-				r := ask()
-				longest = max(longest, time.Since(at))
+			s.await(tc.wantOutcome, func() bool {
+				start := time.Now()
+				r := sendDraft()
+				longest = max(longest, time.Since(start))
 				outcomes[r.outcome]++
 				assert.Check(t, r.outcome != "served" || strings.Contains(r.body, "event: done"), "%+v", r)
-				return r.outcome == tc.comes
+				return r.outcome == tc.wantOutcome
 			})
 			t.Logf("%v, longest wait %v", outcomes, longest)
-			s.weather(jwstand.Weather{})
-			s.await("served again", func() bool { return ask().outcome == "served" })
+			s.setLinkFaults(jwstand.Weather{})
+			s.await("served again", func() bool { return sendDraft().outcome == "served" })
 		})
 	}
 }
 
-// The link between two regions is cut while a draft passes it. The caller has
-// the first half by then; an end that looks regular would pass it off as the
-// whole draft.
+// The link between two regions is cut while streams pass over it. Each caller has
+// part of its answer by then, and must not see a regular end, which would make
+// that part look like the whole answer.
 func TestStreamCutBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, r := linked(t)
@@ -107,9 +108,9 @@
 		}()
 	}
 	s.await("streams pass", func() bool { return len(r.Journal.Runs()) >= before+cap(answers) })
-	passed := s.passed()
-	s.await("some of each has passed", func() bool { return s.passed() > passed+8<<10 })
-	s.weather(jwstand.Weather{Cut: true})
+	bytesBefore := s.bytesFromWest()
+	s.await("part of the streams has passed", func() bool { return s.bytesFromWest() > bytesBefore+8<<10 })
+	s.setLinkFaults(jwstand.Weather{Cut: true})
 	for range cap(answers) {
 		a := <-answers
 		assert.Check(t, !strings.Contains(a.body, "event: done"), "%+v", a)
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -19,17 +19,18 @@
 	"jujubewheel/io/jwforward"
 )
 
-// misdirect has a node believe that a workspace lives elsewhere.
-func (n *running) misdirect(workspace, region string) {
-	have := n.board.Directory.Current()
-	next := &jwdirectory.Snapshot{Version: have.Version + "+", Workspaces: maps.Clone(have.Workspaces)}
+// setHomeRegion changes the node's directory so that a workspace has another home
+// region.
+func (n *runningNode) setHomeRegion(workspace, region string) {
+	current := n.board.Directory.Current()
+	next := &jwdirectory.Snapshot{Version: current.Version + "+", Workspaces: maps.Clone(current.Workspaces)}
 	w := next.Workspaces[workspace]
 	w.Name, w.Region, w.Owner = workspace, region, "o"
 	next.Workspaces[workspace] = w
 	n.board.Directory.Set(next)
 }
 
-// forwards counts how often a request was sent from node to node.
+// forwards returns how often a request was forwarded from one node to another.
 func (s *system) forwards(id string) int {
 	n := 0
 	for _, node := range s.nodes {
@@ -44,22 +45,22 @@
 	return n
 }
 
-// A workspace moves from one region to another while the client directory
-// reaches the nodes at different times, or a change of the catalogue does.
-// Each node then takes another region for the home of a request. Sent on each
-// time, it would go round until its deadline, the links would fill with it,
-// and its caller would wait for nothing.
+// The client directory or a catalogue change reaches the nodes at different times
+// while a workspace moves to another region, so that each node takes another
+// region for the home of a request. If every node forwarded it, the request would
+// loop until its deadline and load the links for nothing. Each request may be
+// forwarded at most once.
 func TestNodesDisagree(t *testing.T) {
 	s := newSystem(t, "east", "north", "west")
 	runner, _ := s.runner("east")
-	ring := map[string]string{"east": "north", "north": "west", "west": "east"}
-	nodes := map[string]*running{}
+	nextRegion := map[string]string{"east": "north", "north": "west", "west": "east"}
+	nodes := map[string]*runningNode{}
 	for _, r := range s.regions {
 		nodes[r] = s.node(r[:1]+"1", r)
 	}
 	s.edit(nodes["east"], draft())
 	s.edit(nodes["east"], confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("load of east", func() bool {
 		for _, n := range nodes {
 			if n != nodes["east"] && len(n.board.Regions.Loads("writer", time.Now())) == 0 {
@@ -69,10 +70,10 @@
 		return true
 	})
 	for region, n := range nodes {
-		n.misdirect("lost", ring[region])
-		n.misdirect("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
+		n.setHomeRegion("lost", nextRegion[region])
+		n.setHomeRegion("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
 	}
-	// At one node the confirmation may be repeated, at the others not.
+	// At one node the confirmation is idempotent, at the others it is not.
 	repeated := confirmation()
 	repeated.Idempotent, repeated.KeyMemory, repeated.Regions = true, 0, []string{"*"}
 	assert.NilError(t, nodes["north"].board.Catalogue.Apply(jwcatalogue.Change{
@@ -91,15 +92,15 @@
 			}
 		}
 	}
-	assert.Assert(t, len(runner.Journal.Runs()) > 0) // the drafts found a way all the same
+	assert.Assert(t, len(runner.Journal.Runs()) > 0) // drafts were served nevertheless
 }
 
 func ptr[T any](v T) *T { return &v }
 
-// A node of another version, or one with a fault, sends a request on with a
-// hop record that is empty, too long or made up. Taken at its word, the request
-// could be sent round without end; each node must serve it, or refuse it, and
-// send it nowhere.
+// A faulty node, or one of another version, forwards a request with a list of
+// hops that is empty, too long or forged. A node that relied on the list could
+// forward the request in an endless loop; it must serve the request or reject it,
+// and never forward it.
 func TestForgedHops(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	s.runner("west")
@@ -107,20 +108,20 @@
 	s.node("w1", "west")
 	s.edit(e1, draft())
 	s.edit(e1, confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("load of west at east", func() bool { return len(e1.board.Regions.Loads("writer", time.Now())) > 0 })
-	one := jwrequest.Hop{Node: "x", Region: "east", DataCentre: "east-1"}
+	hop := jwrequest.Hop{Node: "x", Region: "east", DataCentre: "east-1"}
 	tests := map[string]struct {
 		hops    jwrequest.Hops
 		status  int // 0 for no answer at all
 		outcome jwrequest.Outcome
 	}{
-		"none":                   {nil, 0, ""},
-		"empty hop":              {jwrequest.Hops{{}}, http.StatusServiceUnavailable, jwrequest.NotRun},
-		"of its own region":      {jwrequest.Hops{one}, http.StatusServiceUnavailable, jwrequest.NotRun},
-		"the receiver":           {jwrequest.Hops{{Node: "e1", Region: "east"}}, http.StatusLoopDetected, jwrequest.NotRun},
-		"as long as may be":      {jwrequest.Hops{one, one, one}, http.StatusLoopDetected, jwrequest.NotRun},
-		"longer than any can be": {make(jwrequest.Hops, 1000), http.StatusLoopDetected, jwrequest.NotRun},
+		"none":                  {nil, 0, ""},
+		"empty hop":             {jwrequest.Hops{{}}, http.StatusServiceUnavailable, jwrequest.NotRun},
+		"in the same region":    {jwrequest.Hops{hop}, http.StatusServiceUnavailable, jwrequest.NotRun},
+		"through the receiver":  {jwrequest.Hops{{Node: "e1", Region: "east"}}, http.StatusLoopDetected, jwrequest.NotRun},
+		"of the maximum length": {jwrequest.Hops{hop, hop, hop}, http.StatusLoopDetected, jwrequest.NotRun},
+		"of 1000 hops":          {make(jwrequest.Hops, 1000), http.StatusLoopDetected, jwrequest.NotRun},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -132,7 +133,7 @@
 				}
 				a, err := (&jwforward.Pool{}).Forward(t.Context(), e1.board.Peers.Self(), &jwrequest.Request{
 					ID: id, Workspace: "free-west", Entry: entry, Key: key, Body: []byte(prompt("menu", 3, false)),
-					Deadline: time.Now().Add(testPatience), Hops: tc.hops,
+					Deadline: time.Now().Add(testTimeout), Hops: tc.hops,
 				}, jwdispatch.ForwardRegion)
 				if tc.status == 0 {
 					assert.Equal(t, status.Code(err), codes.FailedPrecondition, "%v", err)
@@ -141,7 +142,7 @@
 				assert.NilError(t, err)
 				want := tc.outcome
 				if entry == "confirm" {
-					want = jwrequest.Unknown // its key was not looked up
+					want = jwrequest.Unknown // the node did not look up the key
 				}
 				assert.Equal(t, a.Head.Status, tc.status, "%+v", a.Head)
 				assert.Equal(t, a.Head.Outcome, want, "%+v", a.Head)
--- a/io/jwnode/node_test.go
+++ b/io/jwnode/node_test.go
@@ -11,16 +11,16 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A caller asks a node which host to use, sends a draft there, plain and
-// streamed, and gets the whole answer; what its own region has no target for
-// is served by another.
+// A caller asks a node which host to use, sends a draft there, once plain and
+// once streamed, and gets the whole answers. A region without a target has its
+// drafts served in another region.
 func TestWholePath(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	s.runner("east")
 	a := s.node("e1", "east")
 	b := s.node("w1", "west")
 	s.edit(a, draft())
-	s.settle(1)
+	s.awaitRevision(1)
 
 	resp, err := http.Get("http://" + b.CallersAddr().String() + "/v1/hosts?workspace=bound-east")
 	assert.NilError(t, err)
@@ -51,15 +51,15 @@
 	assert.Assert(t, strings.Contains(away.body, "event: done"))
 }
 
-// A family presses the deposit button twice, at two hosts. The deposit must be
-// taken once, and both presses get the same answer.
-func TestConfirmationPressedTwice(t *testing.T) {
+// A caller sends the same confirmation twice, to two nodes. It must run once, and
+// both calls get the same answer. The same key with another body is rejected.
+func TestConfirmationSentTwice(t *testing.T) {
 	s := newSystem(t, "east")
 	desk, _ := s.service("east")
 	a := s.node("e1", "east")
 	b := s.node("e2", "east")
 	s.edit(a, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(a.board.Targets.Used())+len(b.board.Targets.Used()) == 2 })
 
 	key := header{"Idempotency-Key": "deposit-17"}
@@ -75,18 +75,19 @@
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
 }
 
-// A caller asks a host abroad for a ticket. It would be run by that host alone,
-// while the confirmations of its workspace run at home, so the family would
-// press with a key that nobody ever runs.
+// A caller asks a node outside its home region for a ticket. Only the node that
+// mints a ticket can run it, but confirmations of a workspace run in its home
+// region, so such a ticket could never be used. The node must name hosts of the
+// home region instead.
 func TestTicketIsMintedAtHome(t *testing.T) {
 	s := newSystem(t, "east", "west")
 	desk, _ := s.service("east")
 	home, away := s.node("e1", "east"), s.node("w1", "west")
 	s.edit(home, confirmation())
-	s.settle(1)
+	s.awaitRevision(1)
 	s.await("targets", func() bool { return len(home.board.Targets.Used()) == 1 })
 
-	mint := func(n *running) (status int, key string, hosts []string) {
+	mint := func(n *runningNode) (status int, key string, hosts []string) {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.CallersAddr().String()+"/v1/tickets", nil)
 		assert.NilError(t, err)
 		r.Header.Set("Jujube-Workspace", "free-east")
@@ -106,7 +107,7 @@
 
 	status, key, _ := mint(home)
 	assert.Equal(t, status, http.StatusOK)
-	for _, n := range []*running{home, away, home} {
+	for _, n := range []*runningNode{home, away, home} {
 		r := s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": key})
 		assert.Equal(t, r.outcome, "served", r.body)
 	}
--- a/io/jwnode/seeds_test.go
+++ b/io/jwnode/seeds_test.go
@@ -10,9 +10,9 @@
 	"jujubewheel/io/jwstand"
 )
 
-// The whole platform is out of reach: the key-value service, the host list and
-// the directory are on the other side of a cut. A host of the region that is
-// replaced in that time must serve like the others, or the region shrinks with
+// A region is cut off from the whole platform: the key-value service, the host
+// list and the directory. A node that starts during that time, with a peer from
+// the settings, must serve like the others, or the region would lose a node with
 // every restart.
 func TestStartWithoutThePlatform(t *testing.T) {
 	s := newSystem(t, "east")
@@ -21,7 +21,7 @@
 	first := s.node("e1", "east")
 	s.edit(first, draft())
 	s.edit(first, confirmation())
-	s.settle(2)
+	s.awaitRevision(2)
 	s.await("targets", func() bool { return len(first.board.Targets.Used()) == 2 })
 
 	for _, p := range s.platform {
@@ -39,7 +39,7 @@
 	r := s.send(second.CallersAddr(), "confirm", "bound-east", "{}", header{"Idempotency-Key": key})
 	assert.Equal(t, r.outcome, "served", r.body)
 	assert.Equal(t, len(desk.Journal.Runs()), 1)
-	s.await("the old node names it to callers", func() bool {
+	s.await("the old node knows that it serves", func() bool {
 		p, known := first.board.Peers.Get("e2")
 		return known && p.State == jwpeer.Serving
 	})
@@ -47,5 +47,5 @@
 	for _, p := range s.platform {
 		p.SetFaults(jwstand.Faults{})
 	}
-	s.await("it is a member", second.membership.Registered)
+	s.await("the new node is registered as a member", second.membership.Registered)
 }
--- a/io/jwnode/sources.go
+++ b/io/jwnode/sources.go
@@ -15,17 +15,17 @@
 	"jujubewheel/io/jwforward"
 )
 
-// mostChanges bounds one answer of a peer.
-const mostChanges = 256
+// maxChanges is the maximum number of catalogue changes in one answer of a peer.
+const maxChanges = 256
 
-// servingPeers returns to the claims which nodes of a region serve and were seen
-// lately.
+// servingPeers tells the claim keeper which nodes of a region serve and were seen
+// recently.
 type servingPeers struct{ table *jwpeer.Table }
 
-// Serving returns the names of the serving nodes of a region.
+// Serving returns the names of the serving nodes of a region, this one included.
 func (s servingPeers) Serving(region string) []string {
 	var out []string
-	for _, p := range s.table.Fresh(time.Now().Add(-silence)) {
+	for _, p := range s.table.Fresh(time.Now().Add(-peerTimeout)) {
 		if p.Region == region && p.State == jwpeer.Serving {
 			out = append(out, p.Name)
 		}
@@ -33,15 +33,16 @@
 	return out
 }
 
-// changeSource gets catalogue changes from a peer that has more.
+// changeSource fetches catalogue changes from a peer with a newer revision.
 type changeSource struct {
 	peers *jwpeer.Table
 	pool  *jwforward.Pool
 	self  string
 }
 
-// Changes returns what a peer has after a revision; nothing when no peer is
-// known to have more.
+// Changes returns a peer's changes after a revision, or its checkpoint if it no
+// longer keeps them. It returns nothing when no peer is known to have a newer
+// revision.
 func (s *changeSource) Changes(ctx context.Context, after uint64) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
 	ahead := s.peers.Select(func(p jwpeer.Peer) bool {
 		return p.Name != s.self && p.Revision > after && p.State != jwpeer.Gone
@@ -49,14 +50,14 @@
 	if len(ahead) == 0 {
 		return nil, nil, nil
 	}
-	from := ahead[rand.IntN(len(ahead))]
+	peer := ahead[rand.IntN(len(ahead))]
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	records, checkpoint, err := s.pool.ChangeRecords(ctx, from, after, mostChanges)
+	records, checkpoint, err := s.pool.ChangeRecords(ctx, peer, after, maxChanges)
 	if err != nil {
 		return nil, nil, err
 	}
-	return decodeChanges(from.Name, records, checkpoint)
+	return decodeChanges(peer.Name, records, checkpoint)
 }
 
 func decodeChanges(from string, records [][]byte, checkpoint []byte) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint, error) {
@@ -64,7 +65,7 @@
 	for _, r := range records {
 		c, err := jwcatalogue.ParseChange(r)
 		if err != nil {
-			return nil, nil, errors.Wrapf(err, "read change of %s", from)
+			return nil, nil, errors.Wrapf(err, "decode change from peer %q", from)
 		}
 		changes = append(changes, c)
 	}
@@ -73,21 +74,22 @@
 	}
 	cp, err := jwcatalogue.ParseCheckpoint(checkpoint)
 	if err != nil {
-		return nil, nil, errors.Wrapf(err, "read checkpoint of %s", from)
+		return nil, nil, errors.Wrapf(err, "decode checkpoint from peer %q", from)
 	}
 	return changes, &cp, nil
 }
 
-// changeRecords gives catalogue changes to other nodes.
+// changeRecords serves encoded catalogue changes to other nodes.
 type changeRecords struct{ table *jwcatalogue.Table }
 
-// ChangeRecords returns changes after a revision as JSON records, or a
-// checkpoint when they are no longer kept.
-func (c *changeRecords) ChangeRecords(after uint64, most int) (records [][]byte, checkpoint []byte, revision uint64) {
-	if most <= 0 || most > mostChanges {
-		most = mostChanges
+// ChangeRecords returns at most limit changes after a revision as JSON records,
+// or a checkpoint when they are no longer kept, and this node's revision. A limit
+// of 0 or above maxChanges means maxChanges.
+func (c *changeRecords) ChangeRecords(after uint64, limit int) (records [][]byte, checkpoint []byte, revision uint64) {
+	if limit <= 0 || limit > maxChanges {
+		limit = maxChanges
 	}
-	records, checkpoint, err := encodeChanges(c.table.Changes(after, most))
+	records, checkpoint, err := encodeChanges(c.table.Changes(after, limit))
 	if err != nil {
 		return nil, nil, c.table.Revision()
 	}
@@ -108,38 +110,40 @@
 	return records, checkpoint, err
 }
 
-// hostSource gets the hosts of the region from another node of it.
+// hostSource fetches the hosts of the region from another node of the region.
 type hostSource struct {
 	peers *jwpeer.Table
 	pool  *jwforward.Pool
 	self  jwrequest.Hop
 }
 
-// Hosts returns the hosts of the region as a peer knows them.
+// Hosts returns the host list of a random peer of the region, limited to the
+// hosts of that region.
 func (s *hostSource) Hosts(ctx context.Context) ([]jwhost.Host, error) {
 	peers := s.peers.Select(func(p jwpeer.Peer) bool {
 		return p.Region == s.self.Region && p.Name != s.self.Node && p.State != jwpeer.Gone
 	})
 	if len(peers) == 0 {
-		return nil, errors.New("get hosts: no peer of the region is known")
+		return nil, errors.New("get hosts: no other node of the region is known")
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
 	return s.pool.FetchHosts(ctx, peers[rand.IntN(len(peers))], s.self.Region)
 }
 
-// directorySource gets the client directory from a node of this region.
+// directorySource fetches the client directory from another node of the region.
 type directorySource struct {
 	peers *jwpeer.Table
 	pool  *jwforward.Pool
 	self  jwrequest.Hop
 }
 
-// Fetch returns the directory of a peer that serves.
+// Fetch returns the directory of a random serving peer of the region, or nil if
+// it still has the given version.
 func (s *directorySource) Fetch(ctx context.Context, version string) (*jwdirectory.Snapshot, error) {
-	peers := servingBeside(s.peers, s.self.Region, s.self.Node)
+	peers := otherServingPeers(s.peers, s.self.Region, s.self.Node)
 	if len(peers) == 0 {
-		return nil, errors.New("get directory: no peer of the region serves")
+		return nil, errors.New("get directory: no other node of the region serves")
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
--- a/io/jwnode/tap_test.go
+++ b/io/jwnode/tap_test.go
@@ -12,36 +12,36 @@
 	"gotest.tools/v3/assert"
 )
 
-// taps relay what leaves and enters the nodes of a region, and keep every
-// byte.
+// taps relays the traffic between the nodes of the regions and to the platform's
+// services, and keeps every byte.
 type taps struct {
 	mu    sync.Mutex
-	bytes map[string]*bytes.Buffer // by name of the node and direction
+	bytes map[string]*bytes.Buffer // by region and name of the node, as in "east/e1"
 }
 
-// tap is one relay.
+// tap is a TCP relay to one address.
 type tap struct {
 	taps *taps
 	name string
-	to   netip.AddrPort
+	dst  netip.AddrPort
 	l    net.Listener
 	t    testing.TB
 }
 
-// through are the relays of one node; nil for none.
-type through struct {
+// nodeTaps holds the relays of one node. Without taps it relays nothing.
+type nodeTaps struct {
 	taps *taps
 	name string
 	t    testing.TB
 	in   *tap
 }
 
-// node makes the relays of a node; nil taps make none.
-func (ts *taps) node(t testing.TB, name, region string) *through {
+// node creates the relays of a node, or none if ts is nil.
+func (ts *taps) node(t testing.TB, name, region string) *nodeTaps {
 	if ts == nil {
-		return &through{}
+		return &nodeTaps{}
 	}
-	th := &through{taps: ts, name: region + "/" + name, t: t}
+	th := &nodeTaps{taps: ts, name: region + "/" + name, t: t}
 	th.in = ts.listen(t, th.name)
 	return th
 }
@@ -55,31 +55,34 @@
 
 func (p *tap) address() netip.AddrPort { return p.l.Addr().(*net.TCPAddr).AddrPort() }
 
-// advertise is the setting that has other nodes come through the relay.
-func (th *through) advertise() string {
+// advertise returns the part of the settings that makes other nodes connect
+// through the relay.
+func (th *nodeTaps) advertise() string {
 	if th.taps == nil {
 		return ""
 	}
 	return fmt.Sprintf(`"advertise": {"nodes": %q},`, th.in.address())
 }
 
-// open lets other nodes through to the node; it returns the address for them.
-func (th *through) open(nodes netip.AddrPort) netip.AddrPort {
+// open starts the relay to the node's port for other nodes and returns the
+// address that they use.
+func (th *nodeTaps) open(nodes netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return nodes
 	}
-	th.in.to = nodes
+	th.in.dst = nodes
 	go th.in.run()
 	return th.in.address()
 }
 
-// platform returns where the node reaches a service of the platform.
-func (th *through) platform(to netip.AddrPort) netip.AddrPort {
+// platform returns the address at which the node reaches a service of the
+// platform, through a relay if there are taps.
+func (th *nodeTaps) platform(to netip.AddrPort) netip.AddrPort {
 	if th.taps == nil {
 		return to
 	}
 	p := th.taps.listen(th.t, th.name)
-	p.to = to
+	p.dst = to
 	go p.run()
 	return p.address()
 }
@@ -95,7 +98,7 @@
 }
 
 func (p *tap) relay(near net.Conn) {
-	far, err := net.Dial("tcp", p.to.String())
+	far, err := net.Dial("tcp", p.dst.String())
 	if err != nil {
 		_ = near.Close()
 		return
@@ -112,7 +115,7 @@
 	_ = from.Close()
 }
 
-// record keeps what passes.
+// record is a writer that keeps the bytes that pass a tap.
 type record struct{ *tap }
 
 // Write implements io.Writer.
@@ -130,8 +133,9 @@
 	return buf.Write(b)
 }
 
-// passed returns all that went through the relays of nodes.
-func (ts *taps) passed() map[string][]byte {
+// traffic returns all bytes that went through the relays, by region and name of
+// the node.
+func (ts *taps) traffic() map[string][]byte {
 	ts.mu.Lock()
 	defer ts.mu.Unlock()
 	out := make(map[string][]byte)
