--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -66,7 +66,7 @@
 			l.SetWeather(weather)
 		}
 	case SlowRunner:
-		f.runners[region][0].Engine.Slow(slowFactor)
+		f.runners[region][0].Engine.SetTimeFactor(slowFactor)
 	case Poison:
 		return t.poison(ctx, f, region)
 	case Burst:
--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -41,7 +41,7 @@
 
 // up brings it back with an empty cache.
 func (r *runner) up() {
-	r.Engine.Forget()
+	r.Engine.ClearCache()
 	r.stand.SetFaults(jwstand.Faults{CrashOn: poison})
 }
 
@@ -297,8 +297,8 @@
 			sum.PromptTokens += t.PromptTokens
 			sum.CachedTokens += t.CachedTokens
 			sum.Generated += t.Generated
-			sum.Asked += t.Asked
-			sum.Held += t.Held
+			sum.Requested += t.Requested
+			sum.SlotTime += t.SlotTime
 		}
 	}
 	return sum
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -106,8 +106,8 @@
 	}
 	after := f.engines()
 	r.Generated = after.Generated - before.Generated
-	r.Saved = int64(after.Asked-before.Asked) - int64(r.Generated)
-	r.RunnerSeconds = (after.Held - before.Held).Seconds() / slots
+	r.Saved = int64(after.Requested-before.Requested) - int64(r.Generated)
+	r.RunnerSeconds = (after.SlotTime - before.SlotTime).Seconds() / slots
 	r.Cached = float64(after.CachedTokens-before.CachedTokens) / max(float64(after.PromptTokens-before.PromptTokens), 1)
 	sentAway := f.total("sent_away_total", nil)
 	inTime := 0.0
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -25,7 +25,7 @@
 type answer struct {
 	status  int
 	outcome jwrequest.Outcome
-	whole   bool // the end of the answer came
+	complete   bool // the end of the answer came
 	right   bool // the answer is that of this request
 	first   time.Time
 	gaps    []time.Duration // between tokens
@@ -57,7 +57,7 @@
 		return
 	}
 	switch {
-	case ans.status == http.StatusOK && ans.whole:
+	case ans.status == http.StatusOK && ans.complete:
 		ans.outcome = jwrequest.Served
 	case direct && ans.status == http.StatusServiceUnavailable:
 		ans.outcome = jwrequest.NotRun
@@ -79,7 +79,7 @@
 	if err != nil {
 		return
 	}
-	ans.whole = true
+	ans.complete = true
 	ans.first = now()
 	if ans.status != http.StatusOK {
 		ans.hosts = decodeHosts(data)
@@ -174,8 +174,8 @@
 	if json.Unmarshal([]byte(e.data), &word) == nil && word.Outcome != "" {
 		ans.outcome = word.Outcome
 	}
-	ans.whole = e.name == "done"
-	ans.right = ans.whole && right
+	ans.complete = e.name == "done"
+	ans.right = ans.complete && right
 }
 
 func tokenOf(data string) (string, bool) {
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -25,15 +25,15 @@
 	idleConns   = 4096
 	idleTimeout = time.Minute
 	maxTries    = 5
-	// grace is how long past its deadline a call is still waited for, so that
+	// lateGrace is how long past its deadline a call is still waited for, so that
 	// a late answer is told apart from none.
-	grace = 2 * time.Second
-	// patience is how soon a caller sends a second time.
-	patience = 20 * time.Millisecond
+	lateGrace = 2 * time.Second
+	// resendDelay is how soon a caller sends a second time.
+	resendDelay = 20 * time.Millisecond
 )
 
-// caller sends one HTTP request.
-type caller interface {
+// requestDoer sends one HTTP request.
+type requestDoer interface {
 	DoRequest(r *http.Request) (*http.Response, error)
 }
 
@@ -46,12 +46,12 @@
 	Targets  map[Target][]netip.AddrPort // for direct calls
 	Follow   bool                        // comes back after Retry-After and goes to the hosts that an answer names
 
-	service caller
+	service requestDoer
 	results results
 	audit   audit
-	turn    atomic.Uint64
-	open    atomic.Int64
-	most    atomic.Int64
+	nextHost    atomic.Uint64
+	inFlight    atomic.Int64
+	maxInFlight    atomic.Int64
 }
 
 // Run sends the load and returns once every request has ended.
@@ -67,13 +67,13 @@
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	began := time.Now()
+	start := time.Now()
 	for {
 		a := l.Schedule.Next()
 		if a.At > l.Duration {
 			return nil
 		}
-		due := began.Add(a.At)
+		due := start.Add(a.At)
 		if jwclock.Sleep(ctx, time.Until(due)) != nil {
 			return errors.Wrap(ctx.Err(), "send load")
 		}
@@ -83,7 +83,7 @@
 
 func newTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: grace}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: lateGrace}).DialContext,
 		MaxIdleConnsPerHost: idleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
@@ -119,41 +119,41 @@
 
 // Report returns what came of the load.
 func (l *Load) Report() Report {
-	return l.results.report(l.Duration-l.Warm, l.most.Load())
+	return l.results.report(l.Duration-l.Warm, l.maxInFlight.Load())
 }
 
 // send carries one request through all its tries.
 func (l *Load) send(ctx context.Context, a Arrival, due time.Time) {
-	open := l.open.Add(1)
-	defer l.open.Add(-1)
-	for most := l.most.Load(); open > most && !l.most.CompareAndSwap(most, open); {
-		most = l.most.Load()
+	inFlight := l.inFlight.Add(1)
+	defer l.inFlight.Add(-1)
+	for maxSeen := l.maxInFlight.Load(); inFlight > maxSeen && !l.maxInFlight.CompareAndSwap(maxSeen, inFlight); {
+		maxSeen = l.maxInFlight.Load()
 	}
 	if a.Again {
-		defer l.sendAgain(ctx, a, due)()
+		defer l.sendDuplicate(ctx, a, due)()
 	}
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 	defer cancel()
 	o := outcome{arrival: a}
-	hosts := l.hostsOf(a)
-	turn := int(l.turn.Add(1))
+	hosts := l.hostsFor(a)
+	firstHost := int(l.nextHost.Add(1))
 	for try := range maxTries {
-		host := hosts[(turn+try)%len(hosts)]
+		host := hosts[(firstHost+try)%len(hosts)]
 		o.answer = l.call(ctx, a, host, deadline)
 		o.end = time.Now()
 		if !l.Follow || o.answer.outcome != jwrequest.NotRun || a.Direct {
 			break
 		}
 		if len(o.answer.hosts) > 0 {
-			hosts, turn = o.answer.hosts, -try-1 // the first named one is next
+			hosts, firstHost = o.answer.hosts, -try-1 // the first named one is next
 		}
-		again := time.Now().Add(o.answer.retry)
-		if try == maxTries-1 || again.After(deadline) {
+		retryAt := time.Now().Add(o.answer.retry)
+		if try == maxTries-1 || retryAt.After(deadline) {
 			break
 		}
 		o.retries++
-		if jwclock.Sleep(ctx, time.Until(again)) != nil {
+		if jwclock.Sleep(ctx, time.Until(retryAt)) != nil {
 			break
 		}
 	}
@@ -163,20 +163,20 @@
 	l.audit.note(a, o.answer.outcome)
 }
 
-// sendAgain sends the request a second time while the first is under way, as
+// sendDuplicate sends the request a second time while the first is under way, as
 // a caller does whose page hangs; the function that it returns waits for it.
 // The second one is no part of the report but for the audit.
-func (l *Load) sendAgain(ctx context.Context, a Arrival, due time.Time) (wait func()) {
+func (l *Load) sendDuplicate(ctx context.Context, a Arrival, due time.Time) (wait func()) {
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
-	hosts := l.hostsOf(a)
+	hosts := l.hostsFor(a)
 	host := hosts[a.Number%len(hosts)]
 	a.ID += "-again"
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
+		ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 		defer cancel()
-		if jwclock.Sleep(ctx, time.Until(due.Add(patience))) != nil {
+		if jwclock.Sleep(ctx, time.Until(due.Add(resendDelay))) != nil {
 			return
 		}
 		ans := l.call(ctx, a, host, deadline)
@@ -185,7 +185,7 @@
 	return func() { <-done }
 }
 
-func (l *Load) hostsOf(a Arrival) []netip.AddrPort {
+func (l *Load) hostsFor(a Arrival) []netip.AddrPort {
 	if a.Direct {
 		return l.Targets[a.Kind.Target]
 	}
@@ -211,7 +211,7 @@
 	return readAnswer(res, a, time.Now)
 }
 
-func newRequest(ctx context.Context, a Arrival, host netip.AddrPort, left time.Duration) (*http.Request, error) {
+func newRequest(ctx context.Context, a Arrival, host netip.AddrPort, timeLeft time.Duration) (*http.Request, error) {
 	path := "/v1/requests/" + a.Kind.Entry
 	if a.Direct {
 		path = a.Kind.Path
@@ -223,7 +223,7 @@
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("Jujube-Workspace", a.Workspace)
 	r.Header.Set("Jujube-Request-Id", a.ID)
-	r.Header.Set("Jujube-Timeout", strconv.FormatInt(max(left.Milliseconds(), 1), 10)+"ms")
+	r.Header.Set("Jujube-Timeout", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10)+"ms")
 	if a.Kind.Stream {
 		r.Header.Set("Accept", "text/event-stream")
 	}
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -238,7 +238,7 @@
 			res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, test.body)
 			ans := readAnswer(res, Arrival{Kind: kind, Prompt: "p", Tokens: 2, Direct: test.direct}, time.Now)
 			assert.Equal(t, ans.outcome, test.outcome)
-			assert.Equal(t, ans.whole, test.whole)
+			assert.Equal(t, ans.complete, test.whole)
 			assert.Equal(t, ans.right, test.right)
 		})
 	}
@@ -271,6 +271,6 @@
 	f.Fuzz(func(t *testing.T, body string, direct bool) {
 		res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, body)
 		ans := readAnswer(res, Arrival{Kind: Kind{Target: Runner, Stream: true}, Prompt: "p", Tokens: 1, Direct: direct}, time.Now)
-		assert.Check(t, ans.whole || !ans.right, "an answer without its end is never right")
+		assert.Check(t, ans.complete || !ans.right, "an answer without its end is never right")
 	})
 }
--- a/io/jwstand/answer.go
+++ b/io/jwstand/answer.go
@@ -12,8 +12,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// answerJSON writes a value as the whole answer.
-func answerJSON(w http.ResponseWriter, status int, value any) {
+// writeJSON writes a value as the whole answer.
+func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -24,8 +24,8 @@
 	_, _ = w.Write(append(body, '\n')) // a caller that has gone needs no answer
 }
 
-// acceptJSON reads the body into value and answers 400 when it can't.
-func acceptJSON(w http.ResponseWriter, r *http.Request, value any) bool {
+// readJSON reads the body into value and answers 400 when it can't.
+func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return false
@@ -43,8 +43,8 @@
 	return true
 }
 
-// answerTagged writes a value with an ETag, or 304 to a caller that has it.
-func answerTagged(w http.ResponseWriter, r *http.Request, value any) {
+// writeJSONWithETag writes a value with an ETag, or 304 to a caller that has it.
+func writeJSONWithETag(w http.ResponseWriter, r *http.Request, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -56,7 +56,7 @@
 		w.WriteHeader(http.StatusNotModified)
 		return
 	}
-	answerJSON(withGzip(w, r), http.StatusOK, json.RawMessage(body))
+	writeJSON(withGzip(w, r), http.StatusOK, json.RawMessage(body))
 }
 
 // withGzip compresses a whole answer for a caller that takes it.
@@ -64,23 +64,23 @@
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		return w
 	}
-	return &gzipAnswer{ResponseWriter: w}
+	return &gzipResponseWriter{ResponseWriter: w}
 }
 
-// gzipAnswer compresses each Write as a gzip member of its own; a sequence of
+// gzipResponseWriter compresses each Write as a gzip member of its own; a sequence of
 // members is one gzip file.
-type gzipAnswer struct {
+type gzipResponseWriter struct {
 	http.ResponseWriter
 }
 
 // WriteHeader implements http.ResponseWriter.
-func (g *gzipAnswer) WriteHeader(status int) {
+func (g *gzipResponseWriter) WriteHeader(status int) {
 	g.Header().Set("Content-Encoding", "gzip")
 	g.ResponseWriter.WriteHeader(status)
 }
 
 // Write implements http.ResponseWriter.
-func (g *gzipAnswer) Write(b []byte) (int, error) {
+func (g *gzipResponseWriter) Write(b []byte) (int, error) {
 	zw := gzip.NewWriter(g.ResponseWriter)
 	n, err := zw.Write(b)
 	if err != nil {
--- a/io/jwstand/clients.go
+++ b/io/jwstand/clients.go
@@ -11,7 +11,7 @@
 	workspaceSchema = "urn:jujubewheel:scim:Workspace"
 	userSchema      = "urn:ietf:params:scim:schemas:core:2.0:User"
 	listSchema      = "urn:ietf:params:scim:api:messages:2.0:ListResponse"
-	maxPage         = 1000
+	maxPageSize         = 1000
 )
 
 // Client is one workspace of the client directory.
@@ -54,11 +54,11 @@
 func (c *Clients) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /clients", func(w http.ResponseWriter, _ *http.Request) {
 		clients, _ := c.current()
-		answerJSON(w, http.StatusOK, clients)
+		writeJSON(w, http.StatusOK, clients)
 	})
 	control.HandleFunc("PUT /clients", func(w http.ResponseWriter, r *http.Request) {
 		var clients []Client
-		if acceptJSON(w, r, &clients) {
+		if readJSON(w, r, &clients) {
 			c.Set(clients)
 		}
 	})
@@ -94,8 +94,8 @@
 		return
 	}
 	query := r.URL.Query()
-	start := max(numberOr(query.Get("startIndex"), 1), 1)
-	count := min(max(numberOr(query.Get("count"), maxPage), 0), maxPage)
+	start := max(parseIntOr(query.Get("startIndex"), 1), 1)
+	count := min(max(parseIntOr(query.Get("count"), maxPageSize), 0), maxPageSize)
 	from := min(start-1, len(clients))
 	to := min(from+count, len(clients))
 	list := listResponse{
@@ -114,13 +114,13 @@
 			Workspace: workspace{Region: client.Region, Bound: client.Bound, Owner: client.Owner},
 		})
 	}
-	answerJSON(withGzip(w, r), http.StatusOK, list)
+	writeJSON(withGzip(w, r), http.StatusOK, list)
 }
 
-func numberOr(text string, otherwise int) int {
+func parseIntOr(text string, fallback int) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
--- a/io/jwstand/engine.go
+++ b/io/jwstand/engine.go
@@ -34,13 +34,13 @@
 	mu      sync.Mutex
 	running int
 	waiting waitQueue
-	arrival uint64
+	lastArrival uint64
 	cache   prefixCache
 	reports []Report
-	total   Totals
-	pace    float64 // factor on all times, 0 means 1
-	held    int     // slots held since changed
-	changed time.Time
+	totals   Totals
+	timeFactor    float64 // factor on all times, 0 means 1
+	heldSlots    int     // slots held since changed
+	heldSince time.Time
 }
 
 // Report is the load of an engine at one moment.
@@ -59,18 +59,18 @@
 	PromptTokens uint64
 	CachedTokens uint64 // prompt tokens that were found in the cache
 	Generated    uint64
-	Asked        uint64        // tokens that the requests which got a slot asked for
-	Held         time.Duration // time of all slots together that was held by requests
+	Requested        uint64        // tokens that the requests which got a slot asked for
+	SlotTime         time.Duration // time of all slots together that was held by requests
 }
 
-// Enter waits for a slot, most urgent first (0 to 7) and oldest first among
+// AcquireSlot waits for a slot, most urgent first (0 to 7) and oldest first among
 // equals. It returns false when the queue is full or the context has ended;
 // after true, Leave must be called once.
-func (e *Engine) Enter(ctx context.Context, urgency int) bool {
+func (e *Engine) AcquireSlot(ctx context.Context, urgency int) bool {
 	e.mu.Lock()
 	if e.running < e.slots() && len(e.waiting) == 0 {
 		e.running++
-		e.note()
+		e.recordReport()
 		e.mu.Unlock()
 		return true
 	}
@@ -82,10 +82,10 @@
 		e.mu.Unlock()
 		return false
 	}
-	e.arrival++
-	w := &waiter{urgency: urgency, arrival: e.arrival, admitted: make(chan struct{})}
+	e.lastArrival++
+	w := &waiter{urgency: urgency, arrival: e.lastArrival, admitted: make(chan struct{})}
 	heap.Push(&e.waiting, w)
-	e.note()
+	e.recordReport()
 	e.mu.Unlock()
 	select {
 	case <-w.admitted:
@@ -95,58 +95,58 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if w.index < 0 {
-		e.release() // the slot came at the same moment
+		e.releaseSlot() // the slot came at the same moment
 		return false
 	}
 	heap.Remove(&e.waiting, w.index)
-	e.note()
+	e.recordReport()
 	return false
 }
 
-// Leave gives the slot back.
-func (e *Engine) Leave() {
+// ReleaseSlot gives the slot back.
+func (e *Engine) ReleaseSlot() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.release()
+	e.releaseSlot()
 }
 
-func (e *Engine) release() {
+func (e *Engine) releaseSlot() {
 	e.running--
 	for e.running < e.slots() && len(e.waiting) > 0 {
 		w := heap.Pop(&e.waiting).(*waiter)
 		e.running++
 		close(w.admitted)
 	}
-	e.note()
+	e.recordReport()
 }
 
-// Prompt spends the prefill of a prompt and returns how many of its tokens
+// PrefillPrompt spends the prefill of a prompt and returns how many of its tokens
 // were cached.
-func (e *Engine) Prompt(ctx context.Context, prompt string) (tokens, cached int, err error) {
+func (e *Engine) PrefillPrompt(ctx context.Context, prompt string) (tokens, cached int, err error) {
 	tokens = len(prompt)/bytesPerToken + 1
 	e.mu.Lock()
 	cached = min(e.cache.use(prompt, e.CacheTokens/blockTokens)*blockTokens, tokens)
-	e.total.Requests++
-	e.total.PromptTokens += uint64(tokens)
-	e.total.CachedTokens += uint64(cached)
+	e.totals.Requests++
+	e.totals.PromptTokens += uint64(tokens)
+	e.totals.CachedTokens += uint64(cached)
 	prefill := time.Duration(tokens-cached) * e.Prefill
-	if e.pace > 0 {
-		prefill = time.Duration(float64(prefill) * e.pace)
+	if e.timeFactor > 0 {
+		prefill = time.Duration(float64(prefill) * e.timeFactor)
 	}
-	e.note()
+	e.recordReport()
 	e.mu.Unlock()
 	return tokens, cached, jwclock.Sleep(ctx, prefill)
 }
 
-// Slow multiplies all times from now on; reports do not show it. 0 means 1.
-func (e *Engine) Slow(factor float64) {
+// SetTimeFactor multiplies all times from now on; reports do not show it. 0 means 1.
+func (e *Engine) SetTimeFactor(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pace = factor
+	e.timeFactor = factor
 }
 
-// Forget empties the prefix cache, as a restart does.
-func (e *Engine) Forget() {
+// ClearCache empties the prefix cache, as a restart does.
+func (e *Engine) ClearCache() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.cache = prefixCache{}
@@ -156,25 +156,25 @@
 func (e *Engine) Totals() Totals {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.note()
-	return e.total
+	e.recordReport()
+	return e.totals
 }
 
-// ask counts the tokens that a request asks for.
-func (e *Engine) ask(tokens int) {
+// countAsked counts the tokens that a request asks for.
+func (e *Engine) countAsked(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.total.Asked += uint64(max(tokens, 0))
+	e.totals.Requested += uint64(max(tokens, 0))
 }
 
-// Next spends the time of one token.
-func (e *Engine) Next(ctx context.Context) error {
+// GenerateToken spends the time of one token.
+func (e *Engine) GenerateToken(ctx context.Context) error {
 	e.mu.Lock()
 	d := e.tokenTime()
-	if e.pace > 0 {
-		d = time.Duration(float64(d) * e.pace)
+	if e.timeFactor > 0 {
+		d = time.Duration(float64(d) * e.timeFactor)
 	}
-	e.total.Generated++
+	e.totals.Generated++
 	e.mu.Unlock()
 	return jwclock.Sleep(ctx, d)
 }
@@ -184,10 +184,10 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if len(e.reports) == 0 {
-		e.note()
+		e.recordReport()
 	}
 	e.prune(time.Now())
-	return e.reports[0], e.total
+	return e.reports[0], e.totals
 }
 
 func (e *Engine) slots() int {
@@ -201,11 +201,11 @@
 	return e.Token + time.Duration(float64(e.Token)*e.Growth*float64(max(e.running-1, 0)))
 }
 
-// note keeps the load of this moment for reports to come.
-func (e *Engine) note() {
+// recordReport keeps the load of this moment for reports to come.
+func (e *Engine) recordReport() {
 	now := time.Now()
-	e.total.Held += time.Duration(e.held) * now.Sub(e.changed)
-	e.held, e.changed = e.running, now
+	e.totals.SlotTime += time.Duration(e.heldSlots) * now.Sub(e.heldSince)
+	e.heldSlots, e.heldSince = e.running, now
 	e.prune(now)
 	r := Report{Taken: now, Running: e.running, Waiting: len(e.waiting), Slots: e.slots(), Token: e.tokenTime()}
 	if e.CacheTokens > 0 {
@@ -277,8 +277,8 @@
 
 // use returns how many whole blocks at the start of a prompt were cached and
 // caches all of its blocks, up to most in the cache.
-func (c *prefixCache) use(prompt string, most int) (found int) {
-	if most <= 0 {
+func (c *prefixCache) use(prompt string, maxBlocks int) (found int) {
+	if maxBlocks <= 0 {
 		return 0
 	}
 	if c.blocks == nil {
@@ -286,22 +286,22 @@
 	}
 	const size = blockTokens * bytesPerToken
 	digest := xxhash.New()
-	whole := true
+	prefixCached := true
 	for n := 0; n+size <= len(prompt); n += size {
 		_, _ = digest.WriteString(prompt[n : n+size]) // never fails
 		sum := digest.Sum64()
 		element, cached := c.blocks[sum]
 		if !cached {
-			whole = false
+			prefixCached = false
 			c.blocks[sum] = c.order.PushFront(sum)
 			continue
 		}
 		c.order.MoveToFront(element)
-		if whole {
+		if prefixCached {
 			found++
 		}
 	}
-	for len(c.blocks) > most {
+	for len(c.blocks) > maxBlocks {
 		oldest := c.order.Back()
 		delete(c.blocks, oldest.Value.(uint64))
 		c.order.Remove(oldest)
--- a/io/jwstand/gate.go
+++ b/io/jwstand/gate.go
@@ -5,66 +5,66 @@
 	"sync"
 )
 
-// gate holds the open connections of one port, so that faults reach them.
-type gate struct {
+// paused holds the open connections of one port, so that faults reach them.
+type paused struct {
 	mu     sync.Mutex
-	conns  map[*gateConn]struct{}
-	paused chan struct{} // closed when the pause is lifted, nil without one
+	open  map[*trackedConn]struct{}
+	resumed chan struct{} // closed when the pause is lifted, nil without one
 }
 
-// gateListener hands its connections to a gate.
-type gateListener struct {
+// trackedListener hands its connections to a gate.
+type trackedListener struct {
 	net.Listener
-	gate *gate
+	conns *paused
 }
 
 // Accept implements net.Listener.
-func (l *gateListener) Accept() (net.Conn, error) {
+func (l *trackedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.gate.add(conn), nil
+	return l.conns.add(conn), nil
 }
 
-func (g *gate) add(conn net.Conn) *gateConn {
-	c := &gateConn{Conn: conn, gate: g, silenced: make(chan struct{}), closed: make(chan struct{})}
+func (g *paused) add(conn net.Conn) *trackedConn {
+	c := &trackedConn{Conn: conn, set: g, silenced: make(chan struct{}), closed: make(chan struct{})}
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if g.conns == nil {
-		g.conns = make(map[*gateConn]struct{})
+	if g.open == nil {
+		g.open = make(map[*trackedConn]struct{})
 	}
-	g.conns[c] = struct{}{}
+	g.open[c] = struct{}{}
 	return c
 }
 
 // pause holds or lets go of every byte.
-func (g *gate) pause(on bool) {
+func (g *paused) pause(on bool) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	if on && g.paused == nil {
-		g.paused = make(chan struct{})
+	if on && g.resumed == nil {
+		g.resumed = make(chan struct{})
 	}
-	if !on && g.paused != nil {
-		close(g.paused)
-		g.paused = nil
+	if !on && g.resumed != nil {
+		close(g.resumed)
+		g.resumed = nil
 	}
 }
 
 // silence makes the connections that are open now swallow all bytes.
-func (g *gate) silence() {
+func (g *paused) silence() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for c := range g.conns {
-		c.once.Do(func() { close(c.silenced) })
+	for c := range g.open {
+		c.silenceOnce.Do(func() { close(c.silenced) })
 	}
 }
 
 // reset ends the open connections without a proper close.
-func (g *gate) reset() {
+func (g *paused) reset() {
 	g.mu.Lock()
-	conns := g.conns
-	g.conns = nil
+	conns := g.open
+	g.open = nil
 	g.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
@@ -74,39 +74,39 @@
 	}
 }
 
-func (g *gate) hold() chan struct{} {
+func (g *paused) resumedChan() chan struct{} {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.paused
+	return g.resumed
 }
 
-// gateConn is one connection of a gate.
-type gateConn struct {
+// trackedConn is one connection of a gate.
+type trackedConn struct {
 	net.Conn
-	gate     *gate
-	once     sync.Once
+	set     *paused
+	silenceOnce     sync.Once
 	silenced chan struct{}
-	ending   sync.Once
+	closeOnce   sync.Once
 	closed   chan struct{}
 }
 
 // Read implements net.Conn.
-func (c *gateConn) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.pass() {
+	if !c.waitWhileHeld() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
 // Write implements net.Conn; a silenced connection takes bytes and drops them.
-func (c *gateConn) Write(b []byte) (int, error) {
+func (c *trackedConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.silenced:
 		return len(b), nil
 	default:
 	}
-	if hold := c.gate.hold(); hold != nil {
+	if hold := c.set.resumedChan(); hold != nil {
 		select {
 		case <-hold:
 		case <-c.closed:
@@ -117,24 +117,24 @@
 }
 
 // Close implements net.Conn.
-func (c *gateConn) Close() error {
-	c.ending.Do(func() { close(c.closed) })
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c)
-	c.gate.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
+	c.set.mu.Lock()
+	delete(c.set.open, c)
+	c.set.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// pass waits while the gate is paused, and for good once the connection is
+// waitWhileHeld waits while the gate is paused, and for good once the connection is
 // silenced; it returns false when the connection is closed.
-func (c *gateConn) pass() bool {
+func (c *trackedConn) waitWhileHeld() bool {
 	select {
 	case <-c.silenced:
 		<-c.closed
 		return false
 	default:
 	}
-	hold := c.gate.hold()
+	hold := c.set.resumedChan()
 	if hold == nil {
 		return true
 	}
--- a/io/jwstand/hosts.go
+++ b/io/jwstand/hosts.go
@@ -18,11 +18,11 @@
 	Lag time.Duration
 
 	mu    sync.Mutex
-	lists []hostList // oldest first; the newest may not be shown yet
+	versions []hostList // oldest first; the newest may not be shown yet
 }
 
 type hostList struct {
-	shown  time.Time
+	visibleFrom  time.Time
 	groups []HostGroup
 }
 
@@ -30,11 +30,11 @@
 func (h *Hosts) Set(groups []HostGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shown := time.Now()
-	if len(h.lists) > 0 {
-		shown = shown.Add(h.Lag)
+	visibleFrom := time.Now()
+	if len(h.versions) > 0 {
+		visibleFrom = visibleFrom.Add(h.Lag)
 	}
-	h.lists = append(h.lists, hostList{shown: shown, groups: groups})
+	h.versions = append(h.versions, hostList{visibleFrom: visibleFrom, groups: groups})
 }
 
 // Shown returns the list as a call sees it now.
@@ -42,30 +42,30 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	for len(h.lists) > 1 && !h.lists[1].shown.After(now) {
-		h.lists = h.lists[1:]
+	for len(h.versions) > 1 && !h.versions[1].visibleFrom.After(now) {
+		h.versions = h.versions[1:]
 	}
-	if len(h.lists) == 0 {
+	if len(h.versions) == 0 {
 		return []HostGroup{}
 	}
-	return h.lists[0].groups
+	return h.versions[0].groups
 }
 
 // newest returns the last list that was set, shown or not.
 func (h *Hosts) newest() []HostGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.lists) == 0 {
+	if len(h.versions) == 0 {
 		return []HostGroup{}
 	}
-	return h.lists[len(h.lists)-1].groups
+	return h.versions[len(h.versions)-1].groups
 }
 
 // Handler implements Program.
 func (h *Hosts) Handler(func() Faults) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, r *http.Request) {
-		answerTagged(w, r, h.Shown())
+		writeJSONWithETag(w, r, h.Shown())
 	})
 	return mux
 }
@@ -74,27 +74,27 @@
 // {"state":"leaving"}, into the host's own; DELETE takes the host off the list.
 func (h *Hosts) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, h.newest())
+		writeJSON(w, http.StatusOK, h.newest())
 	})
 	control.HandleFunc("PUT /hosts", func(w http.ResponseWriter, r *http.Request) {
 		var groups []HostGroup
-		if acceptJSON(w, r, &groups) {
+		if readJSON(w, r, &groups) {
 			h.Set(groups)
 		}
 	})
 	control.HandleFunc("PATCH /hosts/{address}", func(w http.ResponseWriter, r *http.Request) {
 		var labels map[string]string
-		if acceptJSON(w, r, &labels) {
-			h.Set(relabelled(h.newest(), r.PathValue("address"), labels))
+		if readJSON(w, r, &labels) {
+			h.Set(mergeLabels(h.newest(), r.PathValue("address"), labels))
 		}
 	})
 	control.HandleFunc("DELETE /hosts/{address}", func(_ http.ResponseWriter, r *http.Request) {
-		h.Set(without(h.newest(), r.PathValue("address")))
+		h.Set(withoutHost(h.newest(), r.PathValue("address")))
 	})
 }
 
-// relabelled returns the groups with labels merged into those of one host.
-func relabelled(groups []HostGroup, address string, labels map[string]string) []HostGroup {
+// mergeLabels returns the groups with labels merged into those of one host.
+func mergeLabels(groups []HostGroup, address string, labels map[string]string) []HostGroup {
 	var out []HostGroup
 	for _, g := range groups {
 		for _, target := range g.Targets {
@@ -113,10 +113,10 @@
 	return out
 }
 
-// without returns the groups but for one host.
-func without(groups []HostGroup, address string) []HostGroup {
+// withoutHost returns the groups but for one host.
+func withoutHost(groups []HostGroup, address string) []HostGroup {
 	out := []HostGroup{}
-	for _, g := range relabelled(groups, "", nil) {
+	for _, g := range mergeLabels(groups, "", nil) {
 		if g.Targets[0] != address {
 			out = append(out, g)
 		}
--- a/io/jwstand/journal.go
+++ b/io/jwstand/journal.go
@@ -36,8 +36,8 @@
 	runs []*Run
 }
 
-// begin notes a run.
-func (j *Journal) begin(r *http.Request) *Run {
+// startRun notes a run.
+func (j *Journal) startRun(r *http.Request) *Run {
 	run := &Run{
 		RequestID: r.Header.Get("Jujube-Request-Id"),
 		Key:       r.Header.Get("Idempotency-Key"),
@@ -56,7 +56,7 @@
 	return run
 }
 
-func (j *Journal) end(run *Run, state RunState) {
+func (j *Journal) finishRun(run *Run, state RunState) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	run.State = state
@@ -82,7 +82,7 @@
 
 func (j *Journal) register(control *http.ServeMux) {
 	control.HandleFunc("GET /journal", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, j.Runs())
+		writeJSON(w, http.StatusOK, j.Runs())
 	})
 	control.HandleFunc("DELETE /journal", func(http.ResponseWriter, *http.Request) { j.Clear() })
 }
--- a/io/jwstand/keyvalue.go
+++ b/io/jwstand/keyvalue.go
@@ -45,7 +45,7 @@
 // Register implements Program.
 func (kv *KeyValue) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, kv.Calls())
+		writeJSON(w, http.StatusOK, kv.Calls())
 	})
 }
 
@@ -74,28 +74,28 @@
 	} else {
 		kv.reads.Add(1)
 	}
-	item, found, index, err := kv.read(r.Context(), key, after, waitOf(query.Get("wait")))
+	item, found, index, err := kv.read(r.Context(), key, after, parseWait(query.Get("wait")))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	if !found {
-		answerKeys(w, index, nil)
+		writeRecords(w, index, nil)
 		return
 	}
-	answerKeys(w, item.Version, []jwstore.Item{item})
+	writeRecords(w, item.Version, []jwstore.Item{item})
 }
 
 // read answers once the key has changed after an index. A key that does not
 // exist stands at the index of the newest write; that index is taken before
 // the key is read, or a write between the two would never be told.
-func (kv *KeyValue) read(ctx context.Context, key string, after uint64, most time.Duration) (jwstore.Item, bool, uint64, error) {
+func (kv *KeyValue) read(ctx context.Context, key string, after uint64, timeout time.Duration) (jwstore.Item, bool, uint64, error) {
 	index := kv.Store.Index()
 	item, found, err := kv.Store.Get(ctx, key)
 	if err != nil || after == 0 || item.Version > after || !found && index > after {
 		return item, found, index, err
 	}
-	if _, _, err := kv.Store.Wait(ctx, key, item.Version, most); err != nil {
+	if _, _, err := kv.Store.Wait(ctx, key, item.Version, timeout); err != nil {
 		return item, found, index, err
 	}
 	index = kv.Store.Index()
@@ -103,7 +103,7 @@
 	return item, found, index, err
 }
 
-func waitOf(text string) time.Duration {
+func parseWait(text string) time.Duration {
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 {
 		return defaultWait
@@ -119,10 +119,10 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	answerKeys(w, index, items)
+	writeRecords(w, index, items)
 }
 
-func answerKeys(w http.ResponseWriter, index uint64, items []jwstore.Item) {
+func writeRecords(w http.ResponseWriter, index uint64, items []jwstore.Item) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if len(items) == 0 {
 		w.WriteHeader(http.StatusNotFound)
@@ -132,7 +132,7 @@
 	for _, item := range items {
 		records = append(records, keyRecord{Key: item.Key, Value: item.Value, ModifyIndex: item.Version})
 	}
-	answerJSON(w, http.StatusOK, records)
+	writeJSON(w, http.StatusOK, records)
 }
 
 func (kv *KeyValue) put(w http.ResponseWriter, r *http.Request) {
@@ -151,7 +151,7 @@
 	}
 	kv.writes.Add(1)
 	_, swapped, err := kv.Store.Swap(r.Context(), r.PathValue("key"), value, version)
-	answerWrite(w, swapped, err)
+	writeResult(w, swapped, err)
 }
 
 func (kv *KeyValue) delete(w http.ResponseWriter, r *http.Request) {
@@ -161,13 +161,13 @@
 		return
 	}
 	kv.writes.Add(1)
-	deleted, err := kv.remove(r.Context(), r.PathValue("key"), version, false)
-	answerWrite(w, deleted, err)
+	deleted, err := kv.deleteKey(r.Context(), r.PathValue("key"), version, false)
+	writeResult(w, deleted, err)
 }
 
-// remove deletes a key; as in the Consul API, a key that is gone counts as
+// deleteKey deletes a key; as in the Consul API, a key that is gone counts as
 // deleted unless its version was checked too.
-func (kv *KeyValue) remove(ctx context.Context, key string, version uint64, checked bool) (bool, error) {
+func (kv *KeyValue) deleteKey(ctx context.Context, key string, version uint64, checked bool) (bool, error) {
 	deleted, err := kv.Store.Delete(ctx, key, version)
 	if err != nil || deleted || checked {
 		return deleted, err
@@ -176,12 +176,12 @@
 	return !found, err
 }
 
-func answerWrite(w http.ResponseWriter, done bool, err error) {
+func writeResult(w http.ResponseWriter, done bool, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	answerJSON(w, http.StatusOK, done)
+	writeJSON(w, http.StatusOK, done)
 }
 
 type transactionStep struct {
@@ -237,7 +237,7 @@
 		version, done, err = kv.Store.Swap(r.Context(), step.Key, step.Value, step.Index)
 		answer.Results = append(answer.Results, transactionResult{KV: keyRecord{Key: step.Key, ModifyIndex: version}})
 	case "delete-cas":
-		done, err = kv.remove(r.Context(), step.Key, step.Index, checked)
+		done, err = kv.deleteKey(r.Context(), step.Key, step.Index, checked)
 	default:
 		http.Error(w, "unknown verb", http.StatusBadRequest)
 		return
@@ -247,8 +247,8 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	case !done:
 		conflict := transactionAnswer{Errors: []transactionError{{What: "failed to set key: index is stale"}}}
-		answerJSON(w, http.StatusConflict, conflict)
+		writeJSON(w, http.StatusConflict, conflict)
 	default:
-		answerJSON(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, answer)
 	}
 }
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -18,13 +18,13 @@
 	dialTimeout      = 5 * time.Second
 )
 
-// OneWay names the direction of a link.
-type OneWay string
+// Direction names the direction of a link.
+type Direction string
 
 // The directions of a link.
 const (
-	Forward OneWay = "forward" // from the caller to the dialled end
-	Back    OneWay = "back"
+	Forward Direction = "forward" // from the caller to the dialled end
+	Back    Direction = "back"
 )
 
 // Weather is what a link does to what passes; the zero value is a perfect
@@ -36,7 +36,7 @@
 	LossDelay Duration `json:"lossDelay"` // 0 means 200ms
 	Rate      int64    `json:"rate"`      // bytes a second each way, shared by all connections; 0 for no limit
 	Cut       bool     `json:"cut"`       // refuses connections and has reset those that were open
-	Hold      OneWay   `json:"hold"`      // bytes of this direction wait until it is lifted
+	Hold      Direction   `json:"hold"`      // bytes of this direction wait until it is lifted
 	Silent    bool     `json:"silent"`    // setting it silences the connections open now, for good
 	SilentNew bool     `json:"silentNew"` // new connections are silent too while it is set
 }
@@ -53,9 +53,9 @@
 	changed  chan struct{} // closed at the next change of weather
 	random   *rand.Rand
 	listener net.Listener
-	conns    map[*relay]struct{}
-	busy     map[OneWay]time.Time // when the last chunk under Rate has left
-	passed   map[OneWay]uint64
+	relays    map[*relay]struct{}
+	rateFreeAt     map[Direction]time.Time // when the last chunk under Rate has left
+	passed   map[Direction]uint64
 }
 
 // open listens for the first time.
@@ -70,9 +70,9 @@
 	l.listener = listener
 	l.changed = make(chan struct{})
 	l.random = rand.New(rand.NewPCG(l.Seed, l.Seed))
-	l.conns = make(map[*relay]struct{})
-	l.busy = make(map[OneWay]time.Time)
-	l.passed = make(map[OneWay]uint64)
+	l.relays = make(map[*relay]struct{})
+	l.rateFreeAt = make(map[Direction]time.Time)
+	l.passed = make(map[Direction]uint64)
 	return nil
 }
 
@@ -84,10 +84,10 @@
 }
 
 // Passed returns the bytes that were delivered in a direction.
-func (l *Link) Passed(way OneWay) uint64 {
+func (l *Link) Passed(direction Direction) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passed[way]
+	return l.passed[direction]
 }
 
 // SetWeather changes what the link does from now on.
@@ -101,7 +101,7 @@
 	close(l.changed)
 	l.changed = make(chan struct{})
 	if weather.Silent {
-		for r := range l.conns {
+		for r := range l.relays {
 			r.silence()
 		}
 	}
@@ -111,7 +111,7 @@
 	if l.listener != nil {
 		_ = l.listener.Close()
 	}
-	for r := range l.conns {
+	for r := range l.relays {
 		r.reset()
 	}
 }
@@ -157,7 +157,7 @@
 func (l *Link) reopen(ctx context.Context) {
 	listener, err := listen(l.Listen)
 	if err != nil {
-		_ = jwclock.Sleep(ctx, reopenPause)
+		_ = jwclock.Sleep(ctx, reopenRetryDelay)
 		return
 	}
 	l.mu.Lock()
@@ -175,14 +175,14 @@
 	if l.listener != nil {
 		_ = l.listener.Close()
 	}
-	for r := range l.conns {
+	for r := range l.relays {
 		r.reset()
 	}
 }
 
 // relay carries one connection until both directions have ended.
-func (l *Link) relay(ctx context.Context, near net.Conn) {
-	r := &relay{link: l, near: near, silenced: make(chan struct{}), ended: make(chan struct{})}
+func (l *Link) relay(ctx context.Context, client net.Conn) {
+	r := &relay{link: l, client: client, silenced: make(chan struct{}), ended: make(chan struct{})}
 	if !l.add(ctx, r) {
 		r.reset()
 		return
@@ -196,19 +196,19 @@
 		return
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(ctx, "tcp", l.Dial.String())
+	server, err := dialer.DialContext(ctx, "tcp", l.Dial.String())
 	if err != nil {
 		r.reset()
 		return
 	}
-	if !r.join(far) {
+	if !r.setServer(server) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.carry(Forward, near, far) })
-	wg.Go(func() { r.carry(Back, far, near) })
+	wg.Go(func() { r.forward(Forward, client, server) })
+	wg.Go(func() { r.forward(Back, server, client) })
 	wg.Wait()
-	r.end(false)
+	r.close(false)
 }
 
 func (l *Link) add(ctx context.Context, r *relay) bool {
@@ -217,7 +217,7 @@
 	if l.weather.Cut || ctx.Err() != nil {
 		return false
 	}
-	l.conns[r] = struct{}{}
+	l.relays[r] = struct{}{}
 	if l.weather.SilentNew {
 		r.silence()
 	}
@@ -227,43 +227,43 @@
 func (l *Link) remove(r *relay) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.conns, r)
+	delete(l.relays, r)
 }
 
-// due returns when a chunk that comes now is delivered; before is when the
+// deliveryTime returns when a chunk that comes now is delivered; before is when the
 // chunk ahead of it is, since TCP keeps the order.
-func (l *Link) due(way OneWay, size int, before time.Time) time.Time {
+func (l *Link) deliveryTime(direction Direction, size int, previous time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.weather
-	at := time.Now()
+	delivery := time.Now()
 	if w.Rate > 0 {
-		at = latest(at, l.busy[way]).Add(time.Duration(float64(size) / float64(w.Rate) * float64(time.Second)))
-		l.busy[way] = at
+		delivery = laterOf(delivery, l.rateFreeAt[direction]).Add(time.Duration(float64(size) / float64(w.Rate) * float64(time.Second)))
+		l.rateFreeAt[direction] = delivery
 	}
-	at = at.Add(time.Duration(w.Delay))
+	delivery = delivery.Add(time.Duration(w.Delay))
 	if w.Jitter > 0 {
-		at = at.Add(time.Duration(l.random.Int64N(int64(w.Jitter))))
+		delivery = delivery.Add(time.Duration(l.random.Int64N(int64(w.Jitter))))
 	}
 	if w.Loss > 0 && l.random.Float64() < w.Loss {
-		late := time.Duration(w.LossDelay)
-		if late == 0 {
-			late = defaultLossDelay
+		lossDelay := time.Duration(w.LossDelay)
+		if lossDelay == 0 {
+			lossDelay = defaultLossDelay
 		}
-		at = at.Add(late)
+		delivery = delivery.Add(lossDelay)
 	}
-	return latest(at, before)
+	return laterOf(delivery, previous)
 }
 
-func latest(a, b time.Time) time.Time {
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (l *Link) count(way OneWay, n int) {
+func (l *Link) countPassed(direction Direction, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.passed[way] += uint64(n)
+	l.passed[direction] += uint64(n)
 }
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -61,8 +61,8 @@
 }
 
 // exchange sends text and reads as much back.
-func exchange(conn net.Conn, text string, most time.Duration) error {
-	if err := conn.SetDeadline(time.Now().Add(most)); err != nil {
+func exchange(conn net.Conn, text string, timeout time.Duration) error {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if _, err := conn.Write([]byte(text)); err != nil {
@@ -73,11 +73,11 @@
 }
 
 const (
-	enough = 10 * time.Second       // for what must come
-	soon   = 100 * time.Millisecond // for what must not come
+	longTimeout = 10 * time.Second       // for what must come
+	shortTimeout   = 100 * time.Millisecond // for what must not come
 )
 
-func TestLinkCarries(t *testing.T) {
+func TestLinkDeliversInOrder(t *testing.T) {
 	link := startLink(t, Weather{
 		Delay:  Duration(2 * time.Millisecond),
 		Jitter: Duration(time.Millisecond),
@@ -93,25 +93,25 @@
 		_, _ = conn.Write(sent)
 		_ = conn.(*net.TCPConn).CloseWrite()
 	}()
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(enough)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got, err := io.ReadAll(conn)
 	assert.NilError(t, err)
 	assert.Check(t, string(got) == string(sent), "whole and in order")
 	assert.Equal(t, link.Passed(Forward), uint64(len(sent)))
 }
 
-func TestDue(t *testing.T) {
+func TestDeliveryTime(t *testing.T) {
 	link := &Link{Listen: anyPort, Dial: anyPort}
 	assert.NilError(t, link.open())
 	defer link.close()
 	link.SetWeather(Weather{Rate: 1000, Delay: Duration(time.Hour)})
-	first := link.due(Forward, 1000, time.Time{})
-	second := link.due(Forward, 1000, first)
+	first := link.deliveryTime(Forward, 1000, time.Time{})
+	second := link.deliveryTime(Forward, 1000, first)
 	assert.Equal(t, second.Sub(first), time.Second, "the rate is shared")
-	back := link.due(Back, 1, time.Time{})
+	back := link.deliveryTime(Back, 1, time.Time{})
 	assert.Check(t, back.Before(first), "each way has its own rate")
 	link.SetWeather(Weather{})
-	assert.Equal(t, link.due(Forward, 1, second), second, "never before the chunk ahead")
+	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "never before the chunk ahead")
 }
 
 // Two regions lose each other. What was open breaks with an error and new
@@ -119,9 +119,9 @@
 func TestLinkCut(t *testing.T) {
 	link := startLink(t, Weather{})
 	conn := dial(t, link.Listen)
-	assert.NilError(t, exchange(conn, "one", enough))
+	assert.NilError(t, exchange(conn, "one", longTimeout))
 	link.SetWeather(Weather{Cut: true})
-	err := exchange(conn, "two", enough)
+	err := exchange(conn, "two", longTimeout)
 	assert.Check(t, err != nil && !os.IsTimeout(err), "%v", err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		conn, err := net.Dial("tcp", link.Listen.String())
@@ -138,7 +138,7 @@
 			return poll.Continue("%v", err)
 		}
 		defer conn.Close()
-		if err := exchange(conn, "three", enough); err != nil {
+		if err := exchange(conn, "three", longTimeout); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
@@ -150,26 +150,26 @@
 func TestLinkSilent(t *testing.T) {
 	link := startLink(t, Weather{})
 	old := dial(t, link.Listen)
-	assert.NilError(t, exchange(old, "one", enough))
+	assert.NilError(t, exchange(old, "one", longTimeout))
 	link.SetWeather(Weather{Silent: true})
-	assert.Check(t, os.IsTimeout(exchange(old, "two", soon)))
-	assert.NilError(t, exchange(dial(t, link.Listen), "three", enough))
+	assert.Check(t, os.IsTimeout(exchange(old, "two", shortTimeout)))
+	assert.NilError(t, exchange(dial(t, link.Listen), "three", longTimeout))
 	link.SetWeather(Weather{})
-	assert.Check(t, os.IsTimeout(exchange(old, "four", soon)), "for good")
+	assert.Check(t, os.IsTimeout(exchange(old, "four", shortTimeout)), "for good")
 	link.SetWeather(Weather{SilentNew: true})
-	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", soon)))
+	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", shortTimeout)))
 }
 
 // Bytes get through one way only. A caller's request arrives and is worked on,
 // and the caller sees nothing until the way back is mended.
-func TestLinkOneWay(t *testing.T) {
+func TestLinkHoldsOneDirection(t *testing.T) {
 	link := startLink(t, Weather{Hold: Back})
 	conn := dial(t, link.Listen)
-	assert.Check(t, os.IsTimeout(exchange(conn, "one", soon)))
+	assert.Check(t, os.IsTimeout(exchange(conn, "one", shortTimeout)))
 	assert.Equal(t, link.Passed(Forward), uint64(3))
 	assert.Equal(t, link.Passed(Back), uint64(0))
 	link.SetWeather(Weather{})
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(enough)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got := make([]byte, 3)
 	_, err := io.ReadFull(conn, got)
 	assert.NilError(t, err)
--- a/io/jwstand/links.go
+++ b/io/jwstand/links.go
@@ -76,16 +76,16 @@
 	Listen  netip.AddrPort    `json:"listen"`
 	Dial    netip.AddrPort    `json:"dial"`
 	Weather Weather           `json:"weather"`
-	Passed  map[OneWay]uint64 `json:"passed"`
+	Passed  map[Direction]uint64 `json:"passed"`
 }
 
 func (ls *Links) getLinks(w http.ResponseWriter, _ *http.Request) {
 	states := make([]linkState, 0, len(ls.Links))
 	for _, l := range ls.Links {
-		passed := map[OneWay]uint64{Forward: l.Passed(Forward), Back: l.Passed(Back)}
+		passed := map[Direction]uint64{Forward: l.Passed(Forward), Back: l.Passed(Back)}
 		states = append(states, linkState{Name: l.Name, Listen: l.Listen, Dial: l.Dial, Weather: l.Weather(), Passed: passed})
 	}
-	answerJSON(w, http.StatusOK, states)
+	writeJSON(w, http.StatusOK, states)
 }
 
 // putLinks merges the body into the weather of the named link, or of all.
--- a/io/jwstand/main_test.go
+++ b/io/jwstand/main_test.go
@@ -9,16 +9,16 @@
 
 // TestMain also holds that stand-ins end with all they started.
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(closing{m})
+	goleak.VerifyTestMain(idleConnCloser{m})
 }
 
-// closing ends the idle connections of the tests' own HTTP client.
-type closing struct {
+// idleConnCloser ends the idle connections of the tests' own HTTP client.
+type idleConnCloser struct {
 	m *testing.M
 }
 
 // Run implements goleak.TestingM.
-func (c closing) Run() int {
+func (c idleConnCloser) Run() int {
 	defer http.DefaultClient.CloseIdleConnections()
 	return c.m.Run()
 }
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -17,46 +17,46 @@
 // relay is one connection through a link.
 type relay struct {
 	link     *Link
-	near     net.Conn
+	client     net.Conn
 	mu       sync.Mutex
-	far      net.Conn
-	done     bool
-	once     sync.Once
+	server      net.Conn
+	closed     bool
+	silenceOnce     sync.Once
 	silenced chan struct{}
 	ended    chan struct{}
 }
 
-// join adds the dialled end; it returns false when the connection was reset
+// setServer adds the dialled end; it returns false when the connection was reset
 // in the meantime.
-func (r *relay) join(far net.Conn) bool {
+func (r *relay) setServer(server net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
-		_ = far.Close()
+	if r.closed {
+		_ = server.Close()
 		return false
 	}
-	r.far = far
+	r.server = server
 	return true
 }
 
 func (r *relay) silence() {
-	r.once.Do(func() { close(r.silenced) })
+	r.silenceOnce.Do(func() { close(r.silenced) })
 }
 
 // reset ends both halves without a proper close; what is still under way is lost.
-func (r *relay) reset() { r.end(true) }
+func (r *relay) reset() { r.close(true) }
 
-// end closes both halves once; a reset at a proper end would throw away bytes
+// close closes both halves once; a reset at a proper close would throw away bytes
 // that the receiver has not read yet.
-func (r *relay) end(reset bool) {
+func (r *relay) close(reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.closed {
 		return
 	}
-	r.done = true
+	r.closed = true
 	close(r.ended)
-	for _, conn := range []net.Conn{r.near, r.far} {
+	for _, conn := range []net.Conn{r.client, r.server} {
 		tcp, ok := conn.(*net.TCPConn)
 		if !ok {
 			continue // not dialled yet
@@ -74,24 +74,24 @@
 	due  time.Time
 }
 
-// carry takes bytes from one end to the other until the first ends.
-func (r *relay) carry(way OneWay, from, to net.Conn) {
+// forward takes bytes from one end to the other until the first ends.
+func (r *relay) forward(direction Direction, from, to net.Conn) {
 	chunks := make(chan chunk, chunksInFlight)
 	var wg sync.WaitGroup
-	wg.Go(func() { r.deliver(way, to, chunks) })
-	var before time.Time
+	wg.Go(func() { r.deliver(direction, to, chunks) })
+	var previous time.Time
 	for {
 		buf := make([]byte, chunkSize)
 		n, err := from.Read(buf)
 		if n > 0 {
-			before = r.link.due(way, n, before)
-			chunks <- chunk{data: buf[:n], due: before}
+			previous = r.link.deliveryTime(direction, n, previous)
+			chunks <- chunk{data: buf[:n], due: previous}
 		}
 		if err == nil {
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			chunks <- chunk{due: r.link.due(way, 0, before)}
+			chunks <- chunk{due: r.link.deliveryTime(direction, 0, previous)}
 		} else if !r.isSilenced() {
 			r.reset()
 		}
@@ -103,9 +103,9 @@
 
 // deliver writes chunks when they are due. After an error it drops what comes,
 // so that carry never waits for it.
-func (r *relay) deliver(way OneWay, to net.Conn, chunks <-chan chunk) {
+func (r *relay) deliver(direction Direction, to net.Conn, chunks <-chan chunk) {
 	for c := range chunks {
-		if !r.pass(way, c.due) {
+		if !r.waitUntilDue(direction, c.due) {
 			continue
 		}
 		if len(c.data) == 0 {
@@ -118,12 +118,12 @@
 			r.reset()
 			continue
 		}
-		r.link.count(way, len(c.data))
+		r.link.countPassed(direction, len(c.data))
 	}
 }
 
-// pass waits until a chunk may be delivered; false means never.
-func (r *relay) pass(way OneWay, due time.Time) bool {
+// waitUntilDue waits until a chunk may be delivered; false means never.
+func (r *relay) waitUntilDue(direction Direction, due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
@@ -136,7 +136,7 @@
 			return false
 		}
 		r.link.mu.Lock()
-		held, changed := r.link.weather.Hold == way, r.link.changed
+		held, changed := r.link.weather.Hold == direction, r.link.changed
 		r.link.mu.Unlock()
 		if !held {
 			return true
--- a/io/jwstand/runner.go
+++ b/io/jwstand/runner.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	defaultTokens  = 16
+	defaultMaxTokens  = 16
 	defaultUrgency = 3 // RFC 9218
 )
 
@@ -73,7 +73,7 @@
 // Handler implements Program.
 func (rn *Runner) Handler(faults func() Faults) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { rn.metrics(w, faults().Leave) })
+	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { rn.writeMetrics(w, faults().Leave) })
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) {
 		// The body is read to its end: only then does net/http notice a
 		// caller that closes the connection.
@@ -87,7 +87,7 @@
 			return
 		}
 		if faults().Leave {
-			refuse(w, "leaving")
+			writeUnavailable(w, "leaving")
 			return
 		}
 		rn.complete(w, r, c)
@@ -102,39 +102,39 @@
 
 func (rn *Runner) complete(w http.ResponseWriter, r *http.Request, c Completion) {
 	if c.MaxTokens <= 0 {
-		c.MaxTokens = defaultTokens
+		c.MaxTokens = defaultMaxTokens
 	}
 	ctx := r.Context()
-	if !rn.Engine.Enter(ctx, urgencyOf(r.Header.Get("Priority"))) {
-		refuse(w, "queue full")
+	if !rn.Engine.AcquireSlot(ctx, parseUrgency(r.Header.Get("Priority"))) {
+		writeUnavailable(w, "queue full")
 		return
 	}
-	defer rn.Engine.Leave()
-	run := rn.Journal.begin(r)
+	defer rn.Engine.ReleaseSlot()
+	run := rn.Journal.startRun(r)
 	answer := CompletionAnswer{ID: run.RequestID, Object: "text_completion", Model: c.Model}
 	var err error
 	if c.Stream {
-		from := numberOr(r.Header.Get("Last-Event-ID"), 0)
-		rn.Engine.ask(c.MaxTokens - max(from, 0))
-		err = rn.stream(ctx, w, c, answer, max(from, 0))
+		from := parseIntOr(r.Header.Get("Last-Event-ID"), 0)
+		rn.Engine.countAsked(c.MaxTokens - max(from, 0))
+		err = rn.writeStream(ctx, w, c, answer, max(from, 0))
 	} else {
-		rn.Engine.ask(c.MaxTokens)
-		err = rn.whole(ctx, w, c, answer)
+		rn.Engine.countAsked(c.MaxTokens)
+		err = rn.writeWhole(ctx, w, c, answer)
 	}
 	if err != nil {
-		rn.Journal.end(run, Cancelled)
+		rn.Journal.finishRun(run, Cancelled)
 		return
 	}
-	rn.Journal.end(run, Finished)
+	rn.Journal.finishRun(run, Finished)
 }
 
-func (rn *Runner) whole(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer) error {
-	tokens, cached, err := rn.Engine.Prompt(ctx, c.Prompt)
+func (rn *Runner) writeWhole(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer) error {
+	tokens, cached, err := rn.Engine.PrefillPrompt(ctx, c.Prompt)
 	if err != nil {
 		return err
 	}
 	for range c.MaxTokens {
-		if err := rn.Engine.Next(ctx); err != nil {
+		if err := rn.Engine.GenerateToken(ctx); err != nil {
 			return err
 		}
 	}
@@ -150,18 +150,18 @@
 	return err
 }
 
-// stream writes the tokens after from, each as one event with its number.
-func (rn *Runner) stream(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer, from int) error {
+// writeStream writes the tokens after from, each as one event with its number.
+func (rn *Runner) writeStream(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer, from int) error {
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
 	_ = rc.Flush() // a writer that can't flush sends all at the end
-	if _, _, err := rn.Engine.Prompt(ctx, c.Prompt+TextOf(c.Prompt, from)); err != nil {
+	if _, _, err := rn.Engine.PrefillPrompt(ctx, c.Prompt+TextOf(c.Prompt, from)); err != nil {
 		return err
 	}
 	for n := from + 1; n <= c.MaxTokens; n++ {
-		if err := rn.Engine.Next(ctx); err != nil {
+		if err := rn.Engine.GenerateToken(ctx); err != nil {
 			return err
 		}
 		choice := CompletionChoice{Text: TokenOf(c.Prompt, n)}
@@ -182,13 +182,13 @@
 	return err
 }
 
-// metrics writes the load report in the Prometheus text format, by the names
+// writeMetrics writes the load report in the Prometheus text format, by the names
 // of a known engine where it has them.
-func (rn *Runner) metrics(w http.ResponseWriter, leaving bool) {
+func (rn *Runner) writeMetrics(w http.ResponseWriter, leaving bool) {
 	report, total := rn.Engine.Report()
-	left := 0.0
+	leavingValue := 0.0
 	if leaving {
-		left = 1
+		leavingValue = 1
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	gauges := []struct {
@@ -200,7 +200,7 @@
 		{"vllm:max_num_seqs", float64(report.Slots)},
 		{"vllm:kv_cache_usage_perc", report.CacheUse},
 		{"vllm:seconds_per_output_token", report.Token.Seconds()},
-		{"vllm:leaving", left},
+		{"vllm:leaving", leavingValue},
 	}
 	for _, g := range gauges {
 		_, _ = fmt.Fprintf(w, "# TYPE %s gauge\n%s %g\n", g.name, g.name, g.value)
@@ -219,9 +219,9 @@
 	}
 }
 
-// urgencyOf reads the urgency of a Priority header (RFC 9218), 0 the most
+// parseUrgency reads the urgency of a Priority header (RFC 9218), 0 the most
 // urgent.
-func urgencyOf(header string) int {
+func parseUrgency(header string) int {
 	for part := range strings.SplitSeq(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "u=")
 		if !found {
--- a/io/jwstand/service.go
+++ b/io/jwstand/service.go
@@ -31,7 +31,7 @@
 func (s *Service) Handler(faults func() Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/metrics" {
-			s.metrics(w, faults().Leave)
+			s.writeMetrics(w, faults().Leave)
 			return
 		}
 		if r.Method != http.MethodPost {
@@ -43,35 +43,35 @@
 			return
 		}
 		if faults().Leave {
-			refuse(w, "leaving")
+			writeUnavailable(w, "leaving")
 			return
 		}
-		run := s.Journal.begin(r)
+		run := s.Journal.startRun(r)
 		s.running.Add(1)
 		defer s.running.Add(-1)
 		if jwclock.Sleep(r.Context(), s.Work) != nil {
-			s.Journal.end(run, Cancelled)
+			s.Journal.finishRun(run, Cancelled)
 			return
 		}
-		s.Journal.end(run, Finished)
-		answerEcho(w, Echo{Path: r.URL.Path, RequestID: run.RequestID, Key: run.Key, Body: string(body)})
+		s.Journal.finishRun(run, Finished)
+		writeEcho(w, Echo{Path: r.URL.Path, RequestID: run.RequestID, Key: run.Key, Body: string(body)})
 	})
 }
 
 // serviceSlots is how many calls a Service says that it runs at once.
 const serviceSlots = 64
 
-// metrics writes the load report in the Prometheus text format, by the names
+// writeMetrics writes the load report in the Prometheus text format, by the names
 // that Runner uses.
-func (s *Service) metrics(w http.ResponseWriter, leaving bool) {
-	left := 0
+func (s *Service) writeMetrics(w http.ResponseWriter, leaving bool) {
+	leavingValue := 0
 	if leaving {
-		left = 1
+		leavingValue = 1
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	_, _ = fmt.Fprintf(w, "# TYPE vllm:num_requests_running gauge\nvllm:num_requests_running %d\n", s.running.Load())
 	_, _ = fmt.Fprintf(w, "# TYPE vllm:max_num_seqs gauge\nvllm:max_num_seqs %d\n", serviceSlots)
-	_, _ = fmt.Fprintf(w, "# TYPE vllm:leaving gauge\nvllm:leaving %d\n", left)
+	_, _ = fmt.Fprintf(w, "# TYPE vllm:leaving gauge\nvllm:leaving %d\n", leavingValue)
 }
 
 // Register implements Program.
@@ -79,7 +79,7 @@
 	s.Journal.register(control)
 }
 
-func answerEcho(w http.ResponseWriter, echo Echo) {
+func writeEcho(w http.ResponseWriter, echo Echo) {
 	body, err := json.Marshal(echo)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -89,8 +89,8 @@
 	_, _ = w.Write(body) // short answers get a Content-Length from net/http
 }
 
-// refuse answers a call that was not run.
-func refuse(w http.ResponseWriter, reason string) {
+// writeUnavailable answers a call that was not run.
+func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -17,8 +17,8 @@
 )
 
 const (
-	crashCode     = 3
-	reopenPause   = 10 * time.Millisecond
+	crashExitCode     = 3
+	reopenRetryDelay   = 10 * time.Millisecond
 	maxBody       = 64 << 20
 	headerTimeout = 10 * time.Second
 )
@@ -42,7 +42,7 @@
 	mu       sync.Mutex
 	faults   Faults
 	changed  chan struct{} // closed at the next change of faults
-	gate     gate
+	conns     paused
 	listener net.Listener
 	control  net.Listener
 }
@@ -122,7 +122,7 @@
 	stop := context.AfterFunc(ctx, func() {
 		_ = control.Close()
 		_ = service.Close()
-		s.gate.reset()
+		s.conns.reset()
 	})
 	defer stop()
 	var wg sync.WaitGroup
@@ -143,7 +143,7 @@
 		down := s.faults.Down
 		s.mu.Unlock()
 		if listener != nil {
-			_ = service.Serve(&gateListener{Listener: listener, gate: &s.gate}) // ends by an outage or the stop
+			_ = service.Serve(&trackedListener{Listener: listener, conns: &s.conns}) // ends by an outage or the stop
 			s.mu.Lock()
 			s.listener = nil
 			s.mu.Unlock()
@@ -164,7 +164,7 @@
 func (s *Stand) reopen(ctx context.Context) {
 	listener, err := listen(s.Address)
 	if err != nil {
-		_ = jwclock.Sleep(ctx, reopenPause)
+		_ = jwclock.Sleep(ctx, reopenRetryDelay)
 		return
 	}
 	s.mu.Lock()
@@ -193,30 +193,30 @@
 	s.changed = make(chan struct{})
 	listener := s.listener
 	s.mu.Unlock()
-	s.gate.pause(f.Pause)
+	s.conns.pause(f.Pause)
 	if f.Silent {
-		s.gate.silence()
+		s.conns.silence()
 	}
 	if f.Down {
 		if listener != nil {
 			_ = listener.Close()
 		}
-		s.gate.reset()
+		s.conns.reset()
 	}
 }
 
 func (s *Stand) getFaults(w http.ResponseWriter, _ *http.Request) {
-	answerJSON(w, http.StatusOK, s.Faults())
+	writeJSON(w, http.StatusOK, s.Faults())
 }
 
 func (s *Stand) putFaults(w http.ResponseWriter, r *http.Request) {
 	f := s.Faults()
 	f.Silent = false
-	if !acceptJSON(w, r, &f) {
+	if !readJSON(w, r, &f) {
 		return
 	}
 	s.SetFaults(f)
-	answerJSON(w, http.StatusOK, f)
+	writeJSON(w, http.StatusOK, f)
 }
 
 // withFaults carries out the faults that concern whole calls.
@@ -230,20 +230,20 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		if f.CrashOn != "" && s.poisoned(r, f.CrashOn) {
-			s.exit()
+		if f.CrashOn != "" && s.bodyContains(r, f.CrashOn) {
+			s.crash()
 			panic(http.ErrAbortHandler)
 		}
-		if !s.loseReply() {
+		if !s.takeLostReply() {
 			next.ServeHTTP(w, r)
 			return
 		}
-		next.ServeHTTP(&lostReply{header: make(http.Header)}, r)
+		next.ServeHTTP(&discardedReply{header: make(http.Header)}, r)
 		panic(http.ErrAbortHandler) // the server closes the connection without an answer
 	})
 }
 
-func (s *Stand) poisoned(r *http.Request, marker string) bool {
+func (s *Stand) bodyContains(r *http.Request, marker string) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return false
@@ -252,15 +252,15 @@
 	return bytes.Contains(body, []byte(marker))
 }
 
-func (s *Stand) exit() {
+func (s *Stand) crash() {
 	if s.Exit != nil {
-		s.Exit(crashCode)
+		s.Exit(crashExitCode)
 		return
 	}
-	os.Exit(crashCode)
+	os.Exit(crashExitCode)
 }
 
-func (s *Stand) loseReply() bool {
+func (s *Stand) takeLostReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseReply == 0 {
@@ -270,19 +270,19 @@
 	return true
 }
 
-// lostReply takes an answer that nobody will read.
-type lostReply struct {
+// discardedReply takes an answer that nobody will read.
+type discardedReply struct {
 	header http.Header
 }
 
 // Header implements http.ResponseWriter.
-func (l *lostReply) Header() http.Header { return l.header }
+func (l *discardedReply) Header() http.Header { return l.header }
 
 // Write implements http.ResponseWriter.
-func (l *lostReply) Write(b []byte) (int, error) { return len(b), nil }
+func (l *discardedReply) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (l *lostReply) WriteHeader(int) {}
+func (l *discardedReply) WriteHeader(int) {}
 
 // Flush implements http.Flusher.
-func (l *lostReply) Flush() {}
+func (l *discardedReply) Flush() {}
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -30,7 +30,7 @@
 	return stand
 }
 
-func newCall(ctx context.Context, stand *Stand, path, body string) *http.Request {
+func newRequest(ctx context.Context, stand *Stand, path, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+stand.Address.String()+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -46,27 +46,27 @@
 	return string(body)
 }
 
-// read returns the text of a stream and whether its end came.
-func read(r io.Reader) (text string, last string, whole bool) {
+// readStream returns the text of a stream and whether its end came.
+func readStream(r io.Reader) (text string, lastID string, complete bool) {
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
 		line := scanner.Text()
 		if id, ok := strings.CutPrefix(line, "id: "); ok {
-			last = id
+			lastID = id
 		}
 		data, ok := strings.CutPrefix(line, "data: ")
 		if !ok {
 			continue
 		}
 		if data == "[DONE]" {
-			return text, last, true
+			return text, lastID, true
 		}
 		var answer CompletionAnswer
 		if json.Unmarshal([]byte(data), &answer) == nil && len(answer.Choices) == 1 {
 			text += answer.Choices[0].Text
 		}
 	}
-	return text, last, false
+	return text, lastID, false
 }
 
 func TestRunner(t *testing.T) {
@@ -84,7 +84,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newCall(t.Context(), stand, "/v1/completions", completion("p", 5, test.stream))
+			r := newRequest(t.Context(), stand, "/v1/completions", completion("p", 5, test.stream))
 			r.Header.Set("Jujube-Request-Id", name)
 			r.Header.Set("Last-Event-ID", test.after)
 			res, err := http.DefaultClient.Do(r)
@@ -92,7 +92,7 @@
 			defer res.Body.Close()
 			assert.Equal(t, res.StatusCode, http.StatusOK)
 			if test.stream {
-				text, last, whole := read(res.Body)
+				text, last, whole := readStream(res.Body)
 				assert.Check(t, whole && last != "3")
 				assert.Equal(t, text, test.want)
 				return
@@ -116,7 +116,7 @@
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				res, err := http.DefaultClient.Do(newCall(ctx, stand, "/v1/completions", completion("p", 5, stream)))
+				res, err := http.DefaultClient.Do(newRequest(ctx, stand, "/v1/completions", completion("p", 5, stream)))
 				if err == nil {
 					_, _ = io.Copy(io.Discard, res.Body)
 					_ = res.Body.Close()
@@ -145,18 +145,18 @@
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Prefill: time.Millisecond, CacheTokens: 64}
 		prefix := strings.Repeat("a", 32*bytesPerToken)
-		ask := func(prompt string) (cached int, took time.Duration) {
+		prefill := func(prompt string) (cached int, took time.Duration) {
 			began := time.Now()
-			_, cached, err := e.Prompt(t.Context(), prompt)
+			_, cached, err := e.PrefillPrompt(t.Context(), prompt)
 			assert.NilError(t, err)
 			return cached, time.Since(began)
 		}
-		cached, cold := ask(prefix + "x")
+		cached, cold := prefill(prefix + "x")
 		assert.Check(t, cached == 0 && cold == 33*time.Millisecond, "cold: %d %v", cached, cold)
-		cached, warm := ask(prefix + "y")
+		cached, warm := prefill(prefix + "y")
 		assert.Check(t, cached == 32 && warm == time.Millisecond, "warm: %d %v", cached, warm)
-		ask(strings.Repeat("b", 64*bytesPerToken))
-		cached, _ = ask(prefix)
+		prefill(strings.Repeat("b", 64*bytesPerToken))
+		cached, _ = prefill(prefix)
 		assert.Equal(t, cached, 0, "dropped for newer prompts")
 	})
 }
@@ -164,31 +164,31 @@
 func TestEnginePriority(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Slots: 1, MaxWaiting: 3}
-		assert.Check(t, e.Enter(t.Context(), defaultUrgency))
+		assert.Check(t, e.AcquireSlot(t.Context(), defaultUrgency))
 		order := make(chan int, 3)
 		for _, urgency := range []int{5, 1, 3} {
 			go func() {
-				assert.Check(t, e.Enter(t.Context(), urgency))
+				assert.Check(t, e.AcquireSlot(t.Context(), urgency))
 				order <- urgency
-				e.Leave()
+				e.ReleaseSlot()
 			}()
 			synctest.Wait()
 		}
-		assert.Check(t, !e.Enter(t.Context(), 0), "the queue is full")
-		e.Leave()
+		assert.Check(t, !e.AcquireSlot(t.Context(), 0), "the queue is full")
+		e.ReleaseSlot()
 		assert.DeepEqual(t, []int{<-order, <-order, <-order}, []int{1, 3, 5})
 	})
 }
 
-func TestEngineGivenUp(t *testing.T) {
+func TestAcquireSlotCancelled(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Slots: 1}
-		assert.Check(t, e.Enter(t.Context(), 0))
+		assert.Check(t, e.AcquireSlot(t.Context(), 0))
 		ctx, cancel := context.WithTimeout(t.Context(), time.Second)
 		defer cancel()
-		assert.Check(t, !e.Enter(ctx, 0))
-		e.Leave()
-		assert.Check(t, e.Enter(t.Context(), 0), "the slot is free again")
+		assert.Check(t, !e.AcquireSlot(ctx, 0))
+		e.ReleaseSlot()
+		assert.Check(t, e.AcquireSlot(t.Context(), 0), "the slot is free again")
 	})
 }
 
@@ -198,29 +198,29 @@
 	const slots, callers, calls = 3, 20, 50
 	synctest.Test(t, func(t *testing.T) {
 		e := &Engine{Slots: slots, MaxWaiting: callers}
-		var held, most, admitted atomic.Int32
+		var held, maxHeld, admitted atomic.Int32
 		var wg sync.WaitGroup
 		for caller := range callers {
 			random := rand.New(rand.NewPCG(1, uint64(caller)))
-			moment := func() time.Duration { return time.Duration(random.IntN(4)) * time.Millisecond }
+			randomDelay := func() time.Duration { return time.Duration(random.IntN(4)) * time.Millisecond }
 			wg.Go(func() {
 				for range calls {
-					ctx, cancel := context.WithTimeout(t.Context(), moment())
-					if e.Enter(ctx, random.IntN(8)) {
+					ctx, cancel := context.WithTimeout(t.Context(), randomDelay())
+					if e.AcquireSlot(ctx, random.IntN(8)) {
 						admitted.Add(1)
-						most.Store(max(most.Load(), held.Add(1)))
-						time.Sleep(moment())
+						maxHeld.Store(max(maxHeld.Load(), held.Add(1)))
+						time.Sleep(randomDelay())
 						held.Add(-1)
-						e.Leave()
+						e.ReleaseSlot()
 					}
 					cancel()
 				}
 			})
 		}
 		wg.Wait()
-		assert.Check(t, most.Load() == slots && admitted.Load() > callers, "%d held, %d admitted", most.Load(), admitted.Load())
+		assert.Check(t, maxHeld.Load() == slots && admitted.Load() > callers, "%d held, %d admitted", maxHeld.Load(), admitted.Load())
 		for range slots {
-			assert.Check(t, e.Enter(t.Context(), 0), "a slot is lost")
+			assert.Check(t, e.AcquireSlot(t.Context(), 0), "a slot is lost")
 		}
 		r, _ := e.Report()
 		assert.Equal(t, r.Running, slots)
@@ -234,7 +234,7 @@
 		r, _ := e.Report()
 		assert.Equal(t, r.Running, 0)
 		for range 3 {
-			assert.Check(t, e.Enter(t.Context(), 0))
+			assert.Check(t, e.AcquireSlot(t.Context(), 0))
 		}
 		r, _ = e.Report()
 		assert.Equal(t, r.Running, 0, "not shown yet")
@@ -245,10 +245,10 @@
 	})
 }
 
-func TestUrgencyOf(t *testing.T) {
+func TestParseUrgency(t *testing.T) {
 	tests := map[string]int{"": 3, "u=0": 0, "u=7, i": 7, "i, u=1": 1, "u=9": 3, "u=x": 3}
 	for header, want := range tests {
-		assert.Check(t, urgencyOf(header) == want, "%q", header)
+		assert.Check(t, parseUrgency(header) == want, "%q", header)
 	}
 }
 
@@ -256,7 +256,7 @@
 	service := &Service{}
 	stand := startStand(t, service)
 	for range 2 {
-		r := newCall(t.Context(), stand, "/orders", "deposit")
+		r := newRequest(t.Context(), stand, "/orders", "deposit")
 		r.Header.Set("Idempotency-Key", "k")
 		res, err := http.DefaultClient.Do(r)
 		assert.NilError(t, err)
@@ -277,12 +277,12 @@
 	stand := startStand(t, service)
 	stand.Exit = func(code int) { crashed <- code }
 	stand.SetFaults(Faults{CrashOn: "poison"})
-	res, err := http.DefaultClient.Do(newCall(t.Context(), stand, "/orders", "fine"))
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "fine"))
 	assert.NilError(t, err)
 	_ = res.Body.Close()
-	_, err = http.DefaultClient.Do(newCall(t.Context(), stand, "/orders", "a poison b"))
+	_, err = http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "a poison b"))
 	assert.Check(t, err != nil)
-	assert.Equal(t, <-crashed, crashCode)
+	assert.Equal(t, <-crashed, crashExitCode)
 	assert.Equal(t, len(service.Journal.Runs()), 1)
 }
 
@@ -292,13 +292,13 @@
 	service := &Service{}
 	stand := startStand(t, service)
 	stand.SetFaults(Faults{Leave: true})
-	res, err := http.DefaultClient.Do(newCall(t.Context(), stand, "/orders", "x"))
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "x"))
 	assert.NilError(t, err)
 	_ = res.Body.Close()
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, len(service.Journal.Runs()), 0)
 	stand.SetFaults(Faults{LoseReply: 1})
-	_, err = http.DefaultClient.Do(newCall(t.Context(), stand, "/orders", "x"))
+	_, err = http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "x"))
 	assert.Check(t, err != nil)
 	assert.Equal(t, len(service.Journal.Runs()), 1)
 }
@@ -307,13 +307,13 @@
 func TestPause(t *testing.T) {
 	stand := startStand(t, &Service{})
 	stand.SetFaults(Faults{Pause: true})
-	ctx, cancel := context.WithTimeout(t.Context(), soon)
+	ctx, cancel := context.WithTimeout(t.Context(), shortTimeout)
 	defer cancel()
-	_, err := http.DefaultClient.Do(newCall(ctx, stand, "/orders", "x"))
+	_, err := http.DefaultClient.Do(newRequest(ctx, stand, "/orders", "x"))
 	assert.Check(t, err != nil)
 	answered := make(chan error, 1)
 	go func() {
-		res, err := http.DefaultClient.Do(newCall(t.Context(), stand, "/orders", "y"))
+		res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "y"))
 		if err == nil {
 			err = res.Body.Close()
 		}
@@ -329,19 +329,19 @@
 	hosts.Register(mux)
 	stand := &Stand{Program: hosts}
 	mux.HandleFunc("PUT /faults", stand.putFaults)
-	put := func(method, path, body string) int {
+	send := func(method, path, body string) int {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
 		return w.Code
 	}
-	assert.Equal(t, put("PUT", "/faults", `{"slow":"10ms","silent":true}`), http.StatusOK)
-	assert.Equal(t, put("PUT", "/faults", `{"loseReply":2}`), http.StatusOK)
+	assert.Equal(t, send("PUT", "/faults", `{"slow":"10ms","silent":true}`), http.StatusOK)
+	assert.Equal(t, send("PUT", "/faults", `{"loseReply":2}`), http.StatusOK)
 	assert.Equal(t, stand.Faults(), Faults{Slow: Duration(10 * time.Millisecond), LoseReply: 2})
-	assert.Equal(t, put("PUT", "/faults", `{"slwo":"10ms"}`), http.StatusBadRequest)
+	assert.Equal(t, send("PUT", "/faults", `{"slwo":"10ms"}`), http.StatusBadRequest)
 
-	assert.Equal(t, put("PUT", "/hosts", `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"region":"r"}}]`), http.StatusOK)
-	assert.Equal(t, put("PATCH", "/hosts/127.0.0.1:2", `{"state":"leaving"}`), http.StatusOK)
-	assert.Equal(t, put("DELETE", "/hosts/127.0.0.1:1", ``), http.StatusOK)
+	assert.Equal(t, send("PUT", "/hosts", `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"region":"r"}}]`), http.StatusOK)
+	assert.Equal(t, send("PATCH", "/hosts/127.0.0.1:2", `{"state":"leaving"}`), http.StatusOK)
+	assert.Equal(t, send("DELETE", "/hosts/127.0.0.1:1", ``), http.StatusOK)
 	want := []HostGroup{{Targets: []string{"127.0.0.1:2"}, Labels: map[string]string{"region": "r", "state": "leaving"}}}
 	assert.DeepEqual(t, hosts.Shown(), want)
 }
