--- a/io/jwstand/answer.go
+++ b/io/jwstand/answer.go
@@ -21,10 +21,11 @@
 		return
 	}
 	w.WriteHeader(status)
-	_, _ = w.Write(append(body, '\n')) // a caller that has gone needs no answer
+	_, _ = w.Write(append(body, '\n')) // the caller may have closed the connection
 }
 
-// readJSON reads the body into value and answers 400 when it can't.
+// readJSON decodes the request body into value. It reports whether that
+// succeeded, and answers 400 for invalid JSON.
 func readJSON(w http.ResponseWriter, r *http.Request, value any) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -33,6 +34,8 @@
 	return decodeJSON(w, body, value)
 }
 
+// decodeJSON decodes a body into value and rejects unknown fields. It reports
+// whether that succeeded, and answers 400 otherwise.
 func decodeJSON(w http.ResponseWriter, body []byte, value any) bool {
 	decoder := json.NewDecoder(bytes.NewReader(body))
 	decoder.DisallowUnknownFields()
@@ -43,7 +46,8 @@
 	return true
 }
 
-// writeJSONWithETag writes a value with an ETag, or 304 to a caller that has it.
+// writeJSONWithETag writes a value with its ETag, or 304 if the request has the
+// same ETag in If-None-Match.
 func writeJSONWithETag(w http.ResponseWriter, r *http.Request, value any) {
 	body, err := json.Marshal(value)
 	if err != nil {
@@ -59,7 +63,8 @@
 	writeJSON(withGzip(w, r), http.StatusOK, json.RawMessage(body))
 }
 
-// withGzip compresses a whole answer for a caller that takes it.
+// withGzip returns a writer that compresses the answer, if the caller accepts
+// gzip. The answer must be written whole.
 func withGzip(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		return w
@@ -67,8 +72,8 @@
 	return &gzipResponseWriter{ResponseWriter: w}
 }
 
-// gzipResponseWriter compresses each Write as a gzip member of its own; a sequence of
-// members is one gzip file.
+// gzipResponseWriter compresses each Write as a gzip member of its own. A
+// sequence of members is one valid gzip file.
 type gzipResponseWriter struct {
 	http.ResponseWriter
 }
--- a/io/jwstand/clients.go
+++ b/io/jwstand/clients.go
@@ -11,18 +11,19 @@
 	workspaceSchema = "urn:jujubewheel:scim:Workspace"
 	userSchema      = "urn:ietf:params:scim:schemas:core:2.0:User"
 	listSchema      = "urn:ietf:params:scim:api:messages:2.0:ListResponse"
-	maxPageSize         = 1000
+	maxPageSize     = 1000 // users in one answer
 )
 
-// Client is one workspace of the client directory.
+// Client is one workspace in the client directory.
 type Client struct {
-	Name   string `json:"name"`
-	Region string `json:"region"`
-	Bound  bool   `json:"bound"`
-	Owner  string `json:"owner"`
+	Name   string `json:"name"`   // name of the workspace
+	Region string `json:"region"` // home region
+	Bound  bool   `json:"bound"`  // whether the data is bound to Region
+	Owner  string `json:"owner"`  // owner of the workspace
 }
 
-// Clients stands in for the client directory: a SCIM 2.0 list with an ETag.
+// Clients stands in for the client directory. It serves a SCIM 2.0 list with an
+// ETag.
 type Clients struct {
 	mu      sync.Mutex
 	clients []Client
@@ -37,6 +38,7 @@
 	c.version++
 }
 
+// current returns the workspaces and the ETag of this version of the directory.
 func (c *Clients) current() (clients []Client, tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -117,6 +119,7 @@
 	writeJSON(withGzip(w, r), http.StatusOK, list)
 }
 
+// parseIntOr parses an integer; it returns fallback if the text is none.
 func parseIntOr(text string, fallback int) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
--- a/io/jwstand/doc.go
+++ b/io/jwstand/doc.go
@@ -1,28 +1,28 @@
-// Package jwstand holds small stand-ins for the platform, the targets and the
-// links between regions, for tests, demonstrations and measurements. They are
-// tools: they speak the protocols that nodes use and no more.
+// Package jwstand provides small stand-ins for the platform, the targets and
+// the links between regions. Tests, demonstrations and measurements use them.
+// They implement only the parts of the protocols that nodes use.
 //
-// A Stand serves one Program on a loopback port and takes faults on a control
+// A Stand serves one Program on a service port, and accepts faults on a control
 // port:
 //
-//	GET /faults   the faults that are set
+//	GET /faults   returns the faults that are set
 //	PUT /faults   sets the fields that the JSON body names, see Faults
 //
-// and what the program adds there:
+// Each kind of program adds endpoints to the control port:
 //
 //	kv       GET /calls
-//	hosts    GET, PUT /hosts; PATCH /hosts/{address}
+//	hosts    GET, PUT /hosts; PATCH, DELETE /hosts/{address}
 //	clients  GET, PUT /clients
 //	runner   GET, DELETE /journal
 //	service  GET, DELETE /journal
 //
-// Links relays TCP connections; its control port takes
+// Links relays TCP connections. Its control port has the endpoints
 //
-//	GET /links         the links with their weather and the bytes passed
-//	PUT /links         merges the JSON body into the weather of all, see Weather
-//	PUT /links/{name}  the same for one link
+//	GET /links         returns the links with their weather and the bytes passed
+//	PUT /links         merges the JSON body into the weather of all links, see Weather
+//	PUT /links/{name}  merges it into the weather of one link
 //
-// The HTTP here is net/http: keys of the key-value service hold slashes, which
-// the router of go-zero's rest does not take, and a port must be able to close
-// and open again while the process lives.
+// The stand-ins use net/http, for two reasons. Keys of the key-value service
+// contain slashes, which the router of go-zero's rest package does not accept.
+// And a port must be able to close and open again while the process lives.
 package jwstand
--- a/io/jwstand/engine.go
+++ b/io/jwstand/engine.go
@@ -13,59 +13,60 @@
 )
 
 const (
-	// bytesPerToken turns a prompt's length into tokens.
+	// bytesPerToken converts the length of a prompt to tokens.
 	bytesPerToken = 4
-	// blockTokens is the smallest piece of a prompt that the cache holds.
+	// blockTokens is the number of prompt tokens in one block of the prefix cache.
 	blockTokens = 16
 )
 
-// Engine models a model engine that batches continuously: each request holds
+// Engine simulates a model engine with continuous batching. Each request holds
 // a slot from its prefill to its last token, and a token takes longer the more
-// slots are held. All times are those of the model, kept by sleeping.
+// slots are held. The simulated times are spent by sleeping.
 type Engine struct {
-	Slots       int           // requests in one batch; 0 means 8
-	MaxWaiting  int           // requests that may queue; 0 means 256
-	Token       time.Duration // time of one token of a lone request
-	Growth      float64       // share of Token that each further request of the batch adds
+	Slots       int           // maximum number of requests in the batch; 0 means 8
+	MaxWaiting  int           // maximum number of queued requests; 0 means 256
+	Token       time.Duration // time of one token for a request that is alone in the batch
+	Growth      float64       // share of Token that each further request in the batch adds
 	Prefill     time.Duration // time of one prompt token that is not in the cache
-	CacheTokens int           // prompt tokens the prefix cache holds; 0 means none
+	CacheTokens int           // capacity of the prefix cache in prompt tokens; 0 means no cache
 	Lag         time.Duration // age of the load report
 
-	mu      sync.Mutex
-	running int
-	waiting waitQueue
-	lastArrival uint64
-	cache   prefixCache
-	reports []Report
-	totals   Totals
-	timeFactor    float64 // factor on all times, 0 means 1
-	heldSlots    int     // slots held since changed
-	heldSince time.Time
+	mu          sync.Mutex
+	running     int
+	waiting     waitQueue
+	lastArrival uint64 // number of the newest queued request
+	cache       prefixCache
+	reports     []Report // oldest first; the first one is what Report returns
+	totals      Totals
+	timeFactor  float64 // multiplies all times; 0 means 1
+	heldSlots   int     // slots held since heldSince
+	heldSince   time.Time
 }
 
 // Report is the load of an engine at one moment.
 type Report struct {
-	Taken    time.Time
-	Running  int
-	Waiting  int
-	Slots    int
-	CacheUse float64       // share of the prefix cache in use
-	Token    time.Duration // time between tokens at this batch
+	Taken    time.Time     // when the load was measured
+	Running  int           // requests that hold a slot
+	Waiting  int           // requests in the queue
+	Slots    int           // maximum of Running
+	CacheUse float64       // share of the prefix cache that is in use
+	Token    time.Duration // time between tokens at this batch size
 }
 
-// Totals count the work of an engine since its start.
+// Totals counts the work of an engine since its start.
 type Totals struct {
-	Requests     uint64
-	PromptTokens uint64
-	CachedTokens uint64 // prompt tokens that were found in the cache
-	Generated    uint64
-	Requested        uint64        // tokens that the requests which got a slot asked for
-	SlotTime         time.Duration // time of all slots together that was held by requests
+	Requests     uint64        // requests whose prefill began
+	PromptTokens uint64        // tokens of all prompts
+	CachedTokens uint64        // prompt tokens that were in the cache
+	Generated    uint64        // generated tokens
+	Requested    uint64        // tokens requested by the requests that got a slot
+	SlotTime     time.Duration // sum over all slots of the time in which a request held them
 }
 
-// AcquireSlot waits for a slot, most urgent first (0 to 7) and oldest first among
-// equals. It returns false when the queue is full or the context has ended;
-// after true, Leave must be called once.
+// AcquireSlot waits for a slot. The most urgent request (0 is most urgent, 7
+// least) gets the next one, and among equals the oldest. It returns false if
+// the queue is full or the context ends. After true, the caller must call
+// ReleaseSlot once.
 func (e *Engine) AcquireSlot(ctx context.Context, urgency int) bool {
 	e.mu.Lock()
 	if e.running < e.slots() && len(e.waiting) == 0 {
@@ -95,7 +96,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if w.index < 0 {
-		e.releaseSlot() // the slot came at the same moment
+		e.releaseSlot() // the slot was granted as the context ended
 		return false
 	}
 	heap.Remove(&e.waiting, w.index)
@@ -110,6 +111,8 @@
 	e.releaseSlot()
 }
 
+// releaseSlot gives a slot back and admits waiting requests. The caller holds
+// e.mu.
 func (e *Engine) releaseSlot() {
 	e.running--
 	for e.running < e.slots() && len(e.waiting) > 0 {
@@ -120,8 +123,8 @@
 	e.recordReport()
 }
 
-// PrefillPrompt spends the prefill of a prompt and returns how many of its tokens
-// were cached.
+// PrefillPrompt spends the prefill time of a prompt. It returns the number of
+// its tokens and how many of them were cached.
 func (e *Engine) PrefillPrompt(ctx context.Context, prompt string) (tokens, cached int, err error) {
 	tokens = len(prompt)/bytesPerToken + 1
 	e.mu.Lock()
@@ -138,7 +141,8 @@
 	return tokens, cached, jwclock.Sleep(ctx, prefill)
 }
 
-// SetTimeFactor multiplies all times from now on; reports do not show it. 0 means 1.
+// SetTimeFactor multiplies all times from now on. Reports don't show it. 0
+// means 1.
 func (e *Engine) SetTimeFactor(factor float64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -179,7 +183,7 @@
 	return jwclock.Sleep(ctx, d)
 }
 
-// Report returns the load as it was before the lag.
+// Report returns the load as it was Lag ago, and the totals of now.
 func (e *Engine) Report() (Report, Totals) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -197,11 +201,13 @@
 	return e.Slots
 }
 
+// tokenTime returns the time of one token at the present batch size.
 func (e *Engine) tokenTime() time.Duration {
 	return e.Token + time.Duration(float64(e.Token)*e.Growth*float64(max(e.running-1, 0)))
 }
 
-// recordReport keeps the load of this moment for reports to come.
+// recordReport stores the present load for later reports and adds the slot time
+// since the last change. The caller holds e.mu.
 func (e *Engine) recordReport() {
 	now := time.Now()
 	e.totals.SlotTime += time.Duration(e.heldSlots) * now.Sub(e.heldSince)
@@ -214,22 +220,23 @@
 	e.reports = append(e.reports, r)
 }
 
-// prune drops reports that a newer one, itself old enough, has replaced.
+// prune drops the reports that precede the newest one with an age of at least
+// Lag.
 func (e *Engine) prune(now time.Time) {
 	for len(e.reports) > 1 && now.Sub(e.reports[1].Taken) >= e.Lag {
 		e.reports = e.reports[1:]
 	}
 }
 
-// waiter is one request that has no slot yet.
+// waiter is one request that waits for a slot.
 type waiter struct {
 	urgency  int
 	arrival  uint64
 	admitted chan struct{}
-	index    int // place in the queue, -1 once admitted
+	index    int // position in the queue; -1 once admitted
 }
 
-// waitQueue orders waiters by urgency, then arrival.
+// waitQueue is a heap of waiters, ordered by urgency, then by arrival.
 type waitQueue []*waiter
 
 // Len implements sort.Interface.
@@ -266,8 +273,7 @@
 	return w
 }
 
-// prefixCache holds the hashes of prompt beginnings, the least recently used
-// dropped first.
+// prefixCache is an LRU cache of the hashes of prompt prefixes.
 type prefixCache struct {
 	blocks map[uint64]*list.Element
 	order  list.List // most recently used first; values are hashes
@@ -275,8 +281,9 @@
 
 func (c *prefixCache) len() int { return len(c.blocks) }
 
-// use returns how many whole blocks at the start of a prompt were cached and
-// caches all of its blocks, up to most in the cache.
+// use returns how many whole blocks at the start of a prompt were cached. It
+// then caches all whole blocks of the prompt, and evicts the least recently
+// used ones above maxBlocks.
 func (c *prefixCache) use(prompt string, maxBlocks int) (found int) {
 	if maxBlocks <= 0 {
 		return 0
--- a/io/jwstand/faults.go
+++ b/io/jwstand/faults.go
@@ -2,18 +2,19 @@
 
 import "time"
 
-// Faults are what a stand-in does wrong; the zero value is none.
+// Faults are the faults that a stand-in simulates. The zero value simulates
+// none.
 type Faults struct {
-	Down      bool     `json:"down"`      // refuses connections and has reset those that were open
-	Slow      Duration `json:"slow"`      // delay before each call is looked at
-	LoseReply int      `json:"loseReply"` // calls other than GET that are yet to be carried out without an answer
-	Pause     bool     `json:"pause"`     // holds every byte in and out until lifted, as a stopped process does
-	CrashOn   string   `json:"crashOn"`   // a body that holds this text ends the process
-	Leave     bool     `json:"leave"`     // finishes what runs, refuses new work
-	Silent    bool     `json:"silent"`    // setting it silences the connections open now, for good; later ones work
+	Down      bool     `json:"down"`      // connections are refused; setting it resets the open ones
+	Slow      Duration `json:"slow"`      // delay before each call is handled
+	LoseReply int      `json:"loseReply"` // number of further calls, other than GET, that are handled but get no answer
+	Pause     bool     `json:"pause"`     // holds every byte in both directions until it is unset, as a stopped process does
+	CrashOn   string   `json:"crashOn"`   // a request body that contains this text ends the process
+	Leave     bool     `json:"leave"`     // running calls finish, new ones are rejected
+	Silent    bool     `json:"silent"`    // setting it silences the connections open now for the rest of their life; later ones work
 }
 
-// Duration is a time.Duration that JSON writes as text, such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as text, such as "250ms".
 type Duration time.Duration
 
 // MarshalText implements encoding.TextMarshaler.
--- a/io/jwstand/gate.go
+++ b/io/jwstand/gate.go
@@ -5,17 +5,18 @@
 	"sync"
 )
 
-// paused holds the open connections of one port, so that faults reach them.
-type paused struct {
-	mu     sync.Mutex
-	open  map[*trackedConn]struct{}
-	resumed chan struct{} // closed when the pause is lifted, nil without one
+// connSet tracks the open connections of one port, so that faults can pause,
+// silence or reset them.
+type connSet struct {
+	mu      sync.Mutex
+	open    map[*trackedConn]struct{}
+	resumed chan struct{} // closed when the pause ends; nil while there is no pause
 }
 
-// trackedListener hands its connections to a gate.
+// trackedListener adds each connection that it accepts to a connSet.
 type trackedListener struct {
 	net.Listener
-	conns *paused
+	conns *connSet
 }
 
 // Accept implements net.Listener.
@@ -27,67 +28,70 @@
 	return l.conns.add(conn), nil
 }
 
-func (g *paused) add(conn net.Conn) *trackedConn {
-	c := &trackedConn{Conn: conn, set: g, silenced: make(chan struct{}), closed: make(chan struct{})}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.open == nil {
-		g.open = make(map[*trackedConn]struct{})
+func (s *connSet) add(conn net.Conn) *trackedConn {
+	c := &trackedConn{Conn: conn, set: s, silenced: make(chan struct{}), closed: make(chan struct{})}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.open == nil {
+		s.open = make(map[*trackedConn]struct{})
 	}
-	g.open[c] = struct{}{}
+	s.open[c] = struct{}{}
 	return c
 }
 
-// pause holds or lets go of every byte.
-func (g *paused) pause(on bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if on && g.resumed == nil {
-		g.resumed = make(chan struct{})
+// pause holds all bytes in both directions, or releases them.
+func (s *connSet) pause(paused bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if paused && s.resumed == nil {
+		s.resumed = make(chan struct{})
 	}
-	if !on && g.resumed != nil {
-		close(g.resumed)
-		g.resumed = nil
+	if !paused && s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-// silence makes the connections that are open now swallow all bytes.
-func (g *paused) silence() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.open {
+// silence makes the connections that are open now discard all bytes, without an
+// error, until they are closed.
+func (s *connSet) silence() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.open {
 		c.silenceOnce.Do(func() { close(c.silenced) })
 	}
 }
 
-// reset ends the open connections without a proper close.
-func (g *paused) reset() {
-	g.mu.Lock()
-	conns := g.open
-	g.open = nil
-	g.mu.Unlock()
+// reset closes the open connections with a TCP reset.
+func (s *connSet) reset() {
+	s.mu.Lock()
+	conns := s.open
+	s.open = nil
+	s.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on a connection that is closed
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
 		_ = c.Close()
 	}
 }
 
-func (g *paused) resumedChan() chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.resumed
+// resumedChan returns the channel that is closed when the pause ends, or nil if
+// there is no pause.
+func (s *connSet) resumedChan() chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.resumed
 }
 
-// trackedConn is one connection of a gate.
+// trackedConn is a connection of a connSet.
 type trackedConn struct {
 	net.Conn
-	set     *paused
-	silenceOnce     sync.Once
-	silenced chan struct{}
+	set         *connSet
+	silenceOnce sync.Once
+	silenced    chan struct{}
 	closeOnce   sync.Once
-	closed   chan struct{}
+	closed      chan struct{}
 }
 
 // Read implements net.Conn.
@@ -99,7 +103,8 @@
 	return n, err
 }
 
-// Write implements net.Conn; a silenced connection takes bytes and drops them.
+// Write implements net.Conn. A silenced connection accepts bytes and discards
+// them.
 func (c *trackedConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.silenced:
@@ -125,8 +130,9 @@
 	return c.Conn.Close()
 }
 
-// waitWhileHeld waits while the gate is paused, and for good once the connection is
-// silenced; it returns false when the connection is closed.
+// waitWhileHeld waits while the connections are paused, and until the
+// connection is closed once it is silenced. It returns false if the connection
+// is closed.
 func (c *trackedConn) waitWhileHeld() bool {
 	select {
 	case <-c.silenced:
--- a/io/jwstand/hosts.go
+++ b/io/jwstand/hosts.go
@@ -6,27 +6,29 @@
 	"time"
 )
 
-// HostGroup is one group of a Prometheus HTTP service discovery document.
+// HostGroup is one group of a document of Prometheus HTTP service discovery.
 type HostGroup struct {
-	Targets []string          `json:"targets"`
-	Labels  map[string]string `json:"labels"`
+	Targets []string          `json:"targets"` // addresses with ports
+	Labels  map[string]string `json:"labels"`  // labels of all Targets
 }
 
-// Hosts stands in for the platform's list of live and leaving hosts, which
-// shows each change only after a lag.
+// Hosts stands in for the platform's list of live and leaving hosts. Each
+// change becomes visible only after a lag.
 type Hosts struct {
-	Lag time.Duration
+	Lag time.Duration // time until a change is visible
 
-	mu    sync.Mutex
-	versions []hostList // oldest first; the newest may not be shown yet
+	mu       sync.Mutex
+	versions []hostList // oldest first; the later ones may not be visible yet
 }
 
+// hostList is one version of the list and the time from which it is visible.
 type hostList struct {
-	visibleFrom  time.Time
-	groups []HostGroup
+	visibleFrom time.Time
+	groups      []HostGroup
 }
 
-// Set replaces the list; it is shown after the lag.
+// Set replaces the list. The first list is visible at once, later ones after
+// Lag.
 func (h *Hosts) Set(groups []HostGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -37,7 +39,7 @@
 	h.versions = append(h.versions, hostList{visibleFrom: visibleFrom, groups: groups})
 }
 
-// Shown returns the list as a call sees it now.
+// Shown returns the list that is visible now.
 func (h *Hosts) Shown() []HostGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -51,7 +53,7 @@
 	return h.versions[0].groups
 }
 
-// newest returns the last list that was set, shown or not.
+// newest returns the list that was set last, whether it is visible yet or not.
 func (h *Hosts) newest() []HostGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -71,7 +73,8 @@
 }
 
 // Register implements Program. PATCH /hosts/{address} merges labels, such as
-// {"state":"leaving"}, into the host's own; DELETE takes the host off the list.
+// {"state":"leaving"}, into those of the host; DELETE /hosts/{address} removes
+// the host from the list.
 func (h *Hosts) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, h.newest())
@@ -93,7 +96,8 @@
 	})
 }
 
-// mergeLabels returns the groups with labels merged into those of one host.
+// mergeLabels returns one group for each host. The given labels are merged into
+// those of the host with the given address.
 func mergeLabels(groups []HostGroup, address string, labels map[string]string) []HostGroup {
 	var out []HostGroup
 	for _, g := range groups {
@@ -113,7 +117,7 @@
 	return out
 }
 
-// withoutHost returns the groups but for one host.
+// withoutHost returns one group for each host except the given one.
 func withoutHost(groups []HostGroup, address string) []HostGroup {
 	out := []HostGroup{}
 	for _, g := range mergeLabels(groups, "", nil) {
--- a/io/jwstand/journal.go
+++ b/io/jwstand/journal.go
@@ -6,37 +6,38 @@
 	"time"
 )
 
-// maxRuns bounds a journal; older runs are forgotten first.
+// maxRuns is the maximum length of a Journal; the oldest runs are dropped
+// first.
 const maxRuns = 200_000
 
-// Run is one request that a target began to run.
+// Run is one request that a target started to run.
 type Run struct {
-	RequestID string    `json:"requestId"`
-	Key       string    `json:"key,omitempty"`
-	Workspace string    `json:"workspace,omitempty"`
+	RequestID string    `json:"requestId"`           // from the Jujube-Request-Id header
+	Key       string    `json:"key,omitempty"`       // idempotency key; empty without one
+	Workspace string    `json:"workspace,omitempty"` // from the Jujube-Workspace header
 	Path      string    `json:"path"`
-	Began     time.Time `json:"began"`
-	Resumed   bool      `json:"resumed,omitempty"` // went on with a stream that broke off
+	Began     time.Time `json:"began"`             // time at which the run started
+	Resumed   bool      `json:"resumed,omitempty"` // the request resumed a stream that broke off
 	State     RunState  `json:"state"`
 }
 
-// RunState tells how far a run has come.
+// RunState is the state of a run.
 type RunState string
 
 // The states of a run.
 const (
-	Running   RunState = "running"
-	Finished  RunState = "finished"
-	Cancelled RunState = "cancelled"
+	Running   RunState = "running"   // started and not ended yet
+	Finished  RunState = "finished"  // ran to its end
+	Cancelled RunState = "cancelled" // stopped before its end, such as when the caller disconnects
 )
 
-// Journal lists what a target ran, so that a test can count runs.
+// Journal records what a target ran, so that a test can count the runs.
 type Journal struct {
 	mu   sync.Mutex
 	runs []*Run
 }
 
-// startRun notes a run.
+// startRun adds a run for the request.
 func (j *Journal) startRun(r *http.Request) *Run {
 	run := &Run{
 		RequestID: r.Header.Get("Jujube-Request-Id"),
@@ -56,13 +57,14 @@
 	return run
 }
 
+// finishRun sets the final state of a run.
 func (j *Journal) finishRun(run *Run, state RunState) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	run.State = state
 }
 
-// Runs returns the runs so far, oldest first.
+// Runs returns the recorded runs, oldest first.
 func (j *Journal) Runs() []Run {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -73,13 +75,14 @@
 	return runs
 }
 
-// Clear forgets all runs.
+// Clear removes all runs.
 func (j *Journal) Clear() {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	j.runs = nil
 }
 
+// register adds the endpoints of the journal to the control port.
 func (j *Journal) register(control *http.ServeMux) {
 	control.HandleFunc("GET /journal", func(w http.ResponseWriter, _ *http.Request) {
 		writeJSON(w, http.StatusOK, j.Runs())
--- a/io/jwstand/keyvalue.go
+++ b/io/jwstand/keyvalue.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	maxValue    = 1 << 20
-	defaultWait = 5 * time.Minute
-	maxWait     = 10 * time.Minute
+	maxValue    = 1 << 20          // bytes of a value
+	defaultWait = 5 * time.Minute  // of a blocking read without a wait parameter
+	maxWait     = 10 * time.Minute // of a blocking read
 )
 
-// KeyValue stands in for the key-value service: the part of the Consul HTTP
-// API that reads keys, waits for them and swaps them, over a store in memory.
+// KeyValue stands in for the key-value service. It implements the part of the
+// Consul HTTP API that reads and lists keys, waits for changes, and writes and
+// deletes by check-and-set, over a store in memory.
 type KeyValue struct {
-	Store jwstore.Memory
+	Store jwstore.Memory // holds the keys
 
 	reads, writes, waits atomic.Uint64
 }
 
-// Calls returns the number of calls that came; a waiting one counts once.
+// Calls returns the number of calls received. A call that waits counts once.
 func (kv *KeyValue) Calls() jwstore.Calls {
 	return jwstore.Calls{Reads: kv.reads.Load(), Writes: kv.writes.Load(), Waits: kv.waits.Load()}
 }
@@ -49,7 +50,7 @@
 	})
 }
 
-// keyRecord is one key in an answer.
+// keyRecord is the JSON form of one key, with the field names of Consul.
 type keyRecord struct {
 	Key         string
 	Value       []byte
@@ -86,9 +87,11 @@
 	writeRecords(w, item.Version, []jwstore.Item{item})
 }
 
-// read answers once the key has changed after an index. A key that does not
-// exist stands at the index of the newest write; that index is taken before
-// the key is read, or a write between the two would never be told.
+// read returns the key. If after is above 0, it waits, at most for timeout,
+// until the index of the key is above it. A key that does not exist has the
+// index of the newest write in the store. That index is read before the key;
+// otherwise a write between the two reads would never be reported to a waiting
+// caller.
 func (kv *KeyValue) read(ctx context.Context, key string, after uint64, timeout time.Duration) (jwstore.Item, bool, uint64, error) {
 	index := kv.Store.Index()
 	item, found, err := kv.Store.Get(ctx, key)
@@ -103,6 +106,7 @@
 	return item, found, index, err
 }
 
+// parseWait parses the wait parameter of a blocking read.
 func parseWait(text string) time.Duration {
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 {
@@ -122,6 +126,7 @@
 	writeRecords(w, index, items)
 }
 
+// writeRecords writes the keys with their index, or 404 if there are none.
 func writeRecords(w http.ResponseWriter, index uint64, items []jwstore.Item) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if len(items) == 0 {
@@ -165,8 +170,8 @@
 	writeResult(w, deleted, err)
 }
 
-// deleteKey deletes a key; as in the Consul API, a key that is gone counts as
-// deleted unless its version was checked too.
+// deleteKey deletes a key at a version. As in the Consul API, a missing key
+// counts as deleted, unless the version was also checked by a step before.
 func (kv *KeyValue) deleteKey(ctx context.Context, key string, version uint64, checked bool) (bool, error) {
 	deleted, err := kv.Store.Delete(ctx, key, version)
 	if err != nil || deleted || checked {
@@ -176,6 +181,7 @@
 	return !found, err
 }
 
+// writeResult writes the answer to a write: whether it was done, or the error.
 func writeResult(w http.ResponseWriter, done bool, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
@@ -207,8 +213,8 @@
 	Errors  []transactionError
 }
 
-// transaction takes one step, a swap or a delete with a version, which a check
-// of the same key and version may precede.
+// transaction runs one step, a "cas" or a "delete-cas". A "check-index" step of
+// the same key and version may precede it.
 func (kv *KeyValue) transaction(w http.ResponseWriter, r *http.Request) {
 	var steps []transactionStep
 	body := http.MaxBytesReader(w, r.Body, 2*maxValue)
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	defaultLossDelay = 200 * time.Millisecond
-	dialTimeout      = 5 * time.Second
+	defaultLossDelay = 200 * time.Millisecond // of a lost chunk if Weather.LossDelay is 0
+	dialTimeout      = 5 * time.Second        // for a connection to Link.Dial
 )
 
-// Direction names the direction of a link.
+// Direction is a direction of a link.
 type Direction string
 
 // The directions of a link.
 const (
-	Forward Direction = "forward" // from the caller to the dialled end
-	Back    Direction = "back"
+	Forward Direction = "forward" // from the caller to the dialled address
+	Back    Direction = "back"    // from the dialled address to the caller
 )
 
-// Weather is what a link does to what passes; the zero value is a perfect
-// link. Lost segments of TCP come later, not never, so loss is a delay here.
+// Weather is the simulated condition of a link. The zero value is a perfect
+// link. TCP retransmits lost segments, so a loss only delays bytes here.
 type Weather struct {
-	Delay     Duration `json:"delay"`     // one way
-	Jitter    Duration `json:"jitter"`    // the most that is added to Delay, evenly drawn
-	Loss      float64  `json:"loss"`      // share of chunks that LossDelay is added to
-	LossDelay Duration `json:"lossDelay"` // 0 means 200ms
-	Rate      int64    `json:"rate"`      // bytes a second each way, shared by all connections; 0 for no limit
-	Cut       bool     `json:"cut"`       // refuses connections and has reset those that were open
-	Hold      Direction   `json:"hold"`      // bytes of this direction wait until it is lifted
-	Silent    bool     `json:"silent"`    // setting it silences the connections open now, for good
-	SilentNew bool     `json:"silentNew"` // new connections are silent too while it is set
+	Delay     Duration  `json:"delay"`     // one way
+	Jitter    Duration  `json:"jitter"`    // maximum that is added to Delay, uniformly distributed
+	Loss      float64   `json:"loss"`      // share of the chunks that are delayed by LossDelay
+	LossDelay Duration  `json:"lossDelay"` // 0 means 200ms
+	Rate      int64     `json:"rate"`      // bytes per second in each direction, shared by all connections; 0 means no limit
+	Cut       bool      `json:"cut"`       // connections are refused; setting it resets the open ones
+	Hold      Direction `json:"hold"`      // bytes in this direction wait until it is unset
+	Silent    bool      `json:"silent"`    // setting it silences the connections open now for the rest of their life
+	SilentNew bool      `json:"silentNew"` // while it is set, new connections are silenced too
 }
 
 // Link relays TCP connections from one address to another.
 type Link struct {
-	Name   string
-	Listen netip.AddrPort // zero, or a port of 0, picks a free one of loopback
-	Dial   netip.AddrPort
-	Seed   uint64
+	Name   string         // name of the link on the control port
+	Listen netip.AddrPort // if zero, or with port 0, a free loopback port is picked
+	Dial   netip.AddrPort // address to which connections are relayed
+	Seed   uint64         // of the random numbers for Jitter and Loss
 
-	mu       sync.Mutex
-	weather  Weather
-	changed  chan struct{} // closed at the next change of weather
-	random   *rand.Rand
-	listener net.Listener
-	relays    map[*relay]struct{}
-	rateFreeAt     map[Direction]time.Time // when the last chunk under Rate has left
-	passed   map[Direction]uint64
+	mu         sync.Mutex
+	weather    Weather
+	changed    chan struct{} // closed at the next change of weather
+	random     *rand.Rand
+	listener   net.Listener // nil while the link is cut
+	relays     map[*relay]struct{}
+	rateFreeAt map[Direction]time.Time // when the last chunk under Rate has been sent
+	passed     map[Direction]uint64    // bytes delivered
 }
 
-// open listens for the first time.
+// open initializes the link and starts to listen.
 func (l *Link) open() error {
 	listener, err := listen(l.Listen)
 	if err != nil {
@@ -76,21 +76,21 @@
 	return nil
 }
 
-// Weather returns what the link does now.
+// Weather returns the present condition of the link.
 func (l *Link) Weather() Weather {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.weather
 }
 
-// Passed returns the bytes that were delivered in a direction.
+// Passed returns the number of bytes delivered in a direction.
 func (l *Link) Passed(direction Direction) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.passed[direction]
 }
 
-// SetWeather changes what the link does from now on.
+// SetWeather changes the condition of the link from now on.
 func (l *Link) SetWeather(weather Weather) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -116,7 +116,7 @@
 	}
 }
 
-// run relays until the context ends.
+// run relays connections until the context ends.
 func (l *Link) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -145,7 +145,7 @@
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			break // closed by a cut or the stop
+			break // closed by a cut or by the shutdown
 		}
 		wg.Go(func() { l.relay(ctx, conn) })
 	}
@@ -180,7 +180,7 @@
 	}
 }
 
-// relay carries one connection until both directions have ended.
+// relay relays one connection until both directions have ended.
 func (l *Link) relay(ctx context.Context, client net.Conn) {
 	r := &relay{link: l, client: client, silenced: make(chan struct{}), ended: make(chan struct{})}
 	if !l.add(ctx, r) {
@@ -188,8 +188,8 @@
 		return
 	}
 	defer l.remove(r)
-	// The kernel here has answered the caller at once; a real handshake takes
-	// one way there and one back before the first byte can leave.
+	// The kernel has already accepted the caller's connection. A real handshake
+	// takes a full round trip before the first byte can be sent.
 	w := l.Weather()
 	if jwclock.Sleep(ctx, 2*time.Duration(w.Delay)) != nil {
 		r.reset()
@@ -230,8 +230,9 @@
 	delete(l.relays, r)
 }
 
-// deliveryTime returns when a chunk that comes now is delivered; before is when the
-// chunk ahead of it is, since TCP keeps the order.
+// deliveryTime returns when a chunk that arrives now is delivered. It is never
+// before previous, the delivery time of the chunk ahead, since TCP keeps the
+// order of bytes.
 func (l *Link) deliveryTime(direction Direction, size int, previous time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -15,7 +15,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// startEcho answers each byte with itself.
+// startEcho starts a server that sends back every byte it receives.
 func startEcho(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", anyPort.String())
@@ -60,7 +60,7 @@
 	return conn
 }
 
-// exchange sends text and reads as much back.
+// exchange sends text and reads as many bytes back.
 func exchange(conn net.Conn, text string, timeout time.Duration) error {
 	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
@@ -73,8 +73,8 @@
 }
 
 const (
-	longTimeout = 10 * time.Second       // for what must come
-	shortTimeout   = 100 * time.Millisecond // for what must not come
+	longTimeout  = 10 * time.Second       // for what must happen
+	shortTimeout = 100 * time.Millisecond // for what must not happen
 )
 
 func TestLinkDeliversInOrder(t *testing.T) {
@@ -114,8 +114,9 @@
 	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "never before the chunk ahead")
 }
 
-// Two regions lose each other. What was open breaks with an error and new
-// connections are refused, so both sides learn of it; after the cut all is well.
+// Two regions lose the connection to each other. Open connections fail with an
+// error and new ones are refused, so that both sides notice. After the cut, new
+// connections work again.
 func TestLinkCut(t *testing.T) {
 	link := startLink(t, Weather{})
 	conn := dial(t, link.Listen)
@@ -145,8 +146,9 @@
 	})
 }
 
-// Something between two hosts forgets an open connection. Neither end gets an
-// error: what is sent is never answered, while a new connection works.
+// A device between two hosts, such as a NAT, loses the state of an open
+// connection. Neither end gets an error: what is sent is never answered, while
+// a new connection works.
 func TestLinkSilent(t *testing.T) {
 	link := startLink(t, Weather{})
 	old := dial(t, link.Listen)
@@ -160,8 +162,8 @@
 	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", shortTimeout)))
 }
 
-// Bytes get through one way only. A caller's request arrives and is worked on,
-// and the caller sees nothing until the way back is mended.
+// Bytes pass in one direction only. A caller's request arrives and is run, but
+// the caller gets no answer until the other direction works again.
 func TestLinkHoldsOneDirection(t *testing.T) {
 	link := startLink(t, Weather{Hold: Back})
 	conn := dial(t, link.Listen)
--- a/io/jwstand/links.go
+++ b/io/jwstand/links.go
@@ -13,7 +13,7 @@
 
 // Links runs several links in one process, with one control port.
 type Links struct {
-	Control netip.AddrPort // likewise
+	Control netip.AddrPort // if zero, or with port 0, Open picks a free loopback port
 	Links   []*Link
 
 	control net.Listener
@@ -35,7 +35,7 @@
 	return nil
 }
 
-// Ready tells where the links listen, in the order of Links.
+// Ready returns the addresses on which the links listen, in the order of Links.
 func (ls *Links) Ready() Ready {
 	ready := Ready{Kind: "link", Control: ls.Control}
 	for _, l := range ls.Links {
@@ -44,7 +44,7 @@
 	return ready
 }
 
-// Run relays until the context ends; it opens first if Open was not called.
+// Run relays until the context ends. It calls Open first if that was not done.
 func (ls *Links) Run(ctx context.Context) error {
 	if ls.control == nil {
 		if err := ls.Open(); err != nil {
@@ -70,12 +70,12 @@
 	return errors.Wrapf(err, "serve control: %s", ls.Control)
 }
 
-// linkState is one link in an answer of the control port.
+// linkState is the state of one link in an answer of the control port.
 type linkState struct {
-	Name    string            `json:"name"`
-	Listen  netip.AddrPort    `json:"listen"`
-	Dial    netip.AddrPort    `json:"dial"`
-	Weather Weather           `json:"weather"`
+	Name    string               `json:"name"`
+	Listen  netip.AddrPort       `json:"listen"`
+	Dial    netip.AddrPort       `json:"dial"`
+	Weather Weather              `json:"weather"`
 	Passed  map[Direction]uint64 `json:"passed"`
 }
 
@@ -88,7 +88,8 @@
 	writeJSON(w, http.StatusOK, states)
 }
 
-// putLinks merges the body into the weather of the named link, or of all.
+// putLinks merges the body into the weather of the named link, or of all links
+// if the path has no name.
 func (ls *Links) putLinks(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, chunkSize))
 	if err != nil {
--- a/io/jwstand/main_test.go
+++ b/io/jwstand/main_test.go
@@ -7,12 +7,13 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain also holds that stand-ins end with all they started.
+// TestMain also checks that stand-ins leave no goroutines behind.
 func TestMain(m *testing.M) {
 	goleak.VerifyTestMain(idleConnCloser{m})
 }
 
-// idleConnCloser ends the idle connections of the tests' own HTTP client.
+// idleConnCloser closes the idle connections of the tests' HTTP client after
+// the tests.
 type idleConnCloser struct {
 	m *testing.M
 }
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -10,24 +10,24 @@
 )
 
 const (
-	chunkSize      = 16 << 10
-	chunksInFlight = 256 // in each direction of a connection, so 4 MB
+	chunkSize      = 16 << 10 // bytes read at once
+	chunksInFlight = 256      // per direction of a connection, which makes 4 MB
 )
 
 // relay is one connection through a link.
 type relay struct {
-	link     *Link
-	client     net.Conn
-	mu       sync.Mutex
-	server      net.Conn
-	closed     bool
-	silenceOnce     sync.Once
-	silenced chan struct{}
-	ended    chan struct{}
+	link        *Link
+	client      net.Conn // the accepted connection
+	mu          sync.Mutex
+	server      net.Conn // the dialled connection; nil until dialled
+	closed      bool
+	silenceOnce sync.Once
+	silenced    chan struct{} // closed once all bytes are discarded
+	ended       chan struct{} // closed once the relay is closed
 }
 
-// setServer adds the dialled end; it returns false when the connection was reset
-// in the meantime.
+// setServer adds the dialled connection. It returns false if the relay was
+// closed in the meantime.
 func (r *relay) setServer(server net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -43,11 +43,11 @@
 	r.silenceOnce.Do(func() { close(r.silenced) })
 }
 
-// reset ends both halves without a proper close; what is still under way is lost.
+// reset closes both connections with a TCP reset; bytes in flight are lost.
 func (r *relay) reset() { r.close(true) }
 
-// close closes both halves once; a reset at a proper close would throw away bytes
-// that the receiver has not read yet.
+// close closes both connections once. A regular end must not reset them: that
+// would discard bytes that the receiver has not read yet.
 func (r *relay) close(reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -62,19 +62,21 @@
 			continue // not dialled yet
 		}
 		if reset {
-			_ = tcp.SetLinger(0) // fails only on a connection that is closed
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
 		_ = tcp.Close()
 	}
 }
 
-// chunk is what was read at once; an empty one is the proper end.
+// chunk is the data of one read and its delivery time. An empty chunk marks the
+// end of the stream.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// forward takes bytes from one end to the other until the first ends.
+// forward relays bytes from one connection to the other until reading fails or
+// ends.
 func (r *relay) forward(direction Direction, from, to net.Conn) {
 	chunks := make(chan chunk, chunksInFlight)
 	var wg sync.WaitGroup
@@ -101,8 +103,8 @@
 	wg.Wait()
 }
 
-// deliver writes chunks when they are due. After an error it drops what comes,
-// so that carry never waits for it.
+// deliver writes chunks when they are due. After an error it discards further
+// chunks, so that forward never blocks on a full channel.
 func (r *relay) deliver(direction Direction, to net.Conn, chunks <-chan chunk) {
 	for c := range chunks {
 		if !r.waitUntilDue(direction, c.due) {
@@ -110,7 +112,7 @@
 		}
 		if len(c.data) == 0 {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // an end that is gone already has closed
+				_ = tcp.CloseWrite() // fails only if the connection is closed already
 			}
 			continue
 		}
@@ -122,7 +124,8 @@
 	}
 }
 
-// waitUntilDue waits until a chunk may be delivered; false means never.
+// waitUntilDue waits until a chunk may be delivered. It returns false if the
+// chunk must be dropped, since the relay is silenced or closed.
 func (r *relay) waitUntilDue(direction Direction, due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
--- a/io/jwstand/runner.go
+++ b/io/jwstand/runner.go
@@ -13,19 +13,19 @@
 )
 
 const (
-	defaultMaxTokens  = 16
-	defaultUrgency = 3 // RFC 9218
+	defaultMaxTokens = 16 // of a request without max_tokens
+	defaultUrgency   = 3  // the default of RFC 9218
 )
 
-// Runner stands in for a model engine with an OpenAI-style API. What it writes
-// follows from the prompt alone, so that a caller can check every answer and a
-// stream can be resumed anywhere.
+// Runner stands in for a model engine with an OpenAI-style API. The generated
+// text depends only on the prompt, so that a caller can verify every answer and
+// a stream can be resumed at any token.
 type Runner struct {
-	Engine  Engine
-	Journal Journal
+	Engine  Engine  // simulates the load and the timing
+	Journal Journal // records the requests that got a slot
 }
 
-// Completion is the body of a call to a Runner.
+// Completion is the body of a request to a Runner.
 type Completion struct {
 	Model     string `json:"model"`
 	Prompt    string `json:"prompt"`
@@ -49,19 +49,21 @@
 	FinishReason string `json:"finish_reason,omitempty"`
 }
 
-// CompletionUsage counts the tokens of an answer.
+// CompletionUsage counts the tokens of a request and its answer.
 type CompletionUsage struct {
 	PromptTokens     int `json:"prompt_tokens"`
 	CachedTokens     int `json:"cached_tokens"`
 	CompletionTokens int `json:"completion_tokens"`
 }
 
-// TokenOf returns the n-th token (from 1) that a Runner writes for a prompt.
+// TokenOf returns the n-th token, counted from 1, that a Runner generates for a
+// prompt.
 func TokenOf(prompt string, n int) string {
 	return fmt.Sprintf("%08x ", uint32(xxhash.Sum64String(prompt)+uint64(n)*2654435761))
 }
 
-// TextOf returns the text of n tokens for a prompt.
+// TextOf returns the text of the first n tokens that a Runner generates for a
+// prompt.
 func TextOf(prompt string, n int) string {
 	var b strings.Builder
 	for i := range n {
@@ -75,8 +77,8 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { rn.writeMetrics(w, faults().Leave) })
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) {
-		// The body is read to its end: only then does net/http notice a
-		// caller that closes the connection.
+		// Read the body to its end: only then does net/http detect that the caller
+		// closes the connection.
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 		if err != nil {
 			return
@@ -100,6 +102,7 @@
 	rn.Journal.register(control)
 }
 
+// complete waits for a slot and answers a completion request.
 func (rn *Runner) complete(w http.ResponseWriter, r *http.Request, c Completion) {
 	if c.MaxTokens <= 0 {
 		c.MaxTokens = defaultMaxTokens
@@ -128,6 +131,7 @@
 	rn.Journal.finishRun(run, Finished)
 }
 
+// writeWhole generates all tokens and then writes them as one answer.
 func (rn *Runner) writeWhole(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer) error {
 	tokens, cached, err := rn.Engine.PrefillPrompt(ctx, c.Prompt)
 	if err != nil {
@@ -150,13 +154,14 @@
 	return err
 }
 
-// writeStream writes the tokens after from, each as one event with its number.
+// writeStream writes the tokens after from, each as one event whose id is the
+// number of the token.
 func (rn *Runner) writeStream(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer, from int) error {
 	rc := http.NewResponseController(w)
 	w.Header().Set("Content-Type", "text/event-stream")
 	w.Header().Set("Cache-Control", "no-store")
 	w.WriteHeader(http.StatusOK)
-	_ = rc.Flush() // a writer that can't flush sends all at the end
+	_ = rc.Flush() // a writer that can't flush sends everything at the end
 	if _, _, err := rn.Engine.PrefillPrompt(ctx, c.Prompt+TextOf(c.Prompt, from)); err != nil {
 		return err
 	}
@@ -182,8 +187,8 @@
 	return err
 }
 
-// writeMetrics writes the load report in the Prometheus text format, by the names
-// of a known engine where it has them.
+// writeMetrics writes the load report in the Prometheus text format. It uses
+// the metric names of vLLM where vLLM has such a metric.
 func (rn *Runner) writeMetrics(w http.ResponseWriter, leaving bool) {
 	report, total := rn.Engine.Report()
 	leavingValue := 0.0
@@ -219,8 +224,8 @@
 	}
 }
 
-// parseUrgency reads the urgency of a Priority header (RFC 9218), 0 the most
-// urgent.
+// parseUrgency returns the urgency from a Priority header (RFC 9218): 0 is the
+// most urgent, 7 the least.
 func parseUrgency(header string) int {
 	for part := range strings.SplitSeq(header, ",") {
 		value, found := strings.CutPrefix(strings.TrimSpace(part), "u=")
--- a/io/jwstand/service.go
+++ b/io/jwstand/service.go
@@ -11,10 +11,11 @@
 	"jujubewheel/core/jwclock"
 )
 
-// Service stands in for a plain service: each POST answers with what came.
+// Service stands in for a plain service. It answers each POST request with an
+// Echo of it.
 type Service struct {
-	Work    time.Duration // how long each call runs
-	Journal Journal
+	Work    time.Duration // duration of each call
+	Journal Journal       // records the calls
 
 	running atomic.Int64
 }
@@ -58,11 +59,12 @@
 	})
 }
 
-// serviceSlots is how many calls a Service says that it runs at once.
+// serviceSlots is the number of concurrent calls that a Service reports as its
+// maximum. Nothing enforces it.
 const serviceSlots = 64
 
-// writeMetrics writes the load report in the Prometheus text format, by the names
-// that Runner uses.
+// writeMetrics writes the load report in the Prometheus text format, with the
+// metric names that Runner uses.
 func (s *Service) writeMetrics(w http.ResponseWriter, leaving bool) {
 	leavingValue := 0
 	if leaving {
@@ -86,10 +88,11 @@
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // short answers get a Content-Length from net/http
+	_, _ = w.Write(body) // net/http adds a Content-Length to short answers
 }
 
-// writeUnavailable answers a call that was not run.
+// writeUnavailable answers a call that was not run with 503 and a Retry-After
+// of one second.
 func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, reason, http.StatusServiceUnavailable)
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -17,33 +17,35 @@
 )
 
 const (
-	crashExitCode     = 3
-	reopenRetryDelay   = 10 * time.Millisecond
-	maxBody       = 64 << 20
-	headerTimeout = 10 * time.Second
+	crashExitCode    = 3                     // exit code of a process that a Faults.CrashOn text ended
+	reopenRetryDelay = 10 * time.Millisecond // pause before a busy port is opened again
+	maxBody          = 64 << 20              // bytes of a request body
+	headerTimeout    = 10 * time.Second
 )
 
-// Program is what one kind of stand-in does.
+// Program implements one kind of stand-in.
 type Program interface {
-	// Handler answers calls on the service port.
+	// Handler returns the handler of the service port; faults returns the faults
+	// that are set at the time of the call.
 	Handler(faults func() Faults) http.Handler
-	// Register adds the program's own calls to the control port.
+	// Register adds the program's own endpoints to the control port.
 	Register(control *http.ServeMux)
 }
 
-// Stand serves one Program on a port of its own and takes faults on another.
+// Stand serves one Program on a port of its own and accepts faults on a control
+// port.
 type Stand struct {
-	Kind    string
-	Address netip.AddrPort // zero, or a port of 0, picks a free one of loopback at Listen
-	Control netip.AddrPort // likewise
-	Program Program
+	Kind    string         // kind of stand-in, printed in the Ready line
+	Address netip.AddrPort // service port; if zero, or with port 0, Listen picks a free loopback port
+	Control netip.AddrPort // control port; chosen as Address is
+	Program Program        // answers the calls
 	Exit    func(code int) // ends the process on a crash; nil means os.Exit
 
 	mu       sync.Mutex
 	faults   Faults
 	changed  chan struct{} // closed at the next change of faults
-	conns     paused
-	listener net.Listener
+	conns    connSet       // open connections of the service port
+	listener net.Listener  // of the service port; nil during an outage
 	control  net.Listener
 }
 
@@ -55,7 +57,8 @@
 	Links   []netip.AddrPort `json:"links,omitempty"`
 }
 
-// Listen opens both ports; Address and Control then hold the real ones.
+// Listen opens both ports and stores their actual addresses in Address and
+// Control.
 func (s *Stand) Listen() error {
 	listener, err := listen(s.Address)
 	if err != nil {
@@ -74,7 +77,7 @@
 	return nil
 }
 
-// listen opens an address, a free port of loopback for the zero one.
+// listen opens a TCP address. For a zero address it picks a free loopback port.
 func listen(address netip.AddrPort) (net.Listener, error) {
 	if !address.IsValid() {
 		address = netip.AddrPortFrom(netip.AddrFrom4([4]byte{127, 0, 0, 1}), 0)
@@ -86,13 +89,13 @@
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
 
-// Ready tells where the stand-in listens.
+// Ready returns the addresses on which the stand-in listens.
 func (s *Stand) Ready() Ready {
 	return Ready{Kind: s.Kind, Address: s.Address, Control: s.Control}
 }
 
-// Start listens and runs in the background; stop ends it and returns what Run
-// returned.
+// Start listens and runs the stand-in in the background. The function stop ends
+// it and returns the result of Run.
 func (s *Stand) Start() (stop func() error, err error) {
 	if err := s.Listen(); err != nil {
 		return nil, err
@@ -106,7 +109,8 @@
 	}, nil
 }
 
-// Run serves until the context ends; it listens first if Listen was not called.
+// Run serves until the context ends. It calls Listen first if that was not
+// done.
 func (s *Stand) Run(ctx context.Context) error {
 	if s.control == nil {
 		if err := s.Listen(); err != nil {
@@ -135,7 +139,8 @@
 	return errors.Wrapf(err, "serve control: %s", s.Control)
 }
 
-// serve answers calls, through as many outages as are set.
+// serve answers calls until the context ends. During an outage it waits, and
+// then opens the port again.
 func (s *Stand) serve(ctx context.Context, service *http.Server) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
@@ -143,7 +148,7 @@
 		down := s.faults.Down
 		s.mu.Unlock()
 		if listener != nil {
-			_ = service.Serve(&trackedListener{Listener: listener, conns: &s.conns}) // ends by an outage or the stop
+			_ = service.Serve(&trackedListener{Listener: listener, conns: &s.conns}) // returns on an outage or on shutdown
 			s.mu.Lock()
 			s.listener = nil
 			s.mu.Unlock()
@@ -160,7 +165,8 @@
 	}
 }
 
-// reopen listens again after an outage; the port may still be busy for a moment.
+// reopen listens again after an outage. If the port is still busy, it pauses
+// and returns, and the caller tries again.
 func (s *Stand) reopen(ctx context.Context) {
 	listener, err := listen(s.Address)
 	if err != nil {
@@ -183,7 +189,7 @@
 	return s.faults
 }
 
-// SetFaults replaces the faults from now on.
+// SetFaults replaces the faults; they apply from now on.
 func (s *Stand) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
@@ -219,7 +225,8 @@
 	writeJSON(w, http.StatusOK, f)
 }
 
-// withFaults carries out the faults that concern whole calls.
+// withFaults applies the faults that affect whole calls: Slow, CrashOn and
+// LoseReply.
 func (s *Stand) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := s.Faults()
@@ -243,6 +250,8 @@
 	})
 }
 
+// bodyContains reports whether the request body contains the marker. The body
+// can still be read afterwards.
 func (s *Stand) bodyContains(r *http.Request, marker string) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
@@ -252,6 +261,7 @@
 	return bytes.Contains(body, []byte(marker))
 }
 
+// crash ends the process, or calls Exit if it is set.
 func (s *Stand) crash() {
 	if s.Exit != nil {
 		s.Exit(crashExitCode)
@@ -260,6 +270,8 @@
 	os.Exit(crashExitCode)
 }
 
+// takeLostReply reports whether the reply to this call is to be lost, and
+// counts it.
 func (s *Stand) takeLostReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -46,7 +46,8 @@
 	return string(body)
 }
 
-// readStream returns the text of a stream and whether its end came.
+// readStream returns the text of a stream, the id of its last event, and
+// whether the stream was complete.
 func readStream(r io.Reader) (text string, lastID string, complete bool) {
 	scanner := bufio.NewScanner(r)
 	for scanner.Scan() {
@@ -105,8 +106,8 @@
 	assert.Equal(t, len(runner.Journal.Runs()), len(tests))
 }
 
-// A caller goes away in the middle of an answer. The engine must stop, or it
-// would spend its slots on answers that nobody reads.
+// A caller disconnects in the middle of an answer. The engine must stop
+// generating; otherwise it spends its slots on answers that nobody reads.
 func TestRunnerCancel(t *testing.T) {
 	for _, stream := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stream %t", stream), func(t *testing.T) {
@@ -192,8 +193,9 @@
 	})
 }
 
-// Callers come and go at random moments, also just as their slot comes. A slot
-// that is lost on the way makes the engine slower for good.
+// Callers give up at random moments, also just as they are granted a slot. Each
+// slot lost in that race would reduce the capacity of the engine until it
+// restarts.
 func TestEngineLosesNoSlot(t *testing.T) {
 	const slots, callers, calls = 3, 20, 50
 	synctest.Test(t, func(t *testing.T) {
@@ -269,7 +271,7 @@
 	assert.Equal(t, len(service.Journal.Runs()), 2)
 }
 
-// A body that crashes its target takes the whole process with it; the caller
+// A request body that crashes its target ends the whole process. The caller
 // sees a connection that breaks before any answer.
 func TestCrash(t *testing.T) {
 	service := &Service{}
@@ -286,8 +288,9 @@
 	assert.Equal(t, len(service.Journal.Runs()), 1)
 }
 
-// A target that leaves or loses its replies: the first kind of call was not
-// run and may go elsewhere, the second was run and may not.
+// A target that is leaving rejects a call without running it, so the call may
+// be sent elsewhere. A target that loses its reply has run the call, so it must
+// not be sent again.
 func TestLeaveAndLostReply(t *testing.T) {
 	service := &Service{}
 	stand := startStand(t, service)
@@ -303,7 +306,7 @@
 	assert.Equal(t, len(service.Journal.Runs()), 1)
 }
 
-// A stopped process keeps its connections and answers when it goes on.
+// A stopped process keeps its connections open and answers once it continues.
 func TestPause(t *testing.T) {
 	stand := startStand(t, &Service{})
 	stand.SetFaults(Faults{Pause: true})
