--- a/io/jwstand/clients.go
+++ b/io/jwstand/clients.go
@@ -88,6 +88,7 @@
 	Owner  string `json:"owner"`
 }
 
+// list answers one page of users, as SCIM 2.0 defines it.
 func (c *Clients) list(w http.ResponseWriter, r *http.Request) {
 	clients, tag := c.current()
 	w.Header().Set("ETag", tag)
--- a/io/jwstand/gate.go
+++ b/io/jwstand/gate.go
@@ -89,9 +89,9 @@
 	net.Conn
 	set         *connSet
 	silenceOnce sync.Once
-	silenced    chan struct{}
+	silenced    chan struct{} // closed once the connection discards all bytes
 	closeOnce   sync.Once
-	closed      chan struct{}
+	closed      chan struct{} // closed by Close
 }
 
 // Read implements net.Conn.
@@ -111,9 +111,9 @@
 		return len(b), nil
 	default:
 	}
-	if hold := c.set.resumedChan(); hold != nil {
+	if resumed := c.set.resumedChan(); resumed != nil {
 		select {
-		case <-hold:
+		case <-resumed:
 		case <-c.closed:
 			return 0, net.ErrClosed
 		}
@@ -140,12 +140,12 @@
 		return false
 	default:
 	}
-	hold := c.set.resumedChan()
-	if hold == nil {
+	resumed := c.set.resumedChan()
+	if resumed == nil {
 		return true
 	}
 	select {
-	case <-hold:
+	case <-resumed:
 		return true
 	case <-c.closed:
 		return false
--- a/io/jwstand/keyvalue.go
+++ b/io/jwstand/keyvalue.go
@@ -143,7 +143,7 @@
 func (kv *KeyValue) put(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	if err != nil {
-		http.Error(w, "only writes with cas are known here", http.StatusBadRequest)
+		http.Error(w, "only writes with the parameter cas are supported", http.StatusBadRequest)
 		return
 	}
 	value, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
@@ -162,7 +162,7 @@
 func (kv *KeyValue) delete(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	if err != nil {
-		http.Error(w, "only deletes with cas are known here", http.StatusBadRequest)
+		http.Error(w, "only deletes with the parameter cas are supported", http.StatusBadRequest)
 		return
 	}
 	kv.writes.Add(1)
@@ -219,14 +219,14 @@
 	var steps []transactionStep
 	body := http.MaxBytesReader(w, r.Body, 2*maxValue)
 	if err := json.NewDecoder(body).Decode(&steps); err != nil || len(steps) == 0 {
-		http.Error(w, "no steps", http.StatusBadRequest)
+		http.Error(w, "body is not a list of steps, or the list is empty", http.StatusBadRequest)
 		return
 	}
 	step := steps[len(steps)-1].KV
 	checked := len(steps) == 2 && steps[0].KV.Verb == "check-index" &&
 		steps[0].KV.Key == step.Key && steps[0].KV.Index == step.Index
 	if len(steps) > 1 && !checked {
-		http.Error(w, "one step, or its check and the step, is taken here", http.StatusBadRequest)
+		http.Error(w, "only one step is supported, with or without a check-index step of the same key before it", http.StatusBadRequest)
 		return
 	}
 	if len(step.Value) > maxValue {
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -141,6 +141,7 @@
 	}
 }
 
+// accept relays the connections of one listener until it is closed.
 func (l *Link) accept(ctx context.Context, listener net.Listener, wg *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
@@ -154,6 +155,8 @@
 	l.listener = nil
 }
 
+// reopen listens again after a cut. If the port is still busy, it pauses and
+// returns, and the caller tries again.
 func (l *Link) reopen(ctx context.Context) {
 	listener, err := listen(l.Listen)
 	if err != nil {
@@ -169,6 +172,7 @@
 	l.listener = listener
 }
 
+// close stops listening and resets all connections.
 func (l *Link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -211,6 +215,7 @@
 	r.close(false)
 }
 
+// add registers a relay. It returns false if the link is cut or stopped.
 func (l *Link) add(ctx context.Context, r *relay) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,6 +261,7 @@
 	return laterOf(delivery, previous)
 }
 
+// laterOf returns the later of two times.
 func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
@@ -263,6 +269,7 @@
 	return b
 }
 
+// countPassed adds n delivered bytes.
 func (l *Link) countPassed(direction Direction, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -96,7 +96,7 @@
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got, err := io.ReadAll(conn)
 	assert.NilError(t, err)
-	assert.Check(t, string(got) == string(sent), "whole and in order")
+	assert.Check(t, string(got) == string(sent), "all bytes arrive in order")
 	assert.Equal(t, link.Passed(Forward), uint64(len(sent)))
 }
 
@@ -107,11 +107,11 @@
 	link.SetWeather(Weather{Rate: 1000, Delay: Duration(time.Hour)})
 	first := link.deliveryTime(Forward, 1000, time.Time{})
 	second := link.deliveryTime(Forward, 1000, first)
-	assert.Equal(t, second.Sub(first), time.Second, "the rate is shared")
+	assert.Equal(t, second.Sub(first), time.Second, "chunks share the rate")
 	back := link.deliveryTime(Back, 1, time.Time{})
-	assert.Check(t, back.Before(first), "each way has its own rate")
+	assert.Check(t, back.Before(first), "each direction has its own rate")
 	link.SetWeather(Weather{})
-	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "never before the chunk ahead")
+	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "a chunk is never delivered before the one ahead of it")
 }
 
 // Two regions lose the connection to each other. Open connections fail with an
@@ -157,7 +157,7 @@
 	assert.Check(t, os.IsTimeout(exchange(old, "two", shortTimeout)))
 	assert.NilError(t, exchange(dial(t, link.Listen), "three", longTimeout))
 	link.SetWeather(Weather{})
-	assert.Check(t, os.IsTimeout(exchange(old, "four", shortTimeout)), "for good")
+	assert.Check(t, os.IsTimeout(exchange(old, "four", shortTimeout)), "an old connection stays silent")
 	link.SetWeather(Weather{SilentNew: true})
 	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", shortTimeout)))
 }
--- a/io/jwstand/service.go
+++ b/io/jwstand/service.go
@@ -36,7 +36,7 @@
 			return
 		}
 		if r.Method != http.MethodPost {
-			http.Error(w, "only POST is known here", http.StatusMethodNotAllowed)
+			http.Error(w, "only POST is supported", http.StatusMethodNotAllowed)
 			return
 		}
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
@@ -81,6 +81,7 @@
 	s.Journal.register(control)
 }
 
+// writeEcho writes the answer as JSON.
 func writeEcho(w http.ResponseWriter, echo Echo) {
 	body, err := json.Marshal(echo)
 	if err != nil {
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -20,7 +20,7 @@
 	crashExitCode    = 3                     // exit code of a process that a Faults.CrashOn text ended
 	reopenRetryDelay = 10 * time.Millisecond // pause before a busy port is opened again
 	maxBody          = 64 << 20              // bytes of a request body
-	headerTimeout    = 10 * time.Second
+	headerTimeout    = 10 * time.Second      // for reading the header of a request
 )
 
 // Program implements one kind of stand-in.
@@ -85,6 +85,7 @@
 	return net.Listen("tcp", address.String())
 }
 
+// addressOf returns the actual address of a TCP listener.
 func addressOf(l net.Listener) netip.AddrPort {
 	return l.Addr().(*net.TCPAddr).AddrPort()
 }
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -131,6 +131,7 @@
 	}
 }
 
+// waitState waits until the runner has exactly one run, in the given state.
 func waitState(t *testing.T, runner *Runner, want RunState) {
 	t.Helper()
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -158,7 +159,7 @@
 		assert.Check(t, cached == 32 && warm == time.Millisecond, "warm: %d %v", cached, warm)
 		prefill(strings.Repeat("b", 64*bytesPerToken))
 		cached, _ = prefill(prefix)
-		assert.Equal(t, cached, 0, "dropped for newer prompts")
+		assert.Equal(t, cached, 0, "evicted by newer prompts")
 	})
 }
 
@@ -239,7 +240,7 @@
 			assert.Check(t, e.AcquireSlot(t.Context(), 0))
 		}
 		r, _ = e.Report()
-		assert.Equal(t, r.Running, 0, "not shown yet")
+		assert.Equal(t, r.Running, 0, "the report lags behind")
 		time.Sleep(time.Second)
 		r, _ = e.Report()
 		assert.Equal(t, r.Running, 3)
