--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -29,16 +29,16 @@
 
 const slowFactor = 5
 
-// weather is that of PoorLinks.
-var weather = jwstand.Weather{
+// poorWeather is that of PoorLinks.
+var poorWeather = jwstand.Weather{
 	Delay:  jwstand.Duration(80 * time.Millisecond),
 	Jitter: jwstand.Duration(60 * time.Millisecond),
 	Loss:   0.02,
 }
 
-// burstOf names the region of the burst's load, whose callers go to the nodes
+// burstRegion names the region of the burst's load, whose callers go to the nodes
 // of a real one.
-func burstOf(region string) string { return "burst-" + region }
+func burstRegion(region string) string { return "burst-" + region }
 
 // inject brings the fault about while the load runs.
 func (t *Trial) inject(ctx context.Context, f *fleet) error {
@@ -46,24 +46,24 @@
 		f.keyValue.SetFaults(jwstand.Faults{Down: true})
 		return nil
 	}
-	if err := jwclock.Sleep(ctx, t.warm()+t.Length/4); err != nil {
+	if err := jwclock.Sleep(ctx, t.warmUp()+t.Length/4); err != nil {
 		return err
 	}
 	region := f.Regions[0]
 	switch t.Fault {
 	case Loss:
-		lost := f.runners[region][1:]
-		for _, r := range lost {
+		lostRunners := f.runners[region][1:]
+		for _, r := range lostRunners {
 			r.down()
 		}
 		err := jwclock.Sleep(ctx, t.Length/3)
-		for _, r := range lost {
+		for _, r := range lostRunners {
 			r.up()
 		}
 		return err
 	case PoorLinks:
-		for _, l := range f.between {
-			l.SetWeather(weather)
+		for _, l := range f.regionLinks {
+			l.SetWeather(poorWeather)
 		}
 	case SlowRunner:
 		f.runners[region][0].Engine.SetTimeFactor(slowFactor)
@@ -77,7 +77,7 @@
 
 // burst sends the load of one owner on top of all others.
 func (t *Trial) burst(ctx context.Context, f *fleet, region string) error {
-	name := burstOf(region)
+	name := burstRegion(region)
 	rate := 4 * f.Capacity() / float64(len(f.Regions))
 	load := &jwload.Load{
 		Schedule: jwload.Schedule{
@@ -86,7 +86,7 @@
 		Duration: t.Length / 2,
 		Follow:   true,
 	}
-	load.Hosts = f.entrances()
+	load.Hosts = f.callerAddresses()
 	load.Hosts[name] = load.Hosts[region]
 	err := load.Run(ctx)
 	t.bursts = load.Report().Lines
@@ -97,10 +97,10 @@
 func (t *Trial) poison(ctx context.Context, f *fleet, region string) error {
 	caller := newOperator()
 	defer caller.close()
-	to := f.nodes[region]
+	nodes := f.nodes[region]
 	for try := 0; ctx.Err() == nil; try++ {
-		status, err := caller.prompt(ctx, to[try%len(to)].CallersAddr(), f.draft(), jwload.WorkspaceName(region, 0), poison)
-		if err == nil && (status == refusedForGood || try >= poisonTries) {
+		status, err := caller.sendPrompt(ctx, nodes[try%len(nodes)].CallersAddr(), f.firstRunnerEntry(), jwload.WorkspaceName(region, 0), crashPrompt)
+		if err == nil && (status == statusQuarantined || try >= maxPoisonTries) {
 			break
 		}
 		t.poisoned++
@@ -112,13 +112,13 @@
 }
 
 const (
-	poisonTries    = 40
-	poisonPause    = 300 * time.Millisecond
-	refusedForGood = 422
+	maxPoisonTries    = 40
+	poisonPause       = 300 * time.Millisecond
+	statusQuarantined = 422
 )
 
-// draft names the first entry that model runners serve.
-func (f *fleet) draft() string {
+// firstRunnerEntry names the first entry that model runners serve.
+func (f *fleet) firstRunnerEntry() string {
 	for _, k := range f.Mix.Kinds {
 		if k.Target == jwload.Runner {
 			return k.Entry
--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -20,12 +20,12 @@
 )
 
 const (
-	token     = "a token of the measurements only"
-	meterPace = 200 * time.Millisecond
-	// poison is the text that crashes a model runner whose prompt holds it.
-	poison = "a prompt that crashes the engine"
-	// restart is how long a crashed runner is away.
-	restart = 2 * time.Second
+	operatorToken = "a token of the measurements only"
+	meterInterval = 200 * time.Millisecond
+	// crashPrompt is the text that crashes a model runner whose prompt holds it.
+	crashPrompt = "a prompt that crashes the engine"
+	// restartDelay is how long a crashed runner is away.
+	restartDelay = 2 * time.Second
 )
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
@@ -42,17 +42,17 @@
 // up brings it back with an empty cache.
 func (r *runner) up() {
 	r.Engine.ClearCache()
-	r.stand.SetFaults(jwstand.Faults{CrashOn: poison})
+	r.stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
 }
 
 // fleet is the whole system of a deployment.
 type fleet struct {
 	Deployment
-	nodes    map[string][]*jwnode.Node // by region
-	runners  map[string][]*runner      // by region
-	journals map[string][]netip.AddrPort
-	keyValue *jwstand.Stand
-	between  []*jwstand.Link
+	nodes       map[string][]*jwnode.Node // by region
+	runners     map[string][]*runner      // by region
+	journals    map[string][]netip.AddrPort
+	keyValue    *jwstand.Stand
+	regionLinks []*jwstand.Link
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -70,24 +70,24 @@
 		journals:   make(map[string][]netip.AddrPort),
 	}
 	f.ctx, f.stop = context.WithCancel(ctx)
-	if err := f.open(); err != nil {
+	if err := f.startAll(); err != nil {
 		_ = f.close()
 		return nil, err
 	}
 	return f, nil
 }
 
-func (f *fleet) open() error {
+func (f *fleet) startAll() error {
 	var err error
-	if f.keyValue, err = f.stand("kv", &jwstand.KeyValue{}); err != nil {
+	if f.keyValue, err = f.startStand("kv", &jwstand.KeyValue{}); err != nil {
 		return err
 	}
-	list := &jwstand.Hosts{}
-	hosts, err := f.stand("hosts", list)
+	hostList := &jwstand.Hosts{}
+	hosts, err := f.startStand("hosts", hostList)
 	if err != nil {
 		return err
 	}
-	clients, err := f.stand("clients", f.directory())
+	clients, err := f.startStand("clients", f.directory())
 	if err != nil {
 		return err
 	}
@@ -106,10 +106,10 @@
 			groups = append(groups, group)
 		}
 	}
-	list.Set(groups)
+	hostList.Set(groups)
 	for _, nodes := range f.nodes {
 		for _, n := range nodes {
-			f.run("a node", n.Run)
+			f.startPart("a node", n.Run)
 		}
 	}
 	return nil
@@ -119,14 +119,14 @@
 func (f *fleet) directory() *jwstand.Clients {
 	var list []jwstand.Client
 	for _, region := range f.Regions {
-		for n := range workspaces {
+		for n := range workspacesPerRegion {
 			list = append(list, jwstand.Client{
 				Name: jwload.WorkspaceName(region, n), Region: region, Bound: jwload.Bound(n, boundShare),
-				Owner: fmt.Sprintf("%s-owner-%d", region, n%owners),
+				Owner: fmt.Sprintf("%s-owner-%d", region, n%ownersPerRegion),
 			})
 		}
 		list = append(list, jwstand.Client{
-			Name: jwload.WorkspaceName(burstOf(region), 0), Region: region, Owner: region + "-burster",
+			Name: jwload.WorkspaceName(burstRegion(region), 0), Region: region, Owner: region + "-burster",
 		})
 	}
 	clients := &jwstand.Clients{}
@@ -140,9 +140,9 @@
 	var groups []jwstand.HostGroup
 	for range runnersPerRegion {
 		r := &runner{Runner: &jwstand.Runner{Engine: jwstand.Engine{
-			Slots: slots, Token: tokenTime, Growth: growth, Prefill: prefill, CacheTokens: cacheTokens, Lag: reportLag,
+			Slots: runnerSlots, Token: tokenTime, Growth: batchGrowth, Prefill: prefill, CacheTokens: cacheTokens, Lag: reportLag,
 		}}}
-		stand, err := f.stand("runner", r.Runner)
+		stand, err := f.startStand("runner", r.Runner)
 		if err != nil {
 			return nil, err
 		}
@@ -150,8 +150,8 @@
 		// A crash ends no process here: the runner is away for a while.
 		stand.Exit = func(int) {
 			r.down()
-			f.run("restart", func(ctx context.Context) error {
-				err := jwclock.Sleep(ctx, restart)
+			f.startPart("restart", func(ctx context.Context) error {
+				err := jwclock.Sleep(ctx, restartDelay)
 				r.up()
 				return err
 			})
@@ -161,7 +161,7 @@
 		f.journals[region] = append(f.journals[region], stand.Control)
 		groups = append(groups, targetGroup(stand.Address, f.Model, region))
 	}
-	stand, err := f.stand("service", &jwstand.Service{Work: plainWork})
+	stand, err := f.startStand("service", &jwstand.Service{Work: serviceWork})
 	if err != nil {
 		return nil, err
 	}
@@ -179,8 +179,8 @@
 // does it the platform unless that is in its region.
 func (f *fleet) openNode(region string, i int, platform ...netip.AddrPort) (jwstand.HostGroup, error) {
 	name := fmt.Sprintf("%s-n%d", region, i+1)
-	way := &jwstand.Link{Name: name, Listen: loopback}
-	links := &jwstand.Links{Control: loopback, Links: []*jwstand.Link{way}}
+	nodeLink := &jwstand.Link{Name: name, Listen: loopback}
+	links := &jwstand.Links{Control: loopback, Links: []*jwstand.Link{nodeLink}}
 	for _, address := range platform {
 		links.Links = append(links.Links, &jwstand.Link{Name: name + "-platform", Listen: loopback, Dial: address})
 	}
@@ -190,49 +190,49 @@
 	for k, l := range links.Links {
 		if k == 0 || region != f.Regions[0] {
 			l.SetWeather(jwstand.Weather{Delay: jwstand.Duration(f.Delay)})
-			f.between = append(f.between, l)
+			f.regionLinks = append(f.regionLinks, l)
 		}
 	}
-	centre := region + "-1"
+	dataCentre := region + "-1"
 	if i == nodesPerRegion-1 {
-		centre = region + "-2"
+		dataCentre = region + "-2"
 	}
-	settings, err := f.settings(name, region, centre, way.Listen, links.Links[1:])
+	settings, err := f.settings(name, region, dataCentre, nodeLink.Listen, links.Links[1:])
 	if err != nil {
 		return jwstand.HostGroup{}, err
 	}
-	n := &jwnode.Node{Settings: settings, Log: logr.Discard(), Meter: &jwmeter.Meter{Interval: meterPace}}
+	n := &jwnode.Node{Settings: settings, Log: logr.Discard(), Meter: &jwmeter.Meter{Interval: meterInterval}}
 	if err := n.Listen(); err != nil {
 		return jwstand.HostGroup{}, err
 	}
-	way.Dial = n.NodesAddr()
-	f.run("links", links.Run)
+	nodeLink.Dial = n.NodesAddr()
+	f.startPart("links", links.Run)
 	f.nodes[region] = append(f.nodes[region], n)
 	return jwstand.HostGroup{Targets: []string{n.CallersAddr().String()}, Labels: map[string]string{
-		"role": "entry", "name": name, "region": region, "dataCentre": centre,
-		"state": "live", "nodes": way.Listen.String(),
+		"role": "entry", "name": name, "region": region, "dataCentre": dataCentre,
+		"state": "live", "nodes": nodeLink.Listen.String(),
 	}}, nil
 }
 
-type object map[string]any
+type jsonObject map[string]any
 
 // settings writes the settings of a node as an operator would; what is read at
 // a pace is read faster, since a trial is short.
-func (f *fleet) settings(name, region, centre string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
-	var regions, links []object
+func (f *fleet) settings(name, region, dataCentre string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
+	var regions, links []jsonObject
 	for i, r := range f.Regions {
-		regions = append(regions, object{"name": r, "dataCentres": []string{r + "-1", r + "-2"}})
+		regions = append(regions, jsonObject{"name": r, "dataCentres": []string{r + "-1", r + "-2"}})
 		for _, other := range f.Regions[i+1:] {
-			links = append(links, object{"from": r, "to": other, "delay": f.Delay.String(), "costPerGB": f.PerGB})
+			links = append(links, jsonObject{"from": r, "to": other, "delay": f.Delay.String(), "costPerGB": f.LinkCostPerGB})
 		}
 	}
-	text, err := json.Marshal(object{
-		"node": name, "region": region, "dataCentre": centre,
-		"listen":    object{"callers": loopback, "operators": loopback, "nodes": loopback},
-		"advertise": object{"nodes": nodes},
-		"platform":  object{"keyValue": platform[0].Listen, "hosts": platform[1].Listen, "directory": platform[2].Listen},
-		"operators": object{"token": token},
-		"periods":   object{"hostsPoll": "1s", "directoryPoll": "5s", "hostsLag": "5s"},
+	text, err := json.Marshal(jsonObject{
+		"node": name, "region": region, "dataCentre": dataCentre,
+		"listen":    jsonObject{"callers": loopback, "operators": loopback, "nodes": loopback},
+		"advertise": jsonObject{"nodes": nodes},
+		"platform":  jsonObject{"keyValue": platform[0].Listen, "hosts": platform[1].Listen, "directory": platform[2].Listen},
+		"operators": jsonObject{"token": operatorToken},
+		"periods":   jsonObject{"hostsPoll": "1s", "directoryPoll": "5s", "hostsLag": "5s"},
 		"regions":   regions,
 		"links":     links,
 	})
@@ -242,17 +242,17 @@
 	return jwsettings.Parse(text)
 }
 
-func (f *fleet) stand(kind string, p jwstand.Program) (*jwstand.Stand, error) {
+func (f *fleet) startStand(kind string, p jwstand.Program) (*jwstand.Stand, error) {
 	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	if err := stand.Listen(); err != nil {
 		return nil, err
 	}
-	f.run(kind, stand.Run)
+	f.startPart(kind, stand.Run)
 	return stand, nil
 }
 
-// run keeps a part running until close and notes what ended it.
-func (f *fleet) run(what string, part func(context.Context) error) {
+// startPart keeps a part running until close and notes what ended it.
+func (f *fleet) startPart(what string, part func(context.Context) error) {
 	f.wg.Go(func() {
 		err := part(f.ctx)
 		if err == nil || f.ctx.Err() != nil && errors.Is(err, context.Canceled) {
@@ -276,8 +276,8 @@
 	return nil
 }
 
-// total adds up one counter of all nodes, as of their last reports.
-func (f *fleet) total(counter string, tags jwmeter.Tags) float64 {
+// sumCounter adds up one counter of all nodes, as of their last reports.
+func (f *fleet) sumCounter(counter string, tags jwmeter.Tags) float64 {
 	sum := 0.0
 	for _, nodes := range f.nodes {
 		for _, n := range nodes {
@@ -287,8 +287,8 @@
 	return sum
 }
 
-// engines adds up the work of all model runners.
-func (f *fleet) engines() jwstand.Totals {
+// engineTotals adds up the work of all model runners.
+func (f *fleet) engineTotals() jwstand.Totals {
 	var sum jwstand.Totals
 	for _, list := range f.runners {
 		for _, r := range list {
@@ -304,8 +304,8 @@
 	return sum
 }
 
-// entrances are the nodes by region, where callers go.
-func (f *fleet) entrances() map[string][]netip.AddrPort {
+// callerAddresses are the nodes by region, where callers go.
+func (f *fleet) callerAddresses() map[string][]netip.AddrPort {
 	hosts := make(map[string][]netip.AddrPort)
 	for region, nodes := range f.nodes {
 		for _, n := range nodes {
--- a/io/jwfleet/operator.go
+++ b/io/jwfleet/operator.go
@@ -22,10 +22,10 @@
 )
 
 const (
-	serviceName = "jwfleet"
-	callTimeout = 15 * time.Second
-	readyLimit  = 20 * time.Second
-	retryPause  = 50 * time.Millisecond
+	serviceName  = "jwfleet"
+	callTimeout  = 15 * time.Second
+	readyTimeout = 20 * time.Second
+	retryPause   = 50 * time.Millisecond
 )
 
 // operator edits the catalogue and sends the few requests that are not part of
@@ -44,11 +44,11 @@
 
 func (o *operator) close() { o.transport.CloseIdleConnections() }
 
-// prepare puts the catalogue in and waits until every node serves.
-func (o *operator) prepare(ctx context.Context, f *fleet) error {
-	at := f.nodes[f.Regions[0]][0].OperatorsAddr()
+// prepareFleet puts the catalogue in and waits until every node serves.
+func (o *operator) prepareFleet(ctx context.Context, f *fleet) error {
+	address := f.nodes[f.Regions[0]][0].OperatorsAddr()
 	for _, e := range f.entries() {
-		if err := await(ctx, "edit "+e.Name, func() error { return o.put(ctx, at, e) }); err != nil {
+		if err := retryUntilReady(ctx, "edit "+e.Name, func() error { return o.putEntry(ctx, address, e) }); err != nil {
 			return err
 		}
 	}
@@ -58,7 +58,7 @@
 				if k.Key {
 					continue
 				}
-				err := await(ctx, region+" serves "+k.Entry, func() error { return o.probe(ctx, n.CallersAddr(), region, k) })
+				err := retryUntilReady(ctx, region+" serves "+k.Entry, func() error { return o.probe(ctx, n.CallersAddr(), region, k) })
 				if err != nil {
 					return err
 				}
@@ -68,17 +68,17 @@
 	return nil
 }
 
-func (o *operator) put(ctx context.Context, at netip.AddrPort, e jwcatalogue.Entry) error {
+func (o *operator) putEntry(ctx context.Context, address netip.AddrPort, e jwcatalogue.Entry) error {
 	data, err := json.Marshal(jwoperate.EditBody{Entry: &e, Author: "measurement", Reason: "trial", EditID: "trial-" + e.Name})
 	if err != nil {
 		return err
 	}
-	url := fmt.Sprintf("http://%s/v1/catalogue/entries/%s?wait=5s", at, e.Name)
+	url := fmt.Sprintf("http://%s/v1/catalogue/entries/%s?wait=5s", address, e.Name)
 	r, err := http.NewRequestWithContext(ctx, http.MethodPut, url, bytes.NewReader(data))
 	if err != nil {
 		return err
 	}
-	r.Header.Set("Authorization", "Bearer "+token)
+	r.Header.Set("Authorization", "Bearer "+operatorToken)
 	r.Header.Set("If-None-Match", "*")
 	status, err := o.do(r)
 	if err == nil && status/100 != 2 && status != http.StatusPreconditionFailed {
@@ -87,21 +87,21 @@
 	return err
 }
 
-func (o *operator) probe(ctx context.Context, at netip.AddrPort, region string, k jwload.Kind) error {
-	status, err := o.prompt(ctx, at, k.Entry, jwload.WorkspaceName(region, 0), "ready?")
+func (o *operator) probe(ctx context.Context, address netip.AddrPort, region string, k jwload.Kind) error {
+	status, err := o.sendPrompt(ctx, address, k.Entry, jwload.WorkspaceName(region, 0), "ready?")
 	if err == nil && status != http.StatusOK {
 		err = errors.Errorf("status %d", status)
 	}
 	return err
 }
 
-// prompt asks for one token; plain services take the body as it is.
-func (o *operator) prompt(ctx context.Context, at netip.AddrPort, entry, workspace, text string) (int, error) {
+// sendPrompt asks for one token; plain services take the body as it is.
+func (o *operator) sendPrompt(ctx context.Context, address netip.AddrPort, entry, workspace, text string) (int, error) {
 	body, err := json.Marshal(jwstand.Completion{Model: entry, Prompt: text, MaxTokens: 1})
 	if err != nil {
 		return 0, err
 	}
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+at.String()+"/v1/requests/"+entry, bytes.NewReader(body))
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+address.String()+"/v1/requests/"+entry, bytes.NewReader(body))
 	if err != nil {
 		return 0, err
 	}
@@ -119,16 +119,16 @@
 	return res.StatusCode, err
 }
 
-// await repeats a step until it works.
-func await(ctx context.Context, what string, step func() error) error {
-	end := time.Now().Add(readyLimit)
+// retryUntilReady repeats a step until it works.
+func retryUntilReady(ctx context.Context, what string, step func() error) error {
+	deadline := time.Now().Add(readyTimeout)
 	for {
 		err := step()
 		if err == nil {
 			return nil
 		}
-		if time.Now().After(end) {
-			return errors.Wrapf(err, "not within %s: %s", readyLimit, what)
+		if time.Now().After(deadline) {
+			return errors.Wrapf(err, "not within %s: %s", readyTimeout, what)
 		}
 		if err := jwclock.Sleep(ctx, retryPause); err != nil {
 			return err
--- a/io/jwfleet/result.go
+++ b/io/jwfleet/result.go
@@ -44,8 +44,8 @@
 // RetryShare is the retries of the nodes for each first try.
 func (r Result) RetryShare() float64 { return r.Retries / max(r.Tries, 1) }
 
-// reasons are those for which a request of the load may not be served.
-var reasons = []jwdispatch.Reason{
+// countedReasons are those for which a request of the load may not be served.
+var countedReasons = []jwdispatch.Reason{
 	jwdispatch.ReasonClaim, jwdispatch.ReasonRegion, jwdispatch.ReasonLoop, jwdispatch.ReasonLimit,
 	jwdispatch.ReasonDeadline, jwdispatch.ReasonNoTarget, jwdispatch.ReasonTarget, jwdispatch.ReasonPeer,
 	jwdispatch.ReasonQuarantine, jwdispatch.ReasonCaller, jwdispatch.ReasonDirectory,
@@ -54,8 +54,8 @@
 // countReasons counts why requests were not served, most frequent first.
 func (f *fleet) countReasons() []ReasonCount {
 	var list []ReasonCount
-	for _, reason := range reasons {
-		n := f.total("requests_total", jwmeter.Tags{"reason": string(reason)})
+	for _, reason := range countedReasons {
+		n := f.sumCounter("requests_total", jwmeter.Tags{"reason": string(reason)})
 		if n > 0 {
 			list = append(list, ReasonCount{reason, n})
 		}
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -25,13 +25,13 @@
 	poisoned int
 }
 
-// maxWarm bounds the part of the load before the counted one.
-const maxWarm = 5 * time.Second
+// maxWarmUp bounds the part of the load before the counted one.
+const maxWarmUp = 5 * time.Second
 
-func (t *Trial) warm() time.Duration { return min(maxWarm, t.Length/3) }
+func (t *Trial) warmUp() time.Duration { return min(maxWarmUp, t.Length/3) }
 
-// settle is how long the nodes' counters may lag behind.
-const settle = 2*time.Second + 2*meterPace
+// counterLag is how long the nodes' counters may lag behind.
+const counterLag = 2*time.Second + 2*meterInterval
 
 // Run brings the system up, loads it and returns what came of it.
 func (t *Trial) Run(ctx context.Context) (Result, error) {
@@ -50,10 +50,10 @@
 func (t *Trial) measure(ctx context.Context, f *fleet) (Result, error) {
 	operator := newOperator()
 	defer operator.close()
-	if err := operator.prepare(ctx, f); err != nil {
+	if err := operator.prepareFleet(ctx, f); err != nil {
 		return Result{}, err
 	}
-	before := f.engines()
+	before := f.engineTotals()
 	load := t.load(f)
 	group, ctx := errgroup.WithContext(ctx)
 	group.Go(func() error { return load.Run(ctx) })
@@ -61,7 +61,7 @@
 	if err := group.Wait(); err != nil {
 		return Result{}, err
 	}
-	time.Sleep(settle)
+	time.Sleep(counterLag)
 	report := load.Report()
 	var err error
 	if report.Audit, err = load.Audit(context.WithoutCancel(ctx), f.journals); err != nil {
@@ -77,39 +77,39 @@
 	}
 	return &jwload.Load{
 		Schedule: jwload.Schedule{
-			Mix: f.Mix, Regions: regions, Workspaces: workspaces, Bound: boundShare,
-			Rate: t.Load * f.Capacity(), Again: againShare, Seed: t.Seed,
+			Mix: f.Mix, Regions: regions, Workspaces: workspacesPerRegion, Bound: boundShare,
+			Rate: t.Load * f.Capacity(), Again: sendTwiceShare, Seed: t.Seed,
 		},
-		Duration: t.warm() + t.Length,
-		Warm:     t.warm(),
-		Hosts:    f.entrances(),
+		Duration: t.warmUp() + t.Length,
+		Warm:     t.warmUp(),
+		Hosts:    f.callerAddresses(),
 		Follow:   true,
 	}
 }
 
-// againShare of the requests with a key is sent twice, as by a caller whose
+// sendTwiceShare of the requests with a key is sent twice, as by a caller whose
 // page hangs.
-const againShare = 0.1
+const sendTwiceShare = 0.1
 
 // result adds up what callers, targets and nodes saw.
 func (t *Trial) result(f *fleet, report jwload.Report, before jwstand.Totals) Result {
 	r := Result{
 		Deployment: f.Name, Load: t.Load, Fault: t.Fault, Seed: t.Seed, Rate: t.Load * f.Capacity(),
 		Report: report, Bursts: t.bursts, Poisoned: t.poisoned,
-		Tries:       f.total("tries_total", jwmeter.Tags{"kind": "first"}),
-		Retries:     f.total("tries_total", jwmeter.Tags{"kind": "retry"}),
-		OverBudget:  f.total("tries_total", jwmeter.Tags{"kind": "overBudget"}),
-		LinkBytes:   f.total("sent_away_bytes_total", nil),
-		LinkPrice:   f.total("sent_away_cost_nanos_total", nil) / 1e9,
+		Tries:       f.sumCounter("tries_total", jwmeter.Tags{"kind": "first"}),
+		Retries:     f.sumCounter("tries_total", jwmeter.Tags{"kind": "retry"}),
+		OverBudget:  f.sumCounter("tries_total", jwmeter.Tags{"kind": "overBudget"}),
+		LinkBytes:   f.sumCounter("sent_away_bytes_total", nil),
+		LinkPrice:   f.sumCounter("sent_away_cost_nanos_total", nil) / 1e9,
 		Nodes:       len(f.Regions) * nodesPerRegion,
 		ReasonsSeen: f.countReasons(),
 	}
-	after := f.engines()
+	after := f.engineTotals()
 	r.Generated = after.Generated - before.Generated
 	r.Saved = int64(after.Requested-before.Requested) - int64(r.Generated)
-	r.RunnerSeconds = (after.SlotTime - before.SlotTime).Seconds() / slots
+	r.RunnerSeconds = (after.SlotTime - before.SlotTime).Seconds() / runnerSlots
 	r.Cached = float64(after.CachedTokens-before.CachedTokens) / max(float64(after.PromptTokens-before.PromptTokens), 1)
-	sentAway := f.total("sent_away_total", nil)
+	sentAway := f.sumCounter("sent_away_total", nil)
 	inTime := 0.0
 	for _, l := range report.Lines {
 		if l.Entry != "" {
@@ -117,7 +117,7 @@
 		}
 	}
 	// The work includes the warm part, the answers in time do not.
-	whole := (t.warm() + t.Length).Seconds() / t.Length.Seconds()
-	r.Cost = (r.RunnerSeconds + f.Price*sentAway) / max(inTime*whole, 1)
+	workRatio := (t.warmUp() + t.Length).Seconds() / t.Length.Seconds()
+	r.Cost = (r.RunnerSeconds + f.SentAwayCost*sentAway) / max(inTime*workRatio, 1)
 	return r
 }
--- a/io/jwfleet/trial_test.go
+++ b/io/jwfleet/trial_test.go
@@ -33,7 +33,7 @@
 	assert.Equal(t, audit.RanTwice, 0)
 	assert.Equal(t, audit.FalseNotRun, 0)
 	assert.Equal(t, audit.FalseServed, 0)
-	assert.Equal(t, audit.Abroad, 0)
+	assert.Equal(t, audit.OutsideRegion, 0)
 
 	saved := float64(jwlimit.DefaultRetrySaved * result.Nodes * entries)
 	assert.Assert(t, result.Retries <= jwlimit.DefaultRetryShare*result.Tries+saved)
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -23,36 +23,36 @@
 
 // answer is what came back for one call.
 type answer struct {
-	status  int
-	outcome jwrequest.Outcome
+	status     int
+	outcome    jwrequest.Outcome
 	complete   bool // the end of the answer came
-	right   bool // the answer is that of this request
-	first   time.Time
-	gaps    []time.Duration // between tokens
-	retry   time.Duration   // when to come back; 0 when not told
-	hosts   []netip.AddrPort
-	region  string // that served it, "" when not told
+	correct    bool // the answer is that of this request
+	firstAt    time.Time
+	gaps       []time.Duration // between tokens
+	retryAfter time.Duration   // when to come back; 0 when not told
+	hosts      []netip.AddrPort
+	region     string // that served it, "" when not told
 }
 
 // readAnswer takes a response to its end.
 func readAnswer(res *http.Response, a Arrival, now func() time.Time) answer {
 	ans := answer{
-		status:  res.StatusCode,
-		outcome: jwrequest.Outcome(res.Header.Get("Jujube-Outcome")),
-		retry:   retryAfter(res.Header),
-		region:  res.Header.Get("Jujube-Served-By"),
+		status:     res.StatusCode,
+		outcome:    jwrequest.Outcome(res.Header.Get("Jujube-Outcome")),
+		retryAfter: parseRetryAfter(res.Header),
+		region:     res.Header.Get("Jujube-Served-By"),
 	}
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
 		ans.readStream(res.Body, a, now)
 	} else {
 		ans.readWhole(res.Body, a, now)
 	}
-	ans.settle(a.Direct)
+	ans.setOutcome(a.Direct)
 	return ans
 }
 
-// settle fills in the outcome where no header could tell it.
-func (ans *answer) settle(direct bool) {
+// setOutcome fills in the outcome where no header could tell it.
+func (ans *answer) setOutcome(direct bool) {
 	if ans.outcome != "" && ans.outcome != jwrequest.Served {
 		return
 	}
@@ -66,7 +66,7 @@
 	}
 }
 
-func retryAfter(header http.Header) time.Duration {
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
 		return 0
@@ -80,19 +80,19 @@
 		return
 	}
 	ans.complete = true
-	ans.first = now()
+	ans.firstAt = now()
 	if ans.status != http.StatusOK {
 		ans.hosts = decodeHosts(data)
 		return
 	}
 	if a.Kind.Target == Service {
 		var echo jwstand.Echo
-		ans.right = json.Unmarshal(data, &echo) == nil && echo.Body == string(a.Body)
+		ans.correct = json.Unmarshal(data, &echo) == nil && echo.Body == string(a.Body)
 		return
 	}
 	var c jwstand.CompletionAnswer
 	if json.Unmarshal(data, &c) == nil && len(c.Choices) == 1 {
-		ans.right = c.Choices[0].Text == jwstand.TextOf(a.Prompt, a.Tokens)
+		ans.correct = c.Choices[0].Text == jwstand.TextOf(a.Prompt, a.Tokens)
 	}
 }
 
@@ -126,8 +126,8 @@
 	data string
 }
 
-// lastWord is the data of the event with which a node ends a stream.
-type lastWord struct {
+// endEventData is the data of the event with which a node ends a stream.
+type endEventData struct {
 	Outcome jwrequest.Outcome `json:"outcome"`
 }
 
@@ -137,48 +137,48 @@
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	var b strings.Builder
-	var before time.Time
+	var previous time.Time
 	for {
 		e, err := nextEvent(scanner)
 		if err != nil {
 			return
 		}
-		at := now()
+		receivedAt := now()
 		switch {
 		case e.name == "done" || e.name == "error":
-			ans.end(e, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
+			ans.endStream(e, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
 			return
 		case e.data == "[DONE]":
 			if a.Direct {
-				ans.end(event{name: "done"}, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
+				ans.endStream(event{name: "done"}, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
 				return
 			}
 			continue
 		}
-		token, ok := tokenOf(e.data)
+		token, ok := parseToken(e.data)
 		if !ok {
 			continue
 		}
 		b.WriteString(token)
-		if ans.first.IsZero() {
-			ans.first = at
+		if ans.firstAt.IsZero() {
+			ans.firstAt = receivedAt
 		} else {
-			ans.gaps = append(ans.gaps, at.Sub(before))
+			ans.gaps = append(ans.gaps, receivedAt.Sub(previous))
 		}
-		before = at
+		previous = receivedAt
 	}
 }
 
-func (ans *answer) end(e event, right bool) {
-	var word lastWord
-	if json.Unmarshal([]byte(e.data), &word) == nil && word.Outcome != "" {
-		ans.outcome = word.Outcome
+func (ans *answer) endStream(e event, correct bool) {
+	var data endEventData
+	if json.Unmarshal([]byte(e.data), &data) == nil && data.Outcome != "" {
+		ans.outcome = data.Outcome
 	}
 	ans.complete = e.name == "done"
-	ans.right = ans.complete && right
+	ans.correct = ans.complete && correct
 }
 
-func tokenOf(data string) (string, bool) {
+func parseToken(data string) (string, bool) {
 	var c jwstand.CompletionAnswer
 	if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) != 1 {
 		return "", false
--- a/io/jwload/audit.go
+++ b/io/jwload/audit.go
@@ -16,18 +16,18 @@
 
 // Audit holds what callers were told against what targets ran.
 type Audit struct {
-	Runs        int `json:"runs"`        // of this load, resumed streams left out
-	RanTwice    int `json:"ranTwice"`    // keys that ran more than once
-	FalseNotRun int `json:"falseNotRun"` // told notRun each time, and run
-	FalseServed int `json:"falseServed"` // told served, and run by no target that was read
-	Abroad      int `json:"abroad"`      // runs of bound data outside its region
+	Runs          int `json:"runs"`        // of this load, resumed streams left out
+	RanTwice      int `json:"ranTwice"`    // keys that ran more than once
+	FalseNotRun   int `json:"falseNotRun"` // told notRun each time, and run
+	FalseServed   int `json:"falseServed"` // told served, and run by no target that was read
+	OutsideRegion int `json:"abroad"`      // runs of bound data outside its region
 }
 
-// asked is what is known of one request, with all its sends.
-type asked struct {
+// sentRequest is what is known of one request, with all its sends.
+type sentRequest struct {
 	region string
 	bound  bool
-	key    bool
+	hasKey bool
 	served bool
 	notRun bool // each send so far was told so
 	runs   int
@@ -35,28 +35,28 @@
 
 // audit keeps what callers were told; the zero value is empty.
 type audit struct {
-	mu    sync.Mutex
-	asked map[string]*asked // by idempotency key, or by request id without one
+	mu       sync.Mutex
+	requests map[string]*sentRequest // by idempotency key, or by request id without one
 }
 
-// note keeps the outcome of one send.
-func (au *audit) note(a Arrival, outcome jwrequest.Outcome) {
+// recordOutcome keeps the outcome of one send.
+func (au *audit) recordOutcome(a Arrival, outcome jwrequest.Outcome) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
-	if au.asked == nil {
-		au.asked = make(map[string]*asked)
+	if au.requests == nil {
+		au.requests = make(map[string]*sentRequest)
 	}
-	name := nameOf(a.Key, a.ID)
-	r, found := au.asked[name]
+	key := auditKey(a.Key, a.ID)
+	r, found := au.requests[key]
 	if !found {
-		r = &asked{region: a.Region, bound: a.Bound && !a.Direct, key: a.Key != "", notRun: true}
-		au.asked[name] = r
+		r = &sentRequest{region: a.Region, bound: a.Bound && !a.Direct, hasKey: a.Key != "", notRun: true}
+		au.requests[key] = r
 	}
 	r.served = r.served || outcome == jwrequest.Served
 	r.notRun = r.notRun && outcome == jwrequest.NotRun
 }
 
-func nameOf(key, id string) string {
+func auditKey(key, id string) string {
 	if key != "" {
 		return key
 	}
@@ -69,17 +69,17 @@
 	au.mu.Lock()
 	defer au.mu.Unlock()
 	result := &Audit{}
-	for _, r := range au.asked {
+	for _, r := range au.requests {
 		r.runs = 0
 	}
 	for region, list := range runs {
 		for _, run := range list {
-			r, found := au.asked[nameOf(run.Key, run.RequestID)]
+			r, found := au.requests[auditKey(run.Key, run.RequestID)]
 			if !found {
 				continue // of another load
 			}
 			if r.bound && region != "" && region != r.region {
-				result.Abroad++
+				result.OutsideRegion++
 			}
 			if !run.Resumed {
 				r.runs++
@@ -87,9 +87,9 @@
 			}
 		}
 	}
-	for _, r := range au.asked {
+	for _, r := range au.requests {
 		switch {
-		case r.key && r.runs > 1:
+		case r.hasKey && r.runs > 1:
 			result.RanTwice++
 		case r.notRun && r.runs > 0:
 			result.FalseNotRun++
--- a/io/jwload/audit_test.go
+++ b/io/jwload/audit_test.go
@@ -18,10 +18,10 @@
 	one := []jwstand.Run{{RequestID: "1"}}
 	oneKeyed := []jwstand.Run{{RequestID: "1-again", Key: "k"}}
 	tests := map[string]struct {
-		arrival Arrival
-		told    []jwrequest.Outcome
-		runs    map[string][]jwstand.Run
-		want    Audit
+		arrival  Arrival
+		outcomes []jwrequest.Outcome
+		runs     map[string][]jwstand.Run
+		want     Audit
 	}{
 		"served once":   {plain, []jwrequest.Outcome{served}, map[string][]jwstand.Run{"r1": one}, Audit{Runs: 1}},
 		"not run":       {plain, []jwrequest.Outcome{notRun}, nil, Audit{}},
@@ -46,7 +46,7 @@
 			keyed, []jwrequest.Outcome{notRun, served}, map[string][]jwstand.Run{"r1": oneKeyed}, Audit{Runs: 1},
 		},
 		"bound data abroad": {
-			bound, []jwrequest.Outcome{served}, map[string][]jwstand.Run{"r2": one}, Audit{Runs: 1, Abroad: 1},
+			bound, []jwrequest.Outcome{served}, map[string][]jwstand.Run{"r2": one}, Audit{Runs: 1, OutsideRegion: 1},
 		},
 		"runs of another load": {
 			plain, []jwrequest.Outcome{notRun}, map[string][]jwstand.Run{"r1": {{RequestID: "2"}}}, Audit{},
@@ -55,8 +55,8 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			var au audit
-			for _, outcome := range test.told {
-				au.note(test.arrival, outcome)
+			for _, outcome := range test.outcomes {
+				au.recordOutcome(test.arrival, outcome)
 			}
 			assert.Equal(t, *au.compare(test.runs), test.want)
 			assert.Equal(t, *au.compare(test.runs), test.want, "a second look sees the same")
@@ -71,15 +71,15 @@
 	}
 	counts := map[string]int{}
 	for a := s.Next(); a.At < 40*time.Second; a = s.Next() {
-		assert.Equal(t, a.Again, a.Key != "")
-		quarter := "mid"
+		assert.Equal(t, a.SendTwice, a.Key != "")
+		part := "mid"
 		switch {
 		case a.At < 5*time.Second || a.At > 35*time.Second:
-			quarter = "start"
+			part = "start"
 		case a.At > 15*time.Second && a.At < 25*time.Second:
-			quarter = "middle"
+			part = "middle"
 		}
-		counts[a.Region+" "+quarter]++
+		counts[a.Region+" "+part]++
 		counts["all"]++
 	}
 	assert.Check(t, counts["all"] > 3600 && counts["all"] < 4400, "%v", counts)
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -46,12 +46,12 @@
 	Targets  map[Target][]netip.AddrPort // for direct calls
 	Follow   bool                        // comes back after Retry-After and goes to the hosts that an answer names
 
-	service requestDoer
-	results results
-	audit   audit
+	service     requestDoer
+	results     results
+	audit       audit
 	nextHost    atomic.Uint64
 	inFlight    atomic.Int64
-	maxInFlight    atomic.Int64
+	maxInFlight atomic.Int64
 }
 
 // Run sends the load and returns once every request has ended.
@@ -129,13 +129,13 @@
 	for maxSeen := l.maxInFlight.Load(); inFlight > maxSeen && !l.maxInFlight.CompareAndSwap(maxSeen, inFlight); {
 		maxSeen = l.maxInFlight.Load()
 	}
-	if a.Again {
+	if a.SendTwice {
 		defer l.sendDuplicate(ctx, a, due)()
 	}
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
 	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 	defer cancel()
-	o := outcome{arrival: a}
+	o := requestResult{arrival: a}
 	hosts := l.hostsFor(a)
 	firstHost := int(l.nextHost.Add(1))
 	for try := range maxTries {
@@ -148,7 +148,7 @@
 		if len(o.answer.hosts) > 0 {
 			hosts, firstHost = o.answer.hosts, -try-1 // the first named one is next
 		}
-		retryAt := time.Now().Add(o.answer.retry)
+		retryAt := time.Now().Add(o.answer.retryAfter)
 		if try == maxTries-1 || retryAt.After(deadline) {
 			break
 		}
@@ -160,7 +160,7 @@
 	if a.At >= l.Warm {
 		l.results.add(o, due)
 	}
-	l.audit.note(a, o.answer.outcome)
+	l.audit.recordOutcome(a, o.answer.outcome)
 }
 
 // sendDuplicate sends the request a second time while the first is under way, as
@@ -180,7 +180,7 @@
 			return
 		}
 		ans := l.call(ctx, a, host, deadline)
-		l.audit.note(a, ans.outcome)
+		l.audit.recordOutcome(a, ans.outcome)
 	}()
 	return func() { <-done }
 }
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -21,7 +21,7 @@
 	hostB = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-func lookups() Mix {
+func lookupMix() Mix {
 	return Mix{Kinds: []Kind{{
 		Entry: "lookup", Owner: "o", Share: 1, Target: Service, Path: "/l", Body: 10, Deadline: jwstand.Duration(time.Second),
 	}}}
@@ -60,7 +60,7 @@
 	return lines[1]
 }
 
-func TestScheduleRepeats(t *testing.T) {
+func TestScheduleIsReproducible(t *testing.T) {
 	newSchedule := func() *Schedule {
 		regions := []Region{{Name: "r1", Share: 1}, {Name: "r2", Share: 3}}
 		return &Schedule{Mix: Mixes["zaitoun"], Regions: regions, Workspaces: 10, Rate: 100, Direct: 0.5, Seed: 7}
@@ -79,13 +79,13 @@
 			counts["direct"]++
 		}
 	}
-	within := func(name string, want int) {
+	checkCount := func(name string, want int) {
 		t.Helper()
 		assert.Check(t, counts[name] > want*9/10 && counts[name] < want*11/10, "%s: %d", name, counts[name])
 	}
-	within("status-check", 2400)
-	within("r2", 3000)
-	within("direct", 2000)
+	checkCount("status-check", 2400)
+	checkCount("r2", 3000)
+	checkCount("direct", 2000)
 	assert.Check(t, last > 36*time.Second && last < 44*time.Second, "%v for 4000 at 100/s", last)
 }
 
@@ -93,8 +93,8 @@
 	kind := Mixes["cladagh"].Kinds[0]
 	a := Arrival{ID: "1", Workspace: "w", Kind: kind}
 	b := Arrival{ID: "2", Workspace: "w", Kind: kind}
-	a.fill()
-	b.fill()
+	a.fillBody()
+	b.fillBody()
 	assert.Equal(t, a.Prompt[:kind.Prefix], b.Prompt[:kind.Prefix])
 	assert.Check(t, a.Prompt != b.Prompt)
 }
@@ -104,14 +104,14 @@
 // every request that was due in it, and so must the report.
 func TestStallShowsInAllRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		const stall = 500 * time.Millisecond
 		l := &Load{
-			Schedule: Schedule{Mix: lookups(), Rate: 100, Seed: 1},
+			Schedule: Schedule{Mix: lookupMix(), Rate: 100, Seed: 1},
 			Duration: time.Second,
 			Hosts:    map[string][]netip.AddrPort{"": {hostA}},
 			service: callerFunc(func(r *http.Request) (*http.Response, error) {
-				time.Sleep(time.Until(began.Add(stall)))
+				time.Sleep(time.Until(start.Add(stall)))
 				return echo(r), nil
 			}),
 		}
@@ -192,8 +192,8 @@
 					calls++
 					return test.answers(r, calls)
 				})
-				a := Arrival{Kind: lookups().Kinds[0], ID: "1"}
-				a.fill()
+				a := Arrival{Kind: lookupMix().Kinds[0], ID: "1"}
+				a.fillBody()
 				l.Duration = time.Second
 				l.send(context.Background(), a, time.Now())
 				line := l.Report().Lines[1]
@@ -239,7 +239,7 @@
 			ans := readAnswer(res, Arrival{Kind: kind, Prompt: "p", Tokens: 2, Direct: test.direct}, time.Now)
 			assert.Equal(t, ans.outcome, test.outcome)
 			assert.Equal(t, ans.complete, test.whole)
-			assert.Equal(t, ans.right, test.right)
+			assert.Equal(t, ans.correct, test.right)
 		})
 	}
 }
@@ -271,6 +271,6 @@
 	f.Fuzz(func(t *testing.T, body string, direct bool) {
 		res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, body)
 		ans := readAnswer(res, Arrival{Kind: Kind{Target: Runner, Stream: true}, Prompt: "p", Tokens: 1, Direct: direct}, time.Now)
-		assert.Check(t, ans.complete || !ans.right, "an answer without its end is never right")
+		assert.Check(t, ans.complete || !ans.correct, "an answer without its end is never right")
 	})
 }
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -15,8 +15,8 @@
 )
 
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3
 )
 
 // Way tells how requests reached a target.
@@ -28,8 +28,8 @@
 	Direct Way = "direct"
 )
 
-// outcome is one request after its last try.
-type outcome struct {
+// requestResult is one request after its last try.
+type requestResult struct {
 	arrival Arrival
 	answer  answer
 	end     time.Time
@@ -43,7 +43,7 @@
 	entry string // empty for all entries of the owner
 }
 
-type tally struct {
+type groupStats struct {
 	line               Line
 	first, gaps, whole *hdrhistogram.Histogram
 }
@@ -51,11 +51,11 @@
 // results gathers outcomes; the zero value is empty.
 type results struct {
 	mu     sync.Mutex
-	groups map[group]*tally
+	groups map[group]*groupStats
 }
 
 // add counts a request for its entry and for its owner.
-func (rs *results) add(o outcome, due time.Time) {
+func (rs *results) add(o requestResult, due time.Time) {
 	way := ByNode
 	if o.arrival.Direct {
 		way = Direct
@@ -63,28 +63,28 @@
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	for _, entry := range []string{o.arrival.Kind.Entry, ""} {
-		rs.tallyOf(group{way: way, owner: o.arrival.Kind.Owner, entry: entry}).add(o, due)
+		rs.statsOf(group{way: way, owner: o.arrival.Kind.Owner, entry: entry}).add(o, due)
 	}
 }
 
-func (rs *results) tallyOf(g group) *tally {
+func (rs *results) statsOf(g group) *groupStats {
 	if rs.groups == nil {
-		rs.groups = make(map[group]*tally)
+		rs.groups = make(map[group]*groupStats)
 	}
 	t, found := rs.groups[g]
 	if !found {
-		t = &tally{
+		t = &groupStats{
 			line:  Line{Way: g.way, Owner: g.owner, Entry: g.entry},
-			first: hdrhistogram.New(1, longest, digits),
-			gaps:  hdrhistogram.New(1, longest, digits),
-			whole: hdrhistogram.New(1, longest, digits),
+			first: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			gaps:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			whole: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		}
 		rs.groups[g] = t
 	}
 	return t
 }
 
-func (t *tally) add(o outcome, due time.Time) {
+func (t *groupStats) add(o requestResult, due time.Time) {
 	t.line.Sent++
 	t.line.Retries += int64(o.retries)
 	switch o.answer.outcome {
@@ -100,12 +100,12 @@
 		t.line.Unknown++
 		return
 	}
-	if !o.answer.right {
+	if !o.answer.correct {
 		t.line.Wrong++
 		return
 	}
 	kind := o.arrival.Kind
-	whole, first := o.end.Sub(due), o.answer.first.Sub(due)
+	whole, first := o.end.Sub(due), o.answer.firstAt.Sub(due)
 	record(t.whole, whole)
 	if kind.Stream {
 		record(t.first, first)
@@ -121,7 +121,7 @@
 }
 
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := min(max(d.Microseconds(), 1), longest)
+	us := min(max(d.Microseconds(), 1), maxLatencyMicros)
 	_ = h.RecordValue(us) // within the bounds of the histogram
 }
 
@@ -162,10 +162,10 @@
 	Audit    *Audit  `json:"audit,omitempty"` // nil when no journal was read
 }
 
-func (rs *results) report(d time.Duration, most int64) Report {
+func (rs *results) report(d time.Duration, maxInFlight int64) Report {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := Report{Seconds: d.Seconds(), MostOpen: most, Lines: []Line{}}
+	r := Report{Seconds: d.Seconds(), MostOpen: maxInFlight, Lines: []Line{}}
 	for _, t := range rs.groups {
 		line := t.line
 		line.Goodput = float64(line.InTime) / d.Seconds()
@@ -217,15 +217,15 @@
 		return err
 	}
 	_, err := fmt.Fprintf(w, "audit of %d runs: %d keys run twice, %d run though not run, %d served but not run, %d bound run abroad\n",
-		r.Audit.Runs, r.Audit.RanTwice, r.Audit.FalseNotRun, r.Audit.FalseServed, r.Audit.Abroad)
+		r.Audit.Runs, r.Audit.RanTwice, r.Audit.FalseNotRun, r.Audit.FalseServed, r.Audit.OutsideRegion)
 	return err
 }
 
-func writeLatency(w io.Writer, l Line, of string, p Percentiles) {
+func writeLatency(w io.Writer, l Line, measure string, p Percentiles) {
 	if p.Count == 0 {
 		return
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\t\n", l.Owner, l.name(), l.Way, of,
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\t\n", l.Owner, l.name(), l.Way, measure,
 		p.Count, p.P50, p.P95, p.P99, p.P999, p.Max)
 }
 
--- a/io/jwload/schedule.go
+++ b/io/jwload/schedule.go
@@ -33,7 +33,7 @@
 	Region    string // home of the workspace
 	Bound     bool   // its data is bound to Region
 	Direct    bool   // goes to a target and not through a node
-	Again     bool   // its caller loses patience and sends it a second time
+	SendTwice bool   // its caller loses patience and sends it a second time
 	ID        string
 	Key       string // empty for kinds without
 	Prompt    string // of runners
@@ -74,9 +74,9 @@
 		s.random = rand.New(rand.NewPCG(s.Seed, s.Seed))
 		s.zipf = rand.NewZipf(s.random, workspaceSkew, 1, uint64(max(s.Workspaces, 1)-1))
 	}
-	region := s.nextRegion()
+	region := s.advance()
 	s.number++
-	kind := s.Mix.Kinds[pick(s.random, s.Mix.Kinds, func(k Kind) float64 { return k.Share })]
+	kind := s.Mix.Kinds[pickWeighted(s.random, s.Mix.Kinds, func(k Kind) float64 { return k.Share })]
 	workspace := int(s.zipf.Uint64())
 	a := Arrival{
 		Number:    s.number,
@@ -88,43 +88,43 @@
 		Direct:    s.random.Float64() < s.Direct,
 		ID:        fmt.Sprintf("load-%d-%d", s.Seed, s.number),
 	}
-	again := s.random.Float64() < s.Again
+	sendTwice := s.random.Float64() < s.Again
 	if kind.Key {
 		a.Key = fmt.Sprintf("key-%d-%d", s.Seed, s.number)
-		a.Again = again && !a.Direct
+		a.SendTwice = sendTwice && !a.Direct
 	}
-	a.fill()
+	a.fillBody()
 	return a
 }
 
-// nextRegion moves on to the next arrival and returns its region. Arrivals
+// advance moves on to the next arrival and returns its region. Arrivals
 // are drawn at the highest rate and thinned to that of their moment.
-func (s *Schedule) nextRegion() string {
+func (s *Schedule) advance() string {
 	for {
 		s.at += time.Duration(s.random.ExpFloat64() / (s.Rate * (1 + s.Swing)) * float64(time.Second))
 		if len(s.Regions) == 0 {
-			if s.keep(0, 1) {
+			if s.keepArrival(0, 1) {
 				return ""
 			}
 			continue
 		}
-		i := pick(s.random, s.Regions, func(r Region) float64 { return r.Share })
-		if s.keep(i, len(s.Regions)) {
+		i := pickWeighted(s.random, s.Regions, func(r Region) float64 { return r.Share })
+		if s.keepArrival(i, len(s.Regions)) {
 			return s.Regions[i].Name
 		}
 	}
 }
 
-func (s *Schedule) keep(region, regions int) bool {
+func (s *Schedule) keepArrival(region, regions int) bool {
 	if s.Swing == 0 || s.Day == 0 {
 		return true
 	}
-	turn := float64(s.at)/float64(s.Day) - float64(region)/float64(regions)
-	return s.random.Float64()*(1+s.Swing) < 1+s.Swing*math.Cos(2*math.Pi*turn)
+	phase := float64(s.at)/float64(s.Day) - float64(region)/float64(regions)
+	return s.random.Float64()*(1+s.Swing) < 1+s.Swing*math.Cos(2*math.Pi*phase)
 }
 
-// pick draws an index by weight.
-func pick[T any](random *rand.Rand, from []T, weight func(T) float64) int {
+// pickWeighted draws an index by weight.
+func pickWeighted[T any](random *rand.Rand, from []T, weight func(T) float64) int {
 	total := 0.0
 	for _, v := range from {
 		total += weight(v)
@@ -147,14 +147,14 @@
 	Stream    bool   `json:"stream"`
 }
 
-// fill makes the body: what the workspace's requests share, then the request's own.
-func (a *Arrival) fill() {
-	own := a.ID + " " + text(a.ID, a.Kind.Body)
+// fillBody makes the body: what the workspace's requests share, then the request's own.
+func (a *Arrival) fillBody() {
+	ownText := a.ID + " " + fillerText(a.ID, a.Kind.Body)
 	if a.Kind.Target == Service {
-		a.Body = []byte(own)
+		a.Body = []byte(ownText)
 		return
 	}
-	a.Prompt = text(a.Workspace+"/"+a.Kind.Entry, a.Kind.Prefix) + own
+	a.Prompt = fillerText(a.Workspace+"/"+a.Kind.Entry, a.Kind.Prefix) + ownText
 	a.Tokens = a.Kind.Tokens
 	body, err := json.Marshal(completion{Model: a.Kind.Entry, Prompt: a.Prompt, MaxTokens: a.Tokens, Stream: a.Kind.Stream})
 	if err != nil {
@@ -163,8 +163,8 @@
 	a.Body = body
 }
 
-// text returns n bytes that follow from the name.
-func text(name string, n int) string {
+// fillerText returns n bytes that follow from the name.
+func fillerText(name string, n int) string {
 	if n <= 0 {
 		return ""
 	}
--- a/io/jwstand/engine.go
+++ b/io/jwstand/engine.go
@@ -164,8 +164,8 @@
 	return e.totals
 }
 
-// countAsked counts the tokens that a request asks for.
-func (e *Engine) countAsked(tokens int) {
+// countRequested counts the tokens that a request asks for.
+func (e *Engine) countRequested(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.totals.Requested += uint64(max(tokens, 0))
--- a/io/jwstand/runner.go
+++ b/io/jwstand/runner.go
@@ -118,10 +118,10 @@
 	var err error
 	if c.Stream {
 		from := parseIntOr(r.Header.Get("Last-Event-ID"), 0)
-		rn.Engine.countAsked(c.MaxTokens - max(from, 0))
+		rn.Engine.countRequested(c.MaxTokens - max(from, 0))
 		err = rn.writeStream(ctx, w, c, answer, max(from, 0))
 	} else {
-		rn.Engine.countAsked(c.MaxTokens)
+		rn.Engine.countRequested(c.MaxTokens)
 		err = rn.writeWhole(ctx, w, c, answer)
 	}
 	if err != nil {
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -246,7 +246,7 @@
 			next.ServeHTTP(w, r)
 			return
 		}
-		next.ServeHTTP(&discardedReply{header: make(http.Header)}, r)
+		next.ServeHTTP(&discardWriter{header: make(http.Header)}, r)
 		panic(http.ErrAbortHandler) // the server closes the connection without an answer
 	})
 }
@@ -283,19 +283,19 @@
 	return true
 }
 
-// discardedReply takes an answer that nobody will read.
-type discardedReply struct {
+// discardWriter takes an answer that nobody will read.
+type discardWriter struct {
 	header http.Header
 }
 
 // Header implements http.ResponseWriter.
-func (l *discardedReply) Header() http.Header { return l.header }
+func (w *discardWriter) Header() http.Header { return w.header }
 
 // Write implements http.ResponseWriter.
-func (l *discardedReply) Write(b []byte) (int, error) { return len(b), nil }
+func (w *discardWriter) Write(b []byte) (int, error) { return len(b), nil }
 
 // WriteHeader implements http.ResponseWriter.
-func (l *discardedReply) WriteHeader(int) {}
+func (w *discardWriter) WriteHeader(int) {}
 
 // Flush implements http.Flusher.
-func (l *discardedReply) Flush() {}
+func (w *discardWriter) Flush() {}
