--- a/io/jwfleet/deployment.go
+++ b/io/jwfleet/deployment.go
@@ -7,21 +7,21 @@
 	"jujubewheel/io/jwload"
 )
 
-// Deployment is the size, the network and the wishes of one operator.
+// Deployment is the size, the network and the preferences of one operator.
 type Deployment struct {
-	Name          string
-	Regions       []string
-	Model         string              // service of the model runners
-	Plain         string              // the plain service
-	Delay         time.Duration       // one way between regions; the platform is in the first
-	LinkCostPerGB float64             // price of a link
-	SentAwayCost  float64             // of a request sent away, in runner-seconds
-	Weights       jwcatalogue.Weights // of all entries
-	Mix           jwload.Mix
+	Name          string              // name in Deployments
+	Regions       []string            // the platform is in the first one
+	Model         string              // name of the service of the model runners
+	Plain         string              // name of the plain service
+	Delay         time.Duration       // one way between regions
+	LinkCostPerGB float64             // cost of traffic between regions, per GB
+	SentAwayCost  float64             // cost of a request sent to another region, in runner-seconds
+	Weights       jwcatalogue.Weights // weights of all entries
+	Mix           jwload.Mix          // load of the deployment
 }
 
-// Deployments are those of today by name; their prices and weights are those
-// of the model in jwbench.
+// Deployments are the known deployments by name. Their prices and weights are
+// those of the model in jwbench.
 var Deployments = map[string]Deployment{
 	"zaitoun": {
 		Name:          "zaitoun",
@@ -47,28 +47,29 @@
 	},
 }
 
-// The size of a region and the shape of its stand-ins.
+// These constants are the size of a region and the parameters of its stand-ins.
 const (
 	nodesPerRegion      = 3
 	runnersPerRegion    = 4
-	workspacesPerRegion = 20 // in each region
-	boundShare          = 0.12
-	ownersPerRegion     = 5 // that the workspaces of a region are spread over
+	workspacesPerRegion = 20
+	boundShare          = 0.12 // share of workspaces whose data is bound to their region
+	ownersPerRegion     = 5    // the workspaces of a region are spread over them
 
 	runnerSlots = 8
 	tokenTime   = 10 * time.Millisecond
-	batchGrowth = 0.07 // a full batch is half as slow again
+	batchGrowth = 0.07 // a token takes about 1.5 times as long in a full batch
 	prefill     = 50 * time.Microsecond
 	cacheTokens = 60_000
-	reportLag   = 100 * time.Millisecond
-	serviceWork = 10 * time.Millisecond
+	reportLag   = 100 * time.Millisecond // age of the load report of a runner
+	serviceWork = 10 * time.Millisecond  // duration of a call of the plain service
 )
 
-// minDraftTokens is the length of an answer from which a kind is a draft.
+// minDraftTokens is the minimum answer length of a kind whose entry has the
+// class draft.
 const minDraftTokens = 100
 
-// entries writes the catalogue that goes with the mix: as the operators wish,
-// but without limits of entries, so that the capacity alone bounds the load.
+// entries returns the catalogue entries for the mix. They have no limits, so
+// that only the capacity of the targets bounds the load.
 func (d Deployment) entries() []jwcatalogue.Entry {
 	var list []jwcatalogue.Entry
 	for _, k := range d.Mix.Kinds {
@@ -93,8 +94,8 @@
 	return list
 }
 
-// Capacity is how many requests of the mix the model runners of all regions
-// finish a second with full batches and all prefixes cached.
+// Capacity returns how many requests of the mix the model runners of all
+// regions finish per second, with full batches and all prefixes cached.
 func (d Deployment) Capacity() float64 {
 	fullBatchTokenTime := float64(tokenTime) * (1 + batchGrowth*(runnerSlots-1))
 	shares, work := 0.0, 0.0
@@ -109,4 +110,5 @@
 	return totalSlots * shares / (work / float64(time.Second))
 }
 
+// bytesPerToken is the number of prompt bytes per token in jwstand.Engine.
 const bytesPerToken = 4
--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -9,38 +9,39 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Fault is what goes wrong in a trial.
+// Fault is the fault of a trial.
 type Fault string
 
-// The faults. Those that come in the midst of a trial come when a quarter of
-// the counted part is over.
+// The faults. Those that start during the load start after a quarter of the
+// measured part.
 const (
 	None         Fault = "none"
-	Loss         Fault = "loss"         // three of four runners of the first region go, and return cold
-	KeyValueDown Fault = "keyValueDown" // the key-value service is down all the time
-	PoorLinks    Fault = "poorLinks"    // links between regions are slower, jitter and lose packets
+	Loss         Fault = "loss"         // three of four runners of the first region fail and return with empty caches
+	KeyValueDown Fault = "keyValueDown" // the key-value service is down for the whole trial
+	PoorLinks    Fault = "poorLinks"    // the links have more delay, jitter and packet loss
 	SlowRunner   Fault = "slowRunner"   // one runner takes five times as long and does not report it
-	Poison       Fault = "poison"       // a request that crashes runners is sent again by its caller
-	Burst        Fault = "burst"        // one owner of the first region asks for its whole capacity four times over
+	Poison       Fault = "poison"       // a caller keeps resending a request that crashes runners
+	Burst        Fault = "burst"        // one owner in the first region sends four times the capacity of the region
 )
 
 // Faults lists all faults.
 var Faults = []Fault{None, Loss, KeyValueDown, PoorLinks, SlowRunner, Poison, Burst}
 
+// slowFactor is the factor on the times of the runner under SlowRunner.
 const slowFactor = 5
 
-// poorWeather is that of PoorLinks.
+// poorWeather is the condition of the links under PoorLinks.
 var poorWeather = jwstand.Weather{
 	Delay:  jwstand.Duration(80 * time.Millisecond),
 	Jitter: jwstand.Duration(60 * time.Millisecond),
 	Loss:   0.02,
 }
 
-// burstRegion names the region of the burst's load, whose callers go to the nodes
-// of a real one.
+// burstRegion returns the region name that the load of a burst uses. Its
+// callers use the nodes of the given, real region.
 func burstRegion(region string) string { return "burst-" + region }
 
-// inject brings the fault about while the load runs.
+// inject applies the fault while the load runs.
 func (t *Trial) inject(ctx context.Context, f *fleet) error {
 	if t.Fault == KeyValueDown {
 		f.keyValue.SetFaults(jwstand.Faults{Down: true})
@@ -75,7 +76,7 @@
 	return nil
 }
 
-// burst sends the load of one owner on top of all others.
+// burst sends the load of one owner in addition to the main load.
 func (t *Trial) burst(ctx context.Context, f *fleet, region string) error {
 	name := burstRegion(region)
 	rate := 4 * f.Capacity() / float64(len(f.Regions))
@@ -93,7 +94,8 @@
 	return err
 }
 
-// poison sends a request until it is refused for good, as its caller would.
+// poison resends a request that crashes its runner, as its caller would, until
+// the request is quarantined or after maxPoisonTries.
 func (t *Trial) poison(ctx context.Context, f *fleet, region string) error {
 	caller := newOperator()
 	defer caller.close()
@@ -112,12 +114,13 @@
 }
 
 const (
-	maxPoisonTries    = 40
-	poisonPause       = 300 * time.Millisecond
-	statusQuarantined = 422
+	maxPoisonTries    = 40                     // sends of the poison request
+	poisonPause       = 300 * time.Millisecond // between two sends
+	statusQuarantined = 422                    // HTTP status for a request that crashed targets before
 )
 
-// firstRunnerEntry names the first entry that model runners serve.
+// firstRunnerEntry returns the name of the first entry that model runners
+// serve.
 func (f *fleet) firstRunnerEntry() string {
 	for _, k := range f.Mix.Kinds {
 		if k.Target == jwload.Runner {
--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -20,26 +20,26 @@
 )
 
 const (
-	operatorToken = "a token of the measurements only"
-	meterInterval = 200 * time.Millisecond
-	// crashPrompt is the text that crashes a model runner whose prompt holds it.
+	operatorToken = "a token of the measurements only" // only for the nodes of trials
+	meterInterval = 200 * time.Millisecond             // between reports of a node's counters
+	// crashPrompt crashes a model runner whose request body contains it.
 	crashPrompt = "a prompt that crashes the engine"
-	// restartDelay is how long a crashed runner is away.
+	// restartDelay is how long a crashed runner is unavailable.
 	restartDelay = 2 * time.Second
 )
 
 var loopback = netip.MustParseAddrPort("127.0.0.1:0")
 
-// runner is a model runner with its stand-in.
+// runner is a simulated model runner and the stand-in that serves it.
 type runner struct {
 	*jwstand.Runner
 	stand *jwstand.Stand
 }
 
-// down takes the runner away.
+// down makes the runner unreachable.
 func (r *runner) down() { r.stand.SetFaults(jwstand.Faults{Down: true}) }
 
-// up brings it back with an empty cache.
+// up makes the runner reachable again, with an empty cache.
 func (r *runner) up() {
 	r.Engine.ClearCache()
 	r.stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
@@ -48,20 +48,20 @@
 // fleet is the whole system of a deployment.
 type fleet struct {
 	Deployment
-	nodes       map[string][]*jwnode.Node // by region
-	runners     map[string][]*runner      // by region
-	journals    map[string][]netip.AddrPort
-	keyValue    *jwstand.Stand
-	regionLinks []*jwstand.Link
+	nodes       map[string][]*jwnode.Node   // by region
+	runners     map[string][]*runner        // by region
+	journals    map[string][]netip.AddrPort // control ports of the targets, by region
+	keyValue    *jwstand.Stand              // the key-value service
+	regionLinks []*jwstand.Link             // links that PoorLinks degrades
 
 	ctx  context.Context
 	stop context.CancelFunc
 	wg   sync.WaitGroup
 	mu   sync.Mutex
-	errs []error
+	errs []error // of parts that failed before close
 }
 
-// start brings everything up; the fleet runs until close.
+// start starts all parts; they run until close.
 func start(ctx context.Context, d Deployment) (*fleet, error) {
 	f := &fleet{
 		Deployment: d,
@@ -77,6 +77,7 @@
 	return f, nil
 }
 
+// startAll starts the platform, the targets, the links and the nodes.
 func (f *fleet) startAll() error {
 	var err error
 	if f.keyValue, err = f.startStand("kv", &jwstand.KeyValue{}); err != nil {
@@ -115,7 +116,8 @@
 	return nil
 }
 
-// directory has the workspaces of the load, and those of a burst.
+// directory returns a client directory with the workspaces of the load and
+// those of a burst.
 func (f *fleet) directory() *jwstand.Clients {
 	var list []jwstand.Client
 	for _, region := range f.Regions {
@@ -134,7 +136,7 @@
 	return clients
 }
 
-// openTargets starts the targets of a region and returns their lines of the
+// openTargets starts the targets of a region and returns their groups of the
 // host list.
 func (f *fleet) openTargets(region string) ([]jwstand.HostGroup, error) {
 	var groups []jwstand.HostGroup
@@ -147,7 +149,7 @@
 			return nil, err
 		}
 		r.stand = stand
-		// A crash ends no process here: the runner is away for a while.
+		// A crash ends no process here; it makes the runner unreachable for a while.
 		stand.Exit = func(int) {
 			r.down()
 			f.startPart("restart", func(ctx context.Context) error {
@@ -169,14 +171,16 @@
 	return append(groups, targetGroup(stand.Address, f.Plain, region)), nil
 }
 
+// targetGroup returns the group of the host list for one target.
 func targetGroup(address netip.AddrPort, service, region string) jwstand.HostGroup {
 	return jwstand.HostGroup{Targets: []string{address.String()}, Labels: map[string]string{
 		"role": "target", "service": service, "region": region, "dataCentre": region + "-1", "state": "live",
 	}}
 }
 
-// openNode opens the ports of a node. Other nodes reach it over a link, and so
-// does it the platform unless that is in its region.
+// openNode opens the ports of a node and returns its group of the host list.
+// Other nodes reach it over a link. It reaches the platform over links too,
+// which have a delay unless the platform is in the same region.
 func (f *fleet) openNode(region string, i int, platform ...netip.AddrPort) (jwstand.HostGroup, error) {
 	name := fmt.Sprintf("%s-n%d", region, i+1)
 	nodeLink := &jwstand.Link{Name: name, Listen: loopback}
@@ -216,8 +220,8 @@
 
 type jsonObject map[string]any
 
-// settings writes the settings of a node as an operator would; what is read at
-// a pace is read faster, since a trial is short.
+// settings builds the settings of a node, as an operator would write them. The
+// periods of polls are shorter than usual, since a trial is short.
 func (f *fleet) settings(name, region, dataCentre string, nodes netip.AddrPort, platform []*jwstand.Link) (*jwsettings.Settings, error) {
 	var regions, links []jsonObject
 	for i, r := range f.Regions {
@@ -242,6 +246,7 @@
 	return jwsettings.Parse(text)
 }
 
+// startStand starts a stand-in on free ports.
 func (f *fleet) startStand(kind string, p jwstand.Program) (*jwstand.Stand, error) {
 	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	if err := stand.Listen(); err != nil {
@@ -251,7 +256,7 @@
 	return stand, nil
 }
 
-// startPart keeps a part running until close and notes what ended it.
+// startPart runs a part until close and records the error if it fails earlier.
 func (f *fleet) startPart(what string, part func(context.Context) error) {
 	f.wg.Go(func() {
 		err := part(f.ctx)
@@ -264,7 +269,7 @@
 	})
 }
 
-// close stops everything and returns what went wrong with any part.
+// close stops all parts and returns the first error of any of them.
 func (f *fleet) close() error {
 	f.stop()
 	f.wg.Wait()
@@ -276,7 +281,8 @@
 	return nil
 }
 
-// sumCounter adds up one counter of all nodes, as of their last reports.
+// sumCounter returns the sum of one counter over all nodes, as of their last
+// reports.
 func (f *fleet) sumCounter(counter string, tags jwmeter.Tags) float64 {
 	sum := 0.0
 	for _, nodes := range f.nodes {
@@ -287,7 +293,7 @@
 	return sum
 }
 
-// engineTotals adds up the work of all model runners.
+// engineTotals returns the summed work of all model runners.
 func (f *fleet) engineTotals() jwstand.Totals {
 	var sum jwstand.Totals
 	for _, list := range f.runners {
@@ -304,7 +310,8 @@
 	return sum
 }
 
-// callerAddresses are the nodes by region, where callers go.
+// callerAddresses returns the addresses to which callers send requests, by
+// region.
 func (f *fleet) callerAddresses() map[string][]netip.AddrPort {
 	hosts := make(map[string][]netip.AddrPort)
 	for region, nodes := range f.nodes {
--- a/io/jwfleet/operator.go
+++ b/io/jwfleet/operator.go
@@ -23,9 +23,9 @@
 
 const (
 	serviceName  = "jwfleet"
-	callTimeout  = 15 * time.Second
-	readyTimeout = 20 * time.Second
-	retryPause   = 50 * time.Millisecond
+	callTimeout  = 15 * time.Second      // for one call
+	readyTimeout = 20 * time.Second      // for one step of prepareFleet
+	retryPause   = 50 * time.Millisecond // between tries of a step
 )
 
 // operator edits the catalogue and sends the few requests that are not part of
@@ -44,7 +44,8 @@
 
 func (o *operator) close() { o.transport.CloseIdleConnections() }
 
-// prepareFleet puts the catalogue in and waits until every node serves.
+// prepareFleet adds the entries to the catalogue and waits until every node
+// serves them. Entries whose requests need an idempotency key are not probed.
 func (o *operator) prepareFleet(ctx context.Context, f *fleet) error {
 	address := f.nodes[f.Regions[0]][0].OperatorsAddr()
 	for _, e := range f.entries() {
@@ -68,6 +69,8 @@
 	return nil
 }
 
+// putEntry adds one entry to the catalogue. An entry that exists already is no
+// error.
 func (o *operator) putEntry(ctx context.Context, address netip.AddrPort, e jwcatalogue.Entry) error {
 	data, err := json.Marshal(jwoperate.EditBody{Entry: &e, Author: "measurement", Reason: "trial", EditID: "trial-" + e.Name})
 	if err != nil {
@@ -87,6 +90,7 @@
 	return err
 }
 
+// probe checks that a node serves an entry.
 func (o *operator) probe(ctx context.Context, address netip.AddrPort, region string, k jwload.Kind) error {
 	status, err := o.sendPrompt(ctx, address, k.Entry, jwload.WorkspaceName(region, 0), "ready?")
 	if err == nil && status != http.StatusOK {
@@ -95,7 +99,8 @@
 	return err
 }
 
-// sendPrompt asks for one token; plain services take the body as it is.
+// sendPrompt sends a request for one token. Plain services accept the same
+// body.
 func (o *operator) sendPrompt(ctx context.Context, address netip.AddrPort, entry, workspace, text string) (int, error) {
 	body, err := json.Marshal(jwstand.Completion{Model: entry, Prompt: text, MaxTokens: 1})
 	if err != nil {
@@ -109,6 +114,7 @@
 	return o.do(r)
 }
 
+// do sends a request and discards the body of the answer.
 func (o *operator) do(r *http.Request) (status int, err error) {
 	res, err := o.service.DoRequest(r)
 	if err != nil {
@@ -119,7 +125,8 @@
 	return res.StatusCode, err
 }
 
-// retryUntilReady repeats a step until it works.
+// retryUntilReady repeats a step until it succeeds, or returns its error after
+// readyTimeout.
 func retryUntilReady(ctx context.Context, what string, step func() error) error {
 	deadline := time.Now().Add(readyTimeout)
 	for {
--- a/io/jwfleet/result.go
+++ b/io/jwfleet/result.go
@@ -11,28 +11,28 @@
 	"jujubewheel/io/jwmeter"
 )
 
-// Result is what came of a trial. Latencies are in milliseconds.
+// Result holds the measurements of a trial. Latencies are in milliseconds.
 type Result struct {
-	Deployment    string        `json:"deployment"`
-	Load          float64       `json:"load"` // share of the capacity
-	Fault         Fault         `json:"fault"`
-	Seed          uint64        `json:"seed"`
-	Rate          float64       `json:"rate"` // requests a second
-	Nodes         int           `json:"nodes"`
-	Report        jwload.Report `json:"report"`
-	Bursts        []jwload.Line `json:"bursts,omitempty"`   // the burster's own
-	Poisoned      int           `json:"poisoned,omitempty"` // sends of the poison request
-	Cost          float64       `json:"cost"`               // runner-seconds for an answer in time, links included
-	RunnerSeconds float64       `json:"runnerSeconds"`
-	LinkBytes     float64       `json:"linkBytes"`
-	LinkPrice     float64       `json:"linkPrice"`
-	Generated     uint64        `json:"generated"` // tokens
-	Saved         int64         `json:"saved"`     // tokens asked for and not generated, since their call ended
-	Cached        float64       `json:"cached"`    // share of prompt tokens
-	Tries         float64       `json:"tries"`     // first ones, at all nodes
-	Retries       float64       `json:"retries"`
-	OverBudget    float64       `json:"overBudget"` // retries that the budget refused
-	ReasonsSeen   []ReasonCount `json:"reasons"`
+	Deployment    string        `json:"deployment"`         // name of the deployment
+	Load          float64       `json:"load"`               // share of Deployment.Capacity
+	Fault         Fault         `json:"fault"`              // fault that was applied
+	Seed          uint64        `json:"seed"`               // seed of the load
+	Rate          float64       `json:"rate"`               // requests per second
+	Nodes         int           `json:"nodes"`              // in all regions
+	Report        jwload.Report `json:"report"`             // results of the main load
+	Bursts        []jwload.Line `json:"bursts,omitempty"`   // results of the burst's own load
+	Poisoned      int           `json:"poisoned,omitempty"` // number of sends of the poison request before it was quarantined
+	Cost          float64       `json:"cost"`               // runner-seconds per answer in time, including the cost of requests sent away
+	RunnerSeconds float64       `json:"runnerSeconds"`      // time for which slots were held, divided by the slots of a runner
+	LinkBytes     float64       `json:"linkBytes"`          // bytes sent between regions
+	LinkPrice     float64       `json:"linkPrice"`          // cost of LinkBytes
+	Generated     uint64        `json:"generated"`          // tokens generated
+	Saved         int64         `json:"saved"`              // tokens requested but not generated, since their call ended early
+	Cached        float64       `json:"cached"`             // share of prompt tokens that were cached
+	Tries         float64       `json:"tries"`              // first tries at all nodes
+	Retries       float64       `json:"retries"`            // retries at all nodes
+	OverBudget    float64       `json:"overBudget"`         // retries that the retry budget rejected
+	ReasonsSeen   []ReasonCount `json:"reasons"`            // most frequent first
 }
 
 // ReasonCount counts the requests that nodes ended for one reason.
@@ -41,10 +41,11 @@
 	Count  float64           `json:"count"`
 }
 
-// RetryShare is the retries of the nodes for each first try.
+// RetryShare returns the number of retries per first try.
 func (r Result) RetryShare() float64 { return r.Retries / max(r.Tries, 1) }
 
-// countedReasons are those for which a request of the load may not be served.
+// countedReasons are the reasons for which a request of the load may not be
+// served.
 var countedReasons = []jwdispatch.Reason{
 	jwdispatch.ReasonClaim, jwdispatch.ReasonRegion, jwdispatch.ReasonLoop, jwdispatch.ReasonLimit,
 	jwdispatch.ReasonDeadline, jwdispatch.ReasonNoTarget, jwdispatch.ReasonTarget, jwdispatch.ReasonPeer,
@@ -64,7 +65,7 @@
 	return list
 }
 
-// Write writes the result for people.
+// Write writes the result as text for people.
 func (r Result) Write(w io.Writer) error {
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %.2f of the capacity (%.0f requests/s), fault %s, seed %d, %d nodes\n",
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -15,25 +15,25 @@
 
 // Trial is one run of a deployment under a load and a fault.
 type Trial struct {
-	Deployment Deployment
-	Load       float64       // share of the capacity
+	Deployment Deployment    // the system to run
+	Load       float64       // share of Deployment.Capacity
 	Fault      Fault         // empty means None
-	Length     time.Duration // of the counted part
-	Seed       uint64
+	Length     time.Duration // length of the measured part
+	Seed       uint64        // seed of the load
 
 	bursts   []jwload.Line
 	poisoned int
 }
 
-// maxWarmUp bounds the part of the load before the counted one.
+// maxWarmUp is the maximum length of the load before the measured part.
 const maxWarmUp = 5 * time.Second
 
 func (t *Trial) warmUp() time.Duration { return min(maxWarmUp, t.Length/3) }
 
-// counterLag is how long the nodes' counters may lag behind.
+// counterLag is the maximum time by which the counters of nodes lag behind.
 const counterLag = 2*time.Second + 2*meterInterval
 
-// Run brings the system up, loads it and returns what came of it.
+// Run starts the system, sends the load and returns the measurements.
 func (t *Trial) Run(ctx context.Context) (Result, error) {
 	jwrest.Quiet()
 	f, err := start(ctx, t.Deployment)
@@ -87,11 +87,11 @@
 	}
 }
 
-// sendTwiceShare of the requests with a key is sent twice, as by a caller whose
-// page hangs.
+// sendTwiceShare is the share of requests with an idempotency key that are sent
+// twice, as by a user who reloads a page that hangs.
 const sendTwiceShare = 0.1
 
-// result adds up what callers, targets and nodes saw.
+// result combines the measurements of callers, targets and nodes.
 func (t *Trial) result(f *fleet, report jwload.Report, before jwstand.Totals) Result {
 	r := Result{
 		Deployment: f.Name, Load: t.Load, Fault: t.Fault, Seed: t.Seed, Rate: t.Load * f.Capacity(),
@@ -116,7 +116,7 @@
 			inTime += float64(l.InTime)
 		}
 	}
-	// The work includes the warm part, the answers in time do not.
+	// The work includes the warm-up, but the answers in time do not.
 	workRatio := (t.warmUp() + t.Length).Seconds() / t.Length.Seconds()
 	r.Cost = (r.RunnerSeconds + f.SentAwayCost*sentAway) / max(inTime*workRatio, 1)
 	return r
--- a/io/jwfleet/trial_test.go
+++ b/io/jwfleet/trial_test.go
@@ -9,10 +9,10 @@
 	"jujubewheel/core/jwlimit"
 )
 
-// A region loses three of its four model runners in the midst of the load and
-// gets them back. Callers may be refused or wait longer, but each learns what
-// became of its request, nothing runs twice or abroad that must not, and the
-// nodes' retries do not multiply the load.
+// A region loses three of its four model runners during the load and gets them
+// back. Requests may be rejected or wait longer, but every caller gets a
+// correct outcome, nothing that must run once or in its home region runs twice
+// or elsewhere, and the retries of the nodes stay within their budget.
 func TestTrial(t *testing.T) {
 	trial := &Trial{Deployment: Deployments["zaitoun"], Load: 0.7, Fault: Loss, Length: 1500 * time.Millisecond, Seed: 1}
 	result, err := trial.Run(t.Context())
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -17,24 +17,24 @@
 )
 
 const (
-	maxLine   = 1 << 20
-	maxAnswer = 16 << 20
+	maxLine   = 1 << 20  // bytes of a line of a stream
+	maxAnswer = 16 << 20 // bytes of an answer that is no stream
 )
 
-// answer is what came back for one call.
+// answer is the result of one call.
 type answer struct {
-	status     int
+	status     int // HTTP status
 	outcome    jwrequest.Outcome
-	complete   bool // the end of the answer came
-	correct    bool // the answer is that of this request
-	firstAt    time.Time
-	gaps       []time.Duration // between tokens
-	retryAfter time.Duration   // when to come back; 0 when not told
-	hosts      []netip.AddrPort
-	region     string // that served it, "" when not told
+	complete   bool             // the end of the answer was received
+	correct    bool             // the content is the expected one for this request
+	firstAt    time.Time        // when the first token came, or the whole answer if it is no stream
+	gaps       []time.Duration  // times between tokens
+	retryAfter time.Duration    // from the Retry-After header; 0 without it
+	hosts      []netip.AddrPort // hosts to use instead, if the answer names any
+	region     string           // region that served the request; "" if the answer does not tell
 }
 
-// readAnswer takes a response to its end.
+// readAnswer reads a response to its end.
 func readAnswer(res *http.Response, a Arrival, now func() time.Time) answer {
 	ans := answer{
 		status:     res.StatusCode,
@@ -51,7 +51,8 @@
 	return ans
 }
 
-// setOutcome fills in the outcome where no header could tell it.
+// setOutcome derives the outcome where no header or event tells it, and
+// replaces the outcome served if the answer is incomplete.
 func (ans *answer) setOutcome(direct bool) {
 	if ans.outcome != "" && ans.outcome != jwrequest.Served {
 		return
@@ -66,6 +67,8 @@
 	}
 }
 
+// parseRetryAfter returns the Retry-After header, in seconds, as a duration. It
+// returns 0 if the header is missing or invalid.
 func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
@@ -96,8 +99,8 @@
 	}
 }
 
-// decodeHosts reads the hosts to use instead, given as texts or as objects
-// with an address.
+// decodeHosts reads the hosts to use instead. They are encoded as strings or as
+// objects with an address.
 func decodeHosts(data []byte) []netip.AddrPort {
 	var plain struct {
 		Hosts []netip.AddrPort `json:"hosts"`
@@ -120,7 +123,7 @@
 	return hosts
 }
 
-// event is one event of a stream.
+// event is one server-sent event.
 type event struct {
 	name string
 	data string
@@ -131,8 +134,9 @@
 	Outcome jwrequest.Outcome `json:"outcome"`
 }
 
-// readStream takes tokens until the stream's end. Through a node only its own
-// last event is the end; a direct stream ends as the engine ends it.
+// readStream reads tokens until the stream ends. A stream through a node is
+// complete only with the node's own last event; a direct stream is complete
+// with the last event of the engine.
 func (ans *answer) readStream(body io.Reader, a Arrival, now func() time.Time) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
@@ -169,6 +173,8 @@
 	}
 }
 
+// endStream records the last event of a stream; correct tells whether the text
+// was the expected one.
 func (ans *answer) endStream(e event, correct bool) {
 	var data endEventData
 	if json.Unmarshal([]byte(e.data), &data) == nil && data.Outcome != "" {
@@ -178,6 +184,7 @@
 	ans.correct = ans.complete && correct
 }
 
+// parseToken returns the token in the data of an event.
 func parseToken(data string) (string, bool) {
 	var c jwstand.CompletionAnswer
 	if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) != 1 {
@@ -186,7 +193,7 @@
 	return c.Choices[0].Text, true
 }
 
-// nextEvent reads lines up to the blank one that ends an event.
+// nextEvent reads one event, up to the blank line that ends it.
 func nextEvent(scanner *bufio.Scanner) (event, error) {
 	var e event
 	seen := false
--- a/io/jwload/audit.go
+++ b/io/jwload/audit.go
@@ -14,32 +14,34 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Audit holds what callers were told against what targets ran.
+// Audit compares the outcomes that callers were told with the runs in the
+// journals of the targets.
 type Audit struct {
-	Runs          int `json:"runs"`        // of this load, resumed streams left out
-	RanTwice      int `json:"ranTwice"`    // keys that ran more than once
-	FalseNotRun   int `json:"falseNotRun"` // told notRun each time, and run
-	FalseServed   int `json:"falseServed"` // told served, and run by no target that was read
+	Runs          int `json:"runs"`        // runs of this load, without resumed streams
+	RanTwice      int `json:"ranTwice"`    // idempotency keys that ran more than once
+	FalseNotRun   int `json:"falseNotRun"` // requests that ran although every outcome was notRun
+	FalseServed   int `json:"falseServed"` // requests with the outcome served that are in no journal that was read
 	OutsideRegion int `json:"abroad"`      // runs of bound data outside its region
 }
 
-// sentRequest is what is known of one request, with all its sends.
+// sentRequest collects the outcomes and runs of one request over all its sends.
 type sentRequest struct {
 	region string
 	bound  bool
 	hasKey bool
 	served bool
-	notRun bool // each send so far was told so
+	notRun bool // every outcome so far was notRun
 	runs   int
 }
 
-// audit keeps what callers were told; the zero value is empty.
+// audit collects the outcomes that callers were told. The zero value is ready
+// to use.
 type audit struct {
 	mu       sync.Mutex
-	requests map[string]*sentRequest // by idempotency key, or by request id without one
+	requests map[string]*sentRequest // by idempotency key, or by request ID without one
 }
 
-// recordOutcome keeps the outcome of one send.
+// recordOutcome records the outcome of one send.
 func (au *audit) recordOutcome(a Arrival, outcome jwrequest.Outcome) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -56,6 +58,7 @@
 	r.notRun = r.notRun && outcome == jwrequest.NotRun
 }
 
+// auditKey returns the idempotency key of a request, or its ID if it has none.
 func auditKey(key, id string) string {
 	if key != "" {
 		return key
@@ -63,8 +66,8 @@
 	return id
 }
 
-// compare counts what breaks a promise; runs are listed by the region of the
-// target, "" where it is not known.
+// compare counts the runs that contradict the outcomes. The runs are given by
+// region of the target, "" if that is not known.
 func (au *audit) compare(runs map[string][]jwstand.Run) *Audit {
 	au.mu.Lock()
 	defer au.mu.Unlock()
@@ -76,7 +79,7 @@
 		for _, run := range list {
 			r, found := au.requests[auditKey(run.Key, run.RequestID)]
 			if !found {
-				continue // of another load
+				continue // run of another load
 			}
 			if r.bound && region != "" && region != r.region {
 				result.OutsideRegion++
@@ -100,9 +103,9 @@
 	return result
 }
 
-// Audit reads the journals of targets at their control ports, by region, and
-// compares them with the answers. The journal of a target that crashed is
-// lost: its runs are missing here.
+// Audit reads the journals of targets and compares them with the outcomes. The
+// journals are given as addresses of control ports, by region. A target that
+// crashed has lost its journal, so its runs are missing.
 func (l *Load) Audit(ctx context.Context, journals map[string][]netip.AddrPort) (*Audit, error) {
 	runs := make(map[string][]jwstand.Run)
 	for region, addresses := range journals {
@@ -117,6 +120,7 @@
 	return l.audit.compare(runs), nil
 }
 
+// readJournal reads the journal of one target from its control port.
 func (l *Load) readJournal(ctx context.Context, address netip.AddrPort) ([]jwstand.Run, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/journal", nil)
 	if err != nil {
--- a/io/jwload/doc.go
+++ b/io/jwload/doc.go
@@ -1,7 +1,8 @@
-// Package jwload sends requests as callers do and measures what comes of them.
+// Package jwload generates load as callers do and measures the answers.
 //
-// The load is open: each request has an intended time that does not depend on
-// earlier answers, and every latency counts from it, so that a stall shows in
-// all requests that it delayed. The same seed gives the same requests at the
-// same times. Answers of the model engine stand-ins are checked word by word.
+// The load is open-loop: each request has an intended send time that does not
+// depend on earlier answers, and latencies are measured from that time. So a
+// stall shows in every request that it delayed. The same seed gives the same
+// requests at the same times. The answers of the stand-ins are compared with
+// the expected text.
 package jwload
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -21,14 +21,15 @@
 )
 
 const (
-	serviceName = "jwload"
-	idleConns   = 4096
+	serviceName = "jwload" // name of the HTTP client in go-zero's metrics and breakers
+	idleConns   = 4096     // kept open per host
 	idleTimeout = time.Minute
-	maxTries    = 5
-	// lateGrace is how long past its deadline a call is still waited for, so that
-	// a late answer is told apart from none.
+	maxTries    = 5 // per request
+	// lateGrace is how long after its deadline a call is still awaited, so that the
+	// report can tell a late answer from none. It is also the timeout for a new
+	// connection.
 	lateGrace = 2 * time.Second
-	// resendDelay is how soon a caller sends a second time.
+	// resendDelay is how long after the first send a caller sends a duplicate.
 	resendDelay = 20 * time.Millisecond
 )
 
@@ -37,21 +38,21 @@
 	DoRequest(r *http.Request) (*http.Response, error)
 }
 
-// Load sends one schedule and keeps what came of it.
+// Load sends the requests of a schedule and records the results.
 type Load struct {
-	Schedule Schedule
-	Duration time.Duration
-	Warm     time.Duration               // requests due in this first part are audited and not reported
-	Hosts    map[string][]netip.AddrPort // nodes by region; "" for callers without one
-	Targets  map[Target][]netip.AddrPort // for direct calls
-	Follow   bool                        // comes back after Retry-After and goes to the hosts that an answer names
+	Schedule Schedule                    // the requests to send
+	Duration time.Duration               // requests due later than this are not sent
+	Warm     time.Duration               // requests due in this first part are audited, but not reported
+	Hosts    map[string][]netip.AddrPort // addresses of nodes by region; the key is "" if Schedule has no regions
+	Targets  map[Target][]netip.AddrPort // addresses of targets, for direct requests
+	Follow   bool                        // retries after Retry-After and uses the hosts that an answer names
 
 	service     requestDoer
 	results     results
 	audit       audit
-	nextHost    atomic.Uint64
-	inFlight    atomic.Int64
-	maxInFlight atomic.Int64
+	nextHost    atomic.Uint64 // counts requests, to spread them over the hosts
+	inFlight    atomic.Int64  // requests in flight
+	maxInFlight atomic.Int64  // maximum of inFlight so far
 }
 
 // Run sends the load and returns once every request has ended.
@@ -62,7 +63,7 @@
 	if l.service == nil {
 		transport := newTransport()
 		defer transport.CloseIdleConnections()
-		breaker.NoBreakerFor(serviceName) // it would refuse calls that were never sent
+		breaker.NoBreakerFor(serviceName) // a circuit breaker would reject calls without sending them
 		l.service = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport})
 	}
 	var wg sync.WaitGroup
@@ -90,6 +91,7 @@
 	}
 }
 
+// check returns an error for a load that can't be sent.
 func (l *Load) check() error {
 	if err := l.Schedule.Mix.check(); err != nil {
 		return err
@@ -117,12 +119,13 @@
 	return nil
 }
 
-// Report returns what came of the load.
+// Report returns the results of the load, without those of the part Warm.
 func (l *Load) Report() Report {
 	return l.results.report(l.Duration-l.Warm, l.maxInFlight.Load())
 }
 
-// send carries one request through all its tries.
+// send sends one request, with retries if Follow is set, and records its
+// result.
 func (l *Load) send(ctx context.Context, a Arrival, due time.Time) {
 	inFlight := l.inFlight.Add(1)
 	defer l.inFlight.Add(-1)
@@ -146,7 +149,7 @@
 			break
 		}
 		if len(o.answer.hosts) > 0 {
-			hosts, firstHost = o.answer.hosts, -try-1 // the first named one is next
+			hosts, firstHost = o.answer.hosts, -try-1 // the first named host is next
 		}
 		retryAt := time.Now().Add(o.answer.retryAfter)
 		if try == maxTries-1 || retryAt.After(deadline) {
@@ -163,9 +166,10 @@
 	l.audit.recordOutcome(a, o.answer.outcome)
 }
 
-// sendDuplicate sends the request a second time while the first is under way, as
-// a caller does whose page hangs; the function that it returns waits for it.
-// The second one is no part of the report but for the audit.
+// sendDuplicate sends the request a second time while the first send is in
+// flight, as a user who reloads a page that hangs. The function wait returns
+// once the duplicate has ended. Duplicates count in the audit only, not in the
+// other results.
 func (l *Load) sendDuplicate(ctx context.Context, a Arrival, due time.Time) (wait func()) {
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
 	hosts := l.hostsFor(a)
@@ -185,6 +189,7 @@
 	return func() { <-done }
 }
 
+// hostsFor returns the addresses to which a request may be sent.
 func (l *Load) hostsFor(a Arrival) []netip.AddrPort {
 	if a.Direct {
 		return l.Targets[a.Kind.Target]
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -99,9 +99,10 @@
 	assert.Check(t, a.Prompt != b.Prompt)
 }
 
-// A node stalls for a while. A generator that waits for answers would send
-// less in that time and report a few slow requests; callers meet the stall in
-// every request that was due in it, and so must the report.
+// A node stalls for a while. A closed-loop generator waits for answers, so it
+// would send less during the stall and report only a few slow requests. Callers
+// see the stall in every request that was due during it, and the report must
+// show that.
 func TestStallShowsInAllRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		start := time.Now()
--- a/io/jwload/mix.go
+++ b/io/jwload/mix.go
@@ -9,32 +9,32 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Target names the kind of target that runs a request.
+// Target is a kind of target.
 type Target string
 
 // The kinds of target.
 const (
-	Runner  Target = "runner"  // model engine
-	Service Target = "service" // plain service
+	Runner  Target = "runner"  // model engine, see jwstand.Runner
+	Service Target = "service" // plain service, see jwstand.Service
 )
 
 // Kind is one kind of request in a mix.
 type Kind struct {
-	Entry      string           `json:"entry"` // of the catalogue
-	Owner      string           `json:"owner"`
-	Share      float64          `json:"share"` // weight against the other kinds
-	Target     Target           `json:"target"`
-	Path       string           `json:"path"`       // at the target, for direct calls
-	Stream     bool             `json:"stream"`     // runners only
-	Prefix     int              `json:"prefix"`     // bytes of prompt that a workspace's requests share
-	Body       int              `json:"body"`       // bytes of the request's own
-	Tokens     int              `json:"tokens"`     // runners only: tokens of the answer
+	Entry      string           `json:"entry"`      // name of the entry in the catalogue
+	Owner      string           `json:"owner"`      // owner of the entry
+	Share      float64          `json:"share"`      // weight relative to the other kinds
+	Target     Target           `json:"target"`     // kind of target that runs it
+	Path       string           `json:"path"`       // path at the target, for direct requests
+	Stream     bool             `json:"stream"`     // asks for a stream; runners only
+	Prefix     int              `json:"prefix"`     // bytes of the prompt that all requests of a workspace share
+	Body       int              `json:"body"`       // bytes that belong to one request only
+	Tokens     int              `json:"tokens"`     // tokens of the answer; runners only
 	Key        bool             `json:"key"`        // sends an idempotency key
-	FirstToken jwstand.Duration `json:"firstToken"` // later is not in time; 0 for any
-	Deadline   jwstand.Duration `json:"deadline"`   // later is not in time; sent as the timeout
+	FirstToken jwstand.Duration `json:"firstToken"` // maximum time to the first token for an answer in time; 0 means no limit
+	Deadline   jwstand.Duration `json:"deadline"`   // maximum time to the whole answer for an answer in time; also sent as the timeout
 }
 
-// Mix is the load of one deployment.
+// Mix is a weighted set of request kinds.
 type Mix struct {
 	Name  string `json:"name"`
 	Kinds []Kind `json:"kinds"`
@@ -42,7 +42,8 @@
 
 const completionsPath = "/v1/completions"
 
-// Mixes are the loads of the two deployments that the project is built for.
+// Mixes are the built-in mixes by name, one for each deployment that the
+// project is built for.
 var Mixes = map[string]Mix{
 	"zaitoun": {Name: "zaitoun", Kinds: []Kind{
 		{
@@ -77,7 +78,7 @@
 	}},
 }
 
-// ParseMix reads a mix from JSON.
+// ParseMix decodes a mix from JSON and checks it.
 func ParseMix(body []byte) (Mix, error) {
 	var m Mix
 	if err := json.Unmarshal(body, &m); err != nil {
@@ -86,6 +87,7 @@
 	return m, m.check()
 }
 
+// check returns an error for a mix that can't be sent.
 func (m Mix) check() error {
 	total := 0.0
 	for _, k := range m.Kinds {
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -15,20 +15,20 @@
 )
 
 const (
-	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
-	significantDigits = 3
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond) // maximum latency of a histogram, in microseconds; longer ones count as this
+	significantDigits = 3                                          // precision of a histogram
 )
 
-// Way tells how requests reached a target.
+// Way is how a request reached its target.
 type Way string
 
 // The ways of a request.
 const (
-	ByNode Way = "node"
-	Direct Way = "direct"
+	ByNode Way = "node"   // through a node
+	Direct Way = "direct" // sent to the target itself
 )
 
-// requestResult is one request after its last try.
+// requestResult is the result of one request after its last try.
 type requestResult struct {
 	arrival Arrival
 	answer  answer
@@ -36,19 +36,20 @@
 	retries int
 }
 
-// group is what one line of a report counts.
+// group identifies the requests that one line of a report counts.
 type group struct {
 	way   Way
 	owner string
 	entry string // empty for all entries of the owner
 }
 
+// groupStats holds the counts and latencies of one group.
 type groupStats struct {
 	line               Line
-	first, gaps, whole *hdrhistogram.Histogram
+	first, gaps, whole *hdrhistogram.Histogram // time to the first token, between tokens, and to the whole answer, in microseconds
 }
 
-// results gathers outcomes; the zero value is empty.
+// results collects the results of requests. The zero value is ready to use.
 type results struct {
 	mu     sync.Mutex
 	groups map[group]*groupStats
@@ -120,31 +121,33 @@
 	}
 }
 
+// record adds a latency to a histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
 	us := min(max(d.Microseconds(), 1), maxLatencyMicros)
-	_ = h.RecordValue(us) // within the bounds of the histogram
+	_ = h.RecordValue(us) // never fails, since us is within the bounds of the histogram
 }
 
 // Line counts the requests of one entry, or of all entries of an owner.
 type Line struct {
 	Way        Way         `json:"way"`
 	Owner      string      `json:"owner"`
-	Entry      string      `json:"entry,omitempty"`
-	Sent       int64       `json:"sent"`
+	Entry      string      `json:"entry,omitempty"` // empty for all entries of the owner
+	Sent       int64       `json:"sent"`            // requests, without retries
 	Served     int64       `json:"served"`
-	InTime     int64       `json:"inTime"` // right, whole and within the deadlines
-	NotRun     int64       `json:"notRun"`
-	Unknown    int64       `json:"unknown"`
-	Wrong      int64       `json:"wrong"` // served, but not the answer to this request
-	Retries    int64       `json:"retries"`
-	Away       int64       `json:"away"`    // of the served ones, in another region than that of their workspace
-	Goodput    float64     `json:"goodput"` // InTime a second
-	FirstToken Percentiles `json:"firstToken"`
-	Between    Percentiles `json:"betweenTokens"`
-	Whole      Percentiles `json:"whole"`
-}
-
-// Percentiles are latencies in milliseconds, from the intended time on.
+	InTime     int64       `json:"inTime"`        // correct, complete and within the deadlines
+	NotRun     int64       `json:"notRun"`        // rejected, or never sent
+	Unknown    int64       `json:"unknown"`       // may have run
+	Wrong      int64       `json:"wrong"`         // served, but with another answer than the expected one
+	Retries    int64       `json:"retries"`       // further tries by callers
+	Away       int64       `json:"away"`          // served in another region than the home of the workspace
+	Goodput    float64     `json:"goodput"`       // InTime per second
+	FirstToken Percentiles `json:"firstToken"`    // times to the first token
+	Between    Percentiles `json:"betweenTokens"` // times between tokens
+	Whole      Percentiles `json:"whole"`         // times to the whole answer
+}
+
+// Percentiles are latencies in milliseconds. All but times between tokens are
+// measured from the intended send time.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -154,12 +157,12 @@
 	Max   float64 `json:"max"`
 }
 
-// Report is what came of a load.
+// Report holds the results of a load.
 type Report struct {
-	Seconds  float64 `json:"seconds"`
-	MostOpen int64   `json:"mostOpen"` // requests open at once
-	Lines    []Line  `json:"lines"`
-	Audit    *Audit  `json:"audit,omitempty"` // nil when no journal was read
+	Seconds  float64 `json:"seconds"`         // length of the reported part
+	MostOpen int64   `json:"mostOpen"`        // maximum number of requests in flight
+	Lines    []Line  `json:"lines"`           // sorted by owner and entry
+	Audit    *Audit  `json:"audit,omitempty"` // nil if no journal was read
 }
 
 func (rs *results) report(d time.Duration, maxInFlight int64) Report {
@@ -195,7 +198,7 @@
 	}
 }
 
-// WriteTable writes the report for people; latencies are in milliseconds.
+// WriteTable writes the report as text tables, with latencies in milliseconds.
 func (r Report) WriteTable(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "%.0f s, at most %d requests open at once\n", r.Seconds, r.MostOpen); err != nil {
 		return err
@@ -221,6 +224,7 @@
 	return err
 }
 
+// writeLatency writes one row of latencies, if there are any.
 func writeLatency(w io.Writer, l Line, measure string, p Percentiles) {
 	if p.Count == 0 {
 		return
@@ -229,6 +233,7 @@
 		p.Count, p.P50, p.P95, p.P99, p.P999, p.Max)
 }
 
+// name returns the name of the line in a table.
 func (l Line) name() string {
 	if l.Entry == "" {
 		return "(all)"
--- a/io/jwload/schedule.go
+++ b/io/jwload/schedule.go
@@ -9,50 +9,53 @@
 	"time"
 )
 
-// workspaceSkew makes some workspaces far busier than others (Zipf).
+// workspaceSkew is the exponent of the Zipf distribution of requests over
+// workspaces: a few workspaces get most of the load.
 const workspaceSkew = 1.1
 
-// Region is where some of the workspaces are at home.
+// Region is a region in which workspaces have their home.
 type Region struct {
-	Name  string
-	Share float64 // weight of its load against other regions
+	Name  string  // name of the region; it begins the names of its workspaces
+	Share float64 // weight of its load relative to the other regions
 }
 
-// Bound tells whether the n-th workspace (from 0) of a region is one of the
-// share whose data is bound to it; they are spread evenly.
+// Bound reports whether the data of the n-th workspace, counted from 0, is
+// bound to its region. The share of such workspaces is given; they are spread
+// evenly.
 func Bound(n int, share float64) bool {
 	return math.Floor(float64(n+1)*share) > math.Floor(float64(n)*share)
 }
 
 // Arrival is one request and the time at which it is due.
 type Arrival struct {
-	Number    int
-	At        time.Duration // since the start of the load
+	Number    int           // counted from 1
+	At        time.Duration // due time since the start of the load
 	Kind      Kind
 	Workspace string
-	Region    string // home of the workspace
-	Bound     bool   // its data is bound to Region
-	Direct    bool   // goes to a target and not through a node
-	SendTwice bool   // its caller loses patience and sends it a second time
-	ID        string
-	Key       string // empty for kinds without
-	Prompt    string // of runners
-	Tokens    int
+	Region    string // home region of the workspace
+	Bound     bool   // the data is bound to Region
+	Direct    bool   // sent to a target instead of a node
+	SendTwice bool   // the caller sends a duplicate while the first send is in flight
+	ID        string // request ID
+	Key       string // idempotency key; empty for kinds without one
+	Prompt    string // for runners only
+	Tokens    int    // tokens of the answer; for runners only
 	Body      []byte
 }
 
-// Schedule draws arrivals: Poisson in time, by share in kind and region.
+// Schedule generates arrivals: a Poisson process in time, with kinds and
+// regions drawn by their shares.
 type Schedule struct {
 	Mix        Mix
-	Regions    []Region      // empty means one without a name
-	Workspaces int           // in each region; 0 means 1
+	Regions    []Region      // empty means one region without a name
+	Workspaces int           // number per region; 0 means 1
 	Bound      float64       // share of workspaces whose data is bound to their region
-	Rate       float64       // arrivals a second, on average
-	Swing      float64       // how far a region's rate swings about its average: 0 to 1
-	Day        time.Duration // one swing; the regions' peaks are spread over it
-	Direct     float64       // share of arrivals that go directly to a target
-	Again      float64       // share of requests with a key that are sent twice
-	Seed       uint64
+	Rate       float64       // average number of arrivals per second
+	Swing      float64       // amplitude of a region's rate relative to its average, 0 to 1
+	Day        time.Duration // period of the rate; the peaks of the regions are spread evenly over it
+	Direct     float64       // share of arrivals that are sent to a target instead of a node
+	Again      float64       // share of requests with an idempotency key that are sent twice
+	Seed       uint64        // of the random numbers
 
 	random *rand.Rand
 	zipf   *rand.Zipf
@@ -60,7 +63,8 @@
 	number int
 }
 
-// WorkspaceName names the n-th workspace (from 0) of a region.
+// WorkspaceName returns the name of the n-th workspace, counted from 0, of a
+// region.
 func WorkspaceName(region string, n int) string {
 	if region == "" {
 		return fmt.Sprintf("w%05d", n)
@@ -97,8 +101,9 @@
 	return a
 }
 
-// advance moves on to the next arrival and returns its region. Arrivals
-// are drawn at the highest rate and thinned to that of their moment.
+// advance moves s.at to the next arrival and returns its region. Arrivals are
+// drawn at the maximum rate and then thinned to the rate of the region at that
+// time.
 func (s *Schedule) advance() string {
 	for {
 		s.at += time.Duration(s.random.ExpFloat64() / (s.Rate * (1 + s.Swing)) * float64(time.Second))
@@ -115,6 +120,8 @@
 	}
 }
 
+// keepArrival decides whether an arrival of a region is kept, with the
+// probability of the region's present rate to the maximum rate.
 func (s *Schedule) keepArrival(region, regions int) bool {
 	if s.Swing == 0 || s.Day == 0 {
 		return true
@@ -123,7 +130,8 @@
 	return s.random.Float64()*(1+s.Swing) < 1+s.Swing*math.Cos(2*math.Pi*phase)
 }
 
-// pickWeighted draws an index by weight.
+// pickWeighted draws an index; the probability of each is proportional to its
+// weight.
 func pickWeighted[T any](random *rand.Rand, from []T, weight func(T) float64) int {
 	total := 0.0
 	for _, v := range from {
@@ -147,7 +155,8 @@
 	Stream    bool   `json:"stream"`
 }
 
-// fillBody makes the body: what the workspace's requests share, then the request's own.
+// fillBody builds the body. The prompt of a runner begins with the prefix that
+// the workspace's requests share; the text of this request follows.
 func (a *Arrival) fillBody() {
 	ownText := a.ID + " " + fillerText(a.ID, a.Kind.Body)
 	if a.Kind.Target == Service {
@@ -158,12 +167,12 @@
 	a.Tokens = a.Kind.Tokens
 	body, err := json.Marshal(completion{Model: a.Kind.Entry, Prompt: a.Prompt, MaxTokens: a.Tokens, Stream: a.Kind.Stream})
 	if err != nil {
-		panic(err) // a struct of text and numbers always marshals
+		panic(err) // a struct of strings and numbers can always be encoded
 	}
 	a.Body = body
 }
 
-// fillerText returns n bytes that follow from the name.
+// fillerText returns n bytes of text that depend only on the name.
 func fillerText(name string, n int) string {
 	if n <= 0 {
 		return ""
--- a/io/jwstand/engine.go
+++ b/io/jwstand/engine.go
@@ -164,7 +164,7 @@
 	return e.totals
 }
 
-// countRequested counts the tokens that a request asks for.
+// countRequested adds the tokens that a request asks for to the totals.
 func (e *Engine) countRequested(tokens int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -283,7 +283,7 @@
 	return true
 }
 
-// discardWriter takes an answer that nobody will read.
+// discardWriter is a ResponseWriter that discards the answer.
 type discardWriter struct {
 	header http.Header
 }
