--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -276,7 +276,7 @@
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	if len(f.errs) > 0 {
-		return errors.Wrap(f.errs[0], "a part of the fleet failed")
+		return errors.Wrap(f.errs[0], "part of the fleet failed")
 	}
 	return nil
 }
--- a/io/jwfleet/operator.go
+++ b/io/jwfleet/operator.go
@@ -135,7 +135,7 @@
 			return nil
 		}
 		if time.Now().After(deadline) {
-			return errors.Wrapf(err, "not within %s: %s", readyTimeout, what)
+			return errors.Wrapf(err, "not ready after %s: %s", readyTimeout, what)
 		}
 		if err := jwclock.Sleep(ctx, retryPause); err != nil {
 			return err
--- a/io/jwfleet/result.go
+++ b/io/jwfleet/result.go
@@ -70,13 +70,13 @@
 	var b strings.Builder
 	fmt.Fprintf(&b, "%s, %.2f of the capacity (%.0f requests/s), fault %s, seed %d, %d nodes\n",
 		r.Deployment, r.Load, r.Rate, r.Fault, r.Seed, r.Nodes)
-	fmt.Fprintf(&b, "cost %.3f runner-seconds for an answer in time (runners %.1f s; links %.0f kB, price %.6f)\n",
+	fmt.Fprintf(&b, "cost %.3f runner-seconds per answer in time (runners in use for %.1f s; links %.0f kB, cost %.6f)\n",
 		r.Cost, r.RunnerSeconds, r.LinkBytes/1000, r.LinkPrice)
-	fmt.Fprintf(&b, "tokens: %d generated, %d spared, %.0f%% of prompts cached\n", r.Generated, r.Saved, 100*r.Cached)
-	fmt.Fprintf(&b, "nodes: %.0f first tries, %.0f retries (%.1f%%), %.0f over budget; ended for %v\n",
+	fmt.Fprintf(&b, "tokens: %d generated, %d requested but not generated, %.0f%% of prompt tokens cached\n", r.Generated, r.Saved, 100*r.Cached)
+	fmt.Fprintf(&b, "nodes: %.0f first tries, %.0f retries (%.1f%%), %.0f over the retry budget; reasons for requests not served: %v\n",
 		r.Tries, r.Retries, 100*r.RetryShare(), r.OverBudget, r.ReasonsSeen)
 	if r.Poisoned > 0 {
-		fmt.Fprintf(&b, "the poison request was sent %d times before it was refused for good\n", r.Poisoned)
+		fmt.Fprintf(&b, "the poison request was sent %d times before it was quarantined\n", r.Poisoned)
 	}
 	for _, l := range r.Bursts {
 		if l.Entry == "" {
@@ -85,7 +85,7 @@
 	}
 	for _, l := range r.Report.Lines {
 		if l.Entry != "" && l.Served > 0 {
-			fmt.Fprintf(&b, "%s: %.1f%% in time, %.2f%% of the served sent away\n",
+			fmt.Fprintf(&b, "%s: %.1f%% in time, %.2f%% of those served were sent to another region\n",
 				l.Entry, 100*float64(l.InTime)/float64(l.Sent), 100*float64(l.Away)/float64(l.Served))
 		}
 	}
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -214,5 +214,5 @@
 	if err := scanner.Err(); err != nil {
 		return e, err
 	}
-	return e, errors.New("stream ended within an event")
+	return e, errors.New("stream ended before the end of an event")
 }
--- a/io/jwload/audit_test.go
+++ b/io/jwload/audit_test.go
@@ -27,7 +27,7 @@
 		"not run":       {plain, []jwrequest.Outcome{notRun}, nil, Audit{}},
 		"false not run": {plain, []jwrequest.Outcome{notRun}, map[string][]jwstand.Run{"r1": one}, Audit{Runs: 1, FalseNotRun: 1}},
 		"false served":  {plain, []jwrequest.Outcome{served}, nil, Audit{FalseServed: 1}},
-		"unknown is true either way": {
+		"unknown never contradicts a run": {
 			plain, []jwrequest.Outcome{unknown}, map[string][]jwstand.Run{"r1": one}, Audit{Runs: 1},
 		},
 		"a repeat without a key is allowed": {
@@ -45,7 +45,7 @@
 		"one of two sends was refused": {
 			keyed, []jwrequest.Outcome{notRun, served}, map[string][]jwstand.Run{"r1": oneKeyed}, Audit{Runs: 1},
 		},
-		"bound data abroad": {
+		"bound data outside its region": {
 			bound, []jwrequest.Outcome{served}, map[string][]jwstand.Run{"r2": one}, Audit{Runs: 1, OutsideRegion: 1},
 		},
 		"runs of another load": {
@@ -59,7 +59,7 @@
 				au.recordOutcome(test.arrival, outcome)
 			}
 			assert.Equal(t, *au.compare(test.runs), test.want)
-			assert.Equal(t, *au.compare(test.runs), test.want, "a second look sees the same")
+			assert.Equal(t, *au.compare(test.runs), test.want, "a second call of compare returns the same")
 		})
 	}
 }
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -100,7 +100,7 @@
 		return errors.New("load: rate and duration must be above 0")
 	}
 	if l.Warm < 0 || l.Warm >= l.Duration {
-		return errors.New("load: the first part must be shorter than the whole")
+		return errors.New("load: the unreported first part must be shorter than the duration, and not negative")
 	}
 	regions := l.Schedule.Regions
 	if len(regions) == 0 {
@@ -108,12 +108,12 @@
 	}
 	for _, r := range regions {
 		if l.Schedule.Direct < 1 && len(l.Hosts[r.Name]) == 0 {
-			return errors.Errorf("load: no hosts for region %q", r.Name)
+			return errors.Errorf("load: no hosts given for region %q", r.Name)
 		}
 	}
 	for _, k := range l.Schedule.Mix.Kinds {
 		if l.Schedule.Direct > 0 && len(l.Targets[k.Target]) == 0 {
-			return errors.Errorf("load: no target of kind %s for direct calls", k.Target)
+			return errors.Errorf("load: no address given of a target of kind %s for direct requests", k.Target)
 		}
 	}
 	return nil
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -55,7 +55,7 @@
 	t.Helper()
 	assert.NilError(t, l.Run(context.Background()))
 	lines := l.Report().Lines
-	assert.Equal(t, len(lines), 2, "the owner and its entry")
+	assert.Equal(t, len(lines), 2, "one line for the owner and one for its entry")
 	assert.Equal(t, lines[0].Whole, lines[1].Whole)
 	return lines[1]
 }
--- a/io/jwload/mix.go
+++ b/io/jwload/mix.go
@@ -95,15 +95,15 @@
 		case k.Entry == "":
 			return errors.New("mix: a kind has no entry")
 		case k.Share < 0:
-			return errors.Errorf("mix: %s: share below 0", k.Entry)
+			return errors.Errorf("mix: entry %s: share is negative", k.Entry)
 		case k.Target != Runner && k.Target != Service:
-			return errors.Errorf("mix: %s: unknown target %q", k.Entry, k.Target)
+			return errors.Errorf("mix: entry %s: unknown target %q", k.Entry, k.Target)
 		case k.Target == Runner && k.Tokens <= 0:
-			return errors.Errorf("mix: %s: no tokens", k.Entry)
+			return errors.Errorf("mix: entry %s: no tokens", k.Entry)
 		case k.Stream && k.Target != Runner:
-			return errors.Errorf("mix: %s: only runners stream", k.Entry)
+			return errors.Errorf("mix: entry %s: only runners stream", k.Entry)
 		case k.Deadline <= 0:
-			return errors.Errorf("mix: %s: no deadline", k.Entry)
+			return errors.Errorf("mix: entry %s: no deadline", k.Entry)
 		}
 		total += k.Share
 	}
