--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -99,9 +99,9 @@
 func (t *Trial) poison(ctx context.Context, f *fleet, region string) error {
 	caller := newOperator()
 	defer caller.close()
-	nodes := f.nodes[region]
+	regionNodes := f.nodes[region]
 	for try := 0; ctx.Err() == nil; try++ {
-		status, err := caller.sendPrompt(ctx, nodes[try%len(nodes)].CallersAddr(), f.firstRunnerEntry(), jwload.WorkspaceName(region, 0), crashPrompt)
+		status, err := caller.sendPrompt(ctx, regionNodes[try%len(regionNodes)].CallersAddr(), f.firstRunnerEntry(), jwload.WorkspaceName(region, 0), crashPrompt)
 		if err == nil && (status == statusQuarantined || try >= maxPoisonTries) {
 			break
 		}
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -176,9 +176,9 @@
 // endStream records the last event of a stream; correct tells whether the text
 // was the expected one.
 func (ans *answer) endStream(e event, correct bool) {
-	var data endEventData
-	if json.Unmarshal([]byte(e.data), &data) == nil && data.Outcome != "" {
-		ans.outcome = data.Outcome
+	var end endEventData
+	if json.Unmarshal([]byte(e.data), &end) == nil && end.Outcome != "" {
+		ans.outcome = end.Outcome
 	}
 	ans.complete = e.name == "done"
 	ans.correct = ans.complete && correct
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -212,7 +212,7 @@
 	wg.Go(func() { r.forward(Forward, client, server) })
 	wg.Go(func() { r.forward(Back, server, client) })
 	wg.Wait()
-	r.close(false)
+	r.closeConns(false)
 }
 
 // add registers a relay. It returns false if the link is cut or stopped.
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -44,11 +44,11 @@
 }
 
 // reset closes both connections with a TCP reset; bytes in flight are lost.
-func (r *relay) reset() { r.close(true) }
+func (r *relay) reset() { r.closeConns(true) }
 
-// close closes both connections once. A regular end must not reset them: that
-// would discard bytes that the receiver has not read yet.
-func (r *relay) close(reset bool) {
+// closeConns closes both connections once. A regular end must not reset them:
+// that would discard bytes that the receiver has not read yet.
+func (r *relay) closeConns(reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if r.closed {
