--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -114,7 +114,7 @@
 }
 
 const (
-	maxPoisonTries    = 40                     // sends of the poison request
+	maxPoisonTries    = 40                     // retries of the poison request
 	poisonPause       = 300 * time.Millisecond // between two sends
 	statusQuarantined = 422                    // HTTP status for a request that crashed targets before
 )
--- a/io/jwfleet/operator.go
+++ b/io/jwfleet/operator.go
@@ -114,7 +114,7 @@
 	return o.do(r)
 }
 
-// do sends a request and discards the body of the answer.
+// do sends a request and reads the answer to its end, without using its body.
 func (o *operator) do(r *http.Request) (status int, err error) {
 	res, err := o.service.DoRequest(r)
 	if err != nil {
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -28,6 +28,7 @@
 // maxWarmUp is the maximum length of the load before the measured part.
 const maxWarmUp = 5 * time.Second
 
+// warmUp returns the length of the load before the measured part.
 func (t *Trial) warmUp() time.Duration { return min(maxWarmUp, t.Length/3) }
 
 // counterLag is the maximum time by which the counters of nodes lag behind.
@@ -47,6 +48,7 @@
 	return result, err
 }
 
+// measure sends the load, applies the fault and collects the results.
 func (t *Trial) measure(ctx context.Context, f *fleet) (Result, error) {
 	operator := newOperator()
 	defer operator.close()
@@ -70,6 +72,7 @@
 	return t.result(f, report, before), nil
 }
 
+// load returns the main load of the trial.
 func (t *Trial) load(f *fleet) *jwload.Load {
 	var regions []jwload.Region
 	for _, name := range f.Regions {
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -82,6 +82,8 @@
 	}
 }
 
+// newTransport returns an HTTP transport that keeps enough idle connections for
+// an open-loop load.
 func newTransport() *http.Transport {
 	return &http.Transport{
 		DialContext:         (&net.Dialer{Timeout: lateGrace}).DialContext,
@@ -216,6 +218,7 @@
 	return readAnswer(res, a, time.Now)
 }
 
+// newRequest builds the request of an arrival; timeLeft is sent as its timeout.
 func newRequest(ctx context.Context, a Arrival, host netip.AddrPort, timeLeft time.Duration) (*http.Request, error) {
 	path := "/v1/requests/" + a.Kind.Entry
 	if a.Direct {
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -214,24 +214,24 @@
 	tokens := `data: {"choices":[{"text":"` + jwstand.TokenOf("p", 1) + `"}]}` + "\n\n" +
 		`data: {"choices":[{"text":"` + jwstand.TokenOf("p", 2) + `"}]}` + "\n\n"
 	tests := map[string]struct {
-		direct  bool
-		body    string
-		outcome jwrequest.Outcome
-		whole   bool
-		right   bool
+		direct   bool
+		body     string
+		outcome  jwrequest.Outcome
+		complete bool
+		correct  bool
 	}{
 		"whole through a node": {
 			body:    tokens + "data: [DONE]\n\nevent: done\ndata: {\"outcome\":\"served\",\"length\":9}\n\n",
-			outcome: jwrequest.Served, whole: true, right: true,
+			outcome: jwrequest.Served, complete: true, correct: true,
 		},
 		"the engine's end is not the node's": {body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Unknown},
-		"whole from a target":                {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, whole: true, right: true},
+		"whole from a target":                {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, complete: true, correct: true},
 		"cut off":                            {body: tokens, outcome: jwrequest.Unknown},
 		"cut off in its last event":          {body: tokens + "event: done\ndata: {}", outcome: jwrequest.Unknown},
 		"a node's error":                     {body: tokens + "event: error\ndata: {\"outcome\":\"unknown\"}\n\n", outcome: jwrequest.Unknown},
 		"a token is missing": {
 			body:    tokens[:strings.Index(tokens, "\n\n")+2] + "event: done\ndata: {}\n\n",
-			outcome: jwrequest.Served, whole: true,
+			outcome: jwrequest.Served, complete: true,
 		},
 	}
 	for name, test := range tests {
@@ -239,8 +239,8 @@
 			res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, test.body)
 			ans := readAnswer(res, Arrival{Kind: kind, Prompt: "p", Tokens: 2, Direct: test.direct}, time.Now)
 			assert.Equal(t, ans.outcome, test.outcome)
-			assert.Equal(t, ans.complete, test.whole)
-			assert.Equal(t, ans.correct, test.right)
+			assert.Equal(t, ans.complete, test.complete)
+			assert.Equal(t, ans.correct, test.correct)
 		})
 	}
 }
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -45,8 +45,8 @@
 
 // groupStats holds the counts and latencies of one group.
 type groupStats struct {
-	line               Line
-	first, gaps, whole *hdrhistogram.Histogram // time to the first token, between tokens, and to the whole answer, in microseconds
+	line                                   Line
+	firstToken, betweenTokens, wholeAnswer *hdrhistogram.Histogram // time to the first token, between tokens, and to the whole answer, in microseconds
 }
 
 // results collects the results of requests. The zero value is ready to use.
@@ -68,6 +68,8 @@
 	}
 }
 
+// statsOf returns the statistics of a group and creates them if needed. The
+// caller holds rs.mu.
 func (rs *results) statsOf(g group) *groupStats {
 	if rs.groups == nil {
 		rs.groups = make(map[group]*groupStats)
@@ -75,16 +77,17 @@
 	t, found := rs.groups[g]
 	if !found {
 		t = &groupStats{
-			line:  Line{Way: g.way, Owner: g.owner, Entry: g.entry},
-			first: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-			gaps:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-			whole: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			line:          Line{Way: g.way, Owner: g.owner, Entry: g.entry},
+			firstToken:    hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			betweenTokens: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			wholeAnswer:   hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		}
 		rs.groups[g] = t
 	}
 	return t
 }
 
+// add counts a request. Latencies are recorded only for correct answers.
 func (t *groupStats) add(o requestResult, due time.Time) {
 	t.line.Sent++
 	t.line.Retries += int64(o.retries)
@@ -107,12 +110,12 @@
 	}
 	kind := o.arrival.Kind
 	whole, first := o.end.Sub(due), o.answer.firstAt.Sub(due)
-	record(t.whole, whole)
+	record(t.wholeAnswer, whole)
 	if kind.Stream {
-		record(t.first, first)
+		record(t.firstToken, first)
 	}
 	for _, gap := range o.answer.gaps {
-		record(t.gaps, gap)
+		record(t.betweenTokens, gap)
 	}
 	late := whole > time.Duration(kind.Deadline)
 	late = late || kind.Stream && kind.FirstToken > 0 && first > time.Duration(kind.FirstToken)
@@ -172,9 +175,9 @@
 	for _, t := range rs.groups {
 		line := t.line
 		line.Goodput = float64(line.InTime) / d.Seconds()
-		line.FirstToken = percentiles(t.first)
-		line.Between = percentiles(t.gaps)
-		line.Whole = percentiles(t.whole)
+		line.FirstToken = percentiles(t.firstToken)
+		line.Between = percentiles(t.betweenTokens)
+		line.Whole = percentiles(t.wholeAnswer)
 		r.Lines = append(r.Lines, line)
 	}
 	slices.SortFunc(r.Lines, func(a, b Line) int {
--- a/io/jwstand/gate.go
+++ b/io/jwstand/gate.go
@@ -28,6 +28,7 @@
 	return l.conns.add(conn), nil
 }
 
+// add starts to track a connection.
 func (s *connSet) add(conn net.Conn) *trackedConn {
 	c := &trackedConn{Conn: conn, set: s, silenced: make(chan struct{}), closed: make(chan struct{})}
 	s.mu.Lock()
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -39,6 +39,7 @@
 	return true
 }
 
+// silence makes the relay discard all bytes from now on, without an error.
 func (r *relay) silence() {
 	r.silenceOnce.Do(func() { close(r.silenced) })
 }
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -93,8 +93,8 @@
 			defer res.Body.Close()
 			assert.Equal(t, res.StatusCode, http.StatusOK)
 			if test.stream {
-				text, last, whole := readStream(res.Body)
-				assert.Check(t, whole && last != "3")
+				text, lastID, complete := readStream(res.Body)
+				assert.Check(t, complete && lastID != "3")
 				assert.Equal(t, text, test.want)
 				return
 			}
@@ -148,10 +148,10 @@
 		e := &Engine{Prefill: time.Millisecond, CacheTokens: 64}
 		prefix := strings.Repeat("a", 32*bytesPerToken)
 		prefill := func(prompt string) (cached int, took time.Duration) {
-			began := time.Now()
+			start := time.Now()
 			_, cached, err := e.PrefillPrompt(t.Context(), prompt)
 			assert.NilError(t, err)
-			return cached, time.Since(began)
+			return cached, time.Since(start)
 		}
 		cached, cold := prefill(prefix + "x")
 		assert.Check(t, cached == 0 && cold == 33*time.Millisecond, "cold: %d %v", cached, cold)
