--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -110,12 +110,12 @@
 	}
 	for _, r := range regions {
 		if l.Schedule.Direct < 1 && len(l.Hosts[r.Name]) == 0 {
-			return errors.Errorf("load: no hosts given for region %q", r.Name)
+			return errors.Errorf("load: no hosts for region %q", r.Name)
 		}
 	}
 	for _, k := range l.Schedule.Mix.Kinds {
 		if l.Schedule.Direct > 0 && len(l.Targets[k.Target]) == 0 {
-			return errors.Errorf("load: no address given of a target of kind %s for direct requests", k.Target)
+			return errors.Errorf("load: no target of kind %s for direct calls", k.Target)
 		}
 	}
 	return nil
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -222,7 +222,7 @@
 	if err := tw.Flush(); err != nil || r.Audit == nil {
 		return err
 	}
-	_, err := fmt.Fprintf(w, "audit of %d runs: %d keys ran more than once, %d requests ran but were reported as not run, %d were reported as served but did not run, %d runs of bound data were outside its region\n",
+	_, err := fmt.Fprintf(w, "audit of %d runs: %d keys run twice, %d run though not run, %d served but not run, %d bound run abroad\n",
 		r.Audit.Runs, r.Audit.RanTwice, r.Audit.FalseNotRun, r.Audit.FalseServed, r.Audit.OutsideRegion)
 	return err
 }
