--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -9,64 +9,65 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Fault is what goes wrong in a trial.
+// Fault is the fault of a trial.
 type Fault string
 
-// The faults. Those that come in the midst of a trial come when a quarter of
-// the counted part is over.
+// The faults. Those that start during the load start after a quarter of the
+// measured part.
 const (
 	None         Fault = "none"
-	Loss         Fault = "loss"         // three of four runners of the first region go, and return cold
-	KeyValueDown Fault = "keyValueDown" // the key-value service is down all the time
-	PoorLinks    Fault = "poorLinks"    // links between regions are slower, jitter and lose packets
+	Loss         Fault = "loss"         // three of four runners of the first region fail and return with empty caches
+	KeyValueDown Fault = "keyValueDown" // the key-value service is down for the whole trial
+	PoorLinks    Fault = "poorLinks"    // the links have more delay, jitter and packet loss
 	SlowRunner   Fault = "slowRunner"   // one runner takes five times as long and does not report it
-	Poison       Fault = "poison"       // a request that crashes runners is sent again by its caller
-	Burst        Fault = "burst"        // one owner of the first region asks for its whole capacity four times over
+	Poison       Fault = "poison"       // a caller keeps resending a request that crashes runners
+	Burst        Fault = "burst"        // one owner in the first region sends four times the capacity of the region
 )
 
 // Faults lists all faults.
 var Faults = []Fault{None, Loss, KeyValueDown, PoorLinks, SlowRunner, Poison, Burst}
 
+// slowFactor is the factor on the times of the runner under SlowRunner.
 const slowFactor = 5
 
-// weather is that of PoorLinks.
-var weather = jwstand.Weather{
+// poorWeather is the condition of the links under PoorLinks.
+var poorWeather = jwstand.Weather{
 	Delay:  jwstand.Duration(80 * time.Millisecond),
 	Jitter: jwstand.Duration(60 * time.Millisecond),
 	Loss:   0.02,
 }
 
-// burstOf names the region of the burst's load, whose callers go to the nodes
-// of a real one.
-func burstOf(region string) string { return "burst-" + region }
+// burstRegion returns the region name that the load of a burst uses. Its
+// callers use the nodes of the given, real region.
+func burstRegion(region string) string { return "burst-" + region }
 
-// inject brings the fault about while the load runs.
+// inject applies the fault while the load runs.
 func (t *Trial) inject(ctx context.Context, f *fleet) error {
 	if t.Fault == KeyValueDown {
 		f.keyValue.SetFaults(jwstand.Faults{Down: true})
 		return nil
 	}
-	if err := jwclock.Sleep(ctx, t.warm()+t.Length/4); err != nil {
+	if err := jwclock.Sleep(ctx, t.warmUp()+t.Length/4); err != nil {
 		return err
 	}
 	region := f.Regions[0]
 	switch t.Fault {
 	case Loss:
-		lost := f.runners[region][1:]
-		for _, r := range lost {
+		lostRunners := f.runners[region][1:]
+		for _, r := range lostRunners {
 			r.down()
 		}
 		err := jwclock.Sleep(ctx, t.Length/3)
-		for _, r := range lost {
+		for _, r := range lostRunners {
 			r.up()
 		}
 		return err
 	case PoorLinks:
-		for _, l := range f.between {
-			l.SetWeather(weather)
+		for _, l := range f.regionLinks {
+			l.SetWeather(poorWeather)
 		}
 	case SlowRunner:
-		f.runners[region][0].Engine.Slow(slowFactor)
+		f.runners[region][0].Engine.SetTimeFactor(slowFactor)
 	case Poison:
 		return t.poison(ctx, f, region)
 	case Burst:
@@ -75,9 +76,9 @@
 	return nil
 }
 
-// burst sends the load of one owner on top of all others.
+// burst sends the load of one owner in addition to the main load.
 func (t *Trial) burst(ctx context.Context, f *fleet, region string) error {
-	name := burstOf(region)
+	name := burstRegion(region)
 	rate := 4 * f.Capacity() / float64(len(f.Regions))
 	load := &jwload.Load{
 		Schedule: jwload.Schedule{
@@ -86,21 +87,22 @@
 		Duration: t.Length / 2,
 		Follow:   true,
 	}
-	load.Hosts = f.entrances()
+	load.Hosts = f.callerAddresses()
 	load.Hosts[name] = load.Hosts[region]
 	err := load.Run(ctx)
 	t.bursts = load.Report().Lines
 	return err
 }
 
-// poison sends a request until it is refused for good, as its caller would.
+// poison resends a request that crashes its runner, as its caller would, until
+// the request is quarantined or after maxPoisonTries.
 func (t *Trial) poison(ctx context.Context, f *fleet, region string) error {
 	caller := newOperator()
 	defer caller.close()
-	to := f.nodes[region]
+	regionNodes := f.nodes[region]
 	for try := 0; ctx.Err() == nil; try++ {
-		status, err := caller.prompt(ctx, to[try%len(to)].CallersAddr(), f.draft(), jwload.WorkspaceName(region, 0), poison)
-		if err == nil && (status == refusedForGood || try >= poisonTries) {
+		status, err := caller.sendPrompt(ctx, regionNodes[try%len(regionNodes)].CallersAddr(), f.firstRunnerEntry(), jwload.WorkspaceName(region, 0), crashPrompt)
+		if err == nil && (status == statusQuarantined || try >= maxPoisonTries) {
 			break
 		}
 		t.poisoned++
@@ -112,13 +114,14 @@
 }
 
 const (
-	poisonTries    = 40
-	poisonPause    = 300 * time.Millisecond
-	refusedForGood = 422
+	maxPoisonTries    = 40                     // retries of the poison request
+	poisonPause       = 300 * time.Millisecond // between two sends
+	statusQuarantined = 422                    // HTTP status for a request that crashed targets before
 )
 
-// draft names the first entry that model runners serve.
-func (f *fleet) draft() string {
+// firstRunnerEntry returns the name of the first entry that model runners
+// serve.
+func (f *fleet) firstRunnerEntry() string {
 	for _, k := range f.Mix.Kinds {
 		if k.Target == jwload.Runner {
 			return k.Entry
--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -17,47 +17,48 @@
 )
 
 const (
-	maxLine   = 1 << 20
-	maxAnswer = 16 << 20
+	maxLine   = 1 << 20  // bytes of a line of a stream
+	maxAnswer = 16 << 20 // bytes of an answer that is no stream
 )
 
-// answer is what came back for one call.
+// answer is the result of one call.
 type answer struct {
-	status  int
-	outcome jwrequest.Outcome
-	whole   bool // the end of the answer came
-	right   bool // the answer is that of this request
-	first   time.Time
-	gaps    []time.Duration // between tokens
-	retry   time.Duration   // when to come back; 0 when not told
-	hosts   []netip.AddrPort
-	region  string // that served it, "" when not told
+	status     int // HTTP status
+	outcome    jwrequest.Outcome
+	complete   bool             // the end of the answer was received
+	correct    bool             // the content is the expected one for this request
+	firstAt    time.Time        // when the first token came, or the whole answer if it is no stream
+	gaps       []time.Duration  // times between tokens
+	retryAfter time.Duration    // from the Retry-After header; 0 without it
+	hosts      []netip.AddrPort // hosts to use instead, if the answer names any
+	region     string           // region that served the request; "" if the answer does not tell
 }
 
-// readAnswer takes a response to its end.
+// readAnswer reads a response to its end.
 func readAnswer(res *http.Response, a Arrival, now func() time.Time) answer {
 	ans := answer{
-		status:  res.StatusCode,
-		outcome: jwrequest.Outcome(res.Header.Get("Jujube-Outcome")),
-		retry:   retryAfter(res.Header),
-		region:  res.Header.Get("Jujube-Served-By"),
+		status:     res.StatusCode,
+		outcome:    jwrequest.Outcome(res.Header.Get("Jujube-Outcome")),
+		retryAfter: parseRetryAfter(res.Header),
+		region:     res.Header.Get("Jujube-Served-By"),
 	}
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
 		ans.readStream(res.Body, a, now)
 	} else {
 		ans.readWhole(res.Body, a, now)
 	}
-	ans.settle(a.Direct)
+	ans.setOutcome(a.Direct)
 	return ans
 }
 
-// settle fills in the outcome where no header could tell it.
-func (ans *answer) settle(direct bool) {
+// setOutcome derives the outcome where no header or event tells it, and
+// replaces the outcome served if the answer is incomplete.
+func (ans *answer) setOutcome(direct bool) {
 	if ans.outcome != "" && ans.outcome != jwrequest.Served {
 		return
 	}
 	switch {
-	case ans.status == http.StatusOK && ans.whole:
+	case ans.status == http.StatusOK && ans.complete:
 		ans.outcome = jwrequest.Served
 	case direct && ans.status == http.StatusServiceUnavailable:
 		ans.outcome = jwrequest.NotRun
@@ -66,7 +67,9 @@
 	}
 }
 
-func retryAfter(header http.Header) time.Duration {
+// parseRetryAfter returns the Retry-After header, in seconds, as a duration. It
+// returns 0 if the header is missing or invalid.
+func parseRetryAfter(header http.Header) time.Duration {
 	seconds, err := strconv.ParseFloat(header.Get("Retry-After"), 64)
 	if err != nil || seconds < 0 {
 		return 0
@@ -79,25 +82,25 @@
 	if err != nil {
 		return
 	}
-	ans.whole = true
-	ans.first = now()
+	ans.complete = true
+	ans.firstAt = now()
 	if ans.status != http.StatusOK {
 		ans.hosts = decodeHosts(data)
 		return
 	}
 	if a.Kind.Target == Service {
 		var echo jwstand.Echo
-		ans.right = json.Unmarshal(data, &echo) == nil && echo.Body == string(a.Body)
+		ans.correct = json.Unmarshal(data, &echo) == nil && echo.Body == string(a.Body)
 		return
 	}
 	var c jwstand.CompletionAnswer
 	if json.Unmarshal(data, &c) == nil && len(c.Choices) == 1 {
-		ans.right = c.Choices[0].Text == jwstand.TextOf(a.Prompt, a.Tokens)
+		ans.correct = c.Choices[0].Text == jwstand.TextOf(a.Prompt, a.Tokens)
 	}
 }
 
-// decodeHosts reads the hosts to use instead, given as texts or as objects
-// with an address.
+// decodeHosts reads the hosts to use instead. They are encoded as strings or as
+// objects with an address.
 func decodeHosts(data []byte) []netip.AddrPort {
 	var plain struct {
 		Hosts []netip.AddrPort `json:"hosts"`
@@ -120,65 +123,69 @@
 	return hosts
 }
 
-// event is one event of a stream.
+// event is one server-sent event.
 type event struct {
 	name string
 	data string
 }
 
-// lastWord is the data of the event with which a node ends a stream.
-type lastWord struct {
+// endEventData is the data of the event with which a node ends a stream.
+type endEventData struct {
 	Outcome jwrequest.Outcome `json:"outcome"`
 }
 
-// readStream takes tokens until the stream's end. Through a node only its own
-// last event is the end; a direct stream ends as the engine ends it.
+// readStream reads tokens until the stream ends. A stream through a node is
+// complete only with the node's own last event; a direct stream is complete
+// with the last event of the engine.
 func (ans *answer) readStream(body io.Reader, a Arrival, now func() time.Time) {
 	scanner := bufio.NewScanner(body)
 	scanner.Buffer(make([]byte, 0, 64<<10), maxLine)
 	var b strings.Builder
-	var before time.Time
+	var previous time.Time
 	for {
 		e, err := nextEvent(scanner)
 		if err != nil {
 			return
 		}
-		at := now()
+		receivedAt := now()
 		switch {
 		case e.name == "done" || e.name == "error":
-			ans.end(e, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
+			ans.endStream(e, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
 			return
 		case e.data == "[DONE]":
 			if a.Direct {
-				ans.end(event{name: "done"}, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
+				ans.endStream(event{name: "done"}, b.String() == jwstand.TextOf(a.Prompt, a.Tokens))
 				return
 			}
 			continue
 		}
-		token, ok := tokenOf(e.data)
+		token, ok := parseToken(e.data)
 		if !ok {
 			continue
 		}
 		b.WriteString(token)
-		if ans.first.IsZero() {
-			ans.first = at
+		if ans.firstAt.IsZero() {
+			ans.firstAt = receivedAt
 		} else {
-			ans.gaps = append(ans.gaps, at.Sub(before))
+			ans.gaps = append(ans.gaps, receivedAt.Sub(previous))
 		}
-		before = at
+		previous = receivedAt
 	}
 }
 
-func (ans *answer) end(e event, right bool) {
-	var word lastWord
-	if json.Unmarshal([]byte(e.data), &word) == nil && word.Outcome != "" {
-		ans.outcome = word.Outcome
+// endStream records the last event of a stream; correct tells whether the text
+// was the expected one.
+func (ans *answer) endStream(e event, correct bool) {
+	var end endEventData
+	if json.Unmarshal([]byte(e.data), &end) == nil && end.Outcome != "" {
+		ans.outcome = end.Outcome
 	}
-	ans.whole = e.name == "done"
-	ans.right = ans.whole && right
+	ans.complete = e.name == "done"
+	ans.correct = ans.complete && correct
 }
 
-func tokenOf(data string) (string, bool) {
+// parseToken returns the token in the data of an event.
+func parseToken(data string) (string, bool) {
 	var c jwstand.CompletionAnswer
 	if json.Unmarshal([]byte(data), &c) != nil || len(c.Choices) != 1 {
 		return "", false
@@ -186,7 +193,7 @@
 	return c.Choices[0].Text, true
 }
 
-// nextEvent reads lines up to the blank one that ends an event.
+// nextEvent reads one event, up to the blank line that ends it.
 func nextEvent(scanner *bufio.Scanner) (event, error) {
 	var e event
 	seen := false
@@ -207,5 +214,5 @@
 	if err := scanner.Err(); err != nil {
 		return e, err
 	}
-	return e, errors.New("stream ended within an event")
+	return e, errors.New("stream ended before the end of an event")
 }
--- a/io/jwload/audit.go
+++ b/io/jwload/audit.go
@@ -14,72 +14,75 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Audit holds what callers were told against what targets ran.
+// Audit compares the outcomes that callers were told with the runs in the
+// journals of the targets.
 type Audit struct {
-	Runs        int `json:"runs"`        // of this load, resumed streams left out
-	RanTwice    int `json:"ranTwice"`    // keys that ran more than once
-	FalseNotRun int `json:"falseNotRun"` // told notRun each time, and run
-	FalseServed int `json:"falseServed"` // told served, and run by no target that was read
-	Abroad      int `json:"abroad"`      // runs of bound data outside its region
+	Runs          int `json:"runs"`        // runs of this load, without resumed streams
+	RanTwice      int `json:"ranTwice"`    // idempotency keys that ran more than once
+	FalseNotRun   int `json:"falseNotRun"` // requests that ran although every outcome was notRun
+	FalseServed   int `json:"falseServed"` // requests with the outcome served that are in no journal that was read
+	OutsideRegion int `json:"abroad"`      // runs of bound data outside its region
 }
 
-// asked is what is known of one request, with all its sends.
-type asked struct {
+// sentRequest collects the outcomes and runs of one request over all its sends.
+type sentRequest struct {
 	region string
 	bound  bool
-	key    bool
+	hasKey bool
 	served bool
-	notRun bool // each send so far was told so
+	notRun bool // every outcome so far was notRun
 	runs   int
 }
 
-// audit keeps what callers were told; the zero value is empty.
+// audit collects the outcomes that callers were told. The zero value is ready
+// to use.
 type audit struct {
-	mu    sync.Mutex
-	asked map[string]*asked // by idempotency key, or by request id without one
+	mu       sync.Mutex
+	requests map[string]*sentRequest // by idempotency key, or by request ID without one
 }
 
-// note keeps the outcome of one send.
-func (au *audit) note(a Arrival, outcome jwrequest.Outcome) {
+// recordOutcome records the outcome of one send.
+func (au *audit) recordOutcome(a Arrival, outcome jwrequest.Outcome) {
 	au.mu.Lock()
 	defer au.mu.Unlock()
-	if au.asked == nil {
-		au.asked = make(map[string]*asked)
+	if au.requests == nil {
+		au.requests = make(map[string]*sentRequest)
 	}
-	name := nameOf(a.Key, a.ID)
-	r, found := au.asked[name]
+	key := auditKey(a.Key, a.ID)
+	r, found := au.requests[key]
 	if !found {
-		r = &asked{region: a.Region, bound: a.Bound && !a.Direct, key: a.Key != "", notRun: true}
-		au.asked[name] = r
+		r = &sentRequest{region: a.Region, bound: a.Bound && !a.Direct, hasKey: a.Key != "", notRun: true}
+		au.requests[key] = r
 	}
 	r.served = r.served || outcome == jwrequest.Served
 	r.notRun = r.notRun && outcome == jwrequest.NotRun
 }
 
-func nameOf(key, id string) string {
+// auditKey returns the idempotency key of a request, or its ID if it has none.
+func auditKey(key, id string) string {
 	if key != "" {
 		return key
 	}
 	return id
 }
 
-// compare counts what breaks a promise; runs are listed by the region of the
-// target, "" where it is not known.
+// compare counts the runs that contradict the outcomes. The runs are given by
+// region of the target, "" if that is not known.
 func (au *audit) compare(runs map[string][]jwstand.Run) *Audit {
 	au.mu.Lock()
 	defer au.mu.Unlock()
 	result := &Audit{}
-	for _, r := range au.asked {
+	for _, r := range au.requests {
 		r.runs = 0
 	}
 	for region, list := range runs {
 		for _, run := range list {
-			r, found := au.asked[nameOf(run.Key, run.RequestID)]
+			r, found := au.requests[auditKey(run.Key, run.RequestID)]
 			if !found {
-				continue // of another load
+				continue // run of another load
 			}
 			if r.bound && region != "" && region != r.region {
-				result.Abroad++
+				result.OutsideRegion++
 			}
 			if !run.Resumed {
 				r.runs++
@@ -87,9 +90,9 @@
 			}
 		}
 	}
-	for _, r := range au.asked {
+	for _, r := range au.requests {
 		switch {
-		case r.key && r.runs > 1:
+		case r.hasKey && r.runs > 1:
 			result.RanTwice++
 		case r.notRun && r.runs > 0:
 			result.FalseNotRun++
@@ -100,9 +103,9 @@
 	return result
 }
 
-// Audit reads the journals of targets at their control ports, by region, and
-// compares them with the answers. The journal of a target that crashed is
-// lost: its runs are missing here.
+// Audit reads the journals of targets and compares them with the outcomes. The
+// journals are given as addresses of control ports, by region. A target that
+// crashed has lost its journal, so its runs are missing.
 func (l *Load) Audit(ctx context.Context, journals map[string][]netip.AddrPort) (*Audit, error) {
 	runs := make(map[string][]jwstand.Run)
 	for region, addresses := range journals {
@@ -117,6 +120,7 @@
 	return l.audit.compare(runs), nil
 }
 
+// readJournal reads the journal of one target from its control port.
 func (l *Load) readJournal(ctx context.Context, address netip.AddrPort) ([]jwstand.Run, error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+address.String()+"/journal", nil)
 	if err != nil {
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -21,37 +21,38 @@
 )
 
 const (
-	serviceName = "jwload"
-	idleConns   = 4096
+	serviceName = "jwload" // name of the HTTP client in go-zero's metrics and breakers
+	idleConns   = 4096     // kept open per host
 	idleTimeout = time.Minute
-	maxTries    = 5
-	// grace is how long past its deadline a call is still waited for, so that
-	// a late answer is told apart from none.
-	grace = 2 * time.Second
-	// patience is how soon a caller sends a second time.
-	patience = 20 * time.Millisecond
+	maxTries    = 5 // per request
+	// lateGrace is how long after its deadline a call is still awaited, so that the
+	// report can tell a late answer from none. It is also the timeout for a new
+	// connection.
+	lateGrace = 2 * time.Second
+	// resendDelay is how long after the first send a caller sends a duplicate.
+	resendDelay = 20 * time.Millisecond
 )
 
-// caller sends one HTTP request.
-type caller interface {
+// requestDoer sends one HTTP request.
+type requestDoer interface {
 	DoRequest(r *http.Request) (*http.Response, error)
 }
 
-// Load sends one schedule and keeps what came of it.
+// Load sends the requests of a schedule and records the results.
 type Load struct {
-	Schedule Schedule
-	Duration time.Duration
-	Warm     time.Duration               // requests due in this first part are audited and not reported
-	Hosts    map[string][]netip.AddrPort // nodes by region; "" for callers without one
-	Targets  map[Target][]netip.AddrPort // for direct calls
-	Follow   bool                        // comes back after Retry-After and goes to the hosts that an answer names
-
-	service caller
-	results results
-	audit   audit
-	turn    atomic.Uint64
-	open    atomic.Int64
-	most    atomic.Int64
+	Schedule Schedule                    // the requests to send
+	Duration time.Duration               // requests due later than this are not sent
+	Warm     time.Duration               // requests due in this first part are audited, but not reported
+	Hosts    map[string][]netip.AddrPort // addresses of nodes by region; the key is "" if Schedule has no regions
+	Targets  map[Target][]netip.AddrPort // addresses of targets, for direct requests
+	Follow   bool                        // retries after Retry-After and uses the hosts that an answer names
+
+	service     requestDoer
+	results     results
+	audit       audit
+	nextHost    atomic.Uint64 // counts requests, to spread them over the hosts
+	inFlight    atomic.Int64  // requests in flight
+	maxInFlight atomic.Int64  // maximum of inFlight so far
 }
 
 // Run sends the load and returns once every request has ended.
@@ -62,18 +63,18 @@
 	if l.service == nil {
 		transport := newTransport()
 		defer transport.CloseIdleConnections()
-		breaker.NoBreakerFor(serviceName) // it would refuse calls that were never sent
+		breaker.NoBreakerFor(serviceName) // a circuit breaker would reject calls without sending them
 		l.service = httpc.NewServiceWithClient(serviceName, &http.Client{Transport: transport})
 	}
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	began := time.Now()
+	start := time.Now()
 	for {
 		a := l.Schedule.Next()
 		if a.At > l.Duration {
 			return nil
 		}
-		due := began.Add(a.At)
+		due := start.Add(a.At)
 		if jwclock.Sleep(ctx, time.Until(due)) != nil {
 			return errors.Wrap(ctx.Err(), "send load")
 		}
@@ -81,15 +82,18 @@
 	}
 }
 
+// newTransport returns an HTTP transport that keeps enough idle connections for
+// an open-loop load.
 func newTransport() *http.Transport {
 	return &http.Transport{
-		DialContext:         (&net.Dialer{Timeout: grace}).DialContext,
+		DialContext:         (&net.Dialer{Timeout: lateGrace}).DialContext,
 		MaxIdleConnsPerHost: idleConns,
 		IdleConnTimeout:     idleTimeout,
 		DisableCompression:  true,
 	}
 }
 
+// check returns an error for a load that can't be sent.
 func (l *Load) check() error {
 	if err := l.Schedule.Mix.check(); err != nil {
 		return err
@@ -98,7 +102,7 @@
 		return errors.New("load: rate and duration must be above 0")
 	}
 	if l.Warm < 0 || l.Warm >= l.Duration {
-		return errors.New("load: the first part must be shorter than the whole")
+		return errors.New("load: the unreported first part must be shorter than the duration, and not negative")
 	}
 	regions := l.Schedule.Regions
 	if len(regions) == 0 {
@@ -117,75 +121,78 @@
 	return nil
 }
 
-// Report returns what came of the load.
+// Report returns the results of the load, without those of the part Warm.
 func (l *Load) Report() Report {
-	return l.results.report(l.Duration-l.Warm, l.most.Load())
+	return l.results.report(l.Duration-l.Warm, l.maxInFlight.Load())
 }
 
-// send carries one request through all its tries.
+// send sends one request, with retries if Follow is set, and records its
+// result.
 func (l *Load) send(ctx context.Context, a Arrival, due time.Time) {
-	open := l.open.Add(1)
-	defer l.open.Add(-1)
-	for most := l.most.Load(); open > most && !l.most.CompareAndSwap(most, open); {
-		most = l.most.Load()
+	inFlight := l.inFlight.Add(1)
+	defer l.inFlight.Add(-1)
+	for maxSeen := l.maxInFlight.Load(); inFlight > maxSeen && !l.maxInFlight.CompareAndSwap(maxSeen, inFlight); {
+		maxSeen = l.maxInFlight.Load()
 	}
-	if a.Again {
-		defer l.sendAgain(ctx, a, due)()
+	if a.SendTwice {
+		defer l.sendDuplicate(ctx, a, due)()
 	}
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
-	ctx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
+	ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 	defer cancel()
-	o := outcome{arrival: a}
-	hosts := l.hostsOf(a)
-	turn := int(l.turn.Add(1))
+	o := requestResult{arrival: a}
+	hosts := l.hostsFor(a)
+	firstHost := int(l.nextHost.Add(1))
 	for try := range maxTries {
-		host := hosts[(turn+try)%len(hosts)]
+		host := hosts[(firstHost+try)%len(hosts)]
 		o.answer = l.call(ctx, a, host, deadline)
 		o.end = time.Now()
 		if !l.Follow || o.answer.outcome != jwrequest.NotRun || a.Direct {
 			break
 		}
 		if len(o.answer.hosts) > 0 {
-			hosts, turn = o.answer.hosts, -try-1 // the first named one is next
+			hosts, firstHost = o.answer.hosts, -try-1 // the first named host is next
 		}
-		again := time.Now().Add(o.answer.retry)
-		if try == maxTries-1 || again.After(deadline) {
+		retryAt := time.Now().Add(o.answer.retryAfter)
+		if try == maxTries-1 || retryAt.After(deadline) {
 			break
 		}
 		o.retries++
-		if jwclock.Sleep(ctx, time.Until(again)) != nil {
+		if jwclock.Sleep(ctx, time.Until(retryAt)) != nil {
 			break
 		}
 	}
 	if a.At >= l.Warm {
 		l.results.add(o, due)
 	}
-	l.audit.note(a, o.answer.outcome)
+	l.audit.recordOutcome(a, o.answer.outcome)
 }
 
-// sendAgain sends the request a second time while the first is under way, as
-// a caller does whose page hangs; the function that it returns waits for it.
-// The second one is no part of the report but for the audit.
-func (l *Load) sendAgain(ctx context.Context, a Arrival, due time.Time) (wait func()) {
+// sendDuplicate sends the request a second time while the first send is in
+// flight, as a user who reloads a page that hangs. The function wait returns
+// once the duplicate has ended. Duplicates count in the audit only, not in the
+// other results.
+func (l *Load) sendDuplicate(ctx context.Context, a Arrival, due time.Time) (wait func()) {
 	deadline := due.Add(time.Duration(a.Kind.Deadline))
-	hosts := l.hostsOf(a)
+	hosts := l.hostsFor(a)
 	host := hosts[a.Number%len(hosts)]
 	a.ID += "-again"
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		ctx, cancel := context.WithDeadline(ctx, deadline.Add(grace))
+		ctx, cancel := context.WithDeadline(ctx, deadline.Add(lateGrace))
 		defer cancel()
-		if jwclock.Sleep(ctx, time.Until(due.Add(patience))) != nil {
+		if jwclock.Sleep(ctx, time.Until(due.Add(resendDelay))) != nil {
 			return
 		}
 		ans := l.call(ctx, a, host, deadline)
-		l.audit.note(a, ans.outcome)
+		l.audit.recordOutcome(a, ans.outcome)
 	}()
 	return func() { <-done }
 }
 
-func (l *Load) hostsOf(a Arrival) []netip.AddrPort {
+// hostsFor returns the addresses to which a request may be sent.
+func (l *Load) hostsFor(a Arrival) []netip.AddrPort {
 	if a.Direct {
 		return l.Targets[a.Kind.Target]
 	}
@@ -211,7 +218,8 @@
 	return readAnswer(res, a, time.Now)
 }
 
-func newRequest(ctx context.Context, a Arrival, host netip.AddrPort, left time.Duration) (*http.Request, error) {
+// newRequest builds the request of an arrival; timeLeft is sent as its timeout.
+func newRequest(ctx context.Context, a Arrival, host netip.AddrPort, timeLeft time.Duration) (*http.Request, error) {
 	path := "/v1/requests/" + a.Kind.Entry
 	if a.Direct {
 		path = a.Kind.Path
@@ -223,7 +231,7 @@
 	r.Header.Set("Content-Type", "application/json")
 	r.Header.Set("Jujube-Workspace", a.Workspace)
 	r.Header.Set("Jujube-Request-Id", a.ID)
-	r.Header.Set("Jujube-Timeout", strconv.FormatInt(max(left.Milliseconds(), 1), 10)+"ms")
+	r.Header.Set("Jujube-Timeout", strconv.FormatInt(max(timeLeft.Milliseconds(), 1), 10)+"ms")
 	if a.Kind.Stream {
 		r.Header.Set("Accept", "text/event-stream")
 	}
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -21,7 +21,7 @@
 	hostB = netip.MustParseAddrPort("127.0.0.1:2")
 )
 
-func lookups() Mix {
+func lookupMix() Mix {
 	return Mix{Kinds: []Kind{{
 		Entry: "lookup", Owner: "o", Share: 1, Target: Service, Path: "/l", Body: 10, Deadline: jwstand.Duration(time.Second),
 	}}}
@@ -55,12 +55,12 @@
 	t.Helper()
 	assert.NilError(t, l.Run(context.Background()))
 	lines := l.Report().Lines
-	assert.Equal(t, len(lines), 2, "the owner and its entry")
+	assert.Equal(t, len(lines), 2, "one line for the owner and one for its entry")
 	assert.Equal(t, lines[0].Whole, lines[1].Whole)
 	return lines[1]
 }
 
-func TestScheduleRepeats(t *testing.T) {
+func TestScheduleIsReproducible(t *testing.T) {
 	newSchedule := func() *Schedule {
 		regions := []Region{{Name: "r1", Share: 1}, {Name: "r2", Share: 3}}
 		return &Schedule{Mix: Mixes["zaitoun"], Regions: regions, Workspaces: 10, Rate: 100, Direct: 0.5, Seed: 7}
@@ -79,13 +79,13 @@
 			counts["direct"]++
 		}
 	}
-	within := func(name string, want int) {
+	checkCount := func(name string, want int) {
 		t.Helper()
 		assert.Check(t, counts[name] > want*9/10 && counts[name] < want*11/10, "%s: %d", name, counts[name])
 	}
-	within("status-check", 2400)
-	within("r2", 3000)
-	within("direct", 2000)
+	checkCount("status-check", 2400)
+	checkCount("r2", 3000)
+	checkCount("direct", 2000)
 	assert.Check(t, last > 36*time.Second && last < 44*time.Second, "%v for 4000 at 100/s", last)
 }
 
@@ -93,25 +93,26 @@
 	kind := Mixes["cladagh"].Kinds[0]
 	a := Arrival{ID: "1", Workspace: "w", Kind: kind}
 	b := Arrival{ID: "2", Workspace: "w", Kind: kind}
-	a.fill()
-	b.fill()
+	a.fillBody()
+	b.fillBody()
 	assert.Equal(t, a.Prompt[:kind.Prefix], b.Prompt[:kind.Prefix])
 	assert.Check(t, a.Prompt != b.Prompt)
 }
 
-// A node stalls for a while. A generator that waits for answers would send
-// less in that time and report a few slow requests; callers meet the stall in
-// every request that was due in it, and so must the report.
+// A node stalls for a while. A closed-loop generator waits for answers, so it
+// would send less during the stall and report only a few slow requests. Callers
+// see the stall in every request that was due during it, and the report must
+// show that.
 func TestStallShowsInAllRequests(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
-		began := time.Now()
+		start := time.Now()
 		const stall = 500 * time.Millisecond
 		l := &Load{
-			Schedule: Schedule{Mix: lookups(), Rate: 100, Seed: 1},
+			Schedule: Schedule{Mix: lookupMix(), Rate: 100, Seed: 1},
 			Duration: time.Second,
 			Hosts:    map[string][]netip.AddrPort{"": {hostA}},
 			service: callerFunc(func(r *http.Request) (*http.Response, error) {
-				time.Sleep(time.Until(began.Add(stall)))
+				time.Sleep(time.Until(start.Add(stall)))
 				return echo(r), nil
 			}),
 		}
@@ -192,8 +193,8 @@
 					calls++
 					return test.answers(r, calls)
 				})
-				a := Arrival{Kind: lookups().Kinds[0], ID: "1"}
-				a.fill()
+				a := Arrival{Kind: lookupMix().Kinds[0], ID: "1"}
+				a.fillBody()
 				l.Duration = time.Second
 				l.send(context.Background(), a, time.Now())
 				line := l.Report().Lines[1]
@@ -213,24 +214,24 @@
 	tokens := `data: {"choices":[{"text":"` + jwstand.TokenOf("p", 1) + `"}]}` + "\n\n" +
 		`data: {"choices":[{"text":"` + jwstand.TokenOf("p", 2) + `"}]}` + "\n\n"
 	tests := map[string]struct {
-		direct  bool
-		body    string
-		outcome jwrequest.Outcome
-		whole   bool
-		right   bool
+		direct   bool
+		body     string
+		outcome  jwrequest.Outcome
+		complete bool
+		correct  bool
 	}{
 		"whole through a node": {
 			body:    tokens + "data: [DONE]\n\nevent: done\ndata: {\"outcome\":\"served\",\"length\":9}\n\n",
-			outcome: jwrequest.Served, whole: true, right: true,
+			outcome: jwrequest.Served, complete: true, correct: true,
 		},
 		"the engine's end is not the node's": {body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Unknown},
-		"whole from a target":                {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, whole: true, right: true},
+		"whole from a target":                {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, complete: true, correct: true},
 		"cut off":                            {body: tokens, outcome: jwrequest.Unknown},
 		"cut off in its last event":          {body: tokens + "event: done\ndata: {}", outcome: jwrequest.Unknown},
 		"a node's error":                     {body: tokens + "event: error\ndata: {\"outcome\":\"unknown\"}\n\n", outcome: jwrequest.Unknown},
 		"a token is missing": {
 			body:    tokens[:strings.Index(tokens, "\n\n")+2] + "event: done\ndata: {}\n\n",
-			outcome: jwrequest.Served, whole: true,
+			outcome: jwrequest.Served, complete: true,
 		},
 	}
 	for name, test := range tests {
@@ -238,8 +239,8 @@
 			res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, test.body)
 			ans := readAnswer(res, Arrival{Kind: kind, Prompt: "p", Tokens: 2, Direct: test.direct}, time.Now)
 			assert.Equal(t, ans.outcome, test.outcome)
-			assert.Equal(t, ans.whole, test.whole)
-			assert.Equal(t, ans.right, test.right)
+			assert.Equal(t, ans.complete, test.complete)
+			assert.Equal(t, ans.correct, test.correct)
 		})
 	}
 }
@@ -271,6 +272,6 @@
 	f.Fuzz(func(t *testing.T, body string, direct bool) {
 		res := respond(http.StatusOK, map[string]string{"Content-Type": "text/event-stream"}, body)
 		ans := readAnswer(res, Arrival{Kind: Kind{Target: Runner, Stream: true}, Prompt: "p", Tokens: 1, Direct: direct}, time.Now)
-		assert.Check(t, ans.whole || !ans.right, "an answer without its end is never right")
+		assert.Check(t, ans.complete || !ans.correct, "an answer without its end is never right")
 	})
 }
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -15,47 +15,48 @@
 )
 
 const (
-	longest = int64(10 * time.Minute / time.Microsecond)
-	digits  = 3
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond) // maximum latency of a histogram, in microseconds; longer ones count as this
+	significantDigits = 3                                          // precision of a histogram
 )
 
-// Way tells how requests reached a target.
+// Way is how a request reached its target.
 type Way string
 
 // The ways of a request.
 const (
-	ByNode Way = "node"
-	Direct Way = "direct"
+	ByNode Way = "node"   // through a node
+	Direct Way = "direct" // sent to the target itself
 )
 
-// outcome is one request after its last try.
-type outcome struct {
+// requestResult is the result of one request after its last try.
+type requestResult struct {
 	arrival Arrival
 	answer  answer
 	end     time.Time
 	retries int
 }
 
-// group is what one line of a report counts.
+// group identifies the requests that one line of a report counts.
 type group struct {
 	way   Way
 	owner string
 	entry string // empty for all entries of the owner
 }
 
-type tally struct {
-	line               Line
-	first, gaps, whole *hdrhistogram.Histogram
+// groupStats holds the counts and latencies of one group.
+type groupStats struct {
+	line                                   Line
+	firstToken, betweenTokens, wholeAnswer *hdrhistogram.Histogram // time to the first token, between tokens, and to the whole answer, in microseconds
 }
 
-// results gathers outcomes; the zero value is empty.
+// results collects the results of requests. The zero value is ready to use.
 type results struct {
 	mu     sync.Mutex
-	groups map[group]*tally
+	groups map[group]*groupStats
 }
 
 // add counts a request for its entry and for its owner.
-func (rs *results) add(o outcome, due time.Time) {
+func (rs *results) add(o requestResult, due time.Time) {
 	way := ByNode
 	if o.arrival.Direct {
 		way = Direct
@@ -63,28 +64,31 @@
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
 	for _, entry := range []string{o.arrival.Kind.Entry, ""} {
-		rs.tallyOf(group{way: way, owner: o.arrival.Kind.Owner, entry: entry}).add(o, due)
+		rs.statsOf(group{way: way, owner: o.arrival.Kind.Owner, entry: entry}).add(o, due)
 	}
 }
 
-func (rs *results) tallyOf(g group) *tally {
+// statsOf returns the statistics of a group and creates them if needed. The
+// caller holds rs.mu.
+func (rs *results) statsOf(g group) *groupStats {
 	if rs.groups == nil {
-		rs.groups = make(map[group]*tally)
+		rs.groups = make(map[group]*groupStats)
 	}
 	t, found := rs.groups[g]
 	if !found {
-		t = &tally{
-			line:  Line{Way: g.way, Owner: g.owner, Entry: g.entry},
-			first: hdrhistogram.New(1, longest, digits),
-			gaps:  hdrhistogram.New(1, longest, digits),
-			whole: hdrhistogram.New(1, longest, digits),
+		t = &groupStats{
+			line:          Line{Way: g.way, Owner: g.owner, Entry: g.entry},
+			firstToken:    hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			betweenTokens: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			wholeAnswer:   hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		}
 		rs.groups[g] = t
 	}
 	return t
 }
 
-func (t *tally) add(o outcome, due time.Time) {
+// add counts a request. Latencies are recorded only for correct answers.
+func (t *groupStats) add(o requestResult, due time.Time) {
 	t.line.Sent++
 	t.line.Retries += int64(o.retries)
 	switch o.answer.outcome {
@@ -100,18 +104,18 @@
 		t.line.Unknown++
 		return
 	}
-	if !o.answer.right {
+	if !o.answer.correct {
 		t.line.Wrong++
 		return
 	}
 	kind := o.arrival.Kind
-	whole, first := o.end.Sub(due), o.answer.first.Sub(due)
-	record(t.whole, whole)
+	whole, first := o.end.Sub(due), o.answer.firstAt.Sub(due)
+	record(t.wholeAnswer, whole)
 	if kind.Stream {
-		record(t.first, first)
+		record(t.firstToken, first)
 	}
 	for _, gap := range o.answer.gaps {
-		record(t.gaps, gap)
+		record(t.betweenTokens, gap)
 	}
 	late := whole > time.Duration(kind.Deadline)
 	late = late || kind.Stream && kind.FirstToken > 0 && first > time.Duration(kind.FirstToken)
@@ -120,31 +124,33 @@
 	}
 }
 
+// record adds a latency to a histogram.
 func record(h *hdrhistogram.Histogram, d time.Duration) {
-	us := min(max(d.Microseconds(), 1), longest)
-	_ = h.RecordValue(us) // within the bounds of the histogram
+	us := min(max(d.Microseconds(), 1), maxLatencyMicros)
+	_ = h.RecordValue(us) // never fails, since us is within the bounds of the histogram
 }
 
 // Line counts the requests of one entry, or of all entries of an owner.
 type Line struct {
 	Way        Way         `json:"way"`
 	Owner      string      `json:"owner"`
-	Entry      string      `json:"entry,omitempty"`
-	Sent       int64       `json:"sent"`
+	Entry      string      `json:"entry,omitempty"` // empty for all entries of the owner
+	Sent       int64       `json:"sent"`            // requests, without retries
 	Served     int64       `json:"served"`
-	InTime     int64       `json:"inTime"` // right, whole and within the deadlines
-	NotRun     int64       `json:"notRun"`
-	Unknown    int64       `json:"unknown"`
-	Wrong      int64       `json:"wrong"` // served, but not the answer to this request
-	Retries    int64       `json:"retries"`
-	Away       int64       `json:"away"`    // of the served ones, in another region than that of their workspace
-	Goodput    float64     `json:"goodput"` // InTime a second
-	FirstToken Percentiles `json:"firstToken"`
-	Between    Percentiles `json:"betweenTokens"`
-	Whole      Percentiles `json:"whole"`
-}
-
-// Percentiles are latencies in milliseconds, from the intended time on.
+	InTime     int64       `json:"inTime"`        // correct, complete and within the deadlines
+	NotRun     int64       `json:"notRun"`        // rejected, or never sent
+	Unknown    int64       `json:"unknown"`       // may have run
+	Wrong      int64       `json:"wrong"`         // served, but with another answer than the expected one
+	Retries    int64       `json:"retries"`       // further tries by callers
+	Away       int64       `json:"away"`          // served in another region than the home of the workspace
+	Goodput    float64     `json:"goodput"`       // InTime per second
+	FirstToken Percentiles `json:"firstToken"`    // times to the first token
+	Between    Percentiles `json:"betweenTokens"` // times between tokens
+	Whole      Percentiles `json:"whole"`         // times to the whole answer
+}
+
+// Percentiles are latencies in milliseconds. All but times between tokens are
+// measured from the intended send time.
 type Percentiles struct {
 	Count int64   `json:"count"`
 	P50   float64 `json:"p50"`
@@ -154,24 +160,24 @@
 	Max   float64 `json:"max"`
 }
 
-// Report is what came of a load.
+// Report holds the results of a load.
 type Report struct {
-	Seconds  float64 `json:"seconds"`
-	MostOpen int64   `json:"mostOpen"` // requests open at once
-	Lines    []Line  `json:"lines"`
-	Audit    *Audit  `json:"audit,omitempty"` // nil when no journal was read
+	Seconds  float64 `json:"seconds"`         // length of the reported part
+	MostOpen int64   `json:"mostOpen"`        // maximum number of requests in flight
+	Lines    []Line  `json:"lines"`           // sorted by owner and entry
+	Audit    *Audit  `json:"audit,omitempty"` // nil if no journal was read
 }
 
-func (rs *results) report(d time.Duration, most int64) Report {
+func (rs *results) report(d time.Duration, maxInFlight int64) Report {
 	rs.mu.Lock()
 	defer rs.mu.Unlock()
-	r := Report{Seconds: d.Seconds(), MostOpen: most, Lines: []Line{}}
+	r := Report{Seconds: d.Seconds(), MostOpen: maxInFlight, Lines: []Line{}}
 	for _, t := range rs.groups {
 		line := t.line
 		line.Goodput = float64(line.InTime) / d.Seconds()
-		line.FirstToken = percentiles(t.first)
-		line.Between = percentiles(t.gaps)
-		line.Whole = percentiles(t.whole)
+		line.FirstToken = percentiles(t.firstToken)
+		line.Between = percentiles(t.betweenTokens)
+		line.Whole = percentiles(t.wholeAnswer)
 		r.Lines = append(r.Lines, line)
 	}
 	slices.SortFunc(r.Lines, func(a, b Line) int {
@@ -195,7 +201,7 @@
 	}
 }
 
-// WriteTable writes the report for people; latencies are in milliseconds.
+// WriteTable writes the report as text tables, with latencies in milliseconds.
 func (r Report) WriteTable(w io.Writer) error {
 	if _, err := fmt.Fprintf(w, "%.0f s, at most %d requests open at once\n", r.Seconds, r.MostOpen); err != nil {
 		return err
@@ -217,18 +223,20 @@
 		return err
 	}
 	_, err := fmt.Fprintf(w, "audit of %d runs: %d keys run twice, %d run though not run, %d served but not run, %d bound run abroad\n",
-		r.Audit.Runs, r.Audit.RanTwice, r.Audit.FalseNotRun, r.Audit.FalseServed, r.Audit.Abroad)
+		r.Audit.Runs, r.Audit.RanTwice, r.Audit.FalseNotRun, r.Audit.FalseServed, r.Audit.OutsideRegion)
 	return err
 }
 
-func writeLatency(w io.Writer, l Line, of string, p Percentiles) {
+// writeLatency writes one row of latencies, if there are any.
+func writeLatency(w io.Writer, l Line, measure string, p Percentiles) {
 	if p.Count == 0 {
 		return
 	}
-	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\t\n", l.Owner, l.name(), l.Way, of,
+	fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%d\t%.1f\t%.1f\t%.1f\t%.1f\t%.1f\t\t\n", l.Owner, l.name(), l.Way, measure,
 		p.Count, p.P50, p.P95, p.P99, p.P999, p.Max)
 }
 
+// name returns the name of the line in a table.
 func (l Line) name() string {
 	if l.Entry == "" {
 		return "(all)"
--- a/io/jwstand/clients.go
+++ b/io/jwstand/clients.go
@@ -11,18 +11,19 @@
 	workspaceSchema = "urn:jujubewheel:scim:Workspace"
 	userSchema      = "urn:ietf:params:scim:schemas:core:2.0:User"
 	listSchema      = "urn:ietf:params:scim:api:messages:2.0:ListResponse"
-	maxPage         = 1000
+	maxPageSize     = 1000 // users in one answer
 )
 
-// Client is one workspace of the client directory.
+// Client is one workspace in the client directory.
 type Client struct {
-	Name   string `json:"name"`
-	Region string `json:"region"`
-	Bound  bool   `json:"bound"`
-	Owner  string `json:"owner"`
+	Name   string `json:"name"`   // name of the workspace
+	Region string `json:"region"` // home region
+	Bound  bool   `json:"bound"`  // whether the data is bound to Region
+	Owner  string `json:"owner"`  // owner of the workspace
 }
 
-// Clients stands in for the client directory: a SCIM 2.0 list with an ETag.
+// Clients stands in for the client directory. It serves a SCIM 2.0 list with an
+// ETag.
 type Clients struct {
 	mu      sync.Mutex
 	clients []Client
@@ -37,6 +38,7 @@
 	c.version++
 }
 
+// current returns the workspaces and the ETag of this version of the directory.
 func (c *Clients) current() (clients []Client, tag string) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -54,11 +56,11 @@
 func (c *Clients) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /clients", func(w http.ResponseWriter, _ *http.Request) {
 		clients, _ := c.current()
-		answerJSON(w, http.StatusOK, clients)
+		writeJSON(w, http.StatusOK, clients)
 	})
 	control.HandleFunc("PUT /clients", func(w http.ResponseWriter, r *http.Request) {
 		var clients []Client
-		if acceptJSON(w, r, &clients) {
+		if readJSON(w, r, &clients) {
 			c.Set(clients)
 		}
 	})
@@ -86,6 +88,7 @@
 	Owner  string `json:"owner"`
 }
 
+// list answers one page of users, as SCIM 2.0 defines it.
 func (c *Clients) list(w http.ResponseWriter, r *http.Request) {
 	clients, tag := c.current()
 	w.Header().Set("ETag", tag)
@@ -94,8 +97,8 @@
 		return
 	}
 	query := r.URL.Query()
-	start := max(numberOr(query.Get("startIndex"), 1), 1)
-	count := min(max(numberOr(query.Get("count"), maxPage), 0), maxPage)
+	start := max(parseIntOr(query.Get("startIndex"), 1), 1)
+	count := min(max(parseIntOr(query.Get("count"), maxPageSize), 0), maxPageSize)
 	from := min(start-1, len(clients))
 	to := min(from+count, len(clients))
 	list := listResponse{
@@ -114,13 +117,14 @@
 			Workspace: workspace{Region: client.Region, Bound: client.Bound, Owner: client.Owner},
 		})
 	}
-	answerJSON(withGzip(w, r), http.StatusOK, list)
+	writeJSON(withGzip(w, r), http.StatusOK, list)
 }
 
-func numberOr(text string, otherwise int) int {
+// parseIntOr parses an integer; it returns fallback if the text is none.
+func parseIntOr(text string, fallback int) int {
 	n, err := strconv.Atoi(text)
 	if err != nil {
-		return otherwise
+		return fallback
 	}
 	return n
 }
--- a/io/jwstand/gate.go
+++ b/io/jwstand/gate.go
@@ -5,110 +5,116 @@
 	"sync"
 )
 
-// gate holds the open connections of one port, so that faults reach them.
-type gate struct {
-	mu     sync.Mutex
-	conns  map[*gateConn]struct{}
-	paused chan struct{} // closed when the pause is lifted, nil without one
+// connSet tracks the open connections of one port, so that faults can pause,
+// silence or reset them.
+type connSet struct {
+	mu      sync.Mutex
+	open    map[*trackedConn]struct{}
+	resumed chan struct{} // closed when the pause ends; nil while there is no pause
 }
 
-// gateListener hands its connections to a gate.
-type gateListener struct {
+// trackedListener adds each connection that it accepts to a connSet.
+type trackedListener struct {
 	net.Listener
-	gate *gate
+	conns *connSet
 }
 
 // Accept implements net.Listener.
-func (l *gateListener) Accept() (net.Conn, error) {
+func (l *trackedListener) Accept() (net.Conn, error) {
 	conn, err := l.Listener.Accept()
 	if err != nil {
 		return nil, err
 	}
-	return l.gate.add(conn), nil
+	return l.conns.add(conn), nil
 }
 
-func (g *gate) add(conn net.Conn) *gateConn {
-	c := &gateConn{Conn: conn, gate: g, silenced: make(chan struct{}), closed: make(chan struct{})}
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if g.conns == nil {
-		g.conns = make(map[*gateConn]struct{})
+// add starts to track a connection.
+func (s *connSet) add(conn net.Conn) *trackedConn {
+	c := &trackedConn{Conn: conn, set: s, silenced: make(chan struct{}), closed: make(chan struct{})}
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if s.open == nil {
+		s.open = make(map[*trackedConn]struct{})
 	}
-	g.conns[c] = struct{}{}
+	s.open[c] = struct{}{}
 	return c
 }
 
-// pause holds or lets go of every byte.
-func (g *gate) pause(on bool) {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	if on && g.paused == nil {
-		g.paused = make(chan struct{})
+// pause holds all bytes in both directions, or releases them.
+func (s *connSet) pause(paused bool) {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	if paused && s.resumed == nil {
+		s.resumed = make(chan struct{})
 	}
-	if !on && g.paused != nil {
-		close(g.paused)
-		g.paused = nil
+	if !paused && s.resumed != nil {
+		close(s.resumed)
+		s.resumed = nil
 	}
 }
 
-// silence makes the connections that are open now swallow all bytes.
-func (g *gate) silence() {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	for c := range g.conns {
-		c.once.Do(func() { close(c.silenced) })
+// silence makes the connections that are open now discard all bytes, without an
+// error, until they are closed.
+func (s *connSet) silence() {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	for c := range s.open {
+		c.silenceOnce.Do(func() { close(c.silenced) })
 	}
 }
 
-// reset ends the open connections without a proper close.
-func (g *gate) reset() {
-	g.mu.Lock()
-	conns := g.conns
-	g.conns = nil
-	g.mu.Unlock()
+// reset closes the open connections with a TCP reset.
+func (s *connSet) reset() {
+	s.mu.Lock()
+	conns := s.open
+	s.open = nil
+	s.mu.Unlock()
 	for c := range conns {
 		if tcp, ok := c.Conn.(*net.TCPConn); ok {
-			_ = tcp.SetLinger(0) // fails only on a connection that is closed
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
 		_ = c.Close()
 	}
 }
 
-func (g *gate) hold() chan struct{} {
-	g.mu.Lock()
-	defer g.mu.Unlock()
-	return g.paused
+// resumedChan returns the channel that is closed when the pause ends, or nil if
+// there is no pause.
+func (s *connSet) resumedChan() chan struct{} {
+	s.mu.Lock()
+	defer s.mu.Unlock()
+	return s.resumed
 }
 
-// gateConn is one connection of a gate.
-type gateConn struct {
+// trackedConn is a connection of a connSet.
+type trackedConn struct {
 	net.Conn
-	gate     *gate
-	once     sync.Once
-	silenced chan struct{}
-	ending   sync.Once
-	closed   chan struct{}
+	set         *connSet
+	silenceOnce sync.Once
+	silenced    chan struct{} // closed once the connection discards all bytes
+	closeOnce   sync.Once
+	closed      chan struct{} // closed by Close
 }
 
 // Read implements net.Conn.
-func (c *gateConn) Read(b []byte) (int, error) {
+func (c *trackedConn) Read(b []byte) (int, error) {
 	n, err := c.Conn.Read(b)
-	if !c.pass() {
+	if !c.waitWhileHeld() {
 		return 0, net.ErrClosed
 	}
 	return n, err
 }
 
-// Write implements net.Conn; a silenced connection takes bytes and drops them.
-func (c *gateConn) Write(b []byte) (int, error) {
+// Write implements net.Conn. A silenced connection accepts bytes and discards
+// them.
+func (c *trackedConn) Write(b []byte) (int, error) {
 	select {
 	case <-c.silenced:
 		return len(b), nil
 	default:
 	}
-	if hold := c.gate.hold(); hold != nil {
+	if resumed := c.set.resumedChan(); resumed != nil {
 		select {
-		case <-hold:
+		case <-resumed:
 		case <-c.closed:
 			return 0, net.ErrClosed
 		}
@@ -117,29 +123,30 @@
 }
 
 // Close implements net.Conn.
-func (c *gateConn) Close() error {
-	c.ending.Do(func() { close(c.closed) })
-	c.gate.mu.Lock()
-	delete(c.gate.conns, c)
-	c.gate.mu.Unlock()
+func (c *trackedConn) Close() error {
+	c.closeOnce.Do(func() { close(c.closed) })
+	c.set.mu.Lock()
+	delete(c.set.open, c)
+	c.set.mu.Unlock()
 	return c.Conn.Close()
 }
 
-// pass waits while the gate is paused, and for good once the connection is
-// silenced; it returns false when the connection is closed.
-func (c *gateConn) pass() bool {
+// waitWhileHeld waits while the connections are paused, and until the
+// connection is closed once it is silenced. It returns false if the connection
+// is closed.
+func (c *trackedConn) waitWhileHeld() bool {
 	select {
 	case <-c.silenced:
 		<-c.closed
 		return false
 	default:
 	}
-	hold := c.gate.hold()
-	if hold == nil {
+	resumed := c.set.resumedChan()
+	if resumed == nil {
 		return true
 	}
 	select {
-	case <-hold:
+	case <-resumed:
 		return true
 	case <-c.closed:
 		return false
--- a/io/jwstand/hosts.go
+++ b/io/jwstand/hosts.go
@@ -6,95 +6,99 @@
 	"time"
 )
 
-// HostGroup is one group of a Prometheus HTTP service discovery document.
+// HostGroup is one group of a document of Prometheus HTTP service discovery.
 type HostGroup struct {
-	Targets []string          `json:"targets"`
-	Labels  map[string]string `json:"labels"`
+	Targets []string          `json:"targets"` // addresses with ports
+	Labels  map[string]string `json:"labels"`  // labels of all Targets
 }
 
-// Hosts stands in for the platform's list of live and leaving hosts, which
-// shows each change only after a lag.
+// Hosts stands in for the platform's list of live and leaving hosts. Each
+// change becomes visible only after a lag.
 type Hosts struct {
-	Lag time.Duration
+	Lag time.Duration // time until a change is visible
 
-	mu    sync.Mutex
-	lists []hostList // oldest first; the newest may not be shown yet
+	mu       sync.Mutex
+	versions []hostList // oldest first; the later ones may not be visible yet
 }
 
+// hostList is one version of the list and the time from which it is visible.
 type hostList struct {
-	shown  time.Time
-	groups []HostGroup
+	visibleFrom time.Time
+	groups      []HostGroup
 }
 
-// Set replaces the list; it is shown after the lag.
+// Set replaces the list. The first list is visible at once, later ones after
+// Lag.
 func (h *Hosts) Set(groups []HostGroup) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	shown := time.Now()
-	if len(h.lists) > 0 {
-		shown = shown.Add(h.Lag)
+	visibleFrom := time.Now()
+	if len(h.versions) > 0 {
+		visibleFrom = visibleFrom.Add(h.Lag)
 	}
-	h.lists = append(h.lists, hostList{shown: shown, groups: groups})
+	h.versions = append(h.versions, hostList{visibleFrom: visibleFrom, groups: groups})
 }
 
-// Shown returns the list as a call sees it now.
+// Shown returns the list that is visible now.
 func (h *Hosts) Shown() []HostGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Now()
-	for len(h.lists) > 1 && !h.lists[1].shown.After(now) {
-		h.lists = h.lists[1:]
+	for len(h.versions) > 1 && !h.versions[1].visibleFrom.After(now) {
+		h.versions = h.versions[1:]
 	}
-	if len(h.lists) == 0 {
+	if len(h.versions) == 0 {
 		return []HostGroup{}
 	}
-	return h.lists[0].groups
+	return h.versions[0].groups
 }
 
-// newest returns the last list that was set, shown or not.
+// newest returns the list that was set last, whether it is visible yet or not.
 func (h *Hosts) newest() []HostGroup {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	if len(h.lists) == 0 {
+	if len(h.versions) == 0 {
 		return []HostGroup{}
 	}
-	return h.lists[len(h.lists)-1].groups
+	return h.versions[len(h.versions)-1].groups
 }
 
 // Handler implements Program.
 func (h *Hosts) Handler(func() Faults) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /hosts", func(w http.ResponseWriter, r *http.Request) {
-		answerTagged(w, r, h.Shown())
+		writeJSONWithETag(w, r, h.Shown())
 	})
 	return mux
 }
 
 // Register implements Program. PATCH /hosts/{address} merges labels, such as
-// {"state":"leaving"}, into the host's own; DELETE takes the host off the list.
+// {"state":"leaving"}, into those of the host; DELETE /hosts/{address} removes
+// the host from the list.
 func (h *Hosts) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /hosts", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, h.newest())
+		writeJSON(w, http.StatusOK, h.newest())
 	})
 	control.HandleFunc("PUT /hosts", func(w http.ResponseWriter, r *http.Request) {
 		var groups []HostGroup
-		if acceptJSON(w, r, &groups) {
+		if readJSON(w, r, &groups) {
 			h.Set(groups)
 		}
 	})
 	control.HandleFunc("PATCH /hosts/{address}", func(w http.ResponseWriter, r *http.Request) {
 		var labels map[string]string
-		if acceptJSON(w, r, &labels) {
-			h.Set(relabelled(h.newest(), r.PathValue("address"), labels))
+		if readJSON(w, r, &labels) {
+			h.Set(mergeLabels(h.newest(), r.PathValue("address"), labels))
 		}
 	})
 	control.HandleFunc("DELETE /hosts/{address}", func(_ http.ResponseWriter, r *http.Request) {
-		h.Set(without(h.newest(), r.PathValue("address")))
+		h.Set(withoutHost(h.newest(), r.PathValue("address")))
 	})
 }
 
-// relabelled returns the groups with labels merged into those of one host.
-func relabelled(groups []HostGroup, address string, labels map[string]string) []HostGroup {
+// mergeLabels returns one group for each host. The given labels are merged into
+// those of the host with the given address.
+func mergeLabels(groups []HostGroup, address string, labels map[string]string) []HostGroup {
 	var out []HostGroup
 	for _, g := range groups {
 		for _, target := range g.Targets {
@@ -113,10 +117,10 @@
 	return out
 }
 
-// without returns the groups but for one host.
-func without(groups []HostGroup, address string) []HostGroup {
+// withoutHost returns one group for each host except the given one.
+func withoutHost(groups []HostGroup, address string) []HostGroup {
 	out := []HostGroup{}
-	for _, g := range relabelled(groups, "", nil) {
+	for _, g := range mergeLabels(groups, "", nil) {
 		if g.Targets[0] != address {
 			out = append(out, g)
 		}
--- a/io/jwstand/keyvalue.go
+++ b/io/jwstand/keyvalue.go
@@ -14,20 +14,21 @@
 )
 
 const (
-	maxValue    = 1 << 20
-	defaultWait = 5 * time.Minute
-	maxWait     = 10 * time.Minute
+	maxValue    = 1 << 20          // bytes of a value
+	defaultWait = 5 * time.Minute  // of a blocking read without a wait parameter
+	maxWait     = 10 * time.Minute // of a blocking read
 )
 
-// KeyValue stands in for the key-value service: the part of the Consul HTTP
-// API that reads keys, waits for them and swaps them, over a store in memory.
+// KeyValue stands in for the key-value service. It implements the part of the
+// Consul HTTP API that reads and lists keys, waits for changes, and writes and
+// deletes by check-and-set, over a store in memory.
 type KeyValue struct {
-	Store jwstore.Memory
+	Store jwstore.Memory // holds the keys
 
 	reads, writes, waits atomic.Uint64
 }
 
-// Calls returns the number of calls that came; a waiting one counts once.
+// Calls returns the number of calls received. A call that waits counts once.
 func (kv *KeyValue) Calls() jwstore.Calls {
 	return jwstore.Calls{Reads: kv.reads.Load(), Writes: kv.writes.Load(), Waits: kv.waits.Load()}
 }
@@ -45,11 +46,11 @@
 // Register implements Program.
 func (kv *KeyValue) Register(control *http.ServeMux) {
 	control.HandleFunc("GET /calls", func(w http.ResponseWriter, _ *http.Request) {
-		answerJSON(w, http.StatusOK, kv.Calls())
+		writeJSON(w, http.StatusOK, kv.Calls())
 	})
 }
 
-// keyRecord is one key in an answer.
+// keyRecord is the JSON form of one key, with the field names of Consul.
 type keyRecord struct {
 	Key         string
 	Value       []byte
@@ -74,28 +75,30 @@
 	} else {
 		kv.reads.Add(1)
 	}
-	item, found, index, err := kv.read(r.Context(), key, after, waitOf(query.Get("wait")))
+	item, found, index, err := kv.read(r.Context(), key, after, parseWait(query.Get("wait")))
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	if !found {
-		answerKeys(w, index, nil)
+		writeRecords(w, index, nil)
 		return
 	}
-	answerKeys(w, item.Version, []jwstore.Item{item})
+	writeRecords(w, item.Version, []jwstore.Item{item})
 }
 
-// read answers once the key has changed after an index. A key that does not
-// exist stands at the index of the newest write; that index is taken before
-// the key is read, or a write between the two would never be told.
-func (kv *KeyValue) read(ctx context.Context, key string, after uint64, most time.Duration) (jwstore.Item, bool, uint64, error) {
+// read returns the key. If after is above 0, it waits, at most for timeout,
+// until the index of the key is above it. A key that does not exist has the
+// index of the newest write in the store. That index is read before the key;
+// otherwise a write between the two reads would never be reported to a waiting
+// caller.
+func (kv *KeyValue) read(ctx context.Context, key string, after uint64, timeout time.Duration) (jwstore.Item, bool, uint64, error) {
 	index := kv.Store.Index()
 	item, found, err := kv.Store.Get(ctx, key)
 	if err != nil || after == 0 || item.Version > after || !found && index > after {
 		return item, found, index, err
 	}
-	if _, _, err := kv.Store.Wait(ctx, key, item.Version, most); err != nil {
+	if _, _, err := kv.Store.Wait(ctx, key, item.Version, timeout); err != nil {
 		return item, found, index, err
 	}
 	index = kv.Store.Index()
@@ -103,7 +106,8 @@
 	return item, found, index, err
 }
 
-func waitOf(text string) time.Duration {
+// parseWait parses the wait parameter of a blocking read.
+func parseWait(text string) time.Duration {
 	wait, err := time.ParseDuration(text)
 	if err != nil || wait <= 0 {
 		return defaultWait
@@ -119,10 +123,11 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	answerKeys(w, index, items)
+	writeRecords(w, index, items)
 }
 
-func answerKeys(w http.ResponseWriter, index uint64, items []jwstore.Item) {
+// writeRecords writes the keys with their index, or 404 if there are none.
+func writeRecords(w http.ResponseWriter, index uint64, items []jwstore.Item) {
 	w.Header().Set("X-Consul-Index", strconv.FormatUint(index, 10))
 	if len(items) == 0 {
 		w.WriteHeader(http.StatusNotFound)
@@ -132,13 +137,13 @@
 	for _, item := range items {
 		records = append(records, keyRecord{Key: item.Key, Value: item.Value, ModifyIndex: item.Version})
 	}
-	answerJSON(w, http.StatusOK, records)
+	writeJSON(w, http.StatusOK, records)
 }
 
 func (kv *KeyValue) put(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	if err != nil {
-		http.Error(w, "only writes with cas are known here", http.StatusBadRequest)
+		http.Error(w, "only writes with the parameter cas are supported", http.StatusBadRequest)
 		return
 	}
 	value, err := io.ReadAll(io.LimitReader(r.Body, maxValue+1))
@@ -151,23 +156,23 @@
 	}
 	kv.writes.Add(1)
 	_, swapped, err := kv.Store.Swap(r.Context(), r.PathValue("key"), value, version)
-	answerWrite(w, swapped, err)
+	writeResult(w, swapped, err)
 }
 
 func (kv *KeyValue) delete(w http.ResponseWriter, r *http.Request) {
 	version, err := strconv.ParseUint(r.URL.Query().Get("cas"), 10, 64)
 	if err != nil {
-		http.Error(w, "only deletes with cas are known here", http.StatusBadRequest)
+		http.Error(w, "only deletes with the parameter cas are supported", http.StatusBadRequest)
 		return
 	}
 	kv.writes.Add(1)
-	deleted, err := kv.remove(r.Context(), r.PathValue("key"), version, false)
-	answerWrite(w, deleted, err)
+	deleted, err := kv.deleteKey(r.Context(), r.PathValue("key"), version, false)
+	writeResult(w, deleted, err)
 }
 
-// remove deletes a key; as in the Consul API, a key that is gone counts as
-// deleted unless its version was checked too.
-func (kv *KeyValue) remove(ctx context.Context, key string, version uint64, checked bool) (bool, error) {
+// deleteKey deletes a key at a version. As in the Consul API, a missing key
+// counts as deleted, unless the version was also checked by a step before.
+func (kv *KeyValue) deleteKey(ctx context.Context, key string, version uint64, checked bool) (bool, error) {
 	deleted, err := kv.Store.Delete(ctx, key, version)
 	if err != nil || deleted || checked {
 		return deleted, err
@@ -176,12 +181,13 @@
 	return !found, err
 }
 
-func answerWrite(w http.ResponseWriter, done bool, err error) {
+// writeResult writes the answer to a write: whether it was done, or the error.
+func writeResult(w http.ResponseWriter, done bool, err error) {
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
-	answerJSON(w, http.StatusOK, done)
+	writeJSON(w, http.StatusOK, done)
 }
 
 type transactionStep struct {
@@ -207,20 +213,20 @@
 	Errors  []transactionError
 }
 
-// transaction takes one step, a swap or a delete with a version, which a check
-// of the same key and version may precede.
+// transaction runs one step, a "cas" or a "delete-cas". A "check-index" step of
+// the same key and version may precede it.
 func (kv *KeyValue) transaction(w http.ResponseWriter, r *http.Request) {
 	var steps []transactionStep
 	body := http.MaxBytesReader(w, r.Body, 2*maxValue)
 	if err := json.NewDecoder(body).Decode(&steps); err != nil || len(steps) == 0 {
-		http.Error(w, "no steps", http.StatusBadRequest)
+		http.Error(w, "body is not a list of steps, or the list is empty", http.StatusBadRequest)
 		return
 	}
 	step := steps[len(steps)-1].KV
 	checked := len(steps) == 2 && steps[0].KV.Verb == "check-index" &&
 		steps[0].KV.Key == step.Key && steps[0].KV.Index == step.Index
 	if len(steps) > 1 && !checked {
-		http.Error(w, "one step, or its check and the step, is taken here", http.StatusBadRequest)
+		http.Error(w, "only one step is supported, with or without a check-index step of the same key before it", http.StatusBadRequest)
 		return
 	}
 	if len(step.Value) > maxValue {
@@ -237,7 +243,7 @@
 		version, done, err = kv.Store.Swap(r.Context(), step.Key, step.Value, step.Index)
 		answer.Results = append(answer.Results, transactionResult{KV: keyRecord{Key: step.Key, ModifyIndex: version}})
 	case "delete-cas":
-		done, err = kv.remove(r.Context(), step.Key, step.Index, checked)
+		done, err = kv.deleteKey(r.Context(), step.Key, step.Index, checked)
 	default:
 		http.Error(w, "unknown verb", http.StatusBadRequest)
 		return
@@ -247,8 +253,8 @@
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 	case !done:
 		conflict := transactionAnswer{Errors: []transactionError{{What: "failed to set key: index is stale"}}}
-		answerJSON(w, http.StatusConflict, conflict)
+		writeJSON(w, http.StatusConflict, conflict)
 	default:
-		answerJSON(w, http.StatusOK, answer)
+		writeJSON(w, http.StatusOK, answer)
 	}
 }
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -14,51 +14,51 @@
 )
 
 const (
-	defaultLossDelay = 200 * time.Millisecond
-	dialTimeout      = 5 * time.Second
+	defaultLossDelay = 200 * time.Millisecond // of a lost chunk if Weather.LossDelay is 0
+	dialTimeout      = 5 * time.Second        // for a connection to Link.Dial
 )
 
-// OneWay names the direction of a link.
-type OneWay string
+// Direction is a direction of a link.
+type Direction string
 
 // The directions of a link.
 const (
-	Forward OneWay = "forward" // from the caller to the dialled end
-	Back    OneWay = "back"
+	Forward Direction = "forward" // from the caller to the dialled address
+	Back    Direction = "back"    // from the dialled address to the caller
 )
 
-// Weather is what a link does to what passes; the zero value is a perfect
-// link. Lost segments of TCP come later, not never, so loss is a delay here.
+// Weather is the simulated condition of a link. The zero value is a perfect
+// link. TCP retransmits lost segments, so a loss only delays bytes here.
 type Weather struct {
-	Delay     Duration `json:"delay"`     // one way
-	Jitter    Duration `json:"jitter"`    // the most that is added to Delay, evenly drawn
-	Loss      float64  `json:"loss"`      // share of chunks that LossDelay is added to
-	LossDelay Duration `json:"lossDelay"` // 0 means 200ms
-	Rate      int64    `json:"rate"`      // bytes a second each way, shared by all connections; 0 for no limit
-	Cut       bool     `json:"cut"`       // refuses connections and has reset those that were open
-	Hold      OneWay   `json:"hold"`      // bytes of this direction wait until it is lifted
-	Silent    bool     `json:"silent"`    // setting it silences the connections open now, for good
-	SilentNew bool     `json:"silentNew"` // new connections are silent too while it is set
+	Delay     Duration  `json:"delay"`     // one way
+	Jitter    Duration  `json:"jitter"`    // maximum that is added to Delay, uniformly distributed
+	Loss      float64   `json:"loss"`      // share of the chunks that are delayed by LossDelay
+	LossDelay Duration  `json:"lossDelay"` // 0 means 200ms
+	Rate      int64     `json:"rate"`      // bytes per second in each direction, shared by all connections; 0 means no limit
+	Cut       bool      `json:"cut"`       // connections are refused; setting it resets the open ones
+	Hold      Direction `json:"hold"`      // bytes in this direction wait until it is unset
+	Silent    bool      `json:"silent"`    // setting it silences the connections open now for the rest of their life
+	SilentNew bool      `json:"silentNew"` // while it is set, new connections are silenced too
 }
 
 // Link relays TCP connections from one address to another.
 type Link struct {
-	Name   string
-	Listen netip.AddrPort // zero, or a port of 0, picks a free one of loopback
-	Dial   netip.AddrPort
-	Seed   uint64
+	Name   string         // name of the link on the control port
+	Listen netip.AddrPort // if zero, or with port 0, a free loopback port is picked
+	Dial   netip.AddrPort // address to which connections are relayed
+	Seed   uint64         // of the random numbers for Jitter and Loss
 
-	mu       sync.Mutex
-	weather  Weather
-	changed  chan struct{} // closed at the next change of weather
-	random   *rand.Rand
-	listener net.Listener
-	conns    map[*relay]struct{}
-	busy     map[OneWay]time.Time // when the last chunk under Rate has left
-	passed   map[OneWay]uint64
+	mu         sync.Mutex
+	weather    Weather
+	changed    chan struct{} // closed at the next change of weather
+	random     *rand.Rand
+	listener   net.Listener // nil while the link is cut
+	relays     map[*relay]struct{}
+	rateFreeAt map[Direction]time.Time // when the last chunk under Rate has been sent
+	passed     map[Direction]uint64    // bytes delivered
 }
 
-// open listens for the first time.
+// open initializes the link and starts to listen.
 func (l *Link) open() error {
 	listener, err := listen(l.Listen)
 	if err != nil {
@@ -70,27 +70,27 @@
 	l.listener = listener
 	l.changed = make(chan struct{})
 	l.random = rand.New(rand.NewPCG(l.Seed, l.Seed))
-	l.conns = make(map[*relay]struct{})
-	l.busy = make(map[OneWay]time.Time)
-	l.passed = make(map[OneWay]uint64)
+	l.relays = make(map[*relay]struct{})
+	l.rateFreeAt = make(map[Direction]time.Time)
+	l.passed = make(map[Direction]uint64)
 	return nil
 }
 
-// Weather returns what the link does now.
+// Weather returns the present condition of the link.
 func (l *Link) Weather() Weather {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.weather
 }
 
-// Passed returns the bytes that were delivered in a direction.
-func (l *Link) Passed(way OneWay) uint64 {
+// Passed returns the number of bytes delivered in a direction.
+func (l *Link) Passed(direction Direction) uint64 {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.passed[way]
+	return l.passed[direction]
 }
 
-// SetWeather changes what the link does from now on.
+// SetWeather changes the condition of the link from now on.
 func (l *Link) SetWeather(weather Weather) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -101,7 +101,7 @@
 	close(l.changed)
 	l.changed = make(chan struct{})
 	if weather.Silent {
-		for r := range l.conns {
+		for r := range l.relays {
 			r.silence()
 		}
 	}
@@ -111,12 +111,12 @@
 	if l.listener != nil {
 		_ = l.listener.Close()
 	}
-	for r := range l.conns {
+	for r := range l.relays {
 		r.reset()
 	}
 }
 
-// run relays until the context ends.
+// run relays connections until the context ends.
 func (l *Link) run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -141,11 +141,12 @@
 	}
 }
 
+// accept relays the connections of one listener until it is closed.
 func (l *Link) accept(ctx context.Context, listener net.Listener, wg *sync.WaitGroup) {
 	for {
 		conn, err := listener.Accept()
 		if err != nil {
-			break // closed by a cut or the stop
+			break // closed by a cut or by the shutdown
 		}
 		wg.Go(func() { l.relay(ctx, conn) })
 	}
@@ -154,10 +155,12 @@
 	l.listener = nil
 }
 
+// reopen listens again after a cut. If the port is still busy, it pauses and
+// returns, and the caller tries again.
 func (l *Link) reopen(ctx context.Context) {
 	listener, err := listen(l.Listen)
 	if err != nil {
-		_ = jwclock.Sleep(ctx, reopenPause)
+		_ = jwclock.Sleep(ctx, reopenRetryDelay)
 		return
 	}
 	l.mu.Lock()
@@ -169,55 +172,57 @@
 	l.listener = listener
 }
 
+// close stops listening and resets all connections.
 func (l *Link) close() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.listener != nil {
 		_ = l.listener.Close()
 	}
-	for r := range l.conns {
+	for r := range l.relays {
 		r.reset()
 	}
 }
 
-// relay carries one connection until both directions have ended.
-func (l *Link) relay(ctx context.Context, near net.Conn) {
-	r := &relay{link: l, near: near, silenced: make(chan struct{}), ended: make(chan struct{})}
+// relay relays one connection until both directions have ended.
+func (l *Link) relay(ctx context.Context, client net.Conn) {
+	r := &relay{link: l, client: client, silenced: make(chan struct{}), ended: make(chan struct{})}
 	if !l.add(ctx, r) {
 		r.reset()
 		return
 	}
 	defer l.remove(r)
-	// The kernel here has answered the caller at once; a real handshake takes
-	// one way there and one back before the first byte can leave.
+	// The kernel has already accepted the caller's connection. A real handshake
+	// takes a full round trip before the first byte can be sent.
 	w := l.Weather()
 	if jwclock.Sleep(ctx, 2*time.Duration(w.Delay)) != nil {
 		r.reset()
 		return
 	}
 	dialer := &net.Dialer{Timeout: dialTimeout}
-	far, err := dialer.DialContext(ctx, "tcp", l.Dial.String())
+	server, err := dialer.DialContext(ctx, "tcp", l.Dial.String())
 	if err != nil {
 		r.reset()
 		return
 	}
-	if !r.join(far) {
+	if !r.setServer(server) {
 		return
 	}
 	var wg sync.WaitGroup
-	wg.Go(func() { r.carry(Forward, near, far) })
-	wg.Go(func() { r.carry(Back, far, near) })
+	wg.Go(func() { r.forward(Forward, client, server) })
+	wg.Go(func() { r.forward(Back, server, client) })
 	wg.Wait()
-	r.end(false)
+	r.closeConns(false)
 }
 
+// add registers a relay. It returns false if the link is cut or stopped.
 func (l *Link) add(ctx context.Context, r *relay) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.weather.Cut || ctx.Err() != nil {
 		return false
 	}
-	l.conns[r] = struct{}{}
+	l.relays[r] = struct{}{}
 	if l.weather.SilentNew {
 		r.silence()
 	}
@@ -227,43 +232,46 @@
 func (l *Link) remove(r *relay) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.conns, r)
+	delete(l.relays, r)
 }
 
-// due returns when a chunk that comes now is delivered; before is when the
-// chunk ahead of it is, since TCP keeps the order.
-func (l *Link) due(way OneWay, size int, before time.Time) time.Time {
+// deliveryTime returns when a chunk that arrives now is delivered. It is never
+// before previous, the delivery time of the chunk ahead, since TCP keeps the
+// order of bytes.
+func (l *Link) deliveryTime(direction Direction, size int, previous time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	w := l.weather
-	at := time.Now()
+	delivery := time.Now()
 	if w.Rate > 0 {
-		at = latest(at, l.busy[way]).Add(time.Duration(float64(size) / float64(w.Rate) * float64(time.Second)))
-		l.busy[way] = at
+		delivery = laterOf(delivery, l.rateFreeAt[direction]).Add(time.Duration(float64(size) / float64(w.Rate) * float64(time.Second)))
+		l.rateFreeAt[direction] = delivery
 	}
-	at = at.Add(time.Duration(w.Delay))
+	delivery = delivery.Add(time.Duration(w.Delay))
 	if w.Jitter > 0 {
-		at = at.Add(time.Duration(l.random.Int64N(int64(w.Jitter))))
+		delivery = delivery.Add(time.Duration(l.random.Int64N(int64(w.Jitter))))
 	}
 	if w.Loss > 0 && l.random.Float64() < w.Loss {
-		late := time.Duration(w.LossDelay)
-		if late == 0 {
-			late = defaultLossDelay
+		lossDelay := time.Duration(w.LossDelay)
+		if lossDelay == 0 {
+			lossDelay = defaultLossDelay
 		}
-		at = at.Add(late)
+		delivery = delivery.Add(lossDelay)
 	}
-	return latest(at, before)
+	return laterOf(delivery, previous)
 }
 
-func latest(a, b time.Time) time.Time {
+// laterOf returns the later of two times.
+func laterOf(a, b time.Time) time.Time {
 	if a.After(b) {
 		return a
 	}
 	return b
 }
 
-func (l *Link) count(way OneWay, n int) {
+// countPassed adds n delivered bytes.
+func (l *Link) countPassed(direction Direction, n int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.passed[way] += uint64(n)
+	l.passed[direction] += uint64(n)
 }
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -15,7 +15,7 @@
 
 var anyPort = netip.MustParseAddrPort("127.0.0.1:0")
 
-// startEcho answers each byte with itself.
+// startEcho starts a server that sends back every byte it receives.
 func startEcho(t *testing.T) netip.AddrPort {
 	t.Helper()
 	listener, err := net.Listen("tcp", anyPort.String())
@@ -60,9 +60,9 @@
 	return conn
 }
 
-// exchange sends text and reads as much back.
-func exchange(conn net.Conn, text string, most time.Duration) error {
-	if err := conn.SetDeadline(time.Now().Add(most)); err != nil {
+// exchange sends text and reads as many bytes back.
+func exchange(conn net.Conn, text string, timeout time.Duration) error {
+	if err := conn.SetDeadline(time.Now().Add(timeout)); err != nil {
 		return err
 	}
 	if _, err := conn.Write([]byte(text)); err != nil {
@@ -73,11 +73,11 @@
 }
 
 const (
-	enough = 10 * time.Second       // for what must come
-	soon   = 100 * time.Millisecond // for what must not come
+	longTimeout  = 10 * time.Second       // for what must happen
+	shortTimeout = 100 * time.Millisecond // for what must not happen
 )
 
-func TestLinkCarries(t *testing.T) {
+func TestLinkDeliversInOrder(t *testing.T) {
 	link := startLink(t, Weather{
 		Delay:  Duration(2 * time.Millisecond),
 		Jitter: Duration(time.Millisecond),
@@ -93,35 +93,36 @@
 		_, _ = conn.Write(sent)
 		_ = conn.(*net.TCPConn).CloseWrite()
 	}()
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(enough)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got, err := io.ReadAll(conn)
 	assert.NilError(t, err)
-	assert.Check(t, string(got) == string(sent), "whole and in order")
+	assert.Check(t, string(got) == string(sent), "all bytes arrive in order")
 	assert.Equal(t, link.Passed(Forward), uint64(len(sent)))
 }
 
-func TestDue(t *testing.T) {
+func TestDeliveryTime(t *testing.T) {
 	link := &Link{Listen: anyPort, Dial: anyPort}
 	assert.NilError(t, link.open())
 	defer link.close()
 	link.SetWeather(Weather{Rate: 1000, Delay: Duration(time.Hour)})
-	first := link.due(Forward, 1000, time.Time{})
-	second := link.due(Forward, 1000, first)
-	assert.Equal(t, second.Sub(first), time.Second, "the rate is shared")
-	back := link.due(Back, 1, time.Time{})
-	assert.Check(t, back.Before(first), "each way has its own rate")
+	first := link.deliveryTime(Forward, 1000, time.Time{})
+	second := link.deliveryTime(Forward, 1000, first)
+	assert.Equal(t, second.Sub(first), time.Second, "chunks share the rate")
+	back := link.deliveryTime(Back, 1, time.Time{})
+	assert.Check(t, back.Before(first), "each direction has its own rate")
 	link.SetWeather(Weather{})
-	assert.Equal(t, link.due(Forward, 1, second), second, "never before the chunk ahead")
+	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "a chunk is never delivered before the one ahead of it")
 }
 
-// Two regions lose each other. What was open breaks with an error and new
-// connections are refused, so both sides learn of it; after the cut all is well.
+// Two regions lose the connection to each other. Open connections fail with an
+// error and new ones are refused, so that both sides notice. After the cut, new
+// connections work again.
 func TestLinkCut(t *testing.T) {
 	link := startLink(t, Weather{})
 	conn := dial(t, link.Listen)
-	assert.NilError(t, exchange(conn, "one", enough))
+	assert.NilError(t, exchange(conn, "one", longTimeout))
 	link.SetWeather(Weather{Cut: true})
-	err := exchange(conn, "two", enough)
+	err := exchange(conn, "two", longTimeout)
 	assert.Check(t, err != nil && !os.IsTimeout(err), "%v", err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		conn, err := net.Dial("tcp", link.Listen.String())
@@ -138,38 +139,39 @@
 			return poll.Continue("%v", err)
 		}
 		defer conn.Close()
-		if err := exchange(conn, "three", enough); err != nil {
+		if err := exchange(conn, "three", longTimeout); err != nil {
 			return poll.Continue("%v", err)
 		}
 		return poll.Success()
 	})
 }
 
-// Something between two hosts forgets an open connection. Neither end gets an
-// error: what is sent is never answered, while a new connection works.
+// A device between two hosts, such as a NAT, loses the state of an open
+// connection. Neither end gets an error: what is sent is never answered, while
+// a new connection works.
 func TestLinkSilent(t *testing.T) {
 	link := startLink(t, Weather{})
 	old := dial(t, link.Listen)
-	assert.NilError(t, exchange(old, "one", enough))
+	assert.NilError(t, exchange(old, "one", longTimeout))
 	link.SetWeather(Weather{Silent: true})
-	assert.Check(t, os.IsTimeout(exchange(old, "two", soon)))
-	assert.NilError(t, exchange(dial(t, link.Listen), "three", enough))
+	assert.Check(t, os.IsTimeout(exchange(old, "two", shortTimeout)))
+	assert.NilError(t, exchange(dial(t, link.Listen), "three", longTimeout))
 	link.SetWeather(Weather{})
-	assert.Check(t, os.IsTimeout(exchange(old, "four", soon)), "for good")
+	assert.Check(t, os.IsTimeout(exchange(old, "four", shortTimeout)), "an old connection stays silent")
 	link.SetWeather(Weather{SilentNew: true})
-	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", soon)))
+	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", shortTimeout)))
 }
 
-// Bytes get through one way only. A caller's request arrives and is worked on,
-// and the caller sees nothing until the way back is mended.
-func TestLinkOneWay(t *testing.T) {
+// Bytes pass in one direction only. A caller's request arrives and is run, but
+// the caller gets no answer until the other direction works again.
+func TestLinkHoldsOneDirection(t *testing.T) {
 	link := startLink(t, Weather{Hold: Back})
 	conn := dial(t, link.Listen)
-	assert.Check(t, os.IsTimeout(exchange(conn, "one", soon)))
+	assert.Check(t, os.IsTimeout(exchange(conn, "one", shortTimeout)))
 	assert.Equal(t, link.Passed(Forward), uint64(3))
 	assert.Equal(t, link.Passed(Back), uint64(0))
 	link.SetWeather(Weather{})
-	assert.NilError(t, conn.SetDeadline(time.Now().Add(enough)))
+	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got := make([]byte, 3)
 	_, err := io.ReadFull(conn, got)
 	assert.NilError(t, err)
--- a/io/jwstand/main_test.go
+++ b/io/jwstand/main_test.go
@@ -7,18 +7,19 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain also holds that stand-ins end with all they started.
+// TestMain also checks that stand-ins leave no goroutines behind.
 func TestMain(m *testing.M) {
-	goleak.VerifyTestMain(closing{m})
+	goleak.VerifyTestMain(idleConnCloser{m})
 }
 
-// closing ends the idle connections of the tests' own HTTP client.
-type closing struct {
+// idleConnCloser closes the idle connections of the tests' HTTP client after
+// the tests.
+type idleConnCloser struct {
 	m *testing.M
 }
 
 // Run implements goleak.TestingM.
-func (c closing) Run() int {
+func (c idleConnCloser) Run() int {
 	defer http.DefaultClient.CloseIdleConnections()
 	return c.m.Run()
 }
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -10,88 +10,91 @@
 )
 
 const (
-	chunkSize      = 16 << 10
-	chunksInFlight = 256 // in each direction of a connection, so 4 MB
+	chunkSize      = 16 << 10 // bytes read at once
+	chunksInFlight = 256      // per direction of a connection, which makes 4 MB
 )
 
 // relay is one connection through a link.
 type relay struct {
-	link     *Link
-	near     net.Conn
-	mu       sync.Mutex
-	far      net.Conn
-	done     bool
-	once     sync.Once
-	silenced chan struct{}
-	ended    chan struct{}
+	link        *Link
+	client      net.Conn // the accepted connection
+	mu          sync.Mutex
+	server      net.Conn // the dialled connection; nil until dialled
+	closed      bool
+	silenceOnce sync.Once
+	silenced    chan struct{} // closed once all bytes are discarded
+	ended       chan struct{} // closed once the relay is closed
 }
 
-// join adds the dialled end; it returns false when the connection was reset
-// in the meantime.
-func (r *relay) join(far net.Conn) bool {
+// setServer adds the dialled connection. It returns false if the relay was
+// closed in the meantime.
+func (r *relay) setServer(server net.Conn) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
-		_ = far.Close()
+	if r.closed {
+		_ = server.Close()
 		return false
 	}
-	r.far = far
+	r.server = server
 	return true
 }
 
+// silence makes the relay discard all bytes from now on, without an error.
 func (r *relay) silence() {
-	r.once.Do(func() { close(r.silenced) })
+	r.silenceOnce.Do(func() { close(r.silenced) })
 }
 
-// reset ends both halves without a proper close; what is still under way is lost.
-func (r *relay) reset() { r.end(true) }
+// reset closes both connections with a TCP reset; bytes in flight are lost.
+func (r *relay) reset() { r.closeConns(true) }
 
-// end closes both halves once; a reset at a proper end would throw away bytes
-// that the receiver has not read yet.
-func (r *relay) end(reset bool) {
+// closeConns closes both connections once. A regular end must not reset them:
+// that would discard bytes that the receiver has not read yet.
+func (r *relay) closeConns(reset bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.done {
+	if r.closed {
 		return
 	}
-	r.done = true
+	r.closed = true
 	close(r.ended)
-	for _, conn := range []net.Conn{r.near, r.far} {
+	for _, conn := range []net.Conn{r.client, r.server} {
 		tcp, ok := conn.(*net.TCPConn)
 		if !ok {
 			continue // not dialled yet
 		}
 		if reset {
-			_ = tcp.SetLinger(0) // fails only on a connection that is closed
+			_ = tcp.SetLinger(0) // fails only on a closed connection
 		}
 		_ = tcp.Close()
 	}
 }
 
-// chunk is what was read at once; an empty one is the proper end.
+// chunk is the data of one read and its delivery time. An empty chunk marks the
+// end of the stream.
 type chunk struct {
 	data []byte
 	due  time.Time
 }
 
-// carry takes bytes from one end to the other until the first ends.
-func (r *relay) carry(way OneWay, from, to net.Conn) {
+// forward relays bytes from one connection to the other until reading fails or
+// ends.
+func (r *relay) forward(direction Direction, from, to net.Conn) {
 	chunks := make(chan chunk, chunksInFlight)
 	var wg sync.WaitGroup
-	wg.Go(func() { r.deliver(way, to, chunks) })
-	var before time.Time
+	wg.Go(func() { r.deliver(direction, to, chunks) })
+	var previous time.Time
 	for {
 		buf := make([]byte, chunkSize)
 		n, err := from.Read(buf)
 		if n > 0 {
-			before = r.link.due(way, n, before)
-			chunks <- chunk{data: buf[:n], due: before}
+			previous = r.link.deliveryTime(direction, n, previous)
+			chunks <- chunk{data: buf[:n], due: previous}
 		}
 		if err == nil {
 			continue
 		}
 		if errors.Is(err, io.EOF) {
-			chunks <- chunk{due: r.link.due(way, 0, before)}
+			chunks <- chunk{due: r.link.deliveryTime(direction, 0, previous)}
 		} else if !r.isSilenced() {
 			r.reset()
 		}
@@ -101,16 +104,16 @@
 	wg.Wait()
 }
 
-// deliver writes chunks when they are due. After an error it drops what comes,
-// so that carry never waits for it.
-func (r *relay) deliver(way OneWay, to net.Conn, chunks <-chan chunk) {
+// deliver writes chunks when they are due. After an error it discards further
+// chunks, so that forward never blocks on a full channel.
+func (r *relay) deliver(direction Direction, to net.Conn, chunks <-chan chunk) {
 	for c := range chunks {
-		if !r.pass(way, c.due) {
+		if !r.waitUntilDue(direction, c.due) {
 			continue
 		}
 		if len(c.data) == 0 {
 			if tcp, ok := to.(*net.TCPConn); ok {
-				_ = tcp.CloseWrite() // an end that is gone already has closed
+				_ = tcp.CloseWrite() // fails only if the connection is closed already
 			}
 			continue
 		}
@@ -118,12 +121,13 @@
 			r.reset()
 			continue
 		}
-		r.link.count(way, len(c.data))
+		r.link.countPassed(direction, len(c.data))
 	}
 }
 
-// pass waits until a chunk may be delivered; false means never.
-func (r *relay) pass(way OneWay, due time.Time) bool {
+// waitUntilDue waits until a chunk may be delivered. It returns false if the
+// chunk must be dropped, since the relay is silenced or closed.
+func (r *relay) waitUntilDue(direction Direction, due time.Time) bool {
 	timer := time.NewTimer(time.Until(due))
 	defer timer.Stop()
 	select {
@@ -136,7 +140,7 @@
 			return false
 		}
 		r.link.mu.Lock()
-		held, changed := r.link.weather.Hold == way, r.link.changed
+		held, changed := r.link.weather.Hold == direction, r.link.changed
 		r.link.mu.Unlock()
 		if !held {
 			return true
--- a/io/jwstand/service.go
+++ b/io/jwstand/service.go
@@ -11,10 +11,11 @@
 	"jujubewheel/core/jwclock"
 )
 
-// Service stands in for a plain service: each POST answers with what came.
+// Service stands in for a plain service. It answers each POST request with an
+// Echo of it.
 type Service struct {
-	Work    time.Duration // how long each call runs
-	Journal Journal
+	Work    time.Duration // duration of each call
+	Journal Journal       // records the calls
 
 	running atomic.Int64
 }
@@ -31,11 +32,11 @@
 func (s *Service) Handler(faults func() Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/metrics" {
-			s.metrics(w, faults().Leave)
+			s.writeMetrics(w, faults().Leave)
 			return
 		}
 		if r.Method != http.MethodPost {
-			http.Error(w, "only POST is known here", http.StatusMethodNotAllowed)
+			http.Error(w, "only POST is supported", http.StatusMethodNotAllowed)
 			return
 		}
 		body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
@@ -43,35 +44,36 @@
 			return
 		}
 		if faults().Leave {
-			refuse(w, "leaving")
+			writeUnavailable(w, "leaving")
 			return
 		}
-		run := s.Journal.begin(r)
+		run := s.Journal.startRun(r)
 		s.running.Add(1)
 		defer s.running.Add(-1)
 		if jwclock.Sleep(r.Context(), s.Work) != nil {
-			s.Journal.end(run, Cancelled)
+			s.Journal.finishRun(run, Cancelled)
 			return
 		}
-		s.Journal.end(run, Finished)
-		answerEcho(w, Echo{Path: r.URL.Path, RequestID: run.RequestID, Key: run.Key, Body: string(body)})
+		s.Journal.finishRun(run, Finished)
+		writeEcho(w, Echo{Path: r.URL.Path, RequestID: run.RequestID, Key: run.Key, Body: string(body)})
 	})
 }
 
-// serviceSlots is how many calls a Service says that it runs at once.
+// serviceSlots is the number of concurrent calls that a Service reports as its
+// maximum. Nothing enforces it.
 const serviceSlots = 64
 
-// metrics writes the load report in the Prometheus text format, by the names
-// that Runner uses.
-func (s *Service) metrics(w http.ResponseWriter, leaving bool) {
-	left := 0
+// writeMetrics writes the load report in the Prometheus text format, with the
+// metric names that Runner uses.
+func (s *Service) writeMetrics(w http.ResponseWriter, leaving bool) {
+	leavingValue := 0
 	if leaving {
-		left = 1
+		leavingValue = 1
 	}
 	w.Header().Set("Content-Type", "text/plain; version=0.0.4")
 	_, _ = fmt.Fprintf(w, "# TYPE vllm:num_requests_running gauge\nvllm:num_requests_running %d\n", s.running.Load())
 	_, _ = fmt.Fprintf(w, "# TYPE vllm:max_num_seqs gauge\nvllm:max_num_seqs %d\n", serviceSlots)
-	_, _ = fmt.Fprintf(w, "# TYPE vllm:leaving gauge\nvllm:leaving %d\n", left)
+	_, _ = fmt.Fprintf(w, "# TYPE vllm:leaving gauge\nvllm:leaving %d\n", leavingValue)
 }
 
 // Register implements Program.
@@ -79,18 +81,20 @@
 	s.Journal.register(control)
 }
 
-func answerEcho(w http.ResponseWriter, echo Echo) {
+// writeEcho writes the answer as JSON.
+func writeEcho(w http.ResponseWriter, echo Echo) {
 	body, err := json.Marshal(echo)
 	if err != nil {
 		http.Error(w, err.Error(), http.StatusInternalServerError)
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_, _ = w.Write(body) // short answers get a Content-Length from net/http
+	_, _ = w.Write(body) // net/http adds a Content-Length to short answers
 }
 
-// refuse answers a call that was not run.
-func refuse(w http.ResponseWriter, reason string) {
+// writeUnavailable answers a call that was not run with 503 and a Retry-After
+// of one second.
+func writeUnavailable(w http.ResponseWriter, reason string) {
 	w.Header().Set("Retry-After", "1")
 	http.Error(w, reason, http.StatusServiceUnavailable)
 }
