--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -67,17 +67,17 @@
 	meter := &jwmeter.Meter{Log: log}
 	defer meter.Close()
 	gw := &jwgateway.Gateway{
-		Settings:  n.Settings,
-		Feed:      &platform.Store{Address: options.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
-		Records:   platform.Records{Regions: options.DataCentres},
-		Dialect:   platform.Headers{},
-		Targets:   &jwconn.Pool{DialTimeout: targetDialTimeout},
-		Nodes:     &jwconn.Pool{Idle: nodeIdleTimeout},
-		Log:       log,
-		Meter:     meter,
-		LostLines: queue.Lost,
-		Decisions: jwlog.NewDecisions(queue, queue.Minor(), n.Settings.Node),
-		Reload:    watchSettings(ctx, g.hup, n.File, log),
+		Settings:        n.Settings,
+		Feed:            &platform.Store{Address: options.Store.Address, Pool: &jwconn.Pool{}, Called: countCalls(meter)},
+		Records:         platform.Records{Regions: options.DataCentres},
+		Dialect:         platform.Headers{},
+		Targets:         &jwconn.Pool{DialTimeout: targetDialTimeout},
+		Nodes:           &jwconn.Pool{Idle: nodeIdleTimeout},
+		Log:             log,
+		Meter:           meter,
+		DroppedLogLines: queue.Lost,
+		Decisions:       jwlog.NewDecisions(queue, queue.Minor(), n.Settings.Node),
+		Reload:          watchSettings(ctx, g.hup, n.File, log),
 	}
 	return gw.Run(ctx)
 }
--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -12,10 +12,10 @@
 	// runningCallDelay is what each running request adds to the wait for the first event, as
 	// prompts are read between the decoding steps of the others.
 	runningCallDelay = 500 * time.Microsecond
-	// PaceWeight is the cost of a millisecond of delay in later events relative to a millisecond of
+	// LaterEventWeight is the cost of a millisecond of delay in later events relative to a millisecond of
 	// delay until the first event. A caller who reads along does not wait for the last event, but
 	// an answer that exceeds its deadline is lost as a whole.
-	PaceWeight = 0.05
+	LaterEventWeight = 0.05
 	// InterferenceWeight is the relative cost of a millisecond by which another running request is
 	// delayed.
 	InterferenceWeight = 0.05
@@ -46,27 +46,27 @@
 
 // Need describes a request for which a target is wanted.
 type Need struct {
-	Service  string
-	Prompt   Prompt
-	Priority int              // 0 is the most urgent
-	Goal     time.Duration    // desired time to the first event, 0 if there is none
-	Events   int              // maximum number of events of the answer
-	Capacity int              // memory of a target in tokens, 0 if not known
-	Homes    []string         // regions that may hold the prompt's data; all if empty
-	WarmOnly bool             // leave out cold targets, and those that name a limit
-	Exclude  map[string]bool  // IDs of targets that the request was already sent to
-	Apart    []netip.AddrPort // addresses of targets that it must not run on now
+	Service        string
+	Prompt         Prompt
+	Priority       int              // 0 is the most urgent
+	FirstEventGoal time.Duration    // desired time to the first event, 0 if there is none
+	Events         int              // maximum number of events of the answer
+	Capacity       int              // memory of a target in tokens, 0 if not known
+	Homes          []string         // regions that may hold the prompt's data; all if empty
+	WarmOnly       bool             // leave out cold targets, and those that name a limit
+	Exclude        map[string]bool  // IDs of targets that the request was already sent to
+	AvoidAddresses []netip.AddrPort // addresses of targets that it must not run on now
 }
 
 // Choice is a chosen target, with the estimates on which the choice rests.
 type Choice struct {
 	Target        *Target
 	Expected      time.Duration  // expected time until the first event
-	Own           time.Duration  // the part of Expected that reading the request's own prompt takes
+	OwnReadTime   time.Duration  // the part of Expected that reading the request's own prompt takes
 	Cost          time.Duration  // Expected plus penalties and the weighted delay of later events, its own and those of others
-	Miss          int            // prompt tokens that the target has to read or, weighted, to fetch
-	Ahead         int            // prompt tokens of other requests that the target reads before
-	Fetch         netip.AddrPort // a target to fetch missing parts from, if valid
+	MissTokens    int            // prompt tokens that the target has to read or, weighted, to fetch
+	AheadTokens   int            // prompt tokens of other requests that the target reads before
+	FetchFrom     netip.AddrPort // a target to fetch missing parts from, if valid
 	Cold          bool           // whether the target is cold
 	PriorityLevel int            // see priorityLevel
 	MemoryTokens  int            // memory that the request occupies, in tokens
@@ -89,11 +89,11 @@
 	if !ok {
 		return c, false
 	}
-	if !c.Fetch.IsValid() {
+	if !c.FetchFrom.IsValid() {
 		// The target may have evicted parts that it is assumed to keep, and would have to read them
 		// again. With this address it can fetch them; parts that it still has are not fetched.
 		if other, held := t.largestHolder(now, n, c.Target); held >= minFetchTokens {
-			c.Fetch = other.Address
+			c.FetchFrom = other.Address
 		}
 	}
 	x := c.Target
@@ -101,7 +101,7 @@
 	x.calls++
 	c.sentAt = now
 	c.PriorityLevel = priorityLevel(n.Priority)
-	x.unread[c.PriorityLevel] += c.Miss
+	x.unread[c.PriorityLevel] += c.MissTokens
 	c.MemoryTokens = n.Prompt.memoryTokens()
 	x.memoryInUse += c.MemoryTokens
 	x.capacity = n.Capacity
@@ -109,14 +109,14 @@
 	stats.meanPrompt += promptWeight * (float64(n.Prompt.Tokens) - stats.meanPrompt)
 	t.recordPlacement(now, x, n.Prompt)
 	x.recordSend(now)
-	if x.limit.Named {
+	if x.limit.Announced {
 		x.limit.bucket.Take()
 	}
 	return c, true
 }
 
-// Look returns what Best would return among registered targets, without counting a request.
-func (t *Table) Look(now time.Time, n Need) (Choice, bool) {
+// Peek returns what Best would return among registered targets, without counting a request.
+func (t *Table) Peek(now time.Time, n Need) (Choice, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.best(now, n, false)
@@ -149,9 +149,9 @@
 	return shortest
 }
 
-// Read returns how long a target of a service takes to read own prompt tokens of a request after
+// ReadTime returns how long a target of a service takes to read own prompt tokens of a request after
 // ahead tokens of others.
-func (t *Table) Read(service string, ahead, own int) time.Duration {
+func (t *Table) ReadTime(service string, ahead, own int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.statsOf(service).firstEvent.readTime(ahead, own)
@@ -190,20 +190,20 @@
 	for _, i := range t.selectCompared(now, n, list, allowGone) {
 		x := list[i]
 		cold := now.Before(x.coldUntil)
-		c := Choice{Target: x, Cold: cold, Miss: t.missingTokens[i]}
-		if held := n.Prompt.Tokens - c.Miss; maxHeld-held >= minFetchTokens && holder != x {
-			c.Fetch = holder.Address
+		c := Choice{Target: x, Cold: cold, MissTokens: t.missingTokens[i]}
+		if held := n.Prompt.Tokens - c.MissTokens; maxHeld-held >= minFetchTokens && holder != x {
+			c.FetchFrom = holder.Address
 			ratio := fetchCostRatio
 			if holder.Region != t.Region {
 				ratio = remoteFetchCostRatio
 			}
-			c.Miss -= int(float64(maxHeld-held) * (1 - ratio))
+			c.MissTokens -= int(float64(maxHeld-held) * (1 - ratio))
 		}
 		l := x.loadFor(n.Priority)
-		c.Ahead, c.TotalCalls = l.unreadAhead, l.calls
-		c.Expected = stats.expected(x, n, c.Miss, l)
-		c.Own = time.Duration(float64(stats.firstEvent.readTime(0, c.Miss)) * x.slowdown)
-		c.Cost = fetchCost(n, c) + c.Expected + time.Duration(x.failures)*failurePenalty + stats.streamCost(now, x, n, c.Miss, l)
+		c.AheadTokens, c.TotalCalls = l.unreadAhead, l.calls
+		c.Expected = stats.expected(x, n, c.MissTokens, l)
+		c.OwnReadTime = time.Duration(float64(stats.firstEvent.readTime(0, c.MissTokens)) * x.slowdown)
+		c.Cost = fetchCost(n, c) + c.Expected + time.Duration(x.failures)*failurePenalty + stats.streamCost(now, x, n, c.MissTokens, l)
 		if choice.Target == nil || c.Cost < choice.Cost {
 			choice = c
 		}
--- a/core/jwinstance/doc.go
+++ b/core/jwinstance/doc.go
@@ -3,6 +3,6 @@
 // answers and from the calls made to it. The target chosen is the one that is expected to send its
 // first event soonest.
 //
-// A Table has one mutex. It calls Warmup, Share, LimitPart, Nodes and Rand while it holds the
+// A Table has one mutex. It calls Warmup, ColdRate, LimitShare, Nodes and Rand while it holds the
 // mutex; they may take locks of their own but must not call the Table.
 package jwinstance
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -24,7 +24,7 @@
 func TestOlderStoreCopyIsIgnored(t *testing.T) {
 	at := func(era, number uint64, change func(*Instance)) Instance {
 		in := instance("a")
-		in.Revision, in.Born = rev(era, number), 10
+		in.Revision, in.StartedAt = rev(era, number), 10
 		if change != nil {
 			change(&in)
 		}
@@ -38,7 +38,7 @@
 		"it drained": {func(t *Table) { t.Put(after(0), at(1, 9, draining)) }, at(2, 5, nil)},
 		"it left":    {func(t *Table) { t.Remove(after(-3000), "a", rev(1, 9)) }, at(2, 5, nil)},
 		"it restarted and drained": {func(t *Table) {
-			t.Put(after(0), at(1, 9, func(in *Instance) { in.Born, in.Draining = 11, true }))
+			t.Put(after(0), at(1, 9, func(in *Instance) { in.StartedAt, in.Draining = 11, true }))
 		}, at(2, 5, nil)},
 		"it said in an answer that it leaves": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
 	}
@@ -51,7 +51,7 @@
 				table.Put(after(ms), c.copy)
 				assert.Equal(t, bestTargetID(table, after(ms+1), Need{}), "")
 			}
-			again := at(2, 7, func(in *Instance) { in.Born = 12 })
+			again := at(2, 7, func(in *Instance) { in.StartedAt = 12 })
 			table.Put(after(6000), again)
 			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "registrations after the copy count")
 		})
@@ -72,12 +72,12 @@
 		tables := []*Table{{Region: "r"}, {Region: "r"}}
 		era, number := uint64(1), uint64(1)
 		ready, draining := instance("a"), instance("a")
-		ready.Revision, ready.Born = rev(era, number), 1
+		ready.Revision, ready.StartedAt = rev(era, number), 1
 		for _, table := range tables {
 			table.Put(t0, ready)
 		}
 		number = uint64(rapid.IntRange(2, 50).Draw(t, "lost"))
-		draining.Revision, draining.Born, draining.Draining = rev(era, number), 1, true
+		draining.Revision, draining.StartedAt, draining.Draining = rev(era, number), 1, true
 		informed := rapid.IntRange(1, 2).Draw(t, "knows")
 		for _, table := range tables[:informed] {
 			table.Put(t0, draining)
--- a/core/jwinstance/estimate.go
+++ b/core/jwinstance/estimate.go
@@ -10,11 +10,11 @@
 // the cost counts in full, so that the request waits for the target that has the parts. It counts
 // less the nearer the goal is, because a late answer loses most of its value.
 func fetchCost(n Need, c Choice) time.Duration {
-	spare := n.Goal/2 - c.Expected
-	if !c.Fetch.IsValid() || spare <= 0 {
+	spare := n.FirstEventGoal/2 - c.Expected
+	if !c.FetchFrom.IsValid() || spare <= 0 {
 		return 0
 	}
-	return time.Duration(float64(maxFetchCost) * float64(spare) / float64(n.Goal/2))
+	return time.Duration(float64(maxFetchCost) * float64(spare) / float64(n.FirstEventGoal/2))
 }
 
 // expected returns the expected wait for the first event of an engine, or for the answer of a plain
@@ -44,7 +44,7 @@
 	if n.Prompt.Tokens == 0 {
 		return 0
 	}
-	d := PaceWeight * float64(n.Events) * float64(x.estimatedGap(now))
+	d := LaterEventWeight * float64(n.Events) * float64(x.estimatedGap(now))
 	d += InterferenceWeight * float64(l.calls) * float64(s.firstEvent.readTime(0, miss))
 	if n.Capacity > 0 && float64(l.memoryTokens+n.Prompt.memoryTokens()) > preemptionThreshold*float64(n.Capacity) {
 		d += float64(preemptionDelay)
--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -60,7 +60,7 @@
 		if leaving == nil {
 			leaving = make(map[string]int64)
 		}
-		leaving[x.ID] = x.Born
+		leaving[x.ID] = x.StartedAt
 	}
 	return leaving
 }
@@ -72,7 +72,7 @@
 	defer t.mu.Unlock()
 	var fresh []string
 	for id, born := range leaving {
-		if x := t.targets[id]; x != nil && x.Born == born && t.leave(x) {
+		if x := t.targets[id]; x != nil && x.StartedAt == born && t.leave(x) {
 			fresh = append(fresh, id)
 		}
 	}
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -22,7 +22,7 @@
 	table.Put(after(3), later)
 	assert.Equal(t, bestTargetID(table, after(4), Need{}), "b", "a later registration does not reset it")
 	assert.Equal(t, table.Regions("s")["r"], 4)
-	later.Born++
+	later.StartedAt++
 	table.Put(after(5), later)
 	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation does not leave")
 }
@@ -46,7 +46,7 @@
 			switch rapid.IntRange(0, 5).Draw(t, "step") {
 			case 0: // the target writes a registration
 				in := instance("a")
-				in.Revision, in.Born = uint64(len(written)+1), int64(len(written)/8)
+				in.Revision, in.StartedAt = uint64(len(written)+1), int64(len(written)/8)
 				written = append(written, in)
 			case 1: // a node reads a registration, maybe late
 				if len(written) > 0 {
@@ -57,24 +57,24 @@
 			case 3:
 				if x != nil {
 					tables[i].Leave(x)
-					leaving[i][x.Born] = true
+					leaving[i][x.StartedAt] = true
 				}
 			case 4: // a node merges a report
 				from := tables[node()].ReportLeaving()
 				for _, id := range tables[i].MergeLeaving(from) {
-					leaving[i][tables[i].targets[id].Born] = true
+					leaving[i][tables[i].targets[id].StartedAt] = true
 				}
 			case 5: // a node merges a view
 				for _, in := range tables[node()].Instances(now) {
 					tables[i].Put(now, in)
 					if x := tables[i].targets["a"]; x.Leaving {
-						leaving[i][x.Born] = true
+						leaving[i][x.StartedAt] = true
 					}
 				}
 			}
 			for k, table := range tables {
-				if x := table.targets["a"]; x != nil && leaving[k][x.Born] && bestTargetID(table, now, Need{}) == "a" {
-					t.Fatalf("node %d sends to the leaving incarnation of %d", k, x.Born)
+				if x := table.targets["a"]; x != nil && leaving[k][x.StartedAt] && bestTargetID(table, now, Need{}) == "a" {
+					t.Fatalf("node %d sends to the leaving incarnation of %d", k, x.StartedAt)
 				}
 			}
 		}
@@ -96,7 +96,7 @@
 	}
 	assert.Equal(t, bestTargetID(c, after(3), Need{}), "")
 	next := instance("x")
-	next.Born, next.Revision = 5, 2
+	next.StartedAt, next.Revision = 5, 2
 	b.Put(after(4), next)
 	assert.Equal(t, len(b.MergeLeaving(a.ReportLeaving())), 0, "another incarnation leaves")
 	assert.Equal(t, bestTargetID(b, after(5), Need{}), "x")
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -14,16 +14,16 @@
 	// node's report must be to count. Reported ages do not include the transmission time between
 	// the nodes.
 	limitReportTolerance = 100 * time.Millisecond
-	// partCacheDuration is how long this node's computed part in a limit is reused. Finding the
-	// owner compares all nodes of the region, and each request needs the part for each target.
-	partCacheDuration = 100 * time.Millisecond
+	// shareCacheDuration is how long this node's computed share in a limit is reused. Finding the
+	// owner compares all nodes of the region, and each request needs the share for each target.
+	shareCacheDuration = 100 * time.Millisecond
 )
 
 // Limit is the rate that a target accepts from all nodes together, as named in its answers. The
 // zero value means that the target names no limit.
 type Limit struct {
-	Named bool
-	Rate  float64 // requests a second
+	Announced bool
+	Rate      float64 // requests a second
 }
 
 // targetLimit is the known limit of a target and this node's use of it.
@@ -32,8 +32,8 @@
 	answeredAt time.Time // time of the answer that named it, zero if none ever named a limit
 	direct     bool      // this node received that answer itself
 	bucket     jwbudget.LimitBucket
-	part       jwbudget.LimitPart // this node's part of the limit
-	partAt     time.Time          // when part was computed
+	share      jwbudget.LimitPart // this node's share of the limit
+	shareAt    time.Time          // when share was computed
 }
 
 // LimitReport is a node's report of a target's limit.
@@ -43,12 +43,12 @@
 	Age   int64   `json:"age"`            // milliseconds since the answer that named it
 }
 
-// Limited records the limit that an answer of a target named, or that it named none, and reports
+// SetLimit records the limit that an answer of a target named, or that it named none, and reports
 // whether that is a change.
-func (t *Table) Limited(now time.Time, x *Target, l Limit) bool {
+func (t *Table) SetLimit(now time.Time, x *Target, l Limit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	if !l.Named && x.limit.answeredAt.IsZero() {
+	if !l.Announced && x.limit.answeredAt.IsZero() {
 		return false
 	}
 	t.markSelfReported(x)
@@ -59,11 +59,11 @@
 // parameter direct says whether this node received that answer itself.
 func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
 	changed := lim.Limit != l
-	if l.Named && !lim.Named {
+	if l.Announced && !lim.Announced {
 		lim.bucket = jwbudget.LimitBucket{Begun: now}
 	}
 	if changed {
-		lim.partAt = time.Time{}
+		lim.shareAt = time.Time{}
 	}
 	lim.Limit, lim.answeredAt, lim.direct = l, answeredAt, direct
 	return changed
@@ -77,17 +77,17 @@
 	var reports map[string]LimitReport
 	for x := range t.selfReporting() {
 		lim := &x.limit
-		if lim.Named {
+		if lim.Announced {
 			t.limitAllows(now, x) // updates the bucket, so that a change of the owner is noticed in time
 		}
 		age := now.Sub(lim.answeredAt)
-		if lim.answeredAt.IsZero() || x.Region != t.Region || !lim.direct && !relay || !lim.Named && age > limitEndReportPeriod {
+		if lim.answeredAt.IsZero() || x.Region != t.Region || !lim.direct && !relay || !lim.Announced && age > limitEndReportPeriod {
 			continue
 		}
 		if reports == nil {
 			reports = make(map[string]LimitReport)
 		}
-		reports[x.ID] = LimitReport{Named: lim.Named, Rate: lim.Rate, Age: age.Milliseconds()}
+		reports[x.ID] = LimitReport{Named: lim.Announced, Rate: lim.Rate, Age: age.Milliseconds()}
 	}
 	return reports
 }
@@ -111,16 +111,16 @@
 	defer t.mu.Unlock()
 	n := 0
 	for x := range t.selfReporting() {
-		if x.limit.Named && x.goneAt.IsZero() && x.Region == t.Region {
+		if x.limit.Announced && x.goneAt.IsZero() && x.Region == t.Region {
 			n++
 		}
 	}
 	return n
 }
 
-// RoomWait returns the shortest time until a target of the region, which by its own answers takes
+// LimitWait returns the shortest time until a target of the region, which by its own answers takes
 // no request of this node now, takes one again. It returns false if there is no such target.
-func (t *Table) RoomWait(now time.Time, service string) (time.Duration, bool) {
+func (t *Table) LimitWait(now time.Time, service string) (time.Duration, bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	shortest := time.Duration(0)
@@ -129,8 +129,8 @@
 			continue
 		}
 		wait := max(x.closedUntil.Sub(now), 0)
-		if x.limit.Named && !t.limitAllows(now, x) {
-			wait = max(wait, x.limit.bucket.Wait(now, t.limitPart(now, x)))
+		if x.limit.Announced && !t.limitAllows(now, x) {
+			wait = max(wait, x.limit.bucket.Wait(now, t.limitShare(now, x)))
 		}
 		if wait > 0 && (shortest == 0 || wait < shortest) {
 			shortest = wait
@@ -141,20 +141,20 @@
 
 // limitAllows reports whether this node may send one more request to a target that names a limit.
 func (t *Table) limitAllows(now time.Time, x *Target) bool {
-	return x.limit.bucket.Room(now, t.limitPart(now, x))
+	return x.limit.bucket.Room(now, t.limitShare(now, x))
 }
 
-// limitPart returns this node's part of the limit of a target.
-func (t *Table) limitPart(now time.Time, x *Target) jwbudget.LimitPart {
+// limitShare returns this node's share of the limit of a target.
+func (t *Table) limitShare(now time.Time, x *Target) jwbudget.LimitPart {
 	lim := &x.limit
-	if t.LimitPart == nil {
+	if t.LimitShare == nil {
 		return jwbudget.PartOf(lim.Rate, true, 1)
 	}
-	if age := now.Sub(lim.partAt); lim.partAt.IsZero() || age < 0 || age >= partCacheDuration {
-		lim.part = t.LimitPart(lim.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
-		lim.partAt = now
+	if age := now.Sub(lim.shareAt); lim.shareAt.IsZero() || age < 0 || age >= shareCacheDuration {
+		lim.share = t.LimitShare(lim.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
+		lim.shareAt = now
 	}
-	return lim.part
+	return lim.share
 }
 
 // knownBy reports whether a target is in the subset that a node of the region chooses from.
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -28,11 +28,11 @@
 		tables := make([]*Table, rapid.IntRange(1, 100).Draw(t, "nodes"))
 		counted := len(tables) + rapid.IntRange(0, 2).Draw(t, "more")
 		for i := range tables {
-			tables[i] = &Table{Region: "r", LimitPart: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
+			tables[i] = &Table{Region: "r", LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
 				return jwbudget.PartOf(rate, i == 0, counted)
 			}}
 			tables[i].Put(t0, instance("a"))
-			tables[i].Limited(t0, tables[i].targets["a"], Limit{Named: true, Rate: rate})
+			tables[i].SetLimit(t0, tables[i].targets["a"], Limit{Announced: true, Rate: rate})
 		}
 		var sends []time.Time
 		now := t0
@@ -70,8 +70,8 @@
 	owner         int       // index of the owner in its view
 }
 
-// part returns the node's part of the limit in its own view.
-func (n *limitNode) part(rate float64, self int, now time.Time) jwbudget.LimitPart {
+// share returns the node's share of the limit in its own view.
+func (n *limitNode) share(rate float64, self int, now time.Time) jwbudget.LimitPart {
 	if now.Before(n.sendsFrom) {
 		return jwbudget.LimitPart{}
 	}
@@ -79,7 +79,7 @@
 }
 
 // While nodes come and go, their views of the number of nodes and of the target's owner differ for
-// some seconds. Two owners, or an owner beside nodes with even parts, would exceed the limit.
+// some seconds. Two owners, or an owner beside nodes with equal shares, would exceed the limit.
 func TestTargetLimitWhileNodesComeAndGo(t *testing.T) {
 	const lag, settle = 3300 * time.Millisecond, 4 * time.Second
 	rapid.Check(t, func(t *rapid.T) {
@@ -96,9 +96,9 @@
 				live := rapid.IntRange(0, 3).Draw(t, "live") > 0
 				if live && !n.live {
 					*n = limitNode{Table: &Table{Region: "r"}, sendsFrom: now.Add(settle), nodes: before + 1, owner: i}
-					n.LimitPart = func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart { return n.part(rate, i, now) }
+					n.LimitShare = func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart { return n.share(rate, i, now) }
 					n.Put(now, instance("a"))
-					n.Limited(now, n.targets["a"], Limit{Named: true, Rate: rate})
+					n.SetLimit(now, n.targets["a"], Limit{Announced: true, Rate: rate})
 				}
 				n.live = live
 				n.learnsAt = now.Add(time.Duration(rapid.IntRange(0, int(lag/time.Millisecond)).Draw(t, "lag")) * time.Millisecond)
@@ -160,15 +160,15 @@
 		table.Put(t0, instance("x"))
 	}
 	limited := func(table *Table) Limit { return table.targets["x"].limit.Limit }
-	named := Limit{Named: true, Rate: 2}
-	assert.Assert(t, a.Limited(after(0), a.targets["x"], named))
-	assert.Assert(t, !a.Limited(after(10), a.targets["x"], named))
+	named := Limit{Announced: true, Rate: 2}
+	assert.Assert(t, a.SetLimit(after(0), a.targets["x"], named))
+	assert.Assert(t, !a.SetLimit(after(10), a.targets["x"], named))
 	b.MergeLimits(after(120), a.ReportLimits(after(110), false))
 	assert.Equal(t, limited(b), named)
 	assert.Equal(t, len(b.ReportLimits(after(130), false)), 0, "only the node that received the answer reports it")
 	c.MergeLimits(after(250), b.ReportLimits(after(240), true))
 	assert.Equal(t, limited(c), named, "a relay reports for others")
-	assert.Assert(t, a.Limited(after(1000), a.targets["x"], Limit{}))
+	assert.Assert(t, a.SetLimit(after(1000), a.targets["x"], Limit{}))
 	a.MergeLimits(after(1050), c.ReportLimits(after(1040), true))
 	assert.Equal(t, limited(a), Limit{}, "an older answer changes nothing")
 	c.MergeLimits(after(1110), a.ReportLimits(after(1100), false))
@@ -182,13 +182,13 @@
 	table := &Table{Region: "r"}
 	in := instance("a")
 	table.Put(t0, in)
-	table.Limited(t0, table.targets["a"], Limit{Named: true, Rate: 1})
+	table.SetLimit(t0, table.targets["a"], Limit{Announced: true, Rate: 1})
 	assert.Equal(t, bestTargetID(table, after(0), Need{}), "")
-	d, ok := table.RoomWait(after(0), "s")
+	d, ok := table.LimitWait(after(0), "s")
 	assert.Assert(t, ok)
 	assert.Equal(t, d, time.Second)
 	assert.Equal(t, bestTargetID(table, after(1000), Need{}), "a")
-	in.Born++
+	in.StartedAt++
 	table.Put(after(1001), in)
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
@@ -207,7 +207,7 @@
 		bestTargetID(table, t0, large)
 	}
 	for _, id := range []string{"a", "b"} {
-		table.Limited(t0, table.targets[id], Limit{Named: true, Rate: 1})
+		table.SetLimit(t0, table.targets[id], Limit{Announced: true, Rate: 1})
 	}
 	sent := map[string]int{}
 	for ms := 0; ms < 20_000; ms += 50 {
@@ -234,13 +234,13 @@
 	for i := 1; i < nodes; i++ {
 		members.Put(t0, jwmember.Member{Name: fmt.Sprintf("n%02d", i), Region: "r", Serving: true})
 	}
-	table := &Table{Region: "r", Node: "n00", LimitPart: func(rate float64, target string, knows func(string) bool) jwbudget.LimitPart {
+	table := &Table{Region: "r", Node: "n00", LimitShare: func(rate float64, target string, knows func(string) bool) jwbudget.LimitPart {
 		return jwbudget.PartOf(rate, members.OwnsAmong(t0, target, knows), nodes)
 	}}
 	for i := range targets {
 		in := instance(fmt.Sprintf("t%03d", i))
 		table.Put(t0, in)
-		table.Limited(t0, table.targets[in.ID], Limit{Named: true, Rate: 2})
+		table.SetLimit(t0, table.targets[in.ID], Limit{Announced: true, Rate: 2})
 	}
 	n := Need{Service: "s", Prompt: prompt(1, 2, 3), Events: 10, Capacity: 250_000}
 	now := t0
@@ -261,7 +261,7 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	table := &Table{
 		Region: "r", Nodes: func() int { return 75 }, Rand: random.IntN,
-		LimitPart: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
+		LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
 			return jwbudget.PartOf(rate, true, 75)
 		},
 	}
@@ -273,7 +273,7 @@
 			loads = append(loads, NodeLoad{Target: id, Calls: 2, MemoryTokens: 8000})
 		}
 	}
-	table.Limited(t0, table.targets["t07"], Limit{Named: true, Rate: rate})
+	table.SetLimit(t0, table.targets["t07"], Limit{Announced: true, Rate: rate})
 	sent := 0
 	for ms := 0; ms < 1000*(seconds+4); ms += 100 {
 		table.Merge(after(ms), "other", loads, nil)
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -39,12 +39,12 @@
 	maxSlowdownSample = 6
 )
 
-// Started records that a call received its first event, or the answer of a plain service, after the
+// RecordFirstEvent records that a call received its first event, or the answer of a plain service, after the
 // wait d.
-func (t *Table) Started(x *Target, c Choice, p Prompt, d time.Duration) {
+func (t *Table) RecordFirstEvent(x *Target, c Choice, p Prompt, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	x.unread[c.PriorityLevel] -= c.Miss
+	x.unread[c.PriorityLevel] -= c.MissTokens
 	stats := t.statsOf(x.Service)
 	if p.Tokens == 0 {
 		if c.Cold {
@@ -54,7 +54,7 @@
 	} else {
 		stats.engine = true
 		if !c.Cold {
-			stats.firstEvent.observe(c.Ahead, c.Miss, max(d-stats.batchDelay(max(x.Slots, 1), c.TotalCalls), 0))
+			stats.firstEvent.observe(c.AheadTokens, c.MissTokens, max(d-stats.batchDelay(max(x.Slots, 1), c.TotalCalls), 0))
 		}
 	}
 	ratio := min(float64(d)*x.slowdown/float64(max(c.Expected, time.Millisecond)), maxSlowdownSample)
@@ -64,8 +64,8 @@
 // gapWeight is the weight of a new sample in the moving average of a target's gap.
 const gapWeight = 0.1
 
-// Passed records that a number of events of a stream arrived after a pause of d.
-func (t *Table) Passed(now time.Time, x *Target, events int, d time.Duration) {
+// RecordEvents records that a number of events of a stream arrived after a pause of d.
+func (t *Table) RecordEvents(now time.Time, x *Target, events int, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	d /= time.Duration(max(events, 1))
@@ -76,19 +76,19 @@
 	x.gapAt = now
 }
 
-// Done records the end of a call. The parameter first is the wait that was given to Started, or 0
-// if Started was not called.
+// Done records the end of a call. The parameter first is the wait that was given to RecordFirstEvent, or 0
+// if RecordFirstEvent was not called.
 func (t *Table) Done(now time.Time, x *Target, c Choice, first time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if stats := t.statsOf(x.Service); first > 0 && stats.engine {
-		held := now.Sub(c.sentAt) - first + c.Own // without the wait for the slot
+		held := now.Sub(c.sentAt) - first + c.OwnReadTime // without the wait for the slot
 		stats.slotTime += time.Duration(callTimeWeight * float64(held-stats.slotTime))
 	}
 	x.calls--
 	x.memoryInUse -= c.MemoryTokens
 	if first == 0 {
-		x.unread[c.PriorityLevel] -= c.Miss
+		x.unread[c.PriorityLevel] -= c.MissTokens
 	}
 }
 
@@ -123,9 +123,9 @@
 	x.backoffUntil = laterTime(x.backoffUntil, now.Add(refusedBackoff))
 }
 
-// Closed records that a target asked this node not to send more requests for d, which is limited to
+// SetClosed records that a target asked this node not to send more requests for d, which is limited to
 // maxClosed. Answers to requests that were sent before do not end that period.
-func (t *Table) Closed(now time.Time, x *Target, d time.Duration) {
+func (t *Table) SetClosed(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.closedUntil = laterTime(x.closedUntil, now.Add(min(d, maxClosed)))
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -81,12 +81,12 @@
 	return x.gap, x.gapAt
 }
 
-// Relayed returns the placements of shared parts that are not older than age, of this node and
+// PlacementsToRelay returns the placements of shared parts that are not older than age, of this node and
 // reported to it, the latest first. The last part of a prompt belongs to one caller and is useful
 // to few, so it is left out. A node that is not a relay gets only placements at targets that it
 // knows. Another relay doesn't get what relays reported, which would otherwise circulate between
 // them.
-func (t *Table) Relayed(now time.Time, age time.Duration, node string, toRelay bool) []Placement {
+func (t *Table) PlacementsToRelay(now time.Time, age time.Duration, node string, toRelay bool) []Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	knows := t.knownTo(node, toRelay)
@@ -140,9 +140,9 @@
 	return known
 }
 
-// Loads is a list of NodeLoad in columns, which is the form that nodes exchange: it writes each
+// LoadColumns is a list of NodeLoad in columns, which is the form that nodes exchange: it writes each
 // field name once instead of once for each target.
-type Loads struct {
+type LoadColumns struct {
 	Targets      []string           `json:"targets"`
 	Calls        []int              `json:"calls"`
 	Unread       []tokensByPriority `json:"work"`
@@ -150,12 +150,12 @@
 	Gaps         []int64            `json:"gaps"`
 }
 
-// Columns converts a list to columns; it returns nil for an empty list.
-func Columns(list []NodeLoad) *Loads {
+// NewLoadColumns converts a list to columns; it returns nil for an empty list.
+func NewLoadColumns(list []NodeLoad) *LoadColumns {
 	if len(list) == 0 {
 		return nil
 	}
-	c := &Loads{
+	c := &LoadColumns{
 		Targets: make([]string, len(list)), Calls: make([]int, len(list)), Unread: make([]tokensByPriority, len(list)),
 		MemoryTokens: make([]int, len(list)), Gaps: make([]int64, len(list)),
 	}
@@ -166,7 +166,7 @@
 }
 
 // List converts the columns back to a list. It ends where the shortest column ends.
-func (c *Loads) List() []NodeLoad {
+func (c *LoadColumns) List() []NodeLoad {
 	if c == nil {
 		return nil
 	}
@@ -178,9 +178,9 @@
 	return list
 }
 
-// Places is a list of Placement in columns. At holds the index in Targets of each placement, and
+// PlacementColumns is a list of Placement in columns. At holds the index in Targets of each placement, and
 // Counts how many of IDs and Tokens belong to it.
-type Places struct {
+type PlacementColumns struct {
 	Targets []string `json:"targets"`
 	At      []int    `json:"at"`
 	Counts  []int    `json:"counts"`
@@ -188,12 +188,12 @@
 	Tokens  []int    `json:"tokens"`
 }
 
-// PlaceColumns converts a list to columns; it returns nil for an empty list.
-func PlaceColumns(list []Placement) *Places {
+// NewPlacementColumns converts a list to columns; it returns nil for an empty list.
+func NewPlacementColumns(list []Placement) *PlacementColumns {
 	if len(list) == 0 {
 		return nil
 	}
-	c := &Places{At: make([]int, len(list)), Counts: make([]int, len(list))}
+	c := &PlacementColumns{At: make([]int, len(list)), Counts: make([]int, len(list))}
 	at := make(map[string]int)
 	for i, p := range list {
 		n, ok := at[p.Target]
@@ -211,7 +211,7 @@
 }
 
 // List converts the columns back to a list. It ends where the columns are inconsistent.
-func (c *Places) List() []Placement {
+func (c *PlacementColumns) List() []Placement {
 	if c == nil {
 		return nil
 	}
--- a/core/jwinstance/relay_test.go
+++ b/core/jwinstance/relay_test.go
@@ -92,14 +92,14 @@
 		return strings.Join(ids, " ")
 	}
 	relay.placements[1].Parts[1].ID = 4 // a different part than in the first placement
-	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", true)), "10")
-	assert.Equal(t, firsts(relay.Relayed(now, time.Second, "2", false)), "10 20 30")
-	assert.Equal(t, len(relay.Relayed(now.Add(2*time.Second), time.Second, "2", false)), 0)
+	assert.Equal(t, firsts(relay.PlacementsToRelay(now, time.Second, "2", true)), "10")
+	assert.Equal(t, firsts(relay.PlacementsToRelay(now, time.Second, "2", false)), "10 20 30")
+	assert.Equal(t, len(relay.PlacementsToRelay(now.Add(2*time.Second), time.Second, "2", false)), 0)
 }
 
-// Columns must convert back to the list that they were made of, and converting must not fail on
+// Load columns must convert back to the list that they were made of, and converting must not fail on
 // invalid columns, which a faulty node or one of another version may send.
-func TestColumns(t *testing.T) {
+func TestLoadColumns(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var loads []NodeLoad
 		var places []Placement
@@ -112,14 +112,14 @@
 			}
 			places = append(places, p)
 		}
-		assert.Assert(t, slices.Equal(Columns(loads).List(), loads))
-		got := PlaceColumns(places).List()
+		assert.Assert(t, slices.Equal(NewLoadColumns(loads).List(), loads))
+		got := NewPlacementColumns(places).List()
 		assert.Equal(t, len(got), len(places))
 		for i, p := range places {
 			assert.Equal(t, got[i].Target, p.Target)
 			assert.Assert(t, slices.Equal(got[i].Parts, p.Parts))
 		}
-		c := PlaceColumns(places)
+		c := NewPlacementColumns(places)
 		if c == nil {
 			return
 		}
@@ -158,9 +158,9 @@
 	bytes := 0
 	for range b.N {
 		raw, err := json.Marshal(struct {
-			Loads  *Loads
-			Placed *Places
-		}{Columns(table.ReportTo(now, "1")), PlaceColumns(table.Relayed(now, time.Second, "2", false))})
+			Loads  *LoadColumns
+			Placed *PlacementColumns
+		}{NewLoadColumns(table.ReportTo(now, "1")), NewPlacementColumns(table.PlacementsToRelay(now, time.Second, "2", false))})
 		if err != nil {
 			b.Fatal(err)
 		}
--- a/core/jwinstance/sample.go
+++ b/core/jwinstance/sample.go
@@ -35,13 +35,13 @@
 func (t *Table) collectCandidates(now time.Time, n Need, list []*Target, allowGone bool) {
 	t.candidates, t.limitedCandidates = t.candidates[:0], t.limitedCandidates[:0]
 	for i, x := range list {
-		if x.Region != t.Region || !t.usable(now, x, allowGone) || n.Exclude[x.ID] || slices.Contains(n.Apart, x.Address) {
+		if x.Region != t.Region || !t.usable(now, x, allowGone) || n.Exclude[x.ID] || slices.Contains(n.AvoidAddresses, x.Address) {
 			continue
 		}
 		if now.Before(x.coldUntil) && (n.WarmOnly || !t.coldAllows(now, x)) {
 			continue
 		}
-		if x.limit.Named {
+		if x.limit.Announced {
 			if !n.WarmOnly && t.limitAllows(now, x) {
 				t.limitedCandidates = append(t.limitedCandidates, i)
 			}
@@ -120,7 +120,7 @@
 // coldAllows reports whether this node may send one more request to a cold target, given its sends
 // within the last second.
 func (t *Table) coldAllows(now time.Time, x *Target) bool {
-	if t.Warmup == nil || t.Share == nil {
+	if t.Warmup == nil || t.ColdRate == nil {
 		return true
 	}
 	d, rate := t.Warmup(x.Service)
@@ -128,7 +128,7 @@
 		return true
 	}
 	x.dropOldSends(now)
-	return float64(len(x.recentSends)+1) <= t.Share(x.Service, x.ID)
+	return float64(len(x.recentSends)+1) <= t.ColdRate(x.Service, x.ID)
 }
 
 // maxRecentSends limits how many sends are remembered. No node's share of a cold target is that
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -229,7 +229,7 @@
 		if x.Region != t.Region || !t.usable(now, x, false) || now.Before(x.coldUntil) {
 			continue
 		}
-		if x.limit.Named {
+		if x.limit.Announced {
 			if !t.limitAllows(now, x) {
 				continue
 			}
@@ -240,8 +240,8 @@
 	return list
 }
 
-// Resumed discards the loads that other nodes reported, after this node itself was paused.
-func (t *Table) Resumed() {
+// DiscardReports discards the loads that other nodes reported, after this node itself was paused.
+func (t *Table) DiscardReports() {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for node := range t.reports {
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -94,7 +94,7 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			id := fmt.Sprint("t", rapid.IntRange(0, 150).Draw(t, "target"))
 			in := Instance{ID: id, Service: rapid.SampledFrom([]string{"s", "s", "s", "z"}).Draw(t, "service"), Region: fmt.Sprint("r", rapid.IntRange(0, 1).Draw(t, "region")), Revision: 1}
-			in.Born = int64(rapid.IntRange(0, 2).Draw(t, "born"))
+			in.StartedAt = int64(rapid.IntRange(0, 2).Draw(t, "born"))
 			if rapid.IntRange(0, 2).Draw(t, "goes") == 0 {
 				table.Remove(now, id, 9)
 				now = now.Add(2 * recordRetention)
@@ -134,14 +134,14 @@
 		in   Instance
 		want Change
 	}{
-		"same content":          {with(func(*Instance) {}), Same},
-		"within the tolerance":  {with(func(in *Instance) { in.Cold -= 400 * time.Millisecond }), Same},
+		"same content":          {with(func(*Instance) {}), Unchanged},
+		"within the tolerance":  {with(func(in *Instance) { in.Cold -= 400 * time.Millisecond }), Unchanged},
 		"cold again":            {with(func(in *Instance) { in.Cold = 3 * time.Second }), Updated},
 		"warm at once":          {with(func(in *Instance) { in.Cold = 0 }), Updated},
 		"other slots":           {with(func(in *Instance) { in.Slots = 8 }), Updated},
 		"draining":              {with(func(in *Instance) { in.Draining = true }), DrainStarted},
-		"removed soon":          {with(func(in *Instance) { in.Left = 2 * time.Second }), Updated},
-		"an older registration": {with(func(in *Instance) { in.Revision, in.Draining = 0, true }), Same},
+		"removed soon":          {with(func(in *Instance) { in.RemainingTime = 2 * time.Second }), Updated},
+		"an older registration": {with(func(in *Instance) { in.Revision, in.Draining = 0, true }), Unchanged},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -166,7 +166,7 @@
 	for i := 0; b.Loop(); i++ {
 		n := in[i%len(in)]
 		n.Cold = time.Duration(1+i%3) * time.Second
-		if table.Put(now, n) != Same {
+		if table.Put(now, n) != Unchanged {
 			table.Knows(n.ID)
 		}
 	}
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -31,13 +31,13 @@
 	// Nodes returns how many nodes of the region choose among its targets; Rand returns a random
 	// number from 0 up to but not including n. If Nodes is nil, all usable targets are compared;
 	// see sampleCandidates.
-	Nodes func() int
-	Rand  func(n int) int
-	Share func(service, target string) float64 // requests a second that this node may send to a cold target
-	// LimitPart returns this node's part of the rate limit that a target names. The function knows
-	// reports whether a node has the target among those that it chooses from. If LimitPart is nil,
+	Nodes    func() int
+	Rand     func(n int) int
+	ColdRate func(service, target string) float64 // requests a second that this node may send to a cold target
+	// LimitShare returns this node's share of the rate limit that a target announces. The function knows
+	// reports whether a node has the target among those that it chooses from. If LimitShare is nil,
 	// this node is taken to be the only one.
-	LimitPart func(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart
+	LimitShare func(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart
 
 	mu                sync.Mutex
 	targets           map[string]*Target
@@ -90,7 +90,7 @@
 
 // Possible changes by a registration.
 const (
-	Same         Change = ""          // nothing
+	Unchanged    Change = ""          // nothing
 	Appeared     Change = "appeared"  // a target that was not known
 	Restarted    Change = "beganAnew" // a new incarnation under the same name
 	Returned     Change = "returned"  // its registration had vanished before
@@ -111,20 +111,20 @@
 		t.targets = make(map[string]*Target)
 	}
 	old := t.targets[in.ID]
-	if old != nil && in.Leaving && in.Born == old.Born {
+	if old != nil && in.Leaving && in.StartedAt == old.StartedAt {
 		t.leave(old)
 	}
 	if old != nil && in.Revision < old.Revision {
-		return Same // from another node that lags behind
+		return Unchanged // from another node that lags behind
 	}
 	if old != nil && old.fromStaleStore(in) {
-		if in.Born < old.Born || !old.goneAt.IsZero() {
+		if in.StartedAt < old.StartedAt || !old.goneAt.IsZero() {
 			old.Revision, old.seenAt = in.Revision, now
-			return Same
+			return Unchanged
 		}
 		in.Draining = in.Draining || old.Draining
 	}
-	if old == nil || old.Born != in.Born || old.Address != in.Address || old.Service != in.Service {
+	if old == nil || old.StartedAt != in.StartedAt || old.Address != in.Address || old.Service != in.Service {
 		fresh := &Target{Instance: in, nameHash: jwtarget.NameKey(in.ID), seenAt: now, changedAt: now, slowdown: 1}
 		if old != nil || in.Cold > 0 {
 			fresh.coldUntil = now.Add(max(in.Cold, t.coldAfterRestart(old, in)))
@@ -144,7 +144,7 @@
 		return Appeared
 	}
 	change := old.compare(now, in)
-	if change != Same {
+	if change != Unchanged {
 		regionChanged := old.Region != in.Region
 		old.update(in)
 		old.changedAt = now
@@ -166,7 +166,7 @@
 // Registrations that the target writes after the restore count again.
 func (x *Target) fromStaleStore(in Instance) bool {
 	newerEra := jwstore.Era(in.Revision) > jwstore.Era(x.Revision)
-	if newerEra && (x.Draining || !x.goneAt.IsZero() || in.Born < x.Born) {
+	if newerEra && (x.Draining || !x.goneAt.IsZero() || in.StartedAt < x.StartedAt) {
 		x.staleRevision = in.Revision
 	}
 	return x.staleRevision != 0 && in.Revision <= x.staleRevision
@@ -181,10 +181,10 @@
 	case !x.goneAt.IsZero():
 		return Returned
 	case in.Draining != x.Draining, in.Slots != x.Slots, in.DataCentre != x.DataCentre, in.Region != x.Region,
-		countdownDiffers(x.Cold, in.Cold, elapsed), countdownDiffers(x.Left, in.Left, elapsed):
+		countdownDiffers(x.Cold, in.Cold, elapsed), countdownDiffers(x.RemainingTime, in.RemainingTime, elapsed):
 		return Updated
 	}
-	return Same
+	return Unchanged
 }
 
 // countdownDiffers reports whether a remaining time differs by more than countdownTolerance from an
@@ -197,7 +197,7 @@
 // address stay, because senders read them without the lock.
 func (x *Target) update(in Instance) {
 	x.DataCentre, x.Region, x.Slots = in.DataCentre, in.Region, in.Slots
-	x.Draining, x.Cold, x.Left = in.Draining, in.Cold, in.Left
+	x.Draining, x.Cold, x.RemainingTime = in.Draining, in.Cold, in.RemainingTime
 }
 
 // coldAfterRestart returns how long a target that restarted under its own name is taken to be cold:
@@ -220,9 +220,9 @@
 	}
 }
 
-// Keep marks all targets as gone except those with the given IDs, which are all that the store held
+// RemoveExcept marks all targets as gone except those with the given IDs, which are all that the store held
 // at the revision. This covers removals that this node did not see.
-func (t *Table) Keep(now time.Time, ids map[string]bool, revision jwstore.Revision) {
+func (t *Table) RemoveExcept(now time.Time, ids map[string]bool, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.usableSlots = nil
@@ -288,8 +288,8 @@
 	return names
 }
 
-// Cold records that a target said in an answer that it remains cold for d.
-func (t *Table) Cold(now time.Time, x *Target, d time.Duration) {
+// SetCold records that a target said in an answer that it remains cold for d.
+func (t *Table) SetCold(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.coldUntil = laterTime(x.coldUntil, now.Add(d))
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -61,16 +61,16 @@
 			t.Evacuate(after(0), "r-a", true)
 		}, 0, "b"},
 		"a's registration vanished":                {func(t *Table) { t.Remove(after(0), "a", 1) }, 100, "b"},
-		"a vanished while this node did not watch": {func(t *Table) { t.Keep(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
+		"a vanished while this node did not watch": {func(t *Table) { t.RemoveExcept(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
 		"a can't be dialed":                        {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
 		"a could not be dialed, backoff over":      {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
 		"a had no room":                            {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
-		"a closed for a second":                    {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 900, "b"},
+		"a closed for a second":                    {func(t *Table) { t.SetClosed(after(0), t.targets["a"], time.Second) }, 900, "b"},
 		"a closed, and an earlier request is answered": {func(t *Table) {
-			t.Closed(after(0), t.targets["a"], time.Second)
+			t.SetClosed(after(0), t.targets["a"], time.Second)
 			t.Served(t.targets["a"])
 		}, 900, "b"},
-		"a closed, a second later":            {func(t *Table) { t.Closed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
+		"a closed, a second later":            {func(t *Table) { t.SetClosed(after(0), t.targets["a"], time.Second) }, 1000, "a"},
 		"another incarnation has a's address": {func(t *Table) { t.Replaced(after(0), t.targets["a"]) }, 100, "b"},
 		"a failed":                            {func(t *Table) { t.Failed(t.targets["a"]) }, 0, "b"},
 		"a failed and then served":            {func(t *Table) { t.Failed(t.targets["a"]); t.Served(t.targets["a"]) }, 0, "a"},
@@ -88,7 +88,7 @@
 			a := instance("a")
 			a.Revision = 3
 			t.Put(after(0), a)
-			t.Keep(after(1), map[string]bool{"b": true}, 2)
+			t.RemoveExcept(after(1), map[string]bool{"b": true}, 2)
 		}, 10, "a"},
 		"b is in another region": {func(t *Table) {
 			b := instance("b")
@@ -136,17 +136,17 @@
 // requests would crash it again.
 func TestNewIncarnationIsCold(t *testing.T) {
 	table := &Table{
-		Region: "r",
-		Warmup: func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
-		Share:  func(string, string) float64 { return 2 },
+		Region:   "r",
+		Warmup:   func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
+		ColdRate: func(string, string) float64 { return 2 },
 	}
 	a := instance("a")
-	a.Born = 1
+	a.StartedAt = 1
 	table.Put(after(0), a)
 	for range 5 {
 		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
-	a.Born = 2
+	a.StartedAt = 2
 	table.Put(after(10), a)
 	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
 	assert.Equal(t, bestTargetID(table, after(20), Need{}), "a")
@@ -160,9 +160,9 @@
 // The targets of a data centre may come back cold from an evacuation without reporting it.
 func TestTargetsAreColdAfterEvacuation(t *testing.T) {
 	table := &Table{
-		Region: "r",
-		Warmup: func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
-		Share:  func(string, string) float64 { return 1 },
+		Region:   "r",
+		Warmup:   func(string) (time.Duration, float64) { return 3 * time.Second, 2 },
+		ColdRate: func(string, string) float64 { return 1 },
 	}
 	table.Put(after(0), instance("a"))
 	table.Evacuate(after(0), "r-a", true)
@@ -187,9 +187,9 @@
 			owner := rapid.Bool().Draw(t, "owner")
 			counted := nodes + rapid.IntRange(0, 2).Draw(t, "more")
 			tables[i] = &Table{
-				Region: "r",
-				Warmup: func(string) (time.Duration, float64) { return time.Hour, limits.Rate },
-				Share:  func(string, string) float64 { return jwbudget.ColdShare(limits, owner, counted) },
+				Region:   "r",
+				Warmup:   func(string) (time.Duration, float64) { return time.Hour, limits.Rate },
+				ColdRate: func(string, string) float64 { return jwbudget.ColdShare(limits, owner, counted) },
 			}
 			recent := instance("a")
 			recent.Cold = time.Hour
@@ -251,11 +251,11 @@
 		"b is busy but there is time to wait": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
-		}, Need{Prompt: prompt(1, 2, 3), Goal: time.Second}, "b", ""},
+		}, Need{Prompt: prompt(1, 2, 3), FirstEventGoal: time.Second}, "b", ""},
 		"b is busy and there is no time: parts are fetched": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
-		}, Need{Prompt: prompt(1, 2, 3), Goal: 100 * time.Millisecond}, "a", "b"},
+		}, Need{Prompt: prompt(1, 2, 3), FirstEventGoal: 100 * time.Millisecond}, "a", "b"},
 		// An engine evicts cached parts when its answers need the memory.
 		"a may have evicted the parts: b is named for fetching": {func(t *Table) {
 			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
@@ -279,8 +279,8 @@
 		"a's memory is full":  {func(t *Table) { t.targets["a"].memoryInUse = 90_000 }, Need{Prompt: prompt(1), Capacity: 100_000}, "b", ""},
 		"a's slots are taken": {func(t *Table) { t.targets["a"].calls = 4 }, Need{Prompt: prompt(1)}, "b", ""},
 		"a's events are slow": {func(t *Table) {
-			t.Passed(t0, t.targets["a"], 1, time.Second)
-			t.Passed(t0, t.targets["b"], 1, 20*time.Millisecond)
+			t.RecordEvents(t0, t.targets["a"], 1, time.Second)
+			t.RecordEvents(t0, t.targets["b"], 1, 20*time.Millisecond)
 		}, Need{Prompt: prompt(1), Events: 50}, "b", ""},
 	}
 	for name, c := range cases {
@@ -298,7 +298,7 @@
 			assert.Equal(t, got.Target.ID, c.want)
 			fetch := ""
 			for id, x := range table.targets {
-				if x.Address == got.Fetch {
+				if x.Address == got.FetchFrom {
 					fetch = id
 				}
 			}
@@ -329,7 +329,7 @@
 		assert.Assert(t, ok)
 		assert.Assert(t, x.calls == 1 && x.memoryInUse > 0)
 		if first > 0 {
-			table.Started(x, c, prompt(1, 2), first)
+			table.RecordFirstEvent(x, c, prompt(1, 2), first)
 		}
 		table.Done(t0, x, c, first)
 		assert.Equal(t, x.unread, tokensByPriority{})
@@ -352,7 +352,7 @@
 		if c.Target.ID == "a" {
 			d *= 6
 		}
-		table.Started(c.Target, c, prompt(uint64(i)), d)
+		table.RecordFirstEvent(c.Target, c, prompt(uint64(i)), d)
 		table.Done(after(i*20), c.Target, c, d)
 		calls[c.Target.ID]++
 	}
@@ -417,14 +417,14 @@
 func TestColdIsReportedBetweenNodes(t *testing.T) {
 	warmup := func(string) (time.Duration, float64) { return 3 * time.Second, 2 }
 	tables := []*Table{
-		{Region: "r", Warmup: warmup, Share: func(string, string) float64 { return 3 }},
-		{Region: "r", Warmup: warmup, Share: func(string, string) float64 { return 0 }},
+		{Region: "r", Warmup: warmup, ColdRate: func(string, string) float64 { return 3 }},
+		{Region: "r", Warmup: warmup, ColdRate: func(string, string) float64 { return 0 }},
 	}
 	for _, table := range tables {
 		table.Put(t0, instance("a"))
 		assert.Equal(t, bestTargetID(table, after(0), Need{}), "a")
 	}
-	tables[0].Cold(after(100), tables[0].targets["a"], 2*time.Second)
+	tables[0].SetCold(after(100), tables[0].targets["a"], 2*time.Second)
 	assert.Equal(t, len(tables[0].Probes(after(100))), 0)
 	tables[1].MergeCold(after(150), tables[0].ReportCold(after(150)))
 	assert.Equal(t, bestTargetID(tables[1], after(160), Need{}), "")
@@ -440,7 +440,7 @@
 	a, b := &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("a"))
 	b.Put(t0, instance("a"))
-	a.Cold(t0, a.targets["a"], time.Second)
+	a.SetCold(t0, a.targets["a"], time.Second)
 	const delay = 10
 	for ms := 0; ms < 1200; ms += 2 * delay {
 		b.MergeCold(after(ms+delay), a.ReportCold(after(ms)))
@@ -485,7 +485,7 @@
 	table.Report(after(1100))
 	assert.Equal(t, x.loadFor(1), load{})
 	table.Merge(after(1200), "n3", sent, nil)
-	table.Resumed()
+	table.DiscardReports()
 	assert.Equal(t, x.loadFor(1), load{})
 }
 
@@ -543,7 +543,7 @@
 	for range 200 {
 		c, ok := table.Best(at, need)
 		assert.Assert(t, ok)
-		table.Started(c.Target, c, need.Prompt, 50*time.Millisecond)
+		table.RecordFirstEvent(c.Target, c, need.Prompt, 50*time.Millisecond)
 		at = at.Add(4 * time.Second)
 		table.Done(at, c.Target, c, 50*time.Millisecond)
 	}
@@ -551,7 +551,7 @@
 		_, ok := table.Best(at, need)
 		assert.Assert(t, ok)
 	}
-	c, ok := table.Look(at, need)
+	c, ok := table.Peek(at, need)
 	assert.Assert(t, ok)
 	assert.Assert(t, c.Expected > 1800*time.Millisecond && c.Expected < 2300*time.Millisecond, "%s", c.Expected)
 }
--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -50,7 +50,7 @@
 	}
 	d := q.newDecision(stepSend)
 	d.Target, d.Expected, d.Cold, d.Calls = c.Target.ID, c.Expected, c.Cold, c.Calls
-	d.Prompt, d.Miss, d.Ahead = q.Prompt.Tokens, c.Miss, c.Ahead
+	d.Prompt, d.Miss, d.Ahead = q.Prompt.Tokens, c.MissTokens, c.AheadTokens
 	d.First, d.Pause = p.first, p.pause
 	d.Silent = p.silence(v, time.Now())
 	d.ViewAge, d.Outcome, d.Status = c.Age, string(v), status
--- a/io/jwgateway/dialect.go
+++ b/io/jwgateway/dialect.go
@@ -10,8 +10,8 @@
 	"jujubewheel/core/jwinstance"
 )
 
-// Call is what a caller's headers say about its request.
-type Call struct {
+// CallerHeaders is what a caller's headers say about its request.
+type CallerHeaders struct {
 	ID        string        // identifier of the request
 	Deadline  time.Duration // time left until the caller gives up; 0 if not given
 	LastEvent string        // identifier of the event after which to resume a stream
@@ -19,8 +19,8 @@
 	Prompt    jwinstance.Prompt
 }
 
-// Send is what the gateway adds to the headers of a request to a target.
-type Send struct {
+// TargetHeaders is what the gateway adds to the headers of a request to a target.
+type TargetHeaders struct {
 	Target    string         // the incarnation of the target that may run the request
 	Left      time.Duration  // time left until the request's deadline
 	Engine    bool           // the target is a model engine
@@ -30,13 +30,13 @@
 	Fetch     netip.AddrPort // target to fetch cached parts of the prompt from, if valid
 }
 
-// Reply is what the headers of an answer say.
-type Reply struct {
+// AnswerHeaders is what the headers of an answer say.
+type AnswerHeaders struct {
 	ID         string           // identifier of the request that is answered
 	NotRun     bool             // the target has not run the request and will not
 	Signed     bool             // the answer carries a target's signature
 	Target     string           // identifier of the target that answered, if given
-	Cold       time.Duration    // for how long the target stays cold
+	ColdFor    time.Duration    // for how long the target stays cold
 	Limit      jwinstance.Limit // limit that the target announces
 	RetryAfter time.Duration    // for how long the target accepts no requests from this node, if it rejected one
 	Leaving    bool             // the target is leaving, whatever its registration says
@@ -45,30 +45,30 @@
 // Dialect translates the headers of callers and targets between the platform's names and this
 // package's types.
 type Dialect interface {
-	// Call returns what the headers of a caller's request say.
-	Call(h http.Header) Call
+	// ParseCallerHeaders returns what the headers of a caller's request say.
+	ParseCallerHeaders(h http.Header) CallerHeaders
 	// Strip removes the headers that only the gateway may set for a target.
 	Strip(h http.Header)
 	// StripKey removes the caller's key.
 	StripKey(h http.Header)
-	// Send adds the headers for the target.
-	Send(h http.Header, s Send)
-	// Left sets the time left until the request's deadline.
-	Left(h http.Header, left time.Duration)
-	// Answer returns what the headers of an answer say.
-	Answer(h http.Header) Reply
+	// SetTargetHeaders adds the headers for the target.
+	SetTargetHeaders(h http.Header, s TargetHeaders)
+	// SetTimeLeft sets the time left until the request's deadline.
+	SetTimeLeft(h http.Header, left time.Duration)
+	// ParseAnswerHeaders returns what the headers of an answer say.
+	ParseAnswerHeaders(h http.Header) AnswerHeaders
 	// ID returns the identifier of the request that an answer belongs to.
 	ID(h http.Header) string
 	// Refuse adds the identifier of the request to the headers of an error answer.
 	Refuse(h http.Header, id string)
-	// Question returns the host that a caller queries the directory for, and the caller's region.
-	Question(q url.Values) (host, region string)
+	// DirectoryQuery returns the host that a caller queries the directory for, and the caller's region.
+	DirectoryQuery(q url.Values) (host, region string)
 	// Directory returns the answer of the directory, which is encoded as JSON.
 	Directory(nodes []netip.AddrPort, ttl time.Duration) any
 }
 
-// Records decodes the store's keys and values that operators and targets write.
-type Records interface {
+// RecordDecoder decodes the store's keys and values that operators and targets write.
+type RecordDecoder interface {
 	// IsConfig reports whether the configuration is stored under a key.
 	IsConfig(key string) bool
 	// Config decodes a configuration.
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -25,7 +25,7 @@
 
 // serveDirectory returns the addresses of the nodes that a caller should use.
 func (g *Gateway) serveDirectory(w http.ResponseWriter, r *http.Request) {
-	host, region := g.Dialect.Question(r.URL.Query())
+	host, region := g.Dialect.DirectoryQuery(r.URL.Query())
 	v := g.resolverView(time.Now(), host, region)
 	v.Caller = callerOf(r.RemoteAddr)
 	a := jwresolver.Resolve(v)
--- a/io/jwgateway/doc.go
+++ b/io/jwgateway/doc.go
@@ -3,6 +3,6 @@
 // them to a node of another region, names live nodes to callers, and stops without aborting the
 // requests in flight before its grace period ends.
 //
-// All headers and store records of the platform are translated by a Dialect and by Records, so that
+// All headers and store records of the platform are translated by a Dialect and a RecordDecoder, so that
 // this package contains none of the platform's names.
 package jwgateway
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -50,9 +50,9 @@
 	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // limits that targets announce, sent within the region only
 	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that announced leaving, with the start of their incarnation; sent within the region only
 	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight when targets crashed
-	Placed      *jwinstance.Places                `json:"placed,omitempty"`
+	Placed      *jwinstance.PlacementColumns      `json:"placed,omitempty"`
 	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen recently, sent to other regions only
-	Loads       *jwinstance.Loads                 `json:"loads,omitempty"`     // sent within the region only
+	Loads       *jwinstance.LoadColumns           `json:"loads,omitempty"`     // sent within the region only
 	RelayReport *relayReport                      `json:"through,omitempty"`   // set if state is exchanged through relays
 }
 
@@ -72,13 +72,13 @@
 	}
 	if region == g.Settings.Region {
 		loads, placed := g.targets.Report(now)
-		s.Loads, s.Placed = jwinstance.Columns(loads), jwinstance.PlaceColumns(placed)
+		s.Loads, s.Placed = jwinstance.NewLoadColumns(loads), jwinstance.NewPlacementColumns(placed)
 		s.Cold = g.targets.ReportCold(now)
 		s.Limits = g.targets.ReportLimits(now, false)
 		s.Leaving = g.targets.ReportLeaving()
 		s.Suspects = g.suspectNotices(now, region, localReportAge)
 	} else {
-		s.Placed = jwinstance.PlaceColumns(g.targets.ReportRemote(now))
+		s.Placed = jwinstance.NewPlacementColumns(g.targets.ReportRemote(now))
 		s.LocalSeen = g.members.LocalSeen(now)
 		s.Suspects = g.suspectNotices(now, region, remoteReportAge)
 	}
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -34,9 +34,9 @@
 	n := g.targetNeed(q)
 	var here *jwplacement.Option
 	if q.forwarded || q.homes.Allows(g.Settings.Region) {
-		if c, ok := g.targets.Look(now, n); ok {
+		if c, ok := g.targets.Peek(now, n); ok {
 			here = &jwplacement.Option{
-				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.Own, Later: c.Cost - c.Expected, Miss: c.Miss,
+				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.OwnReadTime, Later: c.Cost - c.Expected, Miss: c.MissTokens,
 			}
 		}
 	}
@@ -61,10 +61,10 @@
 		o.Miss = miss
 		// The other nodes of this region see the same state and send prompts there too.
 		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
-		o.Own = g.targets.Read(n.Service, 0, miss)
-		o.Expected += g.targets.Read(n.Service, unreported/max(targets, 1), miss)
+		o.Own = g.targets.ReadTime(n.Service, 0, miss)
+		o.Expected += g.targets.ReadTime(n.Service, unreported/max(targets, 1), miss)
 	}
-	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.eventGap))
+	o.Later = time.Duration(jwinstance.LaterEventWeight * float64(n.Events) * float64(w.eventGap))
 	return o
 }
 
@@ -129,7 +129,7 @@
 	if q.workspace != "" {
 		h[headerWorkspace] = []string{q.workspace}
 	}
-	g.Dialect.Left(h, time.Until(q.deadline))
+	g.Dialect.SetTimeLeft(h, time.Until(q.deadline))
 	if id := q.lastEvent(); id != "" {
 		h["Last-Event-Id"] = []string{id}
 	}
@@ -209,10 +209,10 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	q := &request{
-		Call: g.Dialect.Call(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
+		CallerHeaders: g.Dialect.ParseCallerHeaders(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
 		header: r.Header, arrived: time.Now(), forwarded: true, service: r.Header.Get(headerService),
 	}
-	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.Answer(h).Signed }}
+	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.ParseAnswerHeaders(h).Signed }}
 	q.entry = parseKind(r.Header.Get(headerKind))
 	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headerWorkspace)
 	if fingerprint, err := jwsuspect.ParseFingerprint(r.Header.Get(headerFingerprint)); err == nil {
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -33,22 +33,22 @@
 
 // Gateway is one node. Set its exported fields, then call Run.
 type Gateway struct {
-	Settings       *jwsettings.Settings
-	Feed           jwstore.Feed
-	Records        Records
-	Dialect        Dialect
-	Targets        *jwconn.Pool                                   // connections to targets
-	Nodes          *jwconn.Pool                                   // connections to other nodes
-	Meter          *jwmeter.Meter                                 // counters and histograms; nil for none
-	LostLines      func() int64                                   // returns how many log lines were dropped so far; may be nil
-	Listening      func(callers, directory, nodes netip.AddrPort) // called once all ports are open; may be nil
-	Log            logr.Logger
-	Decisions      *jwlog.Decisions            // log of the decisions about requests; nil for none
-	Reload         <-chan *jwsettings.Settings // receives settings that changed while the node runs
-	Admission      jwadmission.Policy          // which requests are rejected
-	Placement      jwplacement.Policy          // which region serves a request
-	RelayThreshold int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
-	Boot           func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
+	Settings        *jwsettings.Settings
+	Feed            jwstore.Feed
+	Records         RecordDecoder
+	Dialect         Dialect
+	Targets         *jwconn.Pool                                   // connections to targets
+	Nodes           *jwconn.Pool                                   // connections to other nodes
+	Meter           *jwmeter.Meter                                 // counters and histograms; nil for none
+	DroppedLogLines func() int64                                   // returns how many log lines were dropped so far; may be nil
+	OnListening     func(callers, directory, nodes netip.AddrPort) // called once all ports are open; may be nil
+	Log             logr.Logger
+	Decisions       *jwlog.Decisions            // log of the decisions about requests; nil for none
+	Reload          <-chan *jwsettings.Settings // receives settings that changed while the node runs
+	Admission       jwadmission.Policy          // which requests are rejected
+	Placement       jwplacement.Policy          // which region serves a request
+	RelayThreshold  int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
+	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
 
 	viewCache           encodedViewCache
 	pauseDetector       jwclock.Pulse
@@ -98,8 +98,8 @@
 		}
 	}
 	g.members.Locate(servers[callersServer].Addr(), servers[nodesServer].Addr())
-	if g.Listening != nil {
-		g.Listening(servers[callersServer].Addr(), servers[directoryServer].Addr(), servers[nodesServer].Addr())
+	if g.OnListening != nil {
+		g.OnListening(servers[callersServer].Addr(), servers[directoryServer].Addr(), servers[nodesServer].Addr())
 	}
 	for _, s := range servers {
 		group.Go(func() error { return s.Run(work) })
@@ -131,7 +131,7 @@
 func (g *Gateway) prepare() {
 	s, o := g.Settings, g.Settings.Gateway
 	g.startTime = time.Now()
-	g.pauseDetector.Limit, g.pauseDetector.Boot = pauseLimit, g.Boot
+	g.pauseDetector.Limit, g.pauseDetector.Boot = pauseLimit, g.TimeSinceBoot
 	g.metrics = newMetrics(g.Meter)
 	g.storeWatcher = newStoreWatcher(g)
 	g.Targets.Share = g.maxIdleConns
@@ -146,8 +146,8 @@
 	g.targets.Node, g.targets.Region = s.Node, s.Region
 	g.suspects.Node, g.suspects.Region = s.Node, s.Region
 	g.targets.Warmup = g.warmup
-	g.targets.Share = g.coldRate
-	g.targets.LimitPart = g.limitPart
+	g.targets.ColdRate = g.coldRate
+	g.targets.LimitShare = g.limitShare
 	g.targets.Rand = rand.IntN
 	g.targets.Nodes = func() int { return g.members.Count(time.Now(), s.Region) }
 	g.bounds.Store(&o.Bounds)
@@ -237,9 +237,9 @@
 	return jwbudget.ColdShare(l, g.members.Owns(now, target), g.members.Count(now, g.Settings.Region))
 }
 
-// limitPart returns this node's part of the limit that a target announces. mayOwn reports whether a
+// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether a
 // node may own the target.
-func (g *Gateway) limitPart(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
+func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
 	now := time.Now()
 	if g.members.ListedFor(now) < jwbudget.LimitSettle {
 		return jwbudget.LimitPart{}
@@ -289,8 +289,8 @@
 		g.metrics.limitedTargets.Update(float64(g.targets.LimitedTargets()))
 		g.metrics.setRetriesLeft(g.retryBudget.Left(now))
 		g.metrics.storeReadAge.Update((now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())).Seconds())
-		if g.LostLines != nil {
-			g.metrics.logLinesLost.Update(float64(g.LostLines()))
+		if g.DroppedLogLines != nil {
+			g.metrics.logLinesLost.Update(float64(g.DroppedLogLines()))
 		}
 		jwclock.Sleep(ctx, gaugePeriod)
 	}
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -93,15 +93,15 @@
 	}
 	defer a.Close()
 	drain(a)
-	reply := g.Dialect.Answer(a.Header)
+	reply := g.Dialect.ParseAnswerHeaders(a.Header)
 	if reply.Target != x.ID {
 		return
 	}
-	if reply.Cold > 0 {
-		g.Log.Info("target reports that it is cold", "target", x.ID, "coldMs", reply.Cold.Milliseconds())
-		g.targets.Cold(time.Now(), x, reply.Cold)
+	if reply.ColdFor > 0 {
+		g.Log.Info("target reports that it is cold", "target", x.ID, "coldMs", reply.ColdFor.Milliseconds())
+		g.targets.SetCold(time.Now(), x, reply.ColdFor)
 	}
-	if reply.Limit.Named {
+	if reply.Limit.Announced {
 		g.noteLimit(x, reply)
 	}
 	g.noteLeaving(x, reply)
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -96,7 +96,7 @@
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if !r.targetsFromRelay {
-		w.g.targets.Keep(now, r.targets, r.revision)
+		w.g.targets.RemoveExcept(now, r.targets, r.revision)
 	}
 	w.g.members.Keep(now, r.nodes)
 	if !r.nodes[w.g.members.Me().Name] {
--- a/io/jwgateway/through.go
+++ b/io/jwgateway/relayexchange.go
@@ -134,15 +134,15 @@
 	}
 	switch {
 	case report.Liveness != nil:
-		s.Loads = jwinstance.Columns(g.targets.ReportTo(now, to))
-		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, false))
+		s.Loads = jwinstance.NewLoadColumns(g.targets.ReportTo(now, to))
+		s.Placed = jwinstance.NewPlacementColumns(g.targets.PlacementsToRelay(now, age, to, false))
 	case report.FromRelay:
-		s.Loads = jwinstance.Columns(g.targets.ReportToRelay(now))
-		s.Placed = jwinstance.PlaceColumns(g.targets.Relayed(now, age, to, true))
+		s.Loads = jwinstance.NewLoadColumns(g.targets.ReportToRelay(now))
+		s.Placed = jwinstance.NewPlacementColumns(g.targets.PlacementsToRelay(now, age, to, true))
 		s.LocalSeen = g.members.LocalSeen(now)
 	default:
 		loads, placed := g.targets.ReportSince(now, age)
-		s.Loads, s.Placed = jwinstance.Columns(loads), jwinstance.PlaceColumns(placed)
+		s.Loads, s.Placed = jwinstance.NewLoadColumns(loads), jwinstance.NewPlacementColumns(placed)
 	}
 	return s
 }
--- a/io/jwgateway/through_test.go
+++ b/io/jwgateway/relayexchange_test.go
@@ -170,7 +170,7 @@
 	first = startWith(t, &feed, "n1", "north", withRelayThreshold(2))
 	second = startWith(t, counting, "n2", "north", func(g *jwgateway.Gateway) {
 		withRelayThreshold(2)(g)
-		g.Boot = func() time.Duration { return time.Duration(boot.Load()) }
+		g.TimeSinceBoot = func() time.Duration { return time.Duration(boot.Load()) }
 	})
 	for _, n := range []node{first, second} {
 		sendUntil(t, n, "/a/x", served)
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -39,7 +39,7 @@
 
 // request is the state of one request while the node handles it.
 type request struct {
-	Call
+	CallerHeaders
 	entry   *jwentry.Entry
 	version uint64 // of the configuration that the entry belongs to
 	service string
@@ -74,7 +74,7 @@
 
 // targetNeed describes the request for the choice of a target.
 func (g *Gateway) targetNeed(q *request) jwinstance.Need {
-	n := jwinstance.Need{Service: q.service, Prompt: q.Prompt, Homes: q.homes, Priority: q.priority, Goal: q.entry.Goal, Exclude: q.tried}
+	n := jwinstance.Need{Service: q.service, Prompt: q.Prompt, Homes: q.homes, Priority: q.priority, FirstEventGoal: q.entry.Goal, Exclude: q.tried}
 	c := g.entries.Current()
 	if c == nil {
 		return n
@@ -109,7 +109,7 @@
 func (g *Gateway) serveCaller(w http.ResponseWriter, r *http.Request) {
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
-	call := g.Dialect.Call(r.Header)
+	call := g.Dialect.ParseCallerHeaders(r.Header)
 	cfg := g.awaitConfig(r.Context(), call.Deadline)
 	if cfg == nil {
 		// The longer the configuration has been missing, the longer the store is likely to stay
@@ -140,7 +140,7 @@
 		return
 	}
 	q := &request{
-		Call: call, entry: e, version: cfg.Version, method: r.Method, target: target, host: r.Host,
+		CallerHeaders: call, entry: e, version: cfg.Version, method: r.Method, target: target, host: r.Host,
 		header: r.Header, arrived: time.Now(), w: w,
 	}
 	q.service = e.Choose(hashFraction(call.ID))
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -43,9 +43,9 @@
 			now := time.Now()
 			pause := p.recordEvents(start, now)
 			if pause == 0 {
-				g.targets.Started(x, c, q.Prompt, p.first)
+				g.targets.RecordFirstEvent(x, c, q.Prompt, p.first)
 			} else {
-				g.targets.Passed(now, x, events, pause)
+				g.targets.RecordEvents(now, x, events, pause)
 				g.metrics.eventPauses.RecordDuration(pause)
 			}
 			timer.Reset(maxEventPause)
@@ -155,7 +155,7 @@
 // checkAnswer checks the status and headers of an answer and updates what is known of the target.
 // ok reports whether the answer may be passed to the caller; if not, v is the verdict on the send.
 func (g *Gateway) checkAnswer(q *request, x *jwinstance.Target, a *jwconn.Answer) (v Verdict, ok bool) {
-	reply := g.Dialect.Answer(a.Header)
+	reply := g.Dialect.ParseAnswerHeaders(a.Header)
 	g.noteCold(x, reply)
 	// An answer without a signature may come from something other than the target.
 	if a.Status != http.StatusMisdirectedRequest && (reply.Signed || reply.NotRun) {
@@ -198,9 +198,9 @@
 func (g *Gateway) targetCall(q *request, c jwinstance.Choice) *jwconn.Call {
 	x := c.Target
 	h := q.header.Clone()
-	g.Dialect.Send(h, Send{
+	g.Dialect.SetTargetHeaders(h, TargetHeaders{
 		Target: x.ID, Left: time.Until(q.deadline), Engine: q.Prompt.Tokens > 0,
-		Priority: q.priority, LastEvent: q.lastEvent(), Workspace: q.workspace, Fetch: c.Fetch,
+		Priority: q.priority, LastEvent: q.lastEvent(), Workspace: q.workspace, Fetch: c.FetchFrom,
 	})
 	call := &jwconn.Call{
 		Peer: x.Address, Method: q.method, Target: q.target, Host: q.host, Header: h,
@@ -243,30 +243,30 @@
 }
 
 // noteCold records how long the target stays cold by its reply.
-func (g *Gateway) noteCold(x *jwinstance.Target, reply Reply) {
-	if reply.Cold > 0 {
-		g.targets.Cold(time.Now(), x, reply.Cold)
+func (g *Gateway) noteCold(x *jwinstance.Target, reply AnswerHeaders) {
+	if reply.ColdFor > 0 {
+		g.targets.SetCold(time.Now(), x, reply.ColdFor)
 	}
 }
 
 // noteLimit records the limit that a target announces in its reply, or that it no longer announces
 // one.
-func (g *Gateway) noteLimit(x *jwinstance.Target, reply Reply) {
-	if g.targets.Limited(time.Now(), x, reply.Limit) {
-		g.Log.Info("target limit", "target", x.ID, "named", reply.Limit.Named, "rate", reply.Limit.Rate)
+func (g *Gateway) noteLimit(x *jwinstance.Target, reply AnswerHeaders) {
+	if g.targets.SetLimit(time.Now(), x, reply.Limit) {
+		g.Log.Info("target limit", "target", x.ID, "named", reply.Limit.Announced, "rate", reply.Limit.Rate)
 	}
 }
 
 // noteRetryAfter records for how long a target that rejected a request accepts none from this node.
-func (g *Gateway) noteRetryAfter(x *jwinstance.Target, status int, reply Reply) {
+func (g *Gateway) noteRetryAfter(x *jwinstance.Target, status int, reply AnswerHeaders) {
 	if status == http.StatusServiceUnavailable && reply.RetryAfter > 0 {
-		g.targets.Closed(time.Now(), x, reply.RetryAfter)
+		g.targets.SetClosed(time.Now(), x, reply.RetryAfter)
 		g.Log.Info("target closed", "target", x.ID, "forMs", reply.RetryAfter.Milliseconds())
 	}
 }
 
 // noteLeaving records that a target announces in its reply that it is leaving.
-func (g *Gateway) noteLeaving(x *jwinstance.Target, reply Reply) {
+func (g *Gateway) noteLeaving(x *jwinstance.Target, reply AnswerHeaders) {
 	if reply.Leaving && g.targets.Leave(x) {
 		g.Log.Info("target leaves", "target", x.ID, "from", "its answer")
 	}
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -144,7 +144,7 @@
 	if len(g.targets.Regions(q.service)) == 0 {
 		return q.reject(noTarget, jwadmission.MaxRetryAfter) // no target is registered, so an early retry would be useless
 	}
-	if d, ok := g.targets.RoomWait(now, q.service); ok {
+	if d, ok := g.targets.LimitWait(now, q.service); ok {
 		return q.reject(atLimit, min(max(d, jwadmission.MinRetryAfter), jwadmission.MaxRetryAfter))
 	}
 	return q.reject(noTarget, jwadmission.MinRetryAfter)
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/storewatcher.go
@@ -255,7 +255,7 @@
 	}
 	in.Revision = e.Revision
 	change := g.targets.Put(now, in)
-	if change == jwinstance.Same {
+	if change == jwinstance.Unchanged {
 		return false
 	}
 	if !g.fullReadDone.Load() || !g.targets.Knows(id) {
@@ -267,7 +267,7 @@
 
 func (g *Gateway) logTarget(in jwinstance.Instance, change jwinstance.Change) {
 	g.Log.Info("target", "target", in.ID, "change", change, "service", in.Service, "dataCentre", in.DataCentre,
-		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.Left.Milliseconds())
+		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.RemainingTime.Milliseconds())
 }
 
 // applyNode applies a change of a node's registration.
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -61,7 +61,7 @@
 		},
 		Feed: feed, Records: platform.Records{Regions: regions}, Dialect: platform.Headers{},
 		Targets: &jwconn.Pool{}, Nodes: &jwconn.Pool{}, Log: logr.Discard(),
-		Listening: func(callers, directory, nodes netip.AddrPort) {
+		OnListening: func(callers, directory, nodes netip.AddrPort) {
 			n.callers, n.directory, n.nodes = callers, directory, nodes
 			close(listening)
 		},
@@ -630,7 +630,7 @@
 	var paused atomic.Bool
 	var boot atomic.Int64
 	n := startWith(t, &feed, "n1", "north", func(g *jwgateway.Gateway) {
-		g.Boot = func() time.Duration {
+		g.TimeSinceBoot = func() time.Duration {
 			if paused.Load() {
 				boot.Add(int64(time.Hour)) // each reading of the clock shows another pause
 			}
@@ -722,7 +722,7 @@
 
 // slowRecords decodes the registration of one target more slowly than the time between two probes.
 type slowRecords struct {
-	jwgateway.Records
+	jwgateway.RecordDecoder
 	slowID string
 	taken  func()
 }
@@ -732,7 +732,7 @@
 		time.Sleep(600 * time.Millisecond)
 		s.taken()
 	}
-	return s.Records.Target(id, value)
+	return s.RecordDecoder.Target(id, value)
 }
 
 // One node can't reach the store, another one can. The first must learn of a target that is
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -190,7 +190,7 @@
 		g.targets.Put(now, target)
 		targets[target.ID] = true
 	}
-	g.targets.Keep(now, targets, v.Revision)
+	g.targets.RemoveExcept(now, targets, v.Revision)
 	for _, dc := range v.Evacuated {
 		g.setEvacuated(now, dc, true)
 		evacuated[dc] = true
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -51,7 +51,7 @@
 	start := time.Now()
 	g.Log.Info("woke from a pause", "version", g.entries.Version())
 	g.members.Resumed(start)
-	g.targets.Resumed()
+	g.targets.DiscardReports()
 	g.newEpoch(ctx)
 	const step = 10 * time.Millisecond
 	for !g.pauseDetector.Alive() && time.Since(start) < maxWakeWait && ctx.Err() == nil {
