--- a/core/jwbudget/retry.go
+++ b/core/jwbudget/retry.go
@@ -9,9 +9,9 @@
 // and a request and its retry may be counted at different nodes.
 const usableFraction = 0.6
 
-// Retry is the budget of retries, the sends of a request after its first, for each
+// RetryBudget is the budget of retries, the sends of a request after its first, for each
 // service. Set the exported fields before use. It is safe for concurrent use.
-type Retry struct {
+type RetryBudget struct {
 	Limits func() Limits
 	Nodes  func() int // number of nodes that may be running, this one included
 
@@ -33,7 +33,7 @@
 }
 
 // window returns the window of a service and creates it if needed.
-func (r *Retry) window(service string) *window {
+func (r *RetryBudget) window(service string) *window {
 	if r.services == nil {
 		r.services = make(map[string]*window)
 	}
@@ -46,7 +46,7 @@
 }
 
 // Request records the first send of a request.
-func (r *Retry) Request(now time.Time, service string) {
+func (r *RetryBudget) Request(now time.Time, service string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(service)
@@ -54,7 +54,7 @@
 }
 
 // Take reports whether a request may be retried now, and if so counts the retry.
-func (r *Retry) Take(now time.Time, service string) bool {
+func (r *RetryBudget) Take(now time.Time, service string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	w := r.window(service)
@@ -66,7 +66,7 @@
 }
 
 // Left returns how many retries this node may make now, by service.
-func (r *Retry) Left(now time.Time) map[string]float64 {
+func (r *RetryBudget) Left(now time.Time) map[string]float64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	left := make(map[string]float64, len(r.services))
@@ -77,7 +77,7 @@
 }
 
 // left returns how many retries this node may make in a window; the result may be negative.
-func (r *Retry) left(now time.Time, w *window) float64 {
+func (r *RetryBudget) left(now time.Time, w *window) float64 {
 	l := r.Limits()
 	w.requests = dropBefore(w.requests, now.Add(-l.Window))
 	w.retries = dropBefore(w.retries, now.Add(-l.Window))
--- a/core/jwbudget/retry_test.go
+++ b/core/jwbudget/retry_test.go
@@ -18,11 +18,11 @@
 		// A node counts all others or more: it counts a node that left for
 		// another minute.
 		seen := make([]int, nodes)
-		budgets := make([]*Retry, nodes)
+		budgets := make([]*RetryBudget, nodes)
 		for i := range nodes {
 			seen[i] = nodes + rapid.IntRange(0, 3).Draw(t, "more")
 			n := seen[i]
-			budgets[i] = &Retry{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
+			budgets[i] = &RetryBudget{Limits: func() Limits { return limits }, Nodes: func() int { return n }}
 		}
 		var requests, retries []time.Time
 		now := time.Unix(0, 0)
@@ -55,7 +55,7 @@
 }
 
 func TestBudgetsAreSeparatePerService(t *testing.T) {
-	r := &Retry{Limits: func() Limits { return Limits{Slack: 2, Window: time.Second} }, Nodes: func() int { return 1 }}
+	r := &RetryBudget{Limits: func() Limits { return Limits{Slack: 2, Window: time.Second} }, Nodes: func() int { return 1 }}
 	now := time.Unix(0, 0)
 	if !r.Take(now, "a") || r.Take(now, "a") {
 		t.Fatal("service a must have exactly one retry")
--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -218,7 +218,7 @@
 		return err
 	}
 	for {
-		_, swapped, err := a.Store.Swap(ctx, AcceptedKey, data, version)
+		_, swapped, err := a.Store.CompareAndSwap(ctx, AcceptedKey, data, version)
 		if err != nil {
 			return errors.Wrap(err, "write accepted: store")
 		}
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -256,7 +256,7 @@
 	}
 	mayBeWritten := false // an earlier write may still take effect
 	for range maxWriteAttempts {
-		_, swapped, err := d.Store.Swap(ctx, ChangeKey(c.N), data, 0)
+		_, swapped, err := d.Store.CompareAndSwap(ctx, ChangeKey(c.N), data, 0)
 		if err == nil && swapped {
 			return true, nil
 		}
--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -223,7 +223,7 @@
 	if err != nil {
 		return err
 	}
-	version, swapped, err := g.Store.Swap(ctx, ConfirmedPrefix+g.Region, data, g.version)
+	version, swapped, err := g.Store.CompareAndSwap(ctx, ConfirmedPrefix+g.Region, data, g.version)
 	if err != nil || !swapped {
 		g.writtenLoaded = false
 		return errors.Wrap(err, "write confirmation: store")
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -158,7 +158,7 @@
 	if err != nil {
 		return err
 	}
-	_, _, err = l.store.Swap(ctx, LogStateKey, data, version)
+	_, _, err = l.store.CompareAndSwap(ctx, LogStateKey, data, version)
 	return errors.Wrap(err, "write state of the log: store")
 }
 
@@ -176,7 +176,7 @@
 	if err != nil {
 		return false, err
 	}
-	_, written, err = l.store.Swap(ctx, CheckpointKey, data, version)
+	_, written, err = l.store.CompareAndSwap(ctx, CheckpointKey, data, version)
 	return written, errors.Wrap(err, "write checkpoint: store")
 }
 
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -138,7 +138,7 @@
 		if ok && string(item.Value) == string(data) {
 			return nil
 		}
-		_, swapped, err := m.Store.Swap(ctx, key, data, item.Version)
+		_, swapped, err := m.Store.CompareAndSwap(ctx, key, data, item.Version)
 		if err != nil {
 			return errors.Wrap(err, "write member: store")
 		}
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -49,9 +49,9 @@
 	return item, ok, err
 }
 
-func (s delayedStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (s delayedStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	time.Sleep(s.delay)
-	return s.fakeStore.Swap(ctx, key, value, version)
+	return s.fakeStore.CompareAndSwap(ctx, key, value, version)
 }
 
 // fleet is a system of many nodes whose peers exchange their revisions at a
--- a/core/jwcatalogue/store_test.go
+++ b/core/jwcatalogue/store_test.go
@@ -143,7 +143,7 @@
 	}
 }
 
-func (s *fakeStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (s *fakeStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	if err := s.beginCall(ctx); err != nil {
 		return 0, false, err
 	}
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -156,11 +156,11 @@
 	return l.fakeStore.List(ctx, prefix)
 }
 
-func (l nodeStore) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (l nodeStore) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	if !l.reachable() {
 		return 0, false, jwstore.ErrUnavailable
 	}
-	return l.fakeStore.Swap(ctx, key, value, version)
+	return l.fakeStore.CompareAndSwap(ctx, key, value, version)
 }
 
 func (l nodeStore) Delete(ctx context.Context, key string, version uint64) (bool, error) {
--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -250,7 +250,7 @@
 	limited, cancel := context.WithTimeout(ctx, s.k.StoreTimeout)
 	defer cancel()
 	op, start := s.startOp(), s.k.now()
-	next, swapped, err := s.k.Store.Swap(limited, segmentKey(s.prefix, at.segment), b, at.version)
+	next, swapped, err := s.k.Store.CompareAndSwap(limited, segmentKey(s.prefix, at.segment), b, at.version)
 	swapped, err = s.handleSwapReply(p, at, swapped, err)
 	if errors.Is(err, errStaleView) && at.version == 0 {
 		s.removeStraySegment(ctx, at, next)
--- a/core/jwclaim/store_test.go
+++ b/core/jwclaim/store_test.go
@@ -143,7 +143,7 @@
 	return l.Get(ctx, key)
 }
 
-func (l *storeLink) Swap(_ context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+func (l *storeLink) CompareAndSwap(_ context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	l.step()
 	l.mu.Lock()
 	down, loseReply, deferred, by := l.down, l.loseReplies > 0, l.deferWrites > 0, l.deferBy
--- a/core/jwclock/pulse.go
+++ b/core/jwclock/pausedetector.go
@@ -16,18 +16,18 @@
 // checksPerLimit is the number of readings that Run takes within Limit.
 const checksPerLimit = 5
 
-// Pulse detects that the process was paused: frozen, or its host suspended. Set its
-// fields, then call Begin before Run.
+// PauseDetector detects that the process was paused: frozen, or its host suspended. Set its
+// fields, then call Reset before Run.
 //
 // A process doesn't notice that it was paused. By its monotonic clock, which stops while
 // the host is suspended, everything that it learned from others still looks recent. So
-// the process calls Alive for each request, and after a pause it must update its state
+// the process calls Valid for each request, and after a pause it must update its state
 // before it serves again.
-type Pulse struct {
+type PauseDetector struct {
 	Limit time.Duration // longest pause that is tolerated
-	// Boot returns the time since the host started, including suspended time. If it is nil,
+	// TimeSinceBoot returns the time since the host started, including suspended time. If it is nil,
 	// SinceBoot is used.
-	Boot func() time.Duration
+	TimeSinceBoot func() time.Duration
 
 	last atomic.Pointer[clockReading]
 }
@@ -48,23 +48,23 @@
 	return time.Duration(t.Nano())
 }
 
-// Begin records the current time, from which the next pause is measured. Alive then
+// Reset records the current time, from which the next pause is measured. Valid then
 // returns true until a pause is longer than Limit.
-func (p *Pulse) Begin() {
+func (p *PauseDetector) Reset() {
 	now := p.now()
 	p.last.Store(&now)
 }
 
-func (p *Pulse) now() clockReading {
-	if p.Boot == nil {
+func (p *PauseDetector) now() clockReading {
+	if p.TimeSinceBoot == nil {
 		return clockReading{time.Now(), SinceBoot()}
 	}
-	return clockReading{time.Now(), p.Boot()}
+	return clockReading{time.Now(), p.TimeSinceBoot()}
 }
 
-// Alive reports whether at most Limit has passed since the last reading, by both clocks.
-// Readings are taken by Begin and regularly by Run. Before Begin it returns false.
-func (p *Pulse) Alive() bool {
+// Valid reports whether at most Limit has passed since the last reading, by both clocks.
+// Readings are taken by Reset and regularly by Run. Before Reset it returns false.
+func (p *PauseDetector) Valid() bool {
 	last := p.last.Load()
 	if last == nil {
 		return false
@@ -74,9 +74,9 @@
 }
 
 // Run takes readings regularly until ctx ends, whose error it then returns, or until a
-// pause was too long. It then returns ErrPaused, and Alive returns false until the next
-// call of Begin.
-func (p *Pulse) Run(ctx context.Context) error {
+// pause was too long. It then returns ErrPaused, and Valid returns false until the next
+// call of Reset.
+func (p *PauseDetector) Run(ctx context.Context) error {
 	ticker := time.NewTicker(p.Limit / checksPerLimit)
 	defer ticker.Stop()
 	for {
@@ -85,9 +85,9 @@
 			return ctx.Err()
 		case <-ticker.C:
 		}
-		if !p.Alive() {
+		if !p.Valid() {
 			return ErrPaused
 		}
-		p.Begin()
+		p.Reset()
 	}
 }
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -95,7 +95,7 @@
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
 	if state, _ := j.Board.Suspects.Check(fp, j.Now()); state == jwsuspect.Suspected {
-		apart := j.Board.Suspects.Apart(fp, j.usableTargets(), j.Now())
+		apart := j.Board.Suspects.ExcludedTargets(fp, j.usableTargets(), j.Now())
 		j.query.Exclude = append(tried[:len(tried):len(tried)], apart...)
 	}
 	return j.Router.Pick(&j.query)
--- a/core/jwdrain/keeper_test.go
+++ b/core/jwdrain/keeper_test.go
@@ -30,7 +30,7 @@
 	return jwstore.Item{}, false, jwstore.ErrUnavailable
 }
 
-func (unavailableStore) Swap(context.Context, string, []byte, uint64) (uint64, bool, error) {
+func (unavailableStore) CompareAndSwap(context.Context, string, []byte, uint64) (uint64, bool, error) {
 	return 0, false, jwstore.ErrUnavailable
 }
 
--- a/core/jwentry/config.go
+++ b/core/jwentry/config.go
@@ -50,7 +50,7 @@
 	if c.Workspaces == nil {
 		return nil, true
 	}
-	w = c.Workspaces.Holder(key)
+	w = c.Workspaces.ByKey(key)
 	return w, w != nil || e.Public
 }
 
--- a/core/jwentry/entry_test.go
+++ b/core/jwentry/entry_test.go
@@ -116,7 +116,7 @@
 			for _, e := range x.requests {
 				d.Count(e.Homes)
 			}
-			assert.DeepEqual(t, d.Stand(c, "a.example", x.choice), x.want)
+			assert.DeepEqual(t, d.ChooseStandIns(c, "a.example", x.choice), x.want)
 		})
 	}
 }
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -32,8 +32,8 @@
 	answeredAt time.Time // time of the answer that named it, zero if none ever named a limit
 	direct     bool      // this node received that answer itself
 	bucket     jwbudget.LimitBucket
-	share      jwbudget.LimitPart // this node's share of the limit
-	shareAt    time.Time          // when share was computed
+	share      jwbudget.LimitShare // this node's share of the limit
+	shareAt    time.Time           // when share was computed
 }
 
 // LimitReport is a node's report of a target's limit.
@@ -60,7 +60,7 @@
 func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
 	changed := lim.Limit != l
 	if l.Announced && !lim.Announced {
-		lim.bucket = jwbudget.LimitBucket{Begun: now}
+		lim.bucket = jwbudget.LimitBucket{KnownSince: now}
 	}
 	if changed {
 		lim.shareAt = time.Time{}
@@ -141,14 +141,14 @@
 
 // limitAllows reports whether this node may send one more request to a target that names a limit.
 func (t *Table) limitAllows(now time.Time, x *Target) bool {
-	return x.limit.bucket.Room(now, t.limitShare(now, x))
+	return x.limit.bucket.Allows(now, t.limitShare(now, x))
 }
 
 // limitShare returns this node's share of the limit of a target.
-func (t *Table) limitShare(now time.Time, x *Target) jwbudget.LimitPart {
+func (t *Table) limitShare(now time.Time, x *Target) jwbudget.LimitShare {
 	lim := &x.limit
 	if t.LimitShare == nil {
-		return jwbudget.PartOf(lim.Rate, true, 1)
+		return jwbudget.LimitShareOf(lim.Rate, true, 1)
 	}
 	if age := now.Sub(lim.shareAt); lim.shareAt.IsZero() || age < 0 || age >= shareCacheDuration {
 		lim.share = t.LimitShare(lim.Rate, x.ID, func(node string) bool { return t.knownBy(x, node) })
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -28,8 +28,8 @@
 		tables := make([]*Table, rapid.IntRange(1, 100).Draw(t, "nodes"))
 		counted := len(tables) + rapid.IntRange(0, 2).Draw(t, "more")
 		for i := range tables {
-			tables[i] = &Table{Region: "r", LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
-				return jwbudget.PartOf(rate, i == 0, counted)
+			tables[i] = &Table{Region: "r", LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitShare {
+				return jwbudget.LimitShareOf(rate, i == 0, counted)
 			}}
 			tables[i].Put(t0, instance("a"))
 			tables[i].SetLimit(t0, tables[i].targets["a"], Limit{Announced: true, Rate: rate})
@@ -71,11 +71,11 @@
 }
 
 // share returns the node's share of the limit in its own view.
-func (n *limitNode) share(rate float64, self int, now time.Time) jwbudget.LimitPart {
+func (n *limitNode) share(rate float64, self int, now time.Time) jwbudget.LimitShare {
 	if now.Before(n.sendsFrom) {
-		return jwbudget.LimitPart{}
+		return jwbudget.LimitShare{}
 	}
-	return jwbudget.PartOf(rate, n.owner == self, n.nodes)
+	return jwbudget.LimitShareOf(rate, n.owner == self, n.nodes)
 }
 
 // While nodes come and go, their views of the number of nodes and of the target's owner differ for
@@ -96,7 +96,7 @@
 				live := rapid.IntRange(0, 3).Draw(t, "live") > 0
 				if live && !n.live {
 					*n = limitNode{Table: &Table{Region: "r"}, sendsFrom: now.Add(settle), nodes: before + 1, owner: i}
-					n.LimitShare = func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart { return n.share(rate, i, now) }
+					n.LimitShare = func(rate float64, _ string, _ func(string) bool) jwbudget.LimitShare { return n.share(rate, i, now) }
 					n.Put(now, instance("a"))
 					n.SetLimit(now, n.targets["a"], Limit{Announced: true, Rate: rate})
 				}
@@ -234,8 +234,8 @@
 	for i := 1; i < nodes; i++ {
 		members.Put(t0, jwmember.Member{Name: fmt.Sprintf("n%02d", i), Region: "r", Serving: true})
 	}
-	table := &Table{Region: "r", Node: "n00", LimitShare: func(rate float64, target string, knows func(string) bool) jwbudget.LimitPart {
-		return jwbudget.PartOf(rate, members.OwnsAmong(t0, target, knows), nodes)
+	table := &Table{Region: "r", Node: "n00", LimitShare: func(rate float64, target string, knows func(string) bool) jwbudget.LimitShare {
+		return jwbudget.LimitShareOf(rate, members.OwnsAmong(t0, target, knows), nodes)
 	}}
 	for i := range targets {
 		in := instance(fmt.Sprintf("t%03d", i))
@@ -261,8 +261,8 @@
 	random := rand.New(rand.NewPCG(1, 2))
 	table := &Table{
 		Region: "r", Nodes: func() int { return 75 }, Rand: random.IntN,
-		LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitPart {
-			return jwbudget.PartOf(rate, true, 75)
+		LimitShare: func(rate float64, _ string, _ func(string) bool) jwbudget.LimitShare {
+			return jwbudget.LimitShareOf(rate, true, 75)
 		},
 	}
 	var loads []NodeLoad
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -37,7 +37,7 @@
 	// LimitShare returns this node's share of the rate limit that a target announces. The function knows
 	// reports whether a node has the target among those that it chooses from. If LimitShare is nil,
 	// this node is taken to be the only one.
-	LimitShare func(rate float64, target string, knows func(node string) bool) jwbudget.LimitPart
+	LimitShare func(rate float64, target string, knows func(node string) bool) jwbudget.LimitShare
 
 	mu                sync.Mutex
 	targets           map[string]*Target
--- a/core/jwmember/fleet.go
+++ b/core/jwmember/fleet.go
@@ -38,11 +38,11 @@
 	return max(n, t.fleetSize), !t.countedAt.IsZero() && !now.Before(t.countedAt)
 }
 
-// KeepsFleet reports whether this node is the one that writes the fleet size to the store:
+// WritesFleetSize reports whether this node is the one that writes the fleet size to the store:
 // the first live node by name.
-func (t *Table) KeepsFleet(now time.Time) bool {
+func (t *Table) WritesFleetSize(now time.Time) bool {
 	live := t.Live(now, "")
-	return len(live) > 0 && live[0].Name == t.Me().Name
+	return len(live) > 0 && live[0].Name == t.Local().Name
 }
 
 // Predecessor records when an earlier process of this node started, taken from the
@@ -55,9 +55,9 @@
 	}
 }
 
-// Fresh reports whether this node has no known earlier process that started less than the
+// NoRecentPredecessor reports whether this node has no known earlier process that started less than the
 // duration within before this one.
-func (t *Table) Fresh(within time.Duration) bool {
+func (t *Table) NoRecentPredecessor(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.previousStart == 0 || time.Duration(t.Self.Start-t.previousStart) >= within
--- a/core/jwmember/relay.go
+++ b/core/jwmember/relay.go
@@ -79,19 +79,19 @@
 // roundTripStep is the resolution at which nodes' round trips to the store are compared.
 const roundTripStep = 25 * time.Millisecond
 
-// Reached records how long a call to the store took; the shortest one counts.
-func (t *Table) Reached(d time.Duration) {
+// RecordStoreRoundTrip records how long a call to the store took; the shortest one counts.
+func (t *Table) RecordStoreRoundTrip(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	trip := (d.Truncate(roundTripStep) + roundTripStep).Milliseconds()
-	if t.Self.Trip == 0 || trip < t.Self.Trip {
+	if t.Self.StoreRoundTrip == 0 || trip < t.Self.StoreRoundTrip {
 		t.invalidateViews()
-		t.Self.Trip = trip
+		t.Self.StoreRoundTrip = trip
 	}
 }
 
-// Nearest returns the relays with the shortest round trips to the store, at most limit.
-func (t *Table) Nearest(now time.Time, limit int) []Member {
+// RelaysNearStore returns the relays with the shortest round trips to the store, at most limit.
+func (t *Table) RelaysNearStore(now time.Time, limit int) []Member {
 	list := t.AllRelays(now)
 	slices.SortStableFunc(list, func(a, b Member) int { return cmp.Compare(a.roundTripOrMax(), b.roundTripOrMax()) })
 	return list[:min(len(list), limit)]
@@ -100,15 +100,15 @@
 // roundTripOrMax returns the round trip to the store in milliseconds, or the maximum
 // if it is unknown, so that such members sort last.
 func (m *Member) roundTripOrMax() int64 {
-	if m.Trip == 0 {
+	if m.StoreRoundTrip == 0 {
 		return math.MaxInt64
 	}
-	return m.Trip
+	return m.StoreRoundTrip
 }
 
-// Leads reports whether this node is the relay of its data centre, or would be if it
+// WouldBeRelay reports whether this node is the relay of its data centre, or would be if it
 // served.
-func (t *Table) Leads(now time.Time) bool {
+func (t *Table) WouldBeRelay(now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	for _, r := range t.members {
@@ -139,9 +139,9 @@
 	return ok && m.Name == t.Self.Name
 }
 
-// Relays returns the relays of a region's data centres except this node's own, sorted
+// OtherRelays returns the relays of a region's data centres except this node's own, sorted
 // by data centre.
-func (t *Table) Relays(now time.Time, region string) []Member {
+func (t *Table) OtherRelays(now time.Time, region string) []Member {
 	var list []Member
 	for _, dc := range t.dataCentres(region) {
 		if m, ok := t.Relay(now, dc); ok && dc != t.Self.DataCentre {
@@ -250,9 +250,9 @@
 	}
 }
 
-// Stopping returns the nodes whose planned stop this node learned of within the given age,
+// RecentlyStopping returns the nodes whose planned stop this node learned of within the given age,
 // sorted by name, for MergeStopping at others.
-func (t *Table) Stopping(now time.Time, age time.Duration) []Member {
+func (t *Table) RecentlyStopping(now time.Time, age time.Duration) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var list []Member
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -13,7 +13,7 @@
 
 // memberIn returns a serving node of a data centre in region r.
 func memberIn(name, dc string, capacity int) Member {
-	return Member{Name: name, Region: "r", DataCentre: dc, Serving: true, Change: 1, Start: 1, Capacity: capacity}
+	return Member{Name: name, Region: "r", DataCentre: dc, Serving: true, ServingChanges: 1, Start: 1, Capacity: capacity}
 }
 
 // All nodes of a data centre must choose the same relay, and another one as soon as it
@@ -32,15 +32,15 @@
 	assert.Equal(t, relay("d1"), "c", "c has the highest capacity and comes before d by name")
 	assert.Equal(t, relay("d2"), "z")
 	assert.Equal(t, relay("d3"), "")
-	table.Failed(now.Add(1), "c")
+	table.MarkUnreachable(now.Add(1), "c")
 	now = now.Add(time.Millisecond)
 	assert.Equal(t, relay("d1"), "d")
 	stopped := memberIn("d", "d1", 8)
-	stopped.Serving, stopped.Change = false, 2
+	stopped.Serving, stopped.ServingChanges = false, 2
 	table.Seen(now, stopped)
 	assert.Equal(t, relay("d1"), "b")
 	assert.Assert(t, table.IsRelay(now))
-	assert.DeepEqual(t, namesOf(table.Relays(now, "r")), []string{"z"})
+	assert.DeepEqual(t, namesOf(table.OtherRelays(now, "r")), []string{"z"})
 }
 
 func namesOf(list []Member) []string {
@@ -127,15 +127,15 @@
 	}
 	relay.Seen(now, memberIn("a", "d", 1))
 	stopped := memberIn("a", "d", 1)
-	stopped.Serving, stopped.Change = false, 2
+	stopped.Serving, stopped.ServingChanges = false, 2
 	relay.Seen(now, stopped)
-	stopping := relay.Stopping(now.Add(time.Second), 5*time.Second)
+	stopping := relay.RecentlyStopping(now.Add(time.Second), 5*time.Second)
 	assert.DeepEqual(t, namesOf(stopping), []string{"a"})
 	for _, m := range stopping {
 		node.MergeStopping(now, m)
 	}
 	assert.DeepEqual(t, namesOf(node.Live(now, "r")), []string{"node"})
-	assert.Equal(t, len(relay.Stopping(now.Add(time.Minute), 5*time.Second)), 0)
+	assert.Equal(t, len(relay.RecentlyStopping(now.Add(time.Minute), 5*time.Second)), 0)
 }
 
 // Live and Count return cached results. A change must take effect at once all the same, or
@@ -147,8 +147,8 @@
 		for range rapid.IntRange(1, 60).Draw(t, "steps") {
 			now = now.Add(time.Duration(rapid.IntRange(0, 30).Draw(t, "ms")) * time.Millisecond)
 			m := memberIn(rapid.SampledFrom([]string{"a", "b", "c"}).Draw(t, "name"), "d", 1)
-			m.Start, m.Change = int64(rapid.IntRange(1, 2).Draw(t, "start")), rapid.IntRange(1, 3).Draw(t, "change")
-			m.Serving = m.Change == 1
+			m.Start, m.ServingChanges = int64(rapid.IntRange(1, 2).Draw(t, "start")), rapid.IntRange(1, 3).Draw(t, "change")
+			m.Serving = m.ServingChanges == 1
 			switch rapid.IntRange(0, 8).Draw(t, "event") {
 			case 0:
 				table.Put(now, m)
@@ -157,11 +157,11 @@
 			case 2:
 				table.SeenByOther(now, []string{m.Name})
 			case 3:
-				table.Failed(now, m.Name)
+				table.MarkUnreachable(now, m.Name)
 			case 4:
 				table.Remove(m.Name)
 			case 5:
-				table.Keep(now, map[string]bool{m.Name: true})
+				table.RemoveExcept(now, map[string]bool{m.Name: true})
 			case 6:
 				table.Resumed(now)
 			case 7:
--- a/core/jwmember/share.go
+++ b/core/jwmember/share.go
@@ -38,10 +38,10 @@
 	return true
 }
 
-// ListedFor returns how long ago this process first read its own registration in the store,
+// RegisteredFor returns how long ago this process first read its own registration in the store,
 // 0 if it has not or the registration is gone. The others learn of the node at about that
 // time.
-func (t *Table) ListedFor(now time.Time) time.Duration {
+func (t *Table) RegisteredFor(now time.Time) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if t.listedAt.IsZero() {
--- a/core/jwmember/start_test.go
+++ b/core/jwmember/start_test.go
@@ -78,7 +78,7 @@
 			switch {
 			case now.Before(m.registersAt):
 			case m == n:
-				n.table.Listed(now, m.table.Self)
+				n.table.RegistrationRead(now, m.table.Self)
 			default:
 				n.table.Put(now, m.table.Self)
 			}
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -32,16 +32,16 @@
 
 // Member is a node's description of itself, as it registers and reports it.
 type Member struct {
-	Name       string         `json:"name"`
-	Region     string         `json:"region"`
-	DataCentre string         `json:"dataCentre"`
-	Callers    netip.AddrPort `json:"callers"`
-	Nodes      netip.AddrPort `json:"nodes"`
-	Start      int64          `json:"start"`              // start of the process in Unix nanoseconds; a later one is a new process
-	Change     int            `json:"change"`             // incremented whenever Serving changes
-	Serving    bool           `json:"serving"`            // false until a configuration is known and after a planned stop begins
-	Trip       int64          `json:"trip,omitempty"`     // shortest round trip to the store in milliseconds, in steps of roundTripStep; 0 if unknown
-	Capacity   int            `json:"capacity,omitempty"` // capacity of its host, from its cores in hundredths of one or from its link, for choosing relays
+	Name           string         `json:"name"`
+	Region         string         `json:"region"`
+	DataCentre     string         `json:"dataCentre"`
+	Callers        netip.AddrPort `json:"callers"`
+	Nodes          netip.AddrPort `json:"nodes"`
+	Start          int64          `json:"start"`              // start of the process in Unix nanoseconds; a later one is a new process
+	ServingChanges int            `json:"change"`             // incremented whenever Serving changes
+	Serving        bool           `json:"serving"`            // false until a configuration is known and after a planned stop begins
+	StoreRoundTrip int64          `json:"trip,omitempty"`     // shortest round trip to the store in milliseconds, in steps of roundTripStep; 0 if unknown
+	Capacity       int            `json:"capacity,omitempty"` // capacity of its host, from its cores in hundredths of one or from its link, for choosing relays
 }
 
 // Table holds this node and what it knows of the others. Set the exported fields
@@ -72,8 +72,8 @@
 	stoppedAt    time.Time // when this node first learned of its planned stop, zero if it is not stopping
 }
 
-// Leaver is a node in a planned stop.
-type Leaver struct {
+// StoppingNode is a node in a planned stop.
+type StoppingNode struct {
 	Member
 	Since time.Duration // time since this node learned of the stop
 }
@@ -107,7 +107,7 @@
 	if r.firstSeen.IsZero() {
 		r.firstSeen = now
 	}
-	if !t.live(now, r) || r.Start != m.Start || r.Change != m.Change {
+	if !t.live(now, r) || r.Start != m.Start || r.ServingChanges != m.ServingChanges {
 		t.invalidateViews()
 	}
 	r.lastSeen = now
@@ -168,8 +168,8 @@
 	return best, best.Name != ""
 }
 
-// Failed records that a node could not be reached.
-func (t *Table) Failed(now time.Time, name string) {
+// MarkUnreachable records that a node could not be reached.
+func (t *Table) MarkUnreachable(now time.Time, name string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if r := t.members[name]; r != nil {
@@ -188,9 +188,9 @@
 	t.invalidateViews()
 }
 
-// Listed records that this node read a registration under its own name in the
+// RegistrationRead records that this node read a registration under its own name in the
 // store. One of an earlier process is ignored: it says nothing about this process.
-func (t *Table) Listed(now time.Time, m Member) {
+func (t *Table) RegistrationRead(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	if m.Start == t.Self.Start && t.listedAt.IsZero() {
@@ -211,9 +211,9 @@
 	}
 }
 
-// Keep removes all registrations except the named ones, and forgets unregistered
+// RemoveExcept removes all registrations except the named ones, and forgets unregistered
 // nodes that were not seen for a minute.
-func (t *Table) Keep(now time.Time, names map[string]bool) {
+func (t *Table) RemoveExcept(now time.Time, names map[string]bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.invalidateViews()
@@ -255,7 +255,7 @@
 	if m.Start > r.Start {
 		r.stoppedAt = time.Time{}
 	}
-	if m.Start > r.Start || m.Start == r.Start && m.Change >= r.Change {
+	if m.Start > r.Start || m.Start == r.Start && m.ServingChanges >= r.ServingChanges {
 		r.Member = m
 	}
 	if r.stoppedAt.IsZero() && r.isStopping() {
@@ -265,7 +265,7 @@
 }
 
 // isStopping reports whether a node has served before and no longer does.
-func (m *Member) isStopping() bool { return !m.Serving && m.Change > 0 }
+func (m *Member) isStopping() bool { return !m.Serving && m.ServingChanges > 0 }
 
 // live reports whether a node is considered to be running.
 func (t *Table) live(now time.Time, r *record) bool {
@@ -286,19 +286,19 @@
 	return r != nil && now.Sub(r.lastSeen) < suspectAfter/2
 }
 
-// Leaving returns the nodes of a region whose planned stop was learned of within
+// StoppingInRegion returns the nodes of a region whose planned stop was learned of within
 // the last minute and that were not unreachable since they were last seen, sorted
 // by name. It includes this node while it is stopping.
-func (t *Table) Leaving(now time.Time, region string) []Leaver {
+func (t *Table) StoppingInRegion(now time.Time, region string) []StoppingNode {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	var list []Leaver
+	var list []StoppingNode
 	if t.Self.isStopping() && t.Self.Region == region {
-		list = append(list, Leaver{t.Self, now.Sub(t.stoppedAt)})
+		list = append(list, StoppingNode{t.Self, now.Sub(t.stoppedAt)})
 	}
 	for _, r := range t.members {
 		if r.Region == region && r.isStopping() && !r.stoppedAt.IsZero() && now.Sub(r.stoppedAt) < forgetAfter && !r.lastFailed.After(r.lastSeen) {
-			list = append(list, Leaver{r.Member, now.Sub(r.stoppedAt)})
+			list = append(list, StoppingNode{r.Member, now.Sub(r.stoppedAt)})
 		}
 	}
 	sort.Slice(list, func(i, j int) bool { return list[i].Name < list[j].Name })
@@ -327,7 +327,7 @@
 	if t.Self.Serving != on {
 		t.invalidateViews()
 		t.Self.Serving = on
-		t.Self.Change++
+		t.Self.ServingChanges++
 		if !on {
 			t.stoppedAt = now
 		}
@@ -335,16 +335,16 @@
 	return t.Self
 }
 
-// Locate sets the addresses at which callers and other nodes reach this node.
-func (t *Table) Locate(callers, nodes netip.AddrPort) {
+// SetAddresses sets the addresses at which callers and other nodes reach this node.
+func (t *Table) SetAddresses(callers, nodes netip.AddrPort) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.invalidateViews()
 	t.Self.Callers, t.Self.Nodes = callers, nodes
 }
 
-// Me returns the description of this node.
-func (t *Table) Me() Member {
+// Local returns the description of this node.
+func (t *Table) Local() Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.Self
--- a/core/jwmember/table_test.go
+++ b/core/jwmember/table_test.go
@@ -11,7 +11,7 @@
 
 // member returns a node that serves if change is odd.
 func member(name, region string, change int) Member {
-	return Member{Name: name, Region: region, Start: 1, Change: change, Serving: change%2 == 1}
+	return Member{Name: name, Region: region, Start: 1, ServingChanges: change, Serving: change%2 == 1}
 }
 
 func names(list []Member) []string {
@@ -37,8 +37,8 @@
 		"registered but never seen":                       {func(t *Table) { t.Put(at(0), b) }, 2500, []string{"a"}},
 		"seen":                                            {func(t *Table) { t.Put(at(0), b); t.Seen(at(2000), b) }, 4000, []string{"a", "b"}},
 		"seen too long ago":                               {func(t *Table) { t.Put(at(0), b); t.Seen(at(0), b) }, 4000, []string{"a"}},
-		"seen, then not reachable":                        {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b") }, 200, []string{"a"}},
-		"not reachable, then seen again":                  {func(t *Table) { t.Seen(at(0), b); t.Failed(at(100), "b"); t.Seen(at(150), b) }, 200, []string{"a", "b"}},
+		"seen, then not reachable":                        {func(t *Table) { t.Seen(at(0), b); t.MarkUnreachable(at(100), "b") }, 200, []string{"a"}},
+		"not reachable, then seen again":                  {func(t *Table) { t.Seen(at(0), b); t.MarkUnreachable(at(100), "b"); t.Seen(at(150), b) }, 200, []string{"a", "b"}},
 		"its registration is gone, but it reports":        {func(t *Table) { t.Put(at(0), b); t.Seen(at(3000), b); t.Remove("b") }, 3500, []string{"a", "b"}},
 		"its registration is gone and it is unresponsive": {func(t *Table) { t.Put(at(0), b); t.Remove("b") }, 1000, []string{"a"}},
 		"it reports that it is stopping":                  {func(t *Table) { t.Seen(at(0), b); t.Seen(at(10), member("b", "r", 2)) }, 20, []string{"a"}},
@@ -50,7 +50,7 @@
 		"another node has seen it, long ago":  {func(t *Table) { t.Put(at(0), b); t.SeenByOther(at(2900), []string{"b"}) }, 5000, []string{"a"}},
 		"another node has seen it, this one can't reach it": {func(t *Table) {
 			t.Seen(at(0), b)
-			t.Failed(at(2500), "b")
+			t.MarkUnreachable(at(2500), "b")
 			t.SeenByOther(at(2900), []string{"b"})
 		}, 3000, []string{"a"}},
 		// The store still held what a stopping node had written before its stop.
@@ -135,12 +135,15 @@
 		do   func(*Table)
 		want bool
 	}{
-		"alone and not listed":       {func(*Table) {}, false},
-		"alone and listed":           {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self) }, true},
-		"listed a moment ago":        {func(t *Table) { t.Listed(t0, self) }, false},
-		"an earlier process listed":  {func(t *Table) { t.Listed(t0.Add(-2*time.Second), earlier) }, false},
-		"no longer listed":           {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Remove("a") }, false},
-		"absent when all was read":   {func(t *Table) { t.Listed(t0.Add(-2*time.Second), self); t.Keep(t0, map[string]bool{"b": true}) }, false},
+		"alone and not listed":      {func(*Table) {}, false},
+		"alone and listed":          {func(t *Table) { t.RegistrationRead(t0.Add(-2*time.Second), self) }, true},
+		"listed a moment ago":       {func(t *Table) { t.RegistrationRead(t0, self) }, false},
+		"an earlier process listed": {func(t *Table) { t.RegistrationRead(t0.Add(-2*time.Second), earlier) }, false},
+		"no longer listed":          {func(t *Table) { t.RegistrationRead(t0.Add(-2*time.Second), self); t.Remove("a") }, false},
+		"absent when all was read": {func(t *Table) {
+			t.RegistrationRead(t0.Add(-2*time.Second), self)
+			t.RemoveExcept(t0, map[string]bool{"b": true})
+		}, false},
 		"one registered, never seen": {func(t *Table) { listLongAgo(t, t0); t.Put(t0, member("b", "r", 1)) }, false},
 		"all seen": {func(t *Table) {
 			listLongAgo(t, t0)
@@ -171,43 +174,43 @@
 }
 
 // listLongAgo records that the table's node read its own registration two seconds ago.
-func listLongAgo(t *Table, now time.Time) { t.Listed(now.Add(-2*time.Second), t.Self) }
+func listLongAgo(t *Table, now time.Time) { t.RegistrationRead(now.Add(-2*time.Second), t.Self) }
 
 // If all nodes of a region are stopping, callers are sent to those that still accept
-// requests, which they do for a known time after their stop begins. Leaving must
+// requests, which they do for a known time after their stop begins. StoppingInRegion must
 // return these nodes and how long ago that was.
-func TestLeaving(t *testing.T) {
+func TestStoppingInRegion(t *testing.T) {
 	at := func(d time.Duration) time.Time { return time.Unix(1000, 0).Add(d) }
 	serving := member("b", "r", 1)
-	serving.Change = 1
+	serving.ServingChanges = 1
 	stopped := serving
-	stopped.Serving, stopped.Change = false, 2
+	stopped.Serving, stopped.ServingChanges = false, 2
 	starting := member("b", "r", 2)
-	starting.Serving, starting.Change, starting.Start = false, 0, 2
+	starting.Serving, starting.ServingChanges, starting.Start = false, 0, 2
 	cases := map[string]struct {
 		do   func(*Table)
-		want []Leaver
+		want []StoppingNode
 	}{
 		"serves":                 {func(t *Table) { t.Seen(at(0), serving) }, nil},
 		"starts":                 {func(t *Table) { t.Seen(at(0), starting) }, nil},
-		"stops":                  {func(t *Table) { t.Seen(at(0), serving); t.Seen(at(time.Second), stopped) }, []Leaver{{stopped, 2 * time.Second}}},
-		"is seen again":          {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), stopped) }, []Leaver{{stopped, 2 * time.Second}}},
-		"can't be reached since": {func(t *Table) { t.Seen(at(time.Second), stopped); t.Failed(at(2*time.Second), "b") }, nil},
+		"stops":                  {func(t *Table) { t.Seen(at(0), serving); t.Seen(at(time.Second), stopped) }, []StoppingNode{{stopped, 2 * time.Second}}},
+		"is seen again":          {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), stopped) }, []StoppingNode{{stopped, 2 * time.Second}}},
+		"can't be reached since": {func(t *Table) { t.Seen(at(time.Second), stopped); t.MarkUnreachable(at(2*time.Second), "b") }, nil},
 		"restarts":               {func(t *Table) { t.Seen(at(time.Second), stopped); t.Seen(at(2*time.Second), starting) }, nil},
-		"the store is behind":    {func(t *Table) { t.Seen(at(time.Second), stopped); t.Put(at(2*time.Second), serving) }, []Leaver{{stopped, 2 * time.Second}}},
+		"the store is behind":    {func(t *Table) { t.Seen(at(time.Second), stopped); t.Put(at(2*time.Second), serving) }, []StoppingNode{{stopped, 2 * time.Second}}},
 		"is of another region":   {func(t *Table) { m := stopped; m.Region = "q"; t.Seen(at(0), m) }, nil},
-		"the node itself":        {func(t *Table) { t.Serve(at(0), true); t.Serve(at(2*time.Second), false) }, []Leaver{{Member{Name: "a", Region: "r", Start: 1, Change: 2}, time.Second}}},
+		"the node itself":        {func(t *Table) { t.Serve(at(0), true); t.Serve(at(2*time.Second), false) }, []StoppingNode{{Member{Name: "a", Region: "r", Start: 1, ServingChanges: 2}, time.Second}}},
 		"the node itself, once more": {func(t *Table) {
 			t.Serve(at(0), true)
 			t.Serve(at(time.Second), false)
 			t.Serve(at(2*time.Second), false)
-		}, []Leaver{{Member{Name: "a", Region: "r", Start: 1, Change: 2}, 2 * time.Second}}},
+		}, []StoppingNode{{Member{Name: "a", Region: "r", Start: 1, ServingChanges: 2}, 2 * time.Second}}},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			table := &Table{Self: Member{Name: "a", Region: "r", Start: 1}}
 			c.do(table)
-			assert.DeepEqual(t, table.Leaving(at(3*time.Second), "r"), c.want, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }))
+			assert.DeepEqual(t, table.StoppingInRegion(at(3*time.Second), "r"), c.want, cmp.Comparer(func(a, b netip.AddrPort) bool { return a == b }))
 		})
 	}
 }
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -152,7 +152,7 @@
 			}
 		}
 	}
-	topo := Topology{FleetSize: len(f.nodes), Counted: true, Fresh: n.fresh, LiveNodes: live}
+	topo := Topology{FleetSize: len(f.nodes), Counted: true, NoRecentPredecessor: n.fresh, LiveNodes: live}
 	if f.nodes[max(f.relayIndex(n, n.dc), 0)] == n && !f.equalShares {
 		topo.GroupSize = group
 		topo.IsRoot = func(w string) bool { return f.nodes[f.rootOf(n, w)] == n }
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -35,12 +35,12 @@
 
 // Topology is a node's position among the nodes that share the quotas.
 type Topology struct {
-	FleetSize int                         // maximum number of nodes that may be running
-	Counted   bool                        // the other nodes include this one in their fleet size
-	Fresh     bool                        // no earlier process of the node started within a window before this one
-	LiveNodes int                         // live nodes
-	GroupSize int                         // live nodes of its data centre, which claim through it; 0 if it is no relay
-	IsRoot    func(workspace string) bool // whether the node gathers a workspace's units; nil if it gathers none
+	FleetSize           int                         // maximum number of nodes that may be running
+	Counted             bool                        // the other nodes include this one in their fleet size
+	NoRecentPredecessor bool                        // no earlier process of the node started within a window before this one
+	LiveNodes           int                         // live nodes
+	GroupSize           int                         // live nodes of its data centre, which claim through it; 0 if it is no relay
+	IsRoot              func(workspace string) bool // whether the node gathers a workspace's units; nil if it gathers none
 }
 
 // Waiter is a request that waits for units.
@@ -177,7 +177,7 @@
 			// This node has spent nothing of the workspace's quota since: accounts are
 			// removed only after idleTTL without requests.
 			a.refilledAt = latest(l.countedSince, now.Add(-idleTTL))
-			if l.topology.Fresh && now.Sub(l.countedSince) < idleTTL {
+			if l.topology.NoRecentPredecessor && now.Sub(l.countedSince) < idleTTL {
 				q, b := l.Quota(workspace), l.Bounds()
 				a.level = initialShare * b.maxUnspent(q) / float64(max(l.topology.FleetSize, 1))
 			}
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -14,7 +14,7 @@
 var tokenBounds = Bounds{Window: 8 * time.Second, Ratio: 0.1, Slack: 110_000}
 
 func tokenQuota(perSecond float64) jwworkspace.Quota {
-	return jwworkspace.Quota{Unit: jwworkspace.Tokens, Rate: perSecond, Burst: perSecond, Plain: 200}
+	return jwworkspace.Quota{Unit: jwworkspace.Tokens, Rate: perSecond, Burst: perSecond, DefaultUnits: 200}
 }
 
 // requestCost draws the cost of a request: a plain call, a short prompt or a long one.
--- a/core/jwresolver/resolver.go
+++ b/core/jwresolver/resolver.go
@@ -37,18 +37,18 @@
 	Own      Kind = "own"      // nodes of the caller's region
 	Stopping Kind = "stopping" // nodes of the caller's region that are stopping and still accept requests
 	StandIns Kind = "standIns" // nodes of other regions
-	Nobody   Kind = "nobody"   // no nodes
+	NoNodes  Kind = "nobody"   // no nodes
 )
 
 // View is what the node that answers knows of the other nodes. All lists are sorted by name.
 type View struct {
-	Caller  string                                   // address of the caller, which always gets the same selection of many nodes
-	Own     []jwmember.Member                        // serving nodes of the caller's region
-	Leaving []jwmember.Leaver                        // nodes of the caller's region in a planned stop
-	Linger  time.Duration                            // how long nodes accept requests after their stop begins
-	All     []jwmember.Member                        // serving nodes of all regions
-	Ready   bool                                     // whether the node knows enough of other regions to return their nodes
-	Stand   func(regions []string) (chosen []string) // chooses, of the regions with nodes, those that stand in for the caller's
+	Caller         string                                   // address of the caller, which always gets the same selection of many nodes
+	InRegion       []jwmember.Member                        // serving nodes of the caller's region
+	StoppingNodes  []jwmember.StoppingNode                  // nodes of the caller's region in a planned stop
+	Linger         time.Duration                            // how long nodes accept requests after their stop begins
+	All            []jwmember.Member                        // serving nodes of all regions
+	Ready          bool                                     // whether the node knows enough of other regions to return their nodes
+	ChooseStandIns func(regions []string) (chosen []string) // chooses, of the regions with nodes, those that stand in for the caller's
 }
 
 // Answer contains the nodes that a caller should connect to.
@@ -64,25 +64,25 @@
 // and would return itself to every caller, so it returns no nodes of other regions
 // before View.Ready.
 func Resolve(v View) Answer {
-	if len(v.Own) > 0 {
-		return v.answer(Own, v.Own, TTL)
+	if len(v.InRegion) > 0 {
+		return v.answer(Own, v.InRegion, TTL)
 	}
-	if nodes, ttl := leaving(v.Leaving, v.Linger); len(nodes) > 0 {
+	if nodes, ttl := leaving(v.StoppingNodes, v.Linger); len(nodes) > 0 {
 		return v.answer(Stopping, nodes, ttl)
 	}
 	if !v.Ready {
-		return Answer{Kind: Nobody}
+		return Answer{Kind: NoNodes}
 	}
 	if nodes := standIns(v); len(nodes) > 0 {
 		return v.answer(StandIns, nodes, standInTTL)
 	}
-	return Answer{Kind: Nobody}
+	return Answer{Kind: NoNodes}
 }
 
 // leaving returns the stopping nodes that still accept requests when the callers that
 // use the answer longest send theirs, and the TTL of the answer, which is set by the
 // node among them that ends first.
-func leaving(list []jwmember.Leaver, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
+func leaving(list []jwmember.StoppingNode, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
 	ttl = TTL
 	for _, l := range list {
 		d := min((linger-l.Since)/OveruseFactor, TTL)
@@ -95,7 +95,7 @@
 	return nodes, ttl
 }
 
-// standIns returns the nodes of the regions that View.Stand chooses to stand in for the
+// standIns returns the nodes of the regions that View.ChooseStandIns chooses to stand in for the
 // caller's own: those that may serve most of the requests bound to certain regions.
 func standIns(v View) []jwmember.Member {
 	var regions []string
@@ -104,7 +104,7 @@
 			regions = append(regions, m.Region)
 		}
 	}
-	regions = v.Stand(regions)
+	regions = v.ChooseStandIns(regions)
 	var nodes []jwmember.Member
 	for _, m := range v.All {
 		if slices.Contains(regions, m.Region) {
--- a/core/jwresolver/resolver_test.go
+++ b/core/jwresolver/resolver_test.go
@@ -14,8 +14,8 @@
 func member(name, region string) jwmember.Member { return jwmember.Member{Name: name, Region: region} }
 
 // stopping returns a node whose planned stop began some time ago.
-func stopping(name string, since time.Duration) jwmember.Leaver {
-	return jwmember.Leaver{Member: member(name, "small"), Since: since}
+func stopping(name string, since time.Duration) jwmember.StoppingNode {
+	return jwmember.StoppingNode{Member: member(name, "small"), Since: since}
 }
 
 // The two nodes of a small region are restarted in turn, and for a moment neither
@@ -33,15 +33,15 @@
 		want []string
 		ttl  time.Duration
 	}{
-		"one serves":                    {View{Own: []jwmember.Member{member("s1", "small")}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
-		"one serves, one stops":         {View{Own: []jwmember.Member{member("s1", "small")}, Leaving: []jwmember.Leaver{stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Own, []string{"s1"}, TTL},
-		"both stop, one a moment ago":   {View{Leaving: []jwmember.Leaver{stopping("s1", 2800*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s2"}, TTL},
-		"both stop, both take requests": {View{Leaving: []jwmember.Leaver{stopping("s1", 1500*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, Stand: toBig}, Stopping, []string{"s1", "s2"}, 500 * time.Millisecond},
-		"the last stops, nearly done":   {View{Leaving: []jwmember.Leaver{stopping("s2", 2200*time.Millisecond)}, All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
-		"all lost":                      {View{All: elsewhere, Ready: true, Stand: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
-		"all lost, the node starts":     {View{All: elsewhere, Stand: toBig}, Nobody, nil, 0},
-		"partitioned from all others":   {View{Ready: true, Stand: nowhere}, Nobody, nil, 0},
-		"starts while the last stops":   {View{Leaving: []jwmember.Leaver{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / OveruseFactor},
+		"one serves":                    {View{InRegion: []jwmember.Member{member("s1", "small")}, All: elsewhere, Ready: true, ChooseStandIns: toBig}, Own, []string{"s1"}, TTL},
+		"one serves, one stops":         {View{InRegion: []jwmember.Member{member("s1", "small")}, StoppingNodes: []jwmember.StoppingNode{stopping("s2", 0)}, All: elsewhere, Ready: true, ChooseStandIns: toBig}, Own, []string{"s1"}, TTL},
+		"both stop, one a moment ago":   {View{StoppingNodes: []jwmember.StoppingNode{stopping("s1", 2800*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, ChooseStandIns: toBig}, Stopping, []string{"s2"}, TTL},
+		"both stop, both take requests": {View{StoppingNodes: []jwmember.StoppingNode{stopping("s1", 1500*time.Millisecond), stopping("s2", 0)}, All: elsewhere, Ready: true, ChooseStandIns: toBig}, Stopping, []string{"s1", "s2"}, 500 * time.Millisecond},
+		"the last stops, nearly done":   {View{StoppingNodes: []jwmember.StoppingNode{stopping("s2", 2200*time.Millisecond)}, All: elsewhere, Ready: true, ChooseStandIns: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
+		"all lost":                      {View{All: elsewhere, Ready: true, ChooseStandIns: toBig}, StandIns, []string{"b1", "b2"}, standInTTL},
+		"all lost, the node starts":     {View{All: elsewhere, ChooseStandIns: toBig}, NoNodes, nil, 0},
+		"partitioned from all others":   {View{Ready: true, ChooseStandIns: nowhere}, NoNodes, nil, 0},
+		"starts while the last stops":   {View{StoppingNodes: []jwmember.StoppingNode{stopping("s2", time.Second)}}, Stopping, []string{"s2"}, 2 * time.Second / OveruseFactor},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -65,14 +65,14 @@
 		v := View{Linger: min(Linger, time.Duration(rapid.IntRange(0, 4000).Draw(t, "linger"))*time.Millisecond)}
 		for i := range rapid.IntRange(0, 6).Draw(t, "nodes") {
 			since := time.Duration(rapid.IntRange(0, 9000).Draw(t, "since")) * time.Millisecond
-			v.Leaving = append(v.Leaving, stopping(fmt.Sprint("s", i), since))
+			v.StoppingNodes = append(v.StoppingNodes, stopping(fmt.Sprint("s", i), since))
 		}
 		a := Resolve(v)
-		if (a.Kind == Nobody) != (len(a.Nodes) == 0) || (a.TTL == 0) != (len(a.Nodes) == 0) {
+		if (a.Kind == NoNodes) != (len(a.Nodes) == 0) || (a.TTL == 0) != (len(a.Nodes) == 0) {
 			t.Fatalf("%+v", a)
 		}
 		for _, m := range a.Nodes {
-			for _, l := range v.Leaving {
+			for _, l := range v.StoppingNodes {
 				if l.Name == m.Name && l.Since+OveruseFactor*a.TTL > v.Linger {
 					t.Fatalf("%s began to stop %s ago and is returned with a TTL of %s", l.Name, l.Since, a.TTL)
 				}
@@ -103,14 +103,14 @@
 			const step = 10 * time.Millisecond
 			elsewhere := time.Duration(0)
 			for now := time.Duration(0); now < 30*time.Second; now += step {
-				v := View{Linger: Linger, Ready: true, All: []jwmember.Member{member("b1", "big")}, Stand: func(r []string) []string { return r }}
+				v := View{Linger: Linger, Ready: true, All: []jwmember.Member{member("b1", "big")}, ChooseStandIns: func(r []string) []string { return r }}
 				for i := range c.nodes {
 					since := now - time.Second - time.Duration(i)*c.gap
 					switch {
 					case since < 0 || since > Linger+away:
-						v.Own = append(v.Own, member(fmt.Sprint("s", i), "small"))
+						v.InRegion = append(v.InRegion, member(fmt.Sprint("s", i), "small"))
 					case since < Linger:
-						v.Leaving = append(v.Leaving, stopping(fmt.Sprint("s", i), since))
+						v.StoppingNodes = append(v.StoppingNodes, stopping(fmt.Sprint("s", i), since))
 					}
 				}
 				if Resolve(v).Kind == StandIns {
@@ -131,7 +131,7 @@
 	}
 	named := make(map[string]int)
 	for i := range 200 {
-		v := View{Caller: fmt.Sprintf("10.0.0.%d", i), Own: nodes}
+		v := View{Caller: fmt.Sprintf("10.0.0.%d", i), InRegion: nodes}
 		before := Resolve(v)
 		assert.Equal(t, len(before.Nodes), maxNamed)
 		for i, m := range Resolve(v).Nodes {
@@ -142,7 +142,7 @@
 			named[m.Name]++
 			kept[m.Name] = true
 		}
-		v.Own = nodes[1:] // one is gone
+		v.InRegion = nodes[1:] // one is gone
 		others := 0
 		for _, m := range Resolve(v).Nodes {
 			if !kept[m.Name] {
--- a/core/jwrepeat/repeat_test.go
+++ b/core/jwretry/retry_test.go
@@ -1,4 +1,4 @@
-package jwrepeat
+package jwretry
 
 import (
 	"testing"
@@ -10,7 +10,7 @@
 // A request that must run once and may have run is never sent again, whatever is left of
 // the budget. A repeatable request is sent again as often as its entry allows.
 func TestDecide(t *testing.T) {
-	lookup := Request{Repeatable: true, Most: 2}
+	lookup := Request{Repeatable: true, MaxAttempts: 2}
 	with := func(change func(*Request)) Request {
 		r := lookup
 		change(&r)
@@ -21,16 +21,16 @@
 		budget  bool
 		want    Reason
 	}{
-		"failed once":                 {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), true, Again},
+		"failed once":                 {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), true, RetryTaken},
 		"failed once, nothing left":   {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), false, NoBudget},
 		"failed twice":                {with(func(r *Request) { r.Attempts, r.Sends = 2, 2 }), true, AttemptsExhausted},
-		"not run":                     {with(func(r *Request) { r.NotRun, r.Sends = true, 1 }), true, Again},
+		"not run":                     {with(func(r *Request) { r.NotRun, r.Sends = true, 1 }), true, RetryTaken},
 		"not run, and nobody reached": {with(func(r *Request) { r.NotRun = true }), false, FirstSend},
-		"not run, runs once":          {Request{NotRun: true, Sends: 1}, true, Again},
-		"may have run, runs once":     {Request{Attempts: 1, Sends: 1, Most: 1}, true, MayHaveRun},
-		"paid before":                 {with(func(r *Request) { r.Attempts, r.Sends, r.Paid = 1, 1, true }), false, Paid},
-		"its body is gone":            {with(func(r *Request) { r.NotRun, r.Streamed = true, true }), true, BodyConsumed},
-		"refused everywhere":          {with(func(r *Request) { r.NotRun, r.Final = true, true }), true, SameOutcome},
+		"not run, runs once":          {Request{NotRun: true, Sends: 1}, true, RetryTaken},
+		"may have run, runs once":     {Request{Attempts: 1, Sends: 1, MaxAttempts: 1}, true, MayHaveRun},
+		"paid before":                 {with(func(r *Request) { r.Attempts, r.Sends, r.BudgetTaken = 1, 1, true }), false, BudgetTaken},
+		"its body is gone":            {with(func(r *Request) { r.NotRun, r.BodyStreamed = true, true }), true, BodyConsumed},
+		"refused everywhere":          {with(func(r *Request) { r.NotRun, r.Permanent = true, true }), true, SameOutcome},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -44,17 +44,17 @@
 func TestNonRepeatableNeverRunsTwice(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{
-			Final: rapid.Bool().Draw(t, "final"), Streamed: rapid.Bool().Draw(t, "streamed"),
+			Permanent: rapid.Bool().Draw(t, "final"), BodyStreamed: rapid.Bool().Draw(t, "streamed"),
 			NotRun: rapid.Bool().Draw(t, "notRun"), Repeatable: rapid.Bool().Draw(t, "repeatable"),
-			Attempts: rapid.IntRange(0, 3).Draw(t, "attempts"), Most: rapid.IntRange(0, 3).Draw(t, "most"),
-			Sends: rapid.IntRange(0, 3).Draw(t, "sends"), Paid: rapid.Bool().Draw(t, "paid"),
+			Attempts: rapid.IntRange(0, 3).Draw(t, "attempts"), MaxAttempts: rapid.IntRange(0, 3).Draw(t, "most"),
+			Sends: rapid.IntRange(0, 3).Draw(t, "sends"), BudgetTaken: rapid.Bool().Draw(t, "paid"),
 		}
 		taken := 0
 		got := Decide(r, func() bool { taken++; return true })
-		if !r.NotRun && !r.Repeatable && got.May() {
+		if !r.NotRun && !r.Repeatable && got.Allowed() {
 			t.Fatalf("%+v is sent again: %s", r, got)
 		}
-		if (taken == 1) != (got == Again) || taken > 1 {
+		if (taken == 1) != (got == RetryTaken) || taken > 1 {
 			t.Fatalf("%+v took %d from the budget: %s", r, taken, got)
 		}
 	})
--- a/core/jwstore/memory.go
+++ b/core/jwstore/memory.go
@@ -139,8 +139,8 @@
 	}
 }
 
-// Swap implements Writer.
-func (m *Memory) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+// CompareAndSwap implements Writer.
+func (m *Memory) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	op := "swap " + key
 	if err := m.begin(ctx, op, &m.calls.Writes); err != nil {
 		return 0, false, err
--- a/core/jwstore/memory_test.go
+++ b/core/jwstore/memory_test.go
@@ -44,9 +44,9 @@
 			})
 		}
 		synctest.Wait()
-		_, _, err = m.Swap(ctx, "other", nil, 0)
+		_, _, err = m.CompareAndSwap(ctx, "other", nil, 0)
 		assert.NilError(t, err)
-		_, _, err = m.Swap(ctx, "k", []byte("one"), 0)
+		_, _, err = m.CompareAndSwap(ctx, "k", []byte("one"), 0)
 		assert.NilError(t, err)
 		wg.Wait()
 		assert.DeepEqual(t, m.Calls(), Calls{Writes: 2, Waits: 4})
@@ -64,7 +64,7 @@
 
 // The service goes down while nodes are blocked in Wait. Wait must fail at once, or
 // a change would reach the nodes only when their wait times out.
-func TestDownEndsWaits(t *testing.T) {
+func TestErrorEndsWaits(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx := context.Background()
 		m := &Memory{}
@@ -76,7 +76,7 @@
 		synctest.Wait()
 		m.SetDown(true)
 		assert.Check(t, errors.Is(<-done, ErrUnavailable))
-		_, _, err := m.Swap(ctx, "k", nil, 0)
+		_, _, err := m.CompareAndSwap(ctx, "k", nil, 0)
 		assert.Check(t, errors.Is(err, ErrUnavailable))
 		m.SetDown(false)
 		_, found, err := m.Get(ctx, "k")
@@ -93,7 +93,7 @@
 		m.SetDelay(time.Second)
 		ctx, cancel := context.WithTimeout(context.Background(), 100*time.Millisecond)
 		defer cancel()
-		_, _, err := m.Swap(ctx, "k", nil, 0)
+		_, _, err := m.CompareAndSwap(ctx, "k", nil, 0)
 		assert.Check(t, errors.Is(err, ErrUnavailable))
 		start := time.Now()
 		_, found, err := m.Get(context.Background(), "k")
@@ -137,7 +137,7 @@
 func (m *model) swap(t *rapid.T) {
 	key, version := drawKey(t), m.drawVersion(t)
 	value := []byte(rapid.String().Draw(t, "value"))
-	next, swapped, err := m.memory.Swap(context.Background(), key, value, version)
+	next, swapped, err := m.memory.CompareAndSwap(context.Background(), key, value, version)
 	matches := m.items[key].Version == version
 	if m.loseNext {
 		m.loseNext = false
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -10,7 +10,7 @@
 )
 
 // MemoryFeed is a Feed in memory, for tests and simulated platforms. The zero value is
-// empty. Leases end only by End, EndAllLeases and Return. It is safe for concurrent use.
+// empty. Leases end only by End, EndAllLeases and Restore. It is safe for concurrent use.
 type MemoryFeed struct {
 	PageSize int // maximum number of items of a page, 0 for no limit
 
@@ -22,7 +22,7 @@
 	lastLease    Lease
 	activeLeases map[Lease]bool
 	changed      chan struct{}
-	down         error
+	err          error
 }
 
 // memoryItem is an item with the lease it was written under, 0 for none.
@@ -33,11 +33,11 @@
 
 var _ Feed = (*MemoryFeed)(nil)
 
-// Down makes every call of a Feed method fail with err, until Down(nil).
-func (m *MemoryFeed) Down(err error) {
+// SetError makes every call of a Feed method fail with err, until SetError(nil).
+func (m *MemoryFeed) SetError(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.down = err
+	m.err = err
 	m.notify()
 }
 
@@ -50,22 +50,22 @@
 	m.notify()
 }
 
-// Copy is a snapshot of the contents of a MemoryFeed.
-type Copy struct {
+// Snapshot is a snapshot of the contents of a MemoryFeed.
+type Snapshot struct {
 	revision Revision
 	items    map[string]memoryItem
 }
 
-// Copy returns a snapshot of the current contents.
-func (m *MemoryFeed) Copy() Copy {
+// Snapshot returns a snapshot of the current contents.
+func (m *MemoryFeed) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	return Copy{m.revision, maps.Clone(m.items)}
+	return Snapshot{m.revision, maps.Clone(m.items)}
 }
 
-// Return restores the store from a copy: all later changes and all leases with their keys
+// Restore restores the store from a copy: all later changes and all leases with their keys
 // are lost, and revision numbers are assigned again in the next era.
-func (m *MemoryFeed) Return(c Copy) {
+func (m *MemoryFeed) Restore(c Snapshot) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	era := Era(m.revision) + 1
@@ -148,7 +148,7 @@
 	if m.PageSize > 0 && len(p.Items) > m.PageSize {
 		p.Items, p.More = p.Items[:m.PageSize], true
 	}
-	return p, m.down
+	return p, m.err
 }
 
 // Watch implements Feed.
@@ -157,8 +157,8 @@
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
-		if m.down != nil || after < m.compacted {
-			err := m.down
+		if m.err != nil || after < m.compacted {
+			err := m.err
 			if err == nil {
 				err = ErrCompacted
 			}
@@ -194,8 +194,8 @@
 func (m *MemoryFeed) Grant(_ context.Context, ttl time.Duration) (Lease, time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down != nil {
-		return 0, 0, m.down
+	if m.err != nil {
+		return 0, 0, m.err
 	}
 	if m.activeLeases == nil {
 		m.activeLeases = make(map[Lease]bool)
@@ -209,18 +209,18 @@
 func (m *MemoryFeed) Renew(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down == nil && !m.activeLeases[lease] {
+	if m.err == nil && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
-	return m.down
+	return m.err
 }
 
 // End implements Feed.
 func (m *MemoryFeed) End(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down != nil {
-		return m.down
+	if m.err != nil {
+		return m.err
 	}
 	m.endLease(lease)
 	return nil
@@ -249,8 +249,8 @@
 func (m *MemoryFeed) Set(_ context.Context, key string, value []byte, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.down != nil {
-		return m.down
+	if m.err != nil {
+		return m.err
 	}
 	if lease != 0 && !m.activeLeases[lease] {
 		return ErrNoLease
--- a/core/jwstore/store.go
+++ b/core/jwstore/store.go
@@ -36,9 +36,9 @@
 
 // Writer writes keys of the platform's key-value service.
 type Writer interface {
-	// Swap writes value if the key is still at version (0 creates the key) and
+	// CompareAndSwap writes value if the key is still at version (0 creates the key) and
 	// returns the new version. swapped is false if the key is at another version.
-	Swap(ctx context.Context, key string, value []byte, version uint64) (next uint64, swapped bool, err error)
+	CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (next uint64, swapped bool, err error)
 	// Delete removes the key if it is still at version, and reports whether it did.
 	Delete(ctx context.Context, key string, version uint64) (deleted bool, err error)
 }
--- a/core/jwsuspect/model_test.go
+++ b/core/jwsuspect/model_test.go
@@ -147,7 +147,7 @@
 	}
 	var excluded []netip.AddrPort
 	if state == Suspected && !m.shareTargets {
-		excluded = m.nodes[node].Apart(f, m.targets, m.now)
+		excluded = m.nodes[node].ExcludedTargets(f, m.targets, m.now)
 	}
 	for _, i := range m.rnd.Perm(modelTargets) {
 		if !m.upAt[i].After(m.now) && m.load[i] < modelBatch && !slices.Contains(excluded, target(i)) {
--- a/core/jwworkspace/directory.go
+++ b/core/jwworkspace/directory.go
@@ -34,16 +34,16 @@
 	}
 }
 
-// Holder returns the workspace that a key belongs to, nil if there is none.
-func (d *Directory) Holder(key string) *Workspace {
+// ByKey returns the workspace that a key belongs to, nil if there is none.
+func (d *Directory) ByKey(key string) *Workspace {
 	if d == nil || key == "" {
 		return nil
 	}
 	return d.byKey[digestOf(key)]
 }
 
-// Named returns the workspace with a name, nil if there is none.
-func (d *Directory) Named(name string) *Workspace {
+// ByName returns the workspace with a name, nil if there is none.
+func (d *Directory) ByName(name string) *Workspace {
 	if d == nil {
 		return nil
 	}
--- a/core/jwworkspace/regions.go
+++ b/core/jwworkspace/regions.go
@@ -12,8 +12,8 @@
 // Allows reports whether a region may serve the request.
 func (r Regions) Allows(region string) bool { return len(r) == 0 || slices.Contains(r, region) }
 
-// Both returns the regions that both lists allow.
-func (r Regions) Both(other Regions) Regions {
+// Intersect returns the regions that both lists allow.
+func (r Regions) Intersect(other Regions) Regions {
 	switch {
 	case len(r) == 0:
 		return other
--- a/core/jwworkspace/workspace.go
+++ b/core/jwworkspace/workspace.go
@@ -2,11 +2,11 @@
 
 // Workspace describes a customer. It must not be modified once it is in a Directory.
 type Workspace struct {
-	Name     string
-	Homes    Regions // regions that may serve its requests
-	Priority int     // 0 is the most urgent; used only if Ranked is set
-	Ranked   bool    // whether Priority replaces the priority of the entry
-	Quota    Quota
+	Name        string
+	Homes       Regions // regions that may serve its requests
+	Priority    int     // 0 is the most urgent; used only if HasPriority is set
+	HasPriority bool    // whether Priority replaces the priority of the entry
+	Quota       Quota
 }
 
 // Unit says what a quota counts.
@@ -21,10 +21,10 @@
 // Quota limits the requests of a workspace over all nodes together. The zero value
 // allows everything.
 type Quota struct {
-	Unit  Unit
-	Rate  float64 // units per second, 0 for no limit
-	Burst float64 // units allowed at once beyond the rate
-	Plain float64 // units counted for a request without a token count, if Unit is Tokens
+	Unit         Unit
+	Rate         float64 // units per second, 0 for no limit
+	Burst        float64 // units allowed at once beyond the rate
+	DefaultUnits float64 // units counted for a request without a token count, if Unit is Tokens
 }
 
 // Limited reports whether the quota limits anything.
@@ -40,5 +40,5 @@
 	case tokens > 0:
 		return float64(tokens)
 	}
-	return q.Plain
+	return q.DefaultUnits
 }
--- a/core/jwworkspace/workspace_test.go
+++ b/core/jwworkspace/workspace_test.go
@@ -15,8 +15,8 @@
 	}{
 		"requests":                   {Quota{Unit: Requests, Rate: 5}, 4000, 1},
 		"no unit":                    {Quota{Rate: 5}, 4000, 1},
-		"tokens":                     {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 4000, 4000},
-		"no token count":             {Quota{Unit: Tokens, Rate: 5, Plain: 200}, 0, 200},
+		"tokens":                     {Quota{Unit: Tokens, Rate: 5, DefaultUnits: 200}, 4000, 4000},
+		"no token count":             {Quota{Unit: Tokens, Rate: 5, DefaultUnits: 200}, 0, 200},
 		"no token count, no default": {Quota{Unit: Tokens, Rate: 5}, 0, 0},
 	}
 	for name, c := range cases {
@@ -26,7 +26,7 @@
 
 // The requests of a workspace to an entry whose regions have none in common with its own
 // must be served nowhere, not everywhere.
-func TestBoth(t *testing.T) {
+func TestIntersect(t *testing.T) {
 	cases := map[string]struct {
 		a, b    Regions
 		allowed []string
@@ -39,7 +39,7 @@
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			both := c.a.Both(c.b)
+			both := c.a.Intersect(c.b)
 			var allowed []string
 			for _, region := range []string{"north", "south", "east"} {
 				if both.Allows(region) {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestHolder(t *testing.T) {
+func TestByKey(t *testing.T) {
 	var d Directory
 	a, b := &Workspace{Name: "a"}, &Workspace{Name: "b"}
 	long := string(make([]byte, 500))
@@ -72,17 +72,17 @@
 		"in upper case":           {"KEY-1", nil},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, d.Holder(c.key), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, d.ByKey(c.key), c.want) })
 	}
-	assert.Equal(t, d.Named("b"), b)
-	assert.Assert(t, d.Named("key-1") == nil)
+	assert.Equal(t, d.ByName("b"), b)
+	assert.Assert(t, d.ByName("key-1") == nil)
 	assert.Assert(t, !d.Limited())
 }
 
 func TestNoDirectory(t *testing.T) {
 	var d *Directory
-	assert.Assert(t, d.Holder("key") == nil)
-	assert.Assert(t, d.Named("a") == nil)
+	assert.Assert(t, d.ByKey("key") == nil)
+	assert.Assert(t, d.ByName("a") == nil)
 	assert.Assert(t, !d.Limited())
 }
 
@@ -95,7 +95,7 @@
 	}
 	b.ReportAllocs()
 	for b.Loop() {
-		if d.Holder("key-b-20000") == nil {
+		if d.ByKey("key-b-20000") == nil {
 			b.Fatal("not found")
 		}
 	}
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -157,7 +157,7 @@
 // serve runs a request on a target of this region.
 func (n *node) serve(q *request, rq *jwrouter.Query, delay time.Duration, release func()) {
 	if state, _ := n.suspects.Check(q.fingerprint, n.sim.now); state != jwsuspect.Clear && !n.sim.policy.noSuspects {
-		rq.Exclude = append(rq.Exclude, n.suspects.Apart(q.fingerprint, n.addresses(q.entry.Service), n.sim.now)...)
+		rq.Exclude = append(rq.Exclude, n.suspects.ExcludedTargets(q.fingerprint, n.addresses(q.entry.Service), n.sim.now)...)
 	}
 	choice, found := n.router.Pick(rq)
 	if !found || q.finished {
--- a/io/jwconsul/keyvalue.go
+++ b/io/jwconsul/keyvalue.go
@@ -129,8 +129,8 @@
 	}
 }
 
-// Swap implements jwstore.Writer. A value longer than MaxValueSize is an error.
-func (kv *KeyValue) Swap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
+// CompareAndSwap implements jwstore.Writer. A value longer than MaxValueSize is an error.
+func (kv *KeyValue) CompareAndSwap(ctx context.Context, key string, value []byte, version uint64) (uint64, bool, error) {
 	if len(value) > MaxValueSize {
 		return 0, false, errors.Errorf("swap %s: value of %d bytes exceeds %d", key, len(value), MaxValueSize)
 	}
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -54,14 +54,14 @@
 			assert.Check(t, !found && item.Version == 0)
 		},
 		"create, read, replace": func(t *testing.T, ctx context.Context, s jwstore.Store) {
-			first, swapped, err := s.Swap(ctx, "a/b c", []byte("one"), 0)
+			first, swapped, err := s.CompareAndSwap(ctx, "a/b c", []byte("one"), 0)
 			assert.NilError(t, err)
 			assert.Check(t, swapped && first > 0)
 			item, found, err := s.Get(ctx, "a/b c")
 			assert.NilError(t, err)
 			assert.Check(t, found)
 			assert.DeepEqual(t, item, jwstore.Item{Key: "a/b c", Value: []byte("one"), Version: first})
-			second, swapped, err := s.Swap(ctx, "a/b c", []byte("two"), first)
+			second, swapped, err := s.CompareAndSwap(ctx, "a/b c", []byte("two"), first)
 			assert.NilError(t, err)
 			assert.Check(t, swapped && second > first)
 		},
@@ -69,7 +69,7 @@
 			first := mustSwap(t, s, "k", "one", 0)
 			mustSwap(t, s, "k", "two", first)
 			for _, version := range []uint64{0, first, first + 100} {
-				_, swapped, err := s.Swap(ctx, "k", []byte("three"), version)
+				_, swapped, err := s.CompareAndSwap(ctx, "k", []byte("three"), version)
 				assert.NilError(t, err)
 				assert.Check(t, !swapped, "version %d", version)
 			}
@@ -158,7 +158,7 @@
 			var wg sync.WaitGroup
 			for range 8 {
 				wg.Go(func() {
-					_, swapped, err := s.Swap(ctx, "k", []byte("mine"), 0)
+					_, swapped, err := s.CompareAndSwap(ctx, "k", []byte("mine"), 0)
 					assert.Check(t, err)
 					if swapped {
 						won.Add(1)
@@ -182,7 +182,7 @@
 
 func mustSwap(t *testing.T, s jwstore.Store, key, value string, version uint64) uint64 {
 	t.Helper()
-	next, swapped, err := s.Swap(context.Background(), key, []byte(value), version)
+	next, swapped, err := s.CompareAndSwap(context.Background(), key, []byte(value), version)
 	assert.NilError(t, err)
 	assert.Assert(t, swapped)
 	return next
@@ -203,7 +203,7 @@
 	}
 	for name, s := range tests {
 		t.Run(name, func(t *testing.T) {
-			_, swapped, err := s.Swap(ctx, "k", []byte("one"), 0)
+			_, swapped, err := s.CompareAndSwap(ctx, "k", []byte("one"), 0)
 			assert.Check(t, errors.Is(err, jwstore.ErrUnknown) && !swapped, "%v", err)
 			item, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
@@ -236,7 +236,7 @@
 	assert.Check(t, errors.Is(err, jwstore.ErrUnavailable), "%v", err)
 	_, _, err = kv.Wait(ctx, "k", first, time.Second)
 	assert.Check(t, errors.Is(err, jwstore.ErrUnavailable), "%v", err)
-	_, _, err = kv.Swap(ctx, "k", []byte("two"), first)
+	_, _, err = kv.CompareAndSwap(ctx, "k", []byte("two"), first)
 	assert.Check(t, errors.Is(err, jwstore.ErrUnavailable), "%v", err)
 	stand.SetFaults(jwstand.Faults{})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -261,7 +261,7 @@
 	kv := &jwconsul.KeyValue{Address: stand.Address, Timeout: 100 * time.Millisecond}
 	first := mustSwap(t, kv, "k", "one", 0)
 	stand.SetFaults(jwstand.Faults{Silent: true})
-	_, _, err := kv.Swap(ctx, "k", []byte("two"), first)
+	_, _, err := kv.CompareAndSwap(ctx, "k", []byte("two"), first)
 	assert.Check(t, errors.Is(err, jwstore.ErrUnknown), "%v", err)
 	item, found, err := kv.Get(ctx, "k")
 	assert.NilError(t, err, "a new connection must work")
@@ -274,7 +274,7 @@
 func TestValueTooLarge(t *testing.T) {
 	stand := startStand(t, &jwstand.KeyValue{})
 	kv := &jwconsul.KeyValue{Address: stand.Address}
-	_, _, err := kv.Swap(context.Background(), "k", make([]byte, jwconsul.MaxValueSize+1), 0)
+	_, _, err := kv.CompareAndSwap(context.Background(), "k", make([]byte, jwconsul.MaxValueSize+1), 0)
 	assert.ErrorContains(t, err, "exceeds")
 	mustSwap(t, kv, "k", string(make([]byte, jwconsul.MaxValueSize)), 0)
 }
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -104,7 +104,7 @@
 	}
 	h.record(caller, registerInput{read: true}, call, string(item.Value))
 	call = time.Since(h.started).Nanoseconds()
-	_, ok, err := kv.Swap(ctx, "k", []byte(value), item.Version)
+	_, ok, err := kv.CompareAndSwap(ctx, "k", []byte(value), item.Version)
 	result := refused
 	switch {
 	case errors.Is(err, jwstore.ErrUnavailable):
--- a/io/jwconsul/scale_test.go
+++ b/io/jwconsul/scale_test.go
@@ -114,13 +114,13 @@
 func BenchmarkKeyValue(b *testing.B) {
 	ctx := context.Background()
 	kv := &jwconsul.KeyValue{Address: serve(b, &jwstand.KeyValue{}).Address}
-	version, _, err := kv.Swap(ctx, "k", make([]byte, 2048), 0)
+	version, _, err := kv.CompareAndSwap(ctx, "k", make([]byte, 2048), 0)
 	assert.NilError(b, err)
 	calls := map[string]func() error{
 		"get":  func() error { _, _, err := kv.Get(ctx, "k"); return err },
 		"wait": func() error { _, _, err := kv.Wait(ctx, "none", 0, time.Millisecond); return err },
 		"swap": func() (err error) {
-			version, _, err = kv.Swap(ctx, "k", make([]byte, 2048), version)
+			version, _, err = kv.CompareAndSwap(ctx, "k", make([]byte, 2048), version)
 			return err
 		},
 	}
--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -48,8 +48,8 @@
 		return true
 	}
 	q.workspace = w.Name
-	q.homes = q.homes.Both(w.Homes)
-	if w.Ranked {
+	q.homes = q.homes.Intersect(w.Homes)
+	if w.HasPriority {
 		q.priority = w.Priority
 	}
 	return true
@@ -116,7 +116,7 @@
 // quotaOf returns the quota of a workspace in the configuration in force.
 func (g *Gateway) quotaOf(workspace string) jwworkspace.Quota {
 	if c := g.entries.Current(); c != nil {
-		if w := c.Workspaces.Named(workspace); w != nil {
+		if w := c.Workspaces.ByName(workspace); w != nil {
 			return w.Quota
 		}
 	}
--- a/io/jwgateway/directory.go
+++ b/io/jwgateway/directory.go
@@ -30,7 +30,7 @@
 	v.Caller = callerOf(r.RemoteAddr)
 	a := jwresolver.Resolve(v)
 	g.metrics.countDirectoryAnswer(a.Kind)
-	if a.Kind == jwresolver.Nobody {
+	if a.Kind == jwresolver.NoNodes {
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
@@ -43,18 +43,18 @@
 // resolverView returns this node's view of the nodes for a caller in a region that asks about a
 // host.
 func (g *Gateway) resolverView(now time.Time, host, region string) jwresolver.View {
-	v := jwresolver.View{Own: g.members.Live(now, region)}
-	if len(v.Own) > 0 {
+	v := jwresolver.View{InRegion: g.members.Live(now, region)}
+	if len(v.InRegion) > 0 {
 		return v
 	}
-	v.Leaving, v.Linger = g.members.Leaving(now, region), g.linger()
+	v.StoppingNodes, v.Linger = g.members.StoppingInRegion(now, region), g.linger()
 	c := g.entries.Current()
 	if c == nil {
 		return v
 	}
 	v.All = g.members.Live(now, "")
 	v.Ready = g.fullReadDone.Load() || now.Sub(g.startTime) >= maxFirstRead
-	v.Stand = func(regions []string) []string { return g.demand.Stand(c, host, regions) }
+	v.ChooseStandIns = func(regions []string) []string { return g.demand.ChooseStandIns(c, host, regions) }
 	return v
 }
 
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -59,7 +59,7 @@
 // state returns the state to be reported to a node of a region.
 func (g *Gateway) state(now time.Time, region string) state {
 	s := state{
-		Member: g.members.Me(), Version: g.entries.Version(), Waits: map[string]int64{}, Gaps: map[string]int64{},
+		Member: g.members.Local(), Version: g.entries.Version(), Waits: map[string]int64{}, Gaps: map[string]int64{},
 		InSync: !g.store.stale(now), Revision: g.store.revision.Load(),
 	}
 	if c := g.entries.Current(); c != nil && region != g.Settings.Region {
@@ -135,7 +135,7 @@
 // other, the one whose name sorts first starts the exchange.
 func (g *Gateway) exchangeWith(ctx context.Context, peers []jwmember.Member, fits func(jwmember.Member) bool) {
 	now := time.Now()
-	me := g.members.Me()
+	me := g.members.Local()
 	for _, m := range peers {
 		// A peer that was not seen recently may have restarted without knowing any other node.
 		if m.Name < me.Name && me.Serving && g.members.RecentlySeen(now, m.Name) || !fits(m) {
@@ -175,7 +175,7 @@
 	start := time.Now()
 	answer, err := g.nodeCall(ctx, m, http.MethodPost, statePath, body)
 	if err != nil {
-		g.members.Failed(time.Now(), m.Name)
+		g.members.MarkUnreachable(time.Now(), m.Name)
 		g.Nodes.Drop(m.Nodes)
 		return
 	}
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -187,7 +187,7 @@
 	q.lastReason = err.Error()
 	var rest *jwconn.RestError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
-		g.members.Failed(time.Now(), m.Name)
+		g.members.MarkUnreachable(time.Now(), m.Name)
 		g.Nodes.Drop(m.Nodes)
 	}
 	var ce *jwconn.CallError
@@ -222,7 +222,7 @@
 		delete(q.header, name)
 	}
 	q.deadline = q.arrived.Add(max(q.Deadline, time.Millisecond))
-	if !g.pauseDetector.Alive() {
+	if !g.pauseDetector.Valid() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -51,7 +51,7 @@
 	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
 
 	viewCache           encodedViewCache
-	pauseDetector       jwclock.Pulse
+	pauseDetector       jwclock.PauseDetector
 	epoch               atomic.Pointer[epoch]
 	metrics             *metrics
 	store               storeState
@@ -64,7 +64,7 @@
 	entries             jwentry.Table
 	targets             jwinstance.Table
 	members             jwmember.Table
-	retryBudget         jwbudget.Retry
+	retryBudget         jwbudget.RetryBudget
 	quotas              jwquota.Ledger
 	quotaExchange       jwquotaexchange.Exchange // exchanges quota units with other nodes
 	regions             regionTable
@@ -97,7 +97,7 @@
 			return err
 		}
 	}
-	g.members.Locate(servers[callersServer].Addr(), servers[nodesServer].Addr())
+	g.members.SetAddresses(servers[callersServer].Addr(), servers[nodesServer].Addr())
 	if g.OnListening != nil {
 		g.OnListening(servers[callersServer].Addr(), servers[directoryServer].Addr(), servers[nodesServer].Addr())
 	}
@@ -105,7 +105,7 @@
 		group.Go(func() error { return s.Run(work) })
 	}
 	g.newEpoch(work)
-	g.pauseDetector.Begin()
+	g.pauseDetector.Reset()
 	group.Go(func() error { g.watchPauses(work); return nil })
 	group.Go(func() error { g.watchStore(work); return nil })
 	group.Go(func() error { g.bootstrapFromPeers(work); return nil })
@@ -131,7 +131,7 @@
 func (g *Gateway) prepare() {
 	s, o := g.Settings, g.Settings.Gateway
 	g.startTime = time.Now()
-	g.pauseDetector.Limit, g.pauseDetector.Boot = pauseLimit, g.TimeSinceBoot
+	g.pauseDetector.Limit, g.pauseDetector.TimeSinceBoot = pauseLimit, g.TimeSinceBoot
 	g.metrics = newMetrics(g.Meter)
 	g.storeWatcher = newStoreWatcher(g)
 	g.Targets.Share = g.maxIdleConns
@@ -239,12 +239,12 @@
 
 // limitShare returns this node's share of the limit that a target announces. mayOwn reports whether a
 // node may own the target.
-func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
+func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitShare {
 	now := time.Now()
-	if g.members.ListedFor(now) < jwbudget.LimitSettle {
-		return jwbudget.LimitPart{}
+	if g.members.RegisteredFor(now) < jwbudget.LimitSettle {
+		return jwbudget.LimitShare{}
 	}
-	return jwbudget.PartOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
+	return jwbudget.LimitShareOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
 }
 
 // rejectsNewRequests reports whether the node has been stopping for so long that a new request
@@ -255,7 +255,7 @@
 
 // ready reports whether the node accepts callers' requests.
 func (g *Gateway) ready() bool {
-	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Alive()
+	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Valid()
 }
 
 // reload applies changed settings. Only the bounds can change while the node runs; a changed
--- a/io/jwgateway/leaving_test.go
+++ b/io/jwgateway/leaving_test.go
@@ -34,7 +34,7 @@
 		sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "t1" })
 		waitForDirectory(t, n, "north", n1, n2)
 	}
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	r, err := send(t, n1, http.MethodGet, "/a/last", "last", nil, "")
 	assert.NilError(t, err)
 	assert.Equal(t, r.body, "t1")
@@ -49,7 +49,7 @@
 
 	// The store is available again and holds the old registration, written again.
 	register(&feed, "t1", "s", leaving.addr, "north-a", "ready")
-	feed.Down(nil)
+	feed.SetError(nil)
 	configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
 	for _, n := range []node{n1, n2} {
 		sendUntil(t, n, "/b/x", func(r reply) bool { return r.body == "t2" })
--- a/io/jwgateway/metrics.go
+++ b/io/jwgateway/metrics.go
@@ -69,7 +69,7 @@
 		limitedTargets:    m.Gauge("limited_targets", nil),
 		storeRestores:     m.Counter("store_returns_total", nil),
 	}
-	for _, k := range []jwresolver.Kind{jwresolver.Own, jwresolver.Stopping, jwresolver.StandIns, jwresolver.Nobody} {
+	for _, k := range []jwresolver.Kind{jwresolver.Own, jwresolver.Stopping, jwresolver.StandIns, jwresolver.NoNodes} {
 		ms.directoryAnswers[k] = m.Counter("directory_answers_total", jwmeter.Tags{"names": string(k)})
 	}
 	return ms
--- a/io/jwgateway/read.go
+++ b/io/jwgateway/read.go
@@ -98,8 +98,8 @@
 	if !r.targetsFromRelay {
 		w.g.targets.RemoveExcept(now, r.targets, r.revision)
 	}
-	w.g.members.Keep(now, r.nodes)
-	if !r.nodes[w.g.members.Me().Name] {
+	w.g.members.RemoveExcept(now, r.nodes)
+	if !r.nodes[w.g.members.Local().Name] {
 		w.g.reregister()
 	}
 	w.checkStoreRestored(now, r)
@@ -116,7 +116,7 @@
 			w.g.logTarget(in, jwinstance.Appeared)
 		}
 	}
-	w.g.pauseDetector.Begin()
+	w.g.pauseDetector.Reset()
 }
 
 // pullTargetsFromRelay gets the targets from the relay of the data centre, if this node reports
@@ -126,7 +126,7 @@
 	g := w.g
 	start := time.Now()
 	for now := start; now.Sub(start) < maxRelayPull && ctx.Err() == nil; now = time.Now() {
-		if !g.members.Large(now, g.Settings.Region) || g.members.Leads(now) {
+		if !g.members.Large(now, g.Settings.Region) || g.members.WouldBeRelay(now) {
 			return false
 		}
 		if m, ok := g.members.Relay(now, g.Settings.DataCentre); ok {
--- a/io/jwgateway/register.go
+++ b/io/jwgateway/register.go
@@ -33,7 +33,7 @@
 	ttl := leaseTTL
 	written := false
 	for ctx.Err() == nil {
-		if !g.members.Me().Serving {
+		if !g.members.Local().Serving {
 			g.waitForChange(ctx, registerRetry)
 			if g.stopping.Load() {
 				break
@@ -47,7 +47,7 @@
 			lease, ttl, err = g.Feed.Grant(ctx, max(leaseTTL, g.Settings.Gateway.Store.LeaseMin))
 			written = false
 			if err == nil {
-				g.members.Reached(time.Since(start))
+				g.members.RecordStoreRoundTrip(time.Since(start))
 				continue
 			}
 			lease = 0
@@ -82,7 +82,7 @@
 
 // writeRegistration writes the node's registration under its lease.
 func (g *Gateway) writeRegistration(ctx context.Context, lease jwstore.Lease) error {
-	me := g.members.Me()
+	me := g.members.Local()
 	value, err := json.Marshal(me)
 	if err != nil {
 		return err
@@ -99,7 +99,7 @@
 // one that maintains it. Only quotas need it.
 func (g *Gateway) writeFleetSize(ctx context.Context) {
 	now := time.Now()
-	if !g.hasQuotas() || !g.members.KeepsFleet(now) {
+	if !g.hasQuotas() || !g.members.WritesFleetSize(now) {
 		return
 	}
 	nodes := g.members.Count(now, "") // Count forgets a node after a minute
--- a/io/jwgateway/relayexchange.go
+++ b/io/jwgateway/relayexchange.go
@@ -86,12 +86,12 @@
 	if !ok {
 		return
 	}
-	me := g.members.Me()
+	me := g.members.Local()
 	if relay.Name != me.Name {
 		g.exchangeWithRelay(ctx, now, relay, relayReport{WantsChanges: true, After: g.storeWatcher.currentRevision()})
 		return
 	}
-	for _, m := range g.members.Relays(now, g.Settings.Region) {
+	for _, m := range g.members.OtherRelays(now, g.Settings.Region) {
 		if m.Name < me.Name && g.members.RecentlySeen(now, m.Name) {
 			continue // of two relays that see each other, the one whose name sorts first starts the exchange
 		}
@@ -127,7 +127,7 @@
 func (g *Gateway) relayState(now time.Time, to string, report relayReport) state {
 	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
 	s := state{
-		Member: g.members.Me(), Version: g.entries.Version(), InSync: !g.store.stale(now),
+		Member: g.members.Local(), Version: g.entries.Version(), InSync: !g.store.stale(now),
 		Revision: g.store.revision.Load(), Cold: g.targets.ReportCold(now),
 		Suspects: g.suspectNotices(now, g.Settings.Region, localReportAge), RelayReport: &report,
 		Limits: g.targets.ReportLimits(now, report.FromRelay), Leaving: g.targets.ReportLeaving(),
@@ -164,7 +164,7 @@
 	}
 	h := g.members.Liveness(now)
 	return g.relayState(now, s.Member.Name, relayReport{
-		FromRelay: true, Liveness: &h, Stopping: g.members.Stopping(now, stopReportAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.RelayReport),
+		FromRelay: true, Liveness: &h, Stopping: g.members.RecentlyStopping(now, stopReportAge), Remote: g.regions.report(now), Changes: g.changesFor(now, s.RelayReport),
 	})
 }
 
@@ -180,7 +180,7 @@
 func (g *Gateway) changesAfter(now time.Time, after jwstore.Revision) *changes {
 	age := now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())
 	events, to, ok := g.recentChanges.After(after)
-	if !ok || !g.pauseDetector.Alive() {
+	if !ok || !g.pauseDetector.Valid() {
 		return &changes{Lost: true}
 	}
 	c := &changes{To: to, Age: age.Milliseconds()}
@@ -211,7 +211,7 @@
 // remotePeers returns the nodes of another region to exchange state with.
 func (g *Gateway) remotePeers(now time.Time, region string) []jwmember.Member {
 	if g.members.Large(now, region) {
-		if relays := g.members.Relays(now, region); len(relays) > 0 {
+		if relays := g.members.OtherRelays(now, region); len(relays) > 0 {
 			return relays
 		}
 	}
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -118,7 +118,7 @@
 		g.refuse(w, call.ID, http.StatusServiceUnavailable, retryAfter, "no configuration yet")
 		return
 	}
-	if !g.pauseDetector.Alive() {
+	if !g.pauseDetector.Valid() {
 		g.refuse(w, call.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
--- a/io/jwgateway/restored_test.go
+++ b/io/jwgateway/restored_test.go
@@ -21,7 +21,7 @@
 			var feed jwstore.MemoryFeed
 			startTarget(t, &feed, "t1", "s", "north-a", respondText("t1"))
 			configure(&feed, 1, route("/a/", "idempotent", ""))
-			old := feed.Copy()
+			old := feed.Snapshot()
 			var nodes []node
 			for _, name := range []string{"n1", "n2"} {
 				nodes = append(nodes, startWith(t, &feed, name, "north", func(g *jwgateway.Gateway) {
@@ -39,7 +39,7 @@
 				sendUntil(t, n, "/b/x", served)
 				waitForDirectory(t, n, "north", nodes...)
 			}
-			feed.Return(old)
+			feed.Restore(old)
 			for _, n := range nodes { // the copy's configuration is older and must not be applied
 				r, err := send(t, n, http.MethodGet, "/b/x", "one", nil, "")
 				assert.NilError(t, err)
@@ -72,7 +72,7 @@
 		respondText("t3")(w, r)
 	})
 	configure(&feed, 1, route("/a/", "idempotent", ""))
-	old := feed.Copy()
+	old := feed.Snapshot()
 	n := start(t, &feed, "n1", "north")
 	sendUntil(t, n, "/a/x", served)
 	feed.Write("op/evacuate/north-b", nil)
@@ -80,7 +80,7 @@
 	configure(&feed, 2, route("/a/", "idempotent", ""), route("/b/", "idempotent", ""))
 	sendUntil(t, n, "/b/x", served)
 	before := len(evacuated.requests()) + len(draining.requests())
-	feed.Return(old)
+	feed.Restore(old)
 	configure(&feed, 3, route("/a/", "idempotent", ""), route("/c/", "idempotent", ""))
 	sendUntil(t, n, "/c/x", served)
 	for i := range 20 {
--- a/io/jwgateway/return_test.go
+++ b/io/jwgateway/return_test.go
@@ -57,7 +57,7 @@
 			calls := (size.nodes+size.targets)/feed.PageSize + 2 // one partial page and the watch that fails
 			b.ReportAllocs()
 			for b.Loop() {
-				feed.Return(feed.Copy())
+				feed.Restore(feed.Snapshot())
 				w.resetRevision()
 				_, err := w.readOnce(context.Background())
 				assert.NilError(b, err)
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -7,7 +7,7 @@
 
 	"jujubewheel/core/jwadmission"
 	"jujubewheel/core/jwplacement"
-	"jujubewheel/core/jwrepeat"
+	"jujubewheel/core/jwretry"
 )
 
 // Verdict is the result of one send of a request.
@@ -82,20 +82,20 @@
 // mayRetry reports whether a request may be sent again after a verdict, and takes the retry from
 // the budget if it has not been taken yet.
 func (g *Gateway) mayRetry(q *request, v Verdict) bool {
-	reason := jwrepeat.Decide(jwrepeat.Request{
-		Final: v == rejected, Streamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
-		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.budgetTaken.Load(),
+	reason := jwretry.Decide(jwretry.Request{
+		Permanent: v == rejected, BodyStreamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
+		Attempts: q.attempts, MaxAttempts: q.entry.Attempts(), Sends: q.sends, BudgetTaken: q.budgetTaken.Load(),
 	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
-	case jwrepeat.NoBudget:
+	case jwretry.NoBudget:
 		g.metrics.retriesRefused.Inc(1)
-	case jwrepeat.Paid:
+	case jwretry.BudgetTaken:
 		q.budgetTaken.Store(false)
 		g.metrics.retries.Inc(1)
-	case jwrepeat.Again:
+	case jwretry.RetryTaken:
 		g.metrics.retries.Inc(1)
 	}
-	return reason.May()
+	return reason.Allowed()
 }
 
 // noTarget is the reason for rejecting a request that no target can take.
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -54,7 +54,7 @@
 	if !g.members.Large(now, g.Settings.Region) {
 		return g.members.Peers(now)
 	}
-	list := g.members.Relays(now, g.Settings.Region)
+	list := g.members.OtherRelays(now, g.Settings.Region)
 	if m, ok := g.members.Relay(now, g.Settings.DataCentre); ok {
 		list = append(list, m)
 	}
--- a/io/jwgateway/storewatcher.go
+++ b/io/jwgateway/storewatcher.go
@@ -107,7 +107,7 @@
 
 // readsForOthers reports whether this node reads the store for the other nodes of its data centre.
 func (g *Gateway) readsForOthers(now time.Time) bool {
-	return g.members.IsRelay(now) && g.members.Large(now, g.members.Me().Region)
+	return g.members.IsRelay(now) && g.members.Large(now, g.members.Local().Region)
 }
 
 // watchPause returns the pause between two watches of the store.
@@ -285,7 +285,7 @@
 		return
 	}
 	if name == g.Settings.Node {
-		g.members.Listed(now, m)
+		g.members.RegistrationRead(now, m)
 		g.members.Predecessor(m)
 		return
 	}
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -51,7 +51,7 @@
 	if state, _ := g.suspects.Check(q.fingerprint, now); state != jwsuspect.Suspected {
 		return
 	}
-	n.AvoidAddresses = g.suspects.Apart(q.fingerprint, g.targets.Addresses(q.service), now)
+	n.AvoidAddresses = g.suspects.ExcludedTargets(q.fingerprint, g.targets.Addresses(q.service), now)
 }
 
 // checkCrash checks whether a target that broke off a call has crashed, and if so counts the crash
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -204,7 +204,7 @@
 func TestWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	n := start(t, &feed, "n1", "north")
 	r, err := send(t, n, http.MethodGet, "/a/x", "one", nil, "")
 	assert.NilError(t, err)
@@ -491,7 +491,7 @@
 	configure(&feed, 7, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
 	sendUntil(t, first, "/a/x", served)
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	second := start(t, &feed, "n2", "north", first.nodes)
 	sendUntil(t, second, "/a/x", served)
 }
@@ -638,7 +638,7 @@
 		}
 	})
 	sendUntil(t, n, "/a/x", served)
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	paused.Store(true)
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("p", i), nil, "")
@@ -651,7 +651,7 @@
 	paused.Store(true)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
-	feed.Down(nil)
+	feed.SetError(nil)
 	paused.Store(false)
 	r := sendUntil(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
 	assert.Equal(t, r.status, http.StatusNotFound)
@@ -676,7 +676,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 }
 
--- a/io/jwgateway/upstream.go
+++ b/io/jwgateway/upstream.go
@@ -35,7 +35,7 @@
 	if !w.upstreamFailedAt.IsZero() && now.Sub(w.upstreamFailedAt) < upstreamRetryPause {
 		return jwmember.Member{}, false
 	}
-	list := w.g.members.Nearest(now, directReaders)
+	list := w.g.members.RelaysNearStore(now, directReaders)
 	for _, m := range list {
 		if m.Name == w.g.Settings.Node {
 			return jwmember.Member{}, false
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -54,10 +54,10 @@
 	g.targets.DiscardReports()
 	g.newEpoch(ctx)
 	const step = 10 * time.Millisecond
-	for !g.pauseDetector.Alive() && time.Since(start) < maxWakeWait && ctx.Err() == nil {
+	for !g.pauseDetector.Valid() && time.Since(start) < maxWakeWait && ctx.Err() == nil {
 		jwclock.Sleep(ctx, step)
 	}
-	read := g.pauseDetector.Alive()
-	g.pauseDetector.Begin()
+	read := g.pauseDetector.Valid()
+	g.pauseDetector.Reset()
 	g.Log.Info("serves after a pause", "storeRead", read, "after", time.Since(start).String(), "version", g.entries.Version())
 }
--- a/io/jwnode/life.go
+++ b/io/jwnode/life.go
@@ -56,7 +56,7 @@
 		if err := n.membership.Join(ctx); err != nil {
 			return ignoreEnd(ctx, err)
 		}
-		n.pulse.Begin()
+		n.pauseDetector.Reset()
 		n.serving.Store(true)
 		n.setState(jwpeer.Serving)
 		err := n.keepMembership(ctx)
@@ -74,12 +74,12 @@
 func (n *Node) keepMembership(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
 	g.Go(func() error { return n.membership.Run(ctx) })
-	g.Go(func() error { return n.pulse.Run(ctx) })
+	g.Go(func() error { return n.pauseDetector.Run(ctx) })
 	return g.Wait()
 }
 
 // ready reports whether the node may serve: it has joined and was not paused.
-func (n *Node) ready() bool { return n.serving.Load() && n.pulse.Alive() }
+func (n *Node) ready() bool { return n.serving.Load() && n.pauseDetector.Valid() }
 
 // ignoreEnd returns nil instead of err if ctx has ended.
 func ignoreEnd(ctx context.Context, err error) error {
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -55,30 +55,30 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 
-	board        jwboard.Board
-	self         jwrequest.Hop
-	store        *jwconsul.KeyValue
-	pool         *jwforward.Pool
-	targets      *jwtargetclient.Client
-	keeper       *jwclaim.Keeper
-	drain        jwdrain.Drain
-	follower     *jwcatalogue.Follower
-	editor       *jwcatalogue.Editor
-	departures   *jwcatalogue.Departures
-	adoptions    *jwcatalogue.Adoptions
-	membership   *jwcatalogue.Membership
-	gatherer     *jwcatalogue.Gatherer
-	acceptance   *jwcatalogue.Acceptance
-	exchange     *jwpeer.Exchange
-	dispatcher   *jwdispatch.Dispatcher
-	callers      *jwrest.Server
-	nodeListener net.Listener
-	grpcServer   *grpc.Server
-	operators    *jwrest.Server
-	tracer       *jwexplain.Tracer
-	keys         keys
-	serving      atomic.Bool
-	pulse        jwclock.Pulse
+	board         jwboard.Board
+	self          jwrequest.Hop
+	store         *jwconsul.KeyValue
+	pool          *jwforward.Pool
+	targets       *jwtargetclient.Client
+	keeper        *jwclaim.Keeper
+	drain         jwdrain.Drain
+	follower      *jwcatalogue.Follower
+	editor        *jwcatalogue.Editor
+	departures    *jwcatalogue.Departures
+	adoptions     *jwcatalogue.Adoptions
+	membership    *jwcatalogue.Membership
+	gatherer      *jwcatalogue.Gatherer
+	acceptance    *jwcatalogue.Acceptance
+	exchange      *jwpeer.Exchange
+	dispatcher    *jwdispatch.Dispatcher
+	callers       *jwrest.Server
+	nodeListener  net.Listener
+	grpcServer    *grpc.Server
+	operators     *jwrest.Server
+	tracer        *jwexplain.Tracer
+	keys          keys
+	serving       atomic.Bool
+	pauseDetector jwclock.PauseDetector
 }
 
 // Run serves until ctx ends, then stops gracefully: the node accepts no new
@@ -115,7 +115,7 @@
 		return nil
 	}
 	s := n.Settings
-	n.pulse.Limit = max(s.Periods.HostsLag/2, minPauseLimit)
+	n.pauseDetector.Limit = max(s.Periods.HostsLag/2, minPauseLimit)
 	n.self = jwrequest.Hop{Node: s.Node, Region: s.Region, DataCentre: s.DataCentre}
 	nodeListener, err := net.Listen("tcp", s.Listen.Nodes.String())
 	if err != nil {
--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -111,9 +111,9 @@
 
 // updateTopology sets the node's current position in the ledger.
 func (x *Exchange) updateTopology(now time.Time, relays []jwmember.Member) {
-	me := x.Members.Me()
+	me := x.Members.Local()
 	live := x.Members.Live(now, "")
-	topo := jwquota.Topology{LiveNodes: len(live), Fresh: x.Members.Fresh(x.Window())}
+	topo := jwquota.Topology{LiveNodes: len(live), NoRecentPredecessor: x.Members.NoRecentPredecessor(x.Window())}
 	topo.FleetSize, topo.Counted = x.Members.Fleet(now)
 	for _, m := range relays {
 		if m.Name != me.Name {
@@ -135,7 +135,7 @@
 // claim claims from the relay of the data centre or, if this node is that relay, from the
 // relays of the other data centres.
 func (x *Exchange) claim(ctx context.Context, now time.Time, relays []jwmember.Member) {
-	me := x.Members.Me()
+	me := x.Members.Local()
 	for _, m := range relays {
 		if m.DataCentre == me.DataCentre && m.Name != me.Name {
 			x.claimFrom(ctx, now, m, func(string) bool { return true })
@@ -165,7 +165,7 @@
 		p = &peer{}
 		x.peers[m.Name] = p
 	}
-	me := x.Members.Me()
+	me := x.Members.Local()
 	minGap := minCallGap
 	if m.Region != me.Region {
 		minGap = minRemoteCallGap
--- a/io/jwstand/keyvalue.go
+++ b/io/jwstand/keyvalue.go
@@ -155,7 +155,7 @@
 		return
 	}
 	kv.writes.Add(1)
-	_, swapped, err := kv.Store.Swap(r.Context(), r.PathValue("key"), value, version)
+	_, swapped, err := kv.Store.CompareAndSwap(r.Context(), r.PathValue("key"), value, version)
 	writeResult(w, swapped, err)
 }
 
@@ -240,7 +240,7 @@
 	switch strings.ToLower(step.Verb) {
 	case "cas":
 		var version uint64
-		version, done, err = kv.Store.Swap(r.Context(), step.Key, step.Value, step.Index)
+		version, done, err = kv.Store.CompareAndSwap(r.Context(), step.Key, step.Value, step.Index)
 		answer.Results = append(answer.Results, transactionResult{KV: keyRecord{Key: step.Key, ModifyIndex: version}})
 	case "delete-cas":
 		done, err = kv.deleteKey(r.Context(), step.Key, step.Index, checked)
