--- a/cmd/jujubewheel/once_test.go
+++ b/cmd/jujubewheel/once_test.go
@@ -22,7 +22,7 @@
 // key, and so runs its request whichever node receives it.
 func claimWriter(key string) string {
 	k := &jwclaim.Keeper{Salt: []byte(jwsettings.DefaultSalt), Peers: eastNodes{}}
-	return k.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key})
+	return k.Preferred(jwclaim.KeyedCall{Workspace: "free-east", Region: "east", Key: key})
 }
 
 // keyOfOtherNode returns a key whose claim is written by another node than the
--- a/core/jwadmission/admission.go
+++ b/core/jwadmission/admission.go
@@ -17,12 +17,12 @@
 
 // Request is the input of a decision. All times count from now.
 type Request struct {
-	Goal     time.Duration // for the first event; 0 if the request has no goal
-	Left     time.Duration // until the deadline
-	Expected time.Duration // until the first event, at the place where it would be served
-	Own      time.Duration // part of Expected that reading its own prompt takes
-	Engine   bool          // it has a prompt; calls without one are never rejected
-	Begun    bool          // it was already sent, or another node has accepted it
+	Goal            time.Duration // for the first event; 0 if the request has no goal
+	TimeLeft        time.Duration // until the deadline
+	Expected        time.Duration // until the first event, at the place where it would be served
+	OwnReadTime     time.Duration // part of Expected that reading its own prompt takes
+	HasPrompt       bool          // it has a prompt; calls without one are never rejected
+	AlreadyAccepted bool          // it was already sent, or another node has accepted it
 }
 
 // Reason is why a request was rejected.
@@ -41,8 +41,8 @@
 	RetryAfter time.Duration // set if the request is rejected
 }
 
-// Taken reports whether the request is accepted.
-func (d Decision) Taken() bool { return d.Reason == None }
+// Accepted reports whether the request is accepted.
+func (d Decision) Accepted() bool { return d.Reason == None }
 
 // Policy decides on requests. The zero value rejects for both reasons. Each field
 // disables one of them, for tests and to measure its effect.
@@ -55,13 +55,13 @@
 // long behind others. It always accepts a request without a prompt, or one that has
 // begun.
 func (p Policy) Decide(r Request) Decision {
-	if !r.Engine || r.Begun {
+	if !r.HasPrompt || r.AlreadyAccepted {
 		return Decision{}
 	}
-	if !p.IgnoreDeadline && r.Expected > r.Left {
+	if !p.IgnoreDeadline && r.Expected > r.TimeLeft {
 		return Decision{Deadline, retryAfter(r)}
 	}
-	if !p.IgnoreQueue && r.Goal > 0 && r.Expected-r.Own > time.Duration(MaxQueueShare*float64(r.Goal)) {
+	if !p.IgnoreQueue && r.Goal > 0 && r.Expected-r.OwnReadTime > time.Duration(MaxQueueShare*float64(r.Goal)) {
 		return Decision{Queue, retryAfter(r)}
 	}
 	return Decision{}
@@ -71,5 +71,5 @@
 // MinRetryAfter and MaxRetryAfter: callers who retry then find the capacity that the
 // requests waiting now no longer need.
 func retryAfter(r Request) time.Duration {
-	return min(max(r.Expected-r.Own-r.Goal/2, MinRetryAfter), MaxRetryAfter)
+	return min(max(r.Expected-r.OwnReadTime-r.Goal/2, MinRetryAfter), MaxRetryAfter)
 }
--- a/core/jwadmission/admission_test.go
+++ b/core/jwadmission/admission_test.go
@@ -15,18 +15,18 @@
 // rejected, retried and rejected again: only a quarter of the longest tenth of the drafts
 // was served.
 func TestDecide(t *testing.T) {
-	draft := Request{Goal: 1000 * ms, Left: 12_000 * ms, Engine: true}
+	draft := Request{Goal: 1000 * ms, TimeLeft: 12_000 * ms, HasPrompt: true}
 	with := func(expected, own time.Duration) Request {
 		r := draft
-		r.Expected, r.Own = expected, own
+		r.Expected, r.OwnReadTime = expected, own
 		return r
 	}
 	begun := with(9000*ms, 100*ms)
-	begun.Begun = true
+	begun.AlreadyAccepted = true
 	plain := with(9000*ms, 0)
-	plain.Engine = false
+	plain.HasPrompt = false
 	short := with(2500*ms, 2400*ms)
-	short.Left = 2000 * ms
+	short.TimeLeft = 2000 * ms
 	cases := map[string]struct {
 		request Request
 		policy  Policy
@@ -43,8 +43,8 @@
 		"plain":                          {plain, Policy{}, Decision{}},
 		"the queue is left out":          {with(1500*ms, 100*ms), Policy{IgnoreQueue: true}, Decision{}},
 		"the deadline is left out":       {short, Policy{IgnoreDeadline: true}, Decision{}},
-		"no goal, and time is left":      {Request{Left: time.Minute, Expected: 50 * time.Second, Engine: true}, Policy{}, Decision{}},
-		"no goal, and no time is left":   {Request{Left: time.Second, Expected: 50 * time.Second, Engine: true}, Policy{}, Decision{Deadline, MaxRetryAfter}},
+		"no goal, and time is left":      {Request{TimeLeft: time.Minute, Expected: 50 * time.Second, HasPrompt: true}, Policy{}, Decision{}},
+		"no goal, and no time is left":   {Request{TimeLeft: time.Second, Expected: 50 * time.Second, HasPrompt: true}, Policy{}, Decision{Deadline, MaxRetryAfter}},
 		"exactly the share of the queue": {with(1200*ms, 0), Policy{}, Decision{}},
 	}
 	for name, c := range cases {
@@ -62,17 +62,17 @@
 			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * ms
 		}
 		queue, own := d("queue", 5000), d("own", 20_000)
-		r := Request{Goal: d("goal", 3000) + 1, Own: own, Engine: true, Expected: queue + own}
-		r.Left = r.Expected + d("left", 20_000)
+		r := Request{Goal: d("goal", 3000) + 1, OwnReadTime: own, HasPrompt: true, Expected: queue + own}
+		r.TimeLeft = r.Expected + d("left", 20_000)
 		short := r
-		short.Own, short.Expected = 0, queue
-		if (Policy{}).Decide(short).Taken() && !(Policy{}).Decide(r).Taken() {
+		short.OwnReadTime, short.Expected = 0, queue
+		if (Policy{}).Decide(short).Accepted() && !(Policy{}).Decide(r).Accepted() {
 			t.Fatalf("%+v is rejected, but accepted without the time to read its prompt", r)
 		}
 		// A request that can't be answered in time is rejected at once, with a Retry-After.
-		r.Left = r.Expected - 1
+		r.TimeLeft = r.Expected - 1
 		got := (Policy{}).Decide(r)
-		if r.Left >= 0 && (got.Taken() || got.RetryAfter < MinRetryAfter || got.RetryAfter > MaxRetryAfter) {
+		if r.TimeLeft >= 0 && (got.Accepted() || got.RetryAfter < MinRetryAfter || got.RetryAfter > MaxRetryAfter) {
 			t.Fatalf("%+v", got)
 		}
 	})
--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -27,8 +27,8 @@
 
 // Moves knows which process answers for the tickets of a stopped process.
 type Moves interface {
-	Moves() []jwclaim.Move
-	Learn(jwclaim.Move)
+	Moves() []jwclaim.HolderMove
+	AddMove(jwclaim.HolderMove)
 }
 
 // Report returns the news to send to a partner, without what it was sent before. A
@@ -174,7 +174,7 @@
 	}
 	for _, m := range moves {
 		to := jwclaim.Holder{Node: m.ToNode, Region: m.ToRegion, Incarnation: m.ToIncarnation}
-		r.Moves.Learn(jwclaim.Move{Incarnation: m.Incarnation, To: to})
+		r.Moves.AddMove(jwclaim.HolderMove{Incarnation: m.Incarnation, To: to})
 	}
 }
 
--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -23,7 +23,7 @@
 func (s *system) putEdit(t *testing.T, n *node) uint64 {
 	t.Helper()
 	s.edits++
-	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, Retry: 1}
+	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, RetryDelay: 1}
 	res, err := d.Put(t.Context(), newEdit(fmt.Sprintf("e%d", s.edits), "status", n.table.Current().Revisions["status"]))
 	assert.NilError(t, err)
 	return res.Revision
@@ -188,8 +188,8 @@
 	assert.Equal(t, len(s.store.keys(MembersPrefix)), 3)
 	assert.Equal(t, len(s.store.keys("")), len(before)-1)
 	for _, n := range s.nodes {
-		n.adoptions.RemoveEnded()
-		assert.Assert(t, !n.adoptions.HasAdopted())
+		n.sponsoredNodes.RemoveEnded()
+		assert.Assert(t, !n.sponsoredNodes.HasAdopted())
 	}
 }
 
@@ -206,7 +206,7 @@
 	assert.Equal(t, n2.peer.State, jwpeer.Serving)
 	assert.Assert(t, !n2.membership.Registered())
 	sponsor := s.nodes["n0"]
-	assert.Assert(t, sponsor.adoptions.HasAdopted())
+	assert.Assert(t, sponsor.sponsoredNodes.HasAdopted())
 
 	s.store.setDown(false)
 	n := s.putEdit(t, other)
@@ -223,7 +223,7 @@
 	// When other nodes know the new node, they wait for it too.
 	other.mergePeers([]jwpeer.Peer{n2.self()})
 	g.mergePeers([]jwpeer.Peer{n2.self()})
-	sponsor.adoptions.Release(n2.membership.Member)
+	sponsor.sponsoredNodes.Release(n2.membership.Member)
 	s.runRound()
 	assert.DeepEqual(t, s.acceptanceStatus(t, g, n).Missing, []Missing{{Region: "north", Names: []string{"n2"}}})
 
@@ -248,13 +248,13 @@
 	n := s.putEdit(t, other)
 	s.store.beforeCall = func() {
 		if n2.table.Revision() < n {
-			assert.Equal(t, sponsor.adoptions.Confirmed(), uint64(0))
+			assert.Equal(t, sponsor.sponsoredNodes.Confirmed(), uint64(0))
 		}
 	}
 	assert.NilError(t, sponsor.membership.Follower.CatchUp(t.Context()))
 	assert.NilError(t, g.membership.Follower.CatchUp(t.Context()))
 	assert.NilError(t, n2.membership.maintain(t.Context()))
-	assert.Equal(t, sponsor.adoptions.Confirmed(), n)
+	assert.Equal(t, sponsor.sponsoredNodes.Confirmed(), n)
 }
 
 func TestAdoptionEnds(t *testing.T) {
@@ -273,7 +273,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			p := &fixedPeers{{Name: "n1", Incarnation: "a"}}
-			a := &Adoptions{Table: new(Table), Peers: p}
+			a := &SponsoredNodes{Table: new(Table), Peers: p}
 			_, _, err := a.Adopt(Member{Name: "n1", Region: "north", Incarnation: "b"}, 0)
 			assert.NilError(t, err)
 			(*p)[0].State, (*p)[0].Incarnation = tt.state, tt.incarnation
--- a/core/jwcatalogue/adoption.go
+++ b/core/jwcatalogue/adoption.go
@@ -13,14 +13,14 @@
 	Peers() []jwpeer.Peer
 }
 
-// Adoptions holds the nodes for which this node is the sponsor: it confirms
+// SponsoredNodes holds the nodes for which this node is the sponsor: it confirms
 // revisions on their behalf, because they could not reach the store when they
 // started.
-type Adoptions struct {
-	Table      *Table
-	Peers      Peers       // nil for none
-	Departures *Departures // nil for none
-	Serving    func() bool // whether this node may be a sponsor, nil for always
+type SponsoredNodes struct {
+	Table        *Table
+	Peers        Peers         // nil for none
+	HostRemovals *HostRemovals // nil for none
+	Serving      func() bool   // whether this node may be a sponsor, nil for always
 
 	mu      sync.Mutex
 	adopted map[string]adoption // by node name
@@ -40,7 +40,7 @@
 // second call by the same process reports the revision that it has by now. A
 // node that does not serve yet or is leaving returns ErrNotServing: its
 // catalogue may be old, and it may stop at any moment.
-func (a *Adoptions) Adopt(m Member, after uint64) ([]Change, *Checkpoint, error) {
+func (a *SponsoredNodes) Adopt(m Member, after uint64) ([]Change, *Checkpoint, error) {
 	if a.Serving != nil && !a.Serving() {
 		return nil, nil, ErrNotServing
 	}
@@ -64,7 +64,7 @@
 }
 
 // Release ends the adoption of a node that has its own record in the store.
-func (a *Adoptions) Release(m Member) {
+func (a *SponsoredNodes) Release(m Member) {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	if a.adopted[m.Name].member == m {
@@ -74,7 +74,7 @@
 
 // Confirmed returns the highest revision that this node and all nodes it has
 // adopted have applied. The node reports it to its peers as its revision.
-func (a *Adoptions) Confirmed() uint64 {
+func (a *SponsoredNodes) Confirmed() uint64 {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	lowest := a.Table.Revision()
@@ -85,14 +85,14 @@
 }
 
 // HasAdopted reports whether this node is the sponsor of any other.
-func (a *Adoptions) HasAdopted() bool {
+func (a *SponsoredNodes) HasAdopted() bool {
 	a.mu.Lock()
 	defer a.mu.Unlock()
 	return len(a.adopted) > 0
 }
 
 // RemoveEnded ends the adoption of processes that have ended.
-func (a *Adoptions) RemoveEnded() {
+func (a *SponsoredNodes) RemoveEnded() {
 	peers := a.peers()
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -105,8 +105,8 @@
 
 // ended reports whether an adopted process has ended. A process that is silent
 // has not necessarily ended: it may serve behind a network partition.
-func (a *Adoptions) ended(ad adoption, peers []jwpeer.Peer) bool {
-	if a.Departures != nil && a.Departures.Gone(ad.member) {
+func (a *SponsoredNodes) ended(ad adoption, peers []jwpeer.Peer) bool {
+	if a.HostRemovals != nil && a.HostRemovals.Gone(ad.member) {
 		return true
 	}
 	for _, p := range peers {
@@ -118,7 +118,7 @@
 	return currentIncarnation != "" && currentIncarnation != ad.previousIncarnation
 }
 
-func (a *Adoptions) peers() []jwpeer.Peer {
+func (a *SponsoredNodes) peers() []jwpeer.Peer {
 	if a.Peers == nil {
 		return nil
 	}
--- a/core/jwcatalogue/departure.go
+++ b/core/jwcatalogue/departure.go
@@ -15,8 +15,8 @@
 // DefaultHostLag is how far the list may be behind the actual hosts.
 const DefaultHostLag = time.Minute
 
-// Departures tells which nodes have been removed from the platform's host list.
-type Departures struct {
+// HostRemovals tells which nodes have been removed from the platform's host list.
+type HostRemovals struct {
 	Hosts Hosts
 	Lag   time.Duration // how far the list may be behind, 0 for DefaultHostLag
 
@@ -41,7 +41,7 @@
 // The nodes of a region that is missing from the list as a whole are not
 // gone: a network partition between the list and the region looks the same,
 // and the nodes behind it serve.
-func (d *Departures) Gone(m Member) bool {
+func (d *HostRemovals) Gone(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.refresh()
@@ -60,7 +60,7 @@
 // refresh reads the list if it is newer than the last one. Time is measured
 // only between lists, so that no node counts as gone while the list can't be
 // read.
-func (d *Departures) refresh() {
+func (d *HostRemovals) refresh() {
 	hosts, listTime := d.Hosts.Hosts()
 	if d.absences == nil {
 		d.absences = make(map[Member]absence)
@@ -72,7 +72,7 @@
 	d.listedNodes = make(map[string]bool)
 	d.listedRegions = make(map[string]bool)
 	for _, h := range hosts {
-		if h.Role == jwhost.Entry {
+		if h.Role == jwhost.Node {
 			d.listedNodes[h.Name] = true
 			d.listedRegions[h.Region] = true
 		}
@@ -85,4 +85,4 @@
 	}
 }
 
-func (d *Departures) lag() time.Duration { return orDefault(d.Lag, DefaultHostLag) }
+func (d *HostRemovals) lag() time.Duration { return orDefault(d.Lag, DefaultHostLag) }
--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -19,12 +19,12 @@
 func (h *fakeHostList) Hosts() ([]jwhost.Host, time.Time) {
 	var hosts []jwhost.Host
 	for _, name := range h.names {
-		hosts = append(hosts, jwhost.Host{Name: name, Role: jwhost.Entry, Region: regionOfName(name)})
+		hosts = append(hosts, jwhost.Host{Name: name, Role: jwhost.Node, Region: regionOfName(name)})
 	}
 	return hosts, h.listTime
 }
 
-func TestDepartures(t *testing.T) {
+func TestHostRemovals(t *testing.T) {
 	// The list is read every 40 s, its lag is a minute. A node that counts as
 	// gone too early goes on serving an old catalogue after a change was
 	// accepted. A node that never counts as gone holds back every change.
@@ -47,7 +47,7 @@
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
 			h := &fakeHostList{listTime: time.Unix(1000, 0)}
-			d := &Departures{Hosts: h, Lag: time.Minute}
+			d := &HostRemovals{Hosts: h, Lag: time.Minute}
 			var got bool
 			for i, list := range tt.lists {
 				if list != "" {
--- a/core/jwcatalogue/doc.go
+++ b/core/jwcatalogue/doc.go
@@ -9,13 +9,13 @@
 //     of that node.
 //   - A Membership registers the node in the store before it serves. A node that
 //     can't reach the store may join through a sponsor: a serving peer that adopts
-//     it and confirms revisions on its behalf (Adoptions).
+//     it and confirms revisions on its behalf (SponsoredNodes).
 //   - A Gatherer in each region writes a confirmation: the revision that all
-//     members of the region have applied. Departures tells which members have been
+//     members of the region have applied. HostRemovals tells which members have been
 //     removed from the host list and are no longer waited for.
 //   - An Acceptance reads the confirmations and reports whether a change is
 //     accepted: applied at every node that may be serving.
 //
-// Lock order: Adoptions, then Departures or Table. Hosts is called under the
+// Lock order: SponsoredNodes, then HostRemovals or Table. Hosts is called under the
 // first two and must call neither; Peers is called without a lock.
 package jwcatalogue
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -34,27 +34,27 @@
 
 // ConflictError says that the entry was changed after the operator saw it.
 type ConflictError struct {
-	Entry    string
-	Revision uint64  // the last change of the entry, 0 if it does not exist
-	Winner   *Change // the change that the operator did not see, nil when it is no longer kept
+	Entry             string
+	Revision          uint64  // the last change of the entry, 0 if it does not exist
+	ConflictingChange *Change // the change that the operator did not see, nil when it is no longer kept
 }
 
 // Error names the change that the operator did not see, if it is known.
 func (e *ConflictError) Error() string {
-	if e.Winner == nil {
+	if e.ConflictingChange == nil {
 		return fmt.Sprintf("entry %q is at revision %d", e.Entry, e.Revision)
 	}
-	return fmt.Sprintf("entry %q was changed by %s in change %d", e.Entry, e.Winner.Author, e.Winner.N)
+	return fmt.Sprintf("entry %q was changed by %s in change %d", e.Entry, e.ConflictingChange.Author, e.ConflictingChange.N)
 }
 
 // Editor appends the edits of operators to the log. Several editors may run at
 // once, on any nodes.
 type Editor struct {
-	Store jwstore.Store
-	Table *Table           // brought up to the head of the log when needed
-	Now   func() time.Time // nil for time.Now
-	Retry time.Duration    // pause before a write of unknown outcome is checked again, 0 for 100 ms
-	Keep  uint64           // changes kept in the store, 0 for KeepInStore
+	Store      jwstore.Store
+	Table      *Table           // brought up to the head of the log when needed
+	Now        func() time.Time // nil for time.Now
+	RetryDelay time.Duration    // pause before a write of unknown outcome is checked again, 0 for 100 ms
+	Keep       uint64           // changes kept in the store, 0 for KeepInStore
 }
 
 // maxWriteAttempts limits the writes and reads that resolve a lost reply.
@@ -189,7 +189,7 @@
 		if lastChange != nil && lastChange.EditID == e.EditID {
 			return *lastChange, nil
 		}
-		return Change{}, &ConflictError{Entry: e.Entry, Revision: revision, Winner: lastChange}
+		return Change{}, &ConflictError{Entry: e.Entry, Revision: revision, ConflictingChange: lastChange}
 	}
 	if !ok && e.After == nil {
 		return Change{}, &InvalidError{Entry: e.Entry, Faults: []string{"there is no such entry to remove"}}
@@ -322,8 +322,8 @@
 }
 
 func (d *Editor) retryDelay() time.Duration {
-	if d.Retry > 0 {
-		return d.Retry
+	if d.RetryDelay > 0 {
+		return d.RetryDelay
 	}
 	return 100 * time.Millisecond
 }
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -13,7 +13,7 @@
 )
 
 func newEditor(s *fakeStore) *Editor {
-	return &Editor{Store: s, Table: new(Table), Retry: time.Microsecond}
+	return &Editor{Store: s, Table: new(Table), RetryDelay: time.Microsecond}
 }
 
 func newEdit(id, name string, ifRevision uint64) Edit {
@@ -35,7 +35,7 @@
 	_, err = b.Put(t.Context(), newEdit("e3", "status", first.Revision))
 	var conflict *ConflictError
 	assert.Assert(t, errors.As(err, &conflict))
-	assert.Equal(t, conflict.Winner.EditID, "e2")
+	assert.Equal(t, conflict.ConflictingChange.EditID, "e2")
 	assert.Equal(t, conflict.Revision, uint64(2))
 
 	other, err := b.Put(t.Context(), newEdit("e4", "menu", 0))
--- a/core/jwcatalogue/entry.go
+++ b/core/jwcatalogue/entry.go
@@ -43,6 +43,6 @@
 // All are non-negative.
 type Weights struct {
 	Cost     float64 `json:"cost"`     // of a unit of cost
-	Tail     float64 `json:"tail"`     // of a second of waiting
+	Wait     float64 `json:"tail"`     // of a second of waiting
 	SentAway float64 `json:"sentAway"` // of sending a request to another region
 }
--- a/core/jwcatalogue/entry_test.go
+++ b/core/jwcatalogue/entry_test.go
@@ -56,7 +56,7 @@
 		"first token":    {func(e *Entry) { e.FirstToken = time.Minute }, []string{"firstToken"}},
 		"progress":       {func(e *Entry) { e.Progress = -1 }, []string{"progress"}},
 		"key memory":     {func(e *Entry) { e.Idempotent, e.KeyMemory = false, 7*time.Second }, []string{"keyMemory"}},
-		"negative":       {func(e *Entry) { e.Limits.Rate, e.Weights.Tail = -1, -1 }, []string{"limits.rate", "weights.tail"}},
+		"negative":       {func(e *Entry) { e.Limits.Rate, e.Weights.Wait = -1, -1 }, []string{"limits.rate", "weights.tail"}},
 		"no burst":       {func(e *Entry) { e.Limits.Rate = 1 }, []string{"limits.burst"}},
 		"body":           {func(e *Entry) { e.MaxBodySize = 1 << 40 }, []string{"maxBodySize"}},
 		"bound away":     {func(e *Entry) { e.Bound, e.Regions = true, []string{"north"} }, []string{"bound"}},
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -37,12 +37,12 @@
 // also polls the store at a long interval, so that the failure of another node
 // never leaves one behind for good.
 type Follower struct {
-	Store   jwstore.Store
-	Table   *Table
-	Watcher func() bool     // whether this node waits on the store, nil for never
-	Source  Source          // nil for none
-	Rand    func() float64  // in [0, 1), for jitter; nil for rand.Float64
-	OnError func(err error) // called with each failure, for logging; may be nil
+	Store        jwstore.Store
+	Table        *Table
+	WatchesStore func() bool     // whether this node waits on the store, nil for never
+	Source       Source          // nil for none
+	Rand         func() float64  // in [0, 1), for jitter; nil for rand.Float64
+	OnError      func(err error) // called with each failure, for logging; may be nil
 
 	MaxWait, PeerInterval, StoreInterval, RetryDelay time.Duration // 0 for the defaults
 
@@ -191,7 +191,7 @@
 }
 
 func (f *Follower) isWatcher() bool {
-	return f.Watcher != nil && f.Watcher()
+	return f.WatchesStore != nil && f.WatchesStore()
 }
 
 func (f *Follower) wakeChannel() chan struct{} {
--- a/core/jwcatalogue/follower_test.go
+++ b/core/jwcatalogue/follower_test.go
@@ -37,7 +37,7 @@
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &fakeStore{Delay: 10 * time.Millisecond}
 		d := newEditor(s)
-		watcher := &Follower{Store: s, Table: new(Table), Watcher: func() bool { return true }}
+		watcher := &Follower{Store: s, Table: new(Table), WatchesStore: func() bool { return true }}
 		// It polls the store every 42 s, so that no poll falls into the moments
 		// after the store is back; the changes would then count as from the store.
 		lateJitter := func() float64 { return 0.9 }
--- a/core/jwcatalogue/gatherer.go
+++ b/core/jwcatalogue/gatherer.go
@@ -45,14 +45,14 @@
 // so, chosen by rendezvous hash. Two nodes that both act as the gatherer do no
 // harm: each writes only what stays true, and no write lowers a confirmed revision.
 type Gatherer struct {
-	Name       string // name of this node
-	Region     string
-	Store      jwstore.Store
-	Table      *Table
-	Peers      Peers
-	Departures *Departures   // nil to ignore the host list
-	Registered func() bool   // whether this node has its own record in the store, nil for always
-	Period     time.Duration // minimum between two writes, 0 for DefaultGatherPeriod
+	Name         string // name of this node
+	Region       string
+	Store        jwstore.Store
+	Table        *Table
+	Peers        Peers
+	HostRemovals *HostRemovals // nil to ignore the host list
+	Registered   func() bool   // whether this node has its own record in the store, nil for always
+	Period       time.Duration // minimum between two writes, 0 for DefaultGatherPeriod
 
 	members       []storedMember
 	seen          uint64    // revision of the table before the members were read
@@ -162,7 +162,7 @@
 			return true
 		}
 	}
-	return g.Departures != nil && g.Departures.Gone(m)
+	return g.HostRemovals != nil && g.HostRemovals.Gone(m)
 }
 
 // aggregate returns what all members have applied. A peer that serves without a
--- a/core/jwcatalogue/history_test.go
+++ b/core/jwcatalogue/history_test.go
@@ -123,8 +123,8 @@
 	switch {
 	case err == nil:
 		return historyOutput{revision: res.Revision, id: in.id, done: true}
-	case errors.As(err, &conflict) && conflict.Winner != nil:
-		return historyOutput{revision: conflict.Revision, id: conflict.Winner.EditID}
+	case errors.As(err, &conflict) && conflict.ConflictingChange != nil:
+		return historyOutput{revision: conflict.Revision, id: conflict.ConflictingChange.EditID}
 	case errors.As(err, &conflict):
 		return historyOutput{revision: conflict.Revision}
 	}
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -56,10 +56,10 @@
 // Sponsors asks peers of the own region to confirm revisions on behalf of this
 // node while it can't reach the store.
 type Sponsors interface {
-	// Adopt makes one serving peer call Adoptions.Adopt. It returns the name
+	// Adopt makes one serving peer call SponsoredNodes.Adopt. It returns the name
 	// of the peer, which is then the sponsor, and the results of that call.
 	Adopt(ctx context.Context, m Member, after uint64) (sponsor string, changes []Change, cp *Checkpoint, err error)
-	// Release makes the sponsor call Adoptions.Release. It returns nil also
+	// Release makes the sponsor call SponsoredNodes.Release. It returns nil also
 	// if the process that adopted this node no longer runs.
 	Release(ctx context.Context, sponsor string, m Member) error
 }
@@ -74,10 +74,10 @@
 // confirmation, and deletes the record after the node's last request.
 type Membership struct {
 	Member
-	Store     jwstore.Store
-	Follower  *Follower
-	Sponsors  Sponsors   // nil for none
-	Adoptions *Adoptions // nodes that this node has adopted
+	Store          jwstore.Store
+	Follower       *Follower
+	Sponsors       Sponsors        // nil for none
+	SponsoredNodes *SponsoredNodes // nodes that this node has adopted
 
 	CheckInterval, AdoptInterval time.Duration // 0 for the defaults
 
@@ -166,11 +166,13 @@
 	return errors.Wrapf(m.Follower.Table.applyReceived(changes, cp), "adopt: %s", sponsor)
 }
 
-func (m *Membership) isSponsor() bool { return m.Adoptions != nil && m.Adoptions.HasAdopted() }
+func (m *Membership) isSponsor() bool {
+	return m.SponsoredNodes != nil && m.SponsoredNodes.HasAdopted()
+}
 
 func (m *Membership) confirmedRevision() uint64 {
-	if m.Adoptions != nil {
-		return m.Adoptions.Confirmed()
+	if m.SponsoredNodes != nil {
+		return m.SponsoredNodes.Confirmed()
 	}
 	return m.Follower.Table.Revision()
 }
@@ -187,7 +189,7 @@
 			return err
 		}
 		if m.isSponsor() {
-			m.Adoptions.RemoveEnded()
+			m.SponsoredNodes.RemoveEnded()
 		}
 		if err := m.maintain(ctx); errors.Is(err, ErrReplaced) {
 			return err
@@ -246,7 +248,7 @@
 // the context ends; a record that is then left is deleted once the host is gone.
 func (m *Membership) Leave(ctx context.Context) error {
 	for m.isSponsor() {
-		m.Adoptions.RemoveEnded()
+		m.SponsoredNodes.RemoveEnded()
 		if err := jwclock.Sleep(ctx, m.adoptInterval()); err != nil {
 			return errors.Wrap(err, "leave: nodes without a record in the store depend on this one")
 		}
--- a/core/jwcatalogue/member_test.go
+++ b/core/jwcatalogue/member_test.go
@@ -80,7 +80,7 @@
 }
 
 func TestAdoptRejectedWhenNotServing(t *testing.T) {
-	a := &Adoptions{Table: new(Table), Serving: func() bool { return false }}
+	a := &SponsoredNodes{Table: new(Table), Serving: func() bool { return false }}
 	_, _, err := a.Adopt(Member{Name: "n1", Region: "north", Incarnation: "b"}, 0)
 	assert.ErrorIs(t, err, ErrNotServing)
 	assert.Assert(t, !a.HasAdopted())
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -121,7 +121,7 @@
 	watcher := func() bool {
 		return slices.Contains(n.fleet.watchersOf(n.peer), n.peer.Name)
 	}
-	f := &Follower{Store: store, Table: &n.table, Watcher: watcher, Source: n}
+	f := &Follower{Store: store, Table: &n.table, WatchesStore: watcher, Source: n}
 	m := &Membership{
 		Member: Member{Name: n.peer.Name, Region: n.peer.Region, Incarnation: n.peer.Incarnation},
 		Store:  store, Follower: f,
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -41,15 +41,15 @@
 
 // node is one process.
 type node struct {
-	sys        *system
-	peer       jwpeer.Peer
-	table      *Table
-	membership *Membership
-	adoptions  *Adoptions
-	gatherer   *Gatherer
-	acceptance *Acceptance
-	peers      map[string]jwpeer.Peer
-	frozen     bool
+	sys            *system
+	peer           jwpeer.Peer
+	table          *Table
+	membership     *Membership
+	sponsoredNodes *SponsoredNodes
+	gatherer       *Gatherer
+	acceptance     *Acceptance
+	peers          map[string]jwpeer.Peer
+	frozen         bool
 }
 
 // oracle checks the invariants: each number has one change, nodes replay
@@ -127,7 +127,7 @@
 	s.listTime, s.hostList = s.now, nil
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
 		if n := s.nodes[name]; !s.cutRegions[n.peer.Region] {
-			s.hostList = append(s.hostList, jwhost.Host{Name: name, Role: jwhost.Entry, Region: n.peer.Region})
+			s.hostList = append(s.hostList, jwhost.Host{Name: name, Role: jwhost.Node, Region: n.peer.Region})
 		}
 	}
 }
@@ -176,16 +176,16 @@
 	n := &node{sys: s, table: &Table{MaxChanges: 4}, peers: make(map[string]jwpeer.Peer)}
 	n.peer = jwpeer.Peer{Name: name, Region: regionOfName(name), Incarnation: fmt.Sprintf("#%03d", s.starts), State: jwpeer.Joining}
 	store := nodeStore{s.store, n}
-	departures := &Departures{Hosts: s, Lag: time.Minute}
-	n.adoptions = &Adoptions{Table: n.table, Peers: n, Departures: departures, Serving: func() bool { return n.peer.State == jwpeer.Serving }}
+	hostRemovals := &HostRemovals{Hosts: s, Lag: time.Minute}
+	n.sponsoredNodes = &SponsoredNodes{Table: n.table, Peers: n, HostRemovals: hostRemovals, Serving: func() bool { return n.peer.State == jwpeer.Serving }}
 	member := Member{Name: name, Region: n.peer.Region, Incarnation: n.peer.Incarnation}
 	n.membership = &Membership{
 		Member: member, Store: store, Follower: &Follower{Store: store, Table: n.table},
-		Sponsors: n, Adoptions: n.adoptions,
+		Sponsors: n, SponsoredNodes: n.sponsoredNodes,
 	}
 	n.gatherer = &Gatherer{
 		Name: name, Region: n.peer.Region, Store: store, Table: n.table, Peers: n,
-		Departures: departures, Registered: n.membership.Registered,
+		HostRemovals: hostRemovals, Registered: n.membership.Registered,
 	}
 	n.acceptance = &Acceptance{Store: store}
 	s.nodes[name] = n
@@ -205,7 +205,7 @@
 
 func (n *node) self() jwpeer.Peer {
 	n.peer.Sequence++
-	n.peer.Revision = n.adoptions.Confirmed()
+	n.peer.Revision = n.sponsoredNodes.Confirmed()
 	return n.peer
 }
 
@@ -237,7 +237,7 @@
 	for _, name := range slices.Sorted(maps.Keys(n.sys.nodes)) {
 		p := n.sys.nodes[name]
 		if p != n && p.peer.Region == n.peer.Region && p.peer.State == jwpeer.Serving && !p.frozen && !n.sys.busy[name] {
-			changes, cp, err := p.adoptions.Adopt(m, after)
+			changes, cp, err := p.sponsoredNodes.Adopt(m, after)
 			return p.peer.Name + p.peer.Incarnation, changes, cp, err
 		}
 	}
@@ -249,7 +249,7 @@
 		if p.frozen {
 			return errors.New("frozen")
 		}
-		p.adoptions.Release(m)
+		p.sponsoredNodes.Release(m)
 	}
 	return nil
 }
@@ -323,7 +323,7 @@
 	}
 	s.store.loseReplies = drawOne(s.t, "lost", 0, 0, 1, 2)
 	s.store.dropWrites = drawOne(s.t, "dropped", 0, 0, 1, 9)
-	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, Retry: 1, Keep: 6}
+	d := &Editor{Store: nodeStore{s.store, n}, Table: n.table, RetryDelay: 1, Keep: 6}
 	res, err := d.Put(context.Background(), e)
 	s.store.loseReplies, s.store.dropWrites = 0, 0
 	var conflict *ConflictError
@@ -442,14 +442,14 @@
 			}
 		},
 		"keep":   func() { n := s.drawNode("member", serving); s.runBusy(n, func() { _ = n.membership.maintain(ctx) }) },
-		"tidy":   func() { s.eachIdle(func(n *node) { n.adoptions.RemoveEnded() }) },
+		"tidy":   func() { s.eachIdle(func(n *node) { n.sponsoredNodes.RemoveEnded() }) },
 		"list":   s.refreshHostList,
 		"freeze": func() { s.drawNode("frozen", notFrozen).setFrozen(true) },
 		"thaw":   func() { s.drawNode("thawed", func(n *node) bool { return n.frozen }).setFrozen(false) },
 		"kill":   func() { s.kill(s.drawNode("killed", func(*node) bool { return true })) },
 		"leave": func() {
 			n := s.drawNode("leaving", serving)
-			if n == nil || s.isNeeded(n) || n.adoptions.HasAdopted() || len(s.nodes) == 1 {
+			if n == nil || s.isNeeded(n) || n.sponsoredNodes.HasAdopted() || len(s.nodes) == 1 {
 				return
 			}
 			n.peer.State = jwpeer.Gone
--- a/core/jwcatalogue/table.go
+++ b/core/jwcatalogue/table.go
@@ -88,8 +88,8 @@
 // Revision returns the number of the last applied change.
 func (t *Table) Revision() uint64 { return t.Current().Revision }
 
-// Base returns the number of the oldest change that Changes can still return.
-func (t *Table) Base() uint64 {
+// OldestChange returns the number of the oldest change that Changes can still return.
+func (t *Table) OldestChange() uint64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	return t.base()
--- a/core/jwcatalogue/table_test.go
+++ b/core/jwcatalogue/table_test.go
@@ -15,7 +15,7 @@
 
 func TestTableApply(t *testing.T) {
 	table := new(Table)
-	assert.Equal(t, table.Base(), uint64(1))
+	assert.Equal(t, table.OldestChange(), uint64(1))
 	changed := table.Changed()
 	assert.NilError(t, table.Apply(newChange(1, "a")))
 	<-changed
@@ -55,5 +55,5 @@
 	assert.Equal(t, table.Revision(), uint64(4))
 	assert.NilError(t, old.Restore(Checkpoint{Revision: 4, Entries: table.Current().Entries, Revisions: table.Current().Revisions}))
 	assert.Equal(t, old.Revision(), uint64(4))
-	assert.Equal(t, old.Base(), uint64(5))
+	assert.Equal(t, old.OldestChange(), uint64(5))
 }
--- a/core/jwcatalogue/validate.go
+++ b/core/jwcatalogue/validate.go
@@ -120,7 +120,7 @@
 	f.checkNumber("limits.burst", float64(e.Limits.Burst))
 	f.checkNumber("limits.concurrent", float64(e.Limits.Concurrent))
 	f.checkNumber("weights.cost", e.Weights.Cost)
-	f.checkNumber("weights.tail", e.Weights.Tail)
+	f.checkNumber("weights.tail", e.Weights.Wait)
 	f.checkNumber("weights.sentAway", e.Weights.SentAway)
 	if e.Limits.Rate > 0 && e.Limits.Burst == 0 {
 		f.add("limits.burst is 0 beside a rate, which admits nothing")
--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -21,8 +21,8 @@
 	until time.Time
 }
 
-// Move says that another process answers for the keys of a stopped process.
-type Move struct {
+// HolderMove says that another process answers for the keys of a stopped process.
+type HolderMove struct {
 	Incarnation string
 	To          Holder
 }
@@ -73,7 +73,7 @@
 		k.adoptRecord(r)
 	}
 	k.requireNewReads()
-	return Receipt{Kept: uint64(len(rs)), Incarnation: k.Incarnation}, nil
+	return Receipt{Records: uint64(len(rs)), Incarnation: k.Incarnation}, nil
 }
 
 // requireNewReads makes all queued items wait for a read of the store that
@@ -108,7 +108,7 @@
 		a = &adoptedProcess{holder: r.Holder}
 		k.adopted[r.Holder.Incarnation] = a
 	}
-	a.until = k.now().Add(k.Memory)
+	a.until = k.now().Add(k.KeyMemory)
 	a.minted = max(a.minted, r.Minted)
 	a.runnable = a.runnable || r.Runnable
 	for i, word := range r.Used {
@@ -145,32 +145,32 @@
 	k.keepAnswer(c)
 }
 
-// Learn records the report of another node that it answers for a stopped
+// AddMove records the report of another node that it answers for a stopped
 // process.
-func (k *Keeper) Learn(m Move) {
+func (k *Keeper) AddMove(m HolderMove) {
 	k.initOnce.Do(k.initialize)
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if m.Incarnation == k.Incarnation || m.To.Incarnation == k.Incarnation {
 		return
 	}
-	k.moved[m.Incarnation] = movedProcess{to: m.To, until: k.now().Add(k.Memory)}
+	k.moved[m.Incarnation] = movedProcess{to: m.To, until: k.now().Add(k.KeyMemory)}
 }
 
 // Moves returns which process answers for those that this node took over and,
 // once its own handover is completed, for this process itself. The caller
 // reports them to all other nodes.
-func (k *Keeper) Moves() []Move {
+func (k *Keeper) Moves() []HolderMove {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	to := k.self()
-	ms := make([]Move, 0, len(k.adopted)+1)
+	ms := make([]HolderMove, 0, len(k.adopted)+1)
 	if k.handover.completed {
 		to = k.handover.successor
-		ms = append(ms, Move{Incarnation: k.Incarnation, To: to})
+		ms = append(ms, HolderMove{Incarnation: k.Incarnation, To: to})
 	}
 	for incarnation := range k.adopted {
-		ms = append(ms, Move{Incarnation: incarnation, To: to})
+		ms = append(ms, HolderMove{Incarnation: incarnation, To: to})
 	}
 	return ms
 }
@@ -187,7 +187,7 @@
 		}
 		h = m.to
 	}
-	return Decision{Verdict: Elsewhere, Holder: h}
+	return Decision{Verdict: AskHolder, Holder: h}
 }
 
 func (k *Keeper) unknownTicketDecision() Decision {
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -54,7 +54,7 @@
 		ticket, _ := k.Mint()
 		b.StartTimer()
 		d, err := k.Begin(b.Context(), newAsk(ticket, "deposit"))
-		if err != nil || d.Verdict != Run || d.Call.Dispatched() != nil {
+		if err != nil || d.Verdict != Run || d.Call.MarkDispatched() != nil {
 			b.Fatal(d.Verdict, err)
 		}
 		d.Call.Finish(servedAnswer("paid"))
--- a/core/jwclaim/call.go
+++ b/core/jwclaim/call.go
@@ -60,9 +60,9 @@
 	element *list.Element
 }
 
-// Dispatched records that the request may be sent from now on. It must not be
-// sent unless Dispatched returns nil.
-func (c *Call) Dispatched() error {
+// MarkDispatched records that the request may be sent from now on. It must not be
+// sent unless MarkDispatched returns nil.
+func (c *Call) MarkDispatched() error {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
 	if c.state != stateHeld {
@@ -89,7 +89,7 @@
 		c.releaseWith(a)
 		return
 	case jwrequest.Unknown:
-		c.Lost()
+		c.MarkLost()
 		return
 	}
 	c.k.mu.Lock()
@@ -119,9 +119,9 @@
 	c.k.releaseKey(c)
 }
 
-// Lost ends the call as one that may have run. Its key is answered as unknown
+// MarkLost ends the call as one that may have run. Its key is answered as unknown
 // from now on.
-func (c *Call) Lost() {
+func (c *Call) MarkLost() {
 	c.k.mu.Lock()
 	defer c.k.mu.Unlock()
 	if c.settled() {
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -10,32 +10,32 @@
 
 // The verdicts on a call with a key.
 const (
-	Run       Verdict = "run"       // this node alone may dispatch Decision.Call
-	Join      Verdict = "join"      // the key is in flight here: wait for Decision.Call
-	Replay    Verdict = "replay"    // Decision.Answer is the answer to the first call
-	Elsewhere Verdict = "elsewhere" // ask the process Decision.Holder; if it is gone, the outcome is unknown
-	Mismatch  Verdict = "mismatch"  // the key came with another body before
-	Unknown   Verdict = "unknown"   // the call of the key may have run and is not run again
-	NotRun    Verdict = "notRun"    // neither this call nor an earlier one of the key ran
-	Unread    Verdict = "unread"    // this call was not run; an earlier one of the key may have
-	Refused   Verdict = "refused"   // the key looks like a ticket, but no node minted it
+	Run              Verdict = "run"       // this node alone may dispatch Decision.Call
+	Join             Verdict = "join"      // the key is in flight here: wait for Decision.Call
+	Replay           Verdict = "replay"    // Decision.Answer is the answer to the first call
+	AskHolder        Verdict = "elsewhere" // ask the process Decision.Holder; if it is gone, the outcome is unknown
+	Mismatch         Verdict = "mismatch"  // the key came with another body before
+	Unknown          Verdict = "unknown"   // the call of the key may have run and is not run again
+	NotRun           Verdict = "notRun"    // neither this call nor an earlier one of the key ran
+	ClaimsUnreadable Verdict = "unread"    // this call was not run; an earlier one of the key may have
+	Refused          Verdict = "refused"   // the key looks like a ticket, but no node minted it
 )
 
-// Ask describes one call with a key.
-type Ask struct {
+// KeyedCall describes one call with a key.
+type KeyedCall struct {
 	Workspace string
 	Region    string // home region of the workspace, where its keys are claimed
 	Key       string // idempotency key or ticket
 	Body      [sha256.Size]byte
-	Memory    time.Duration // how long the key is remembered, 0 for Keeper.Memory
+	KeyMemory time.Duration // how long the key is remembered, 0 for Keeper.KeyMemory
 }
 
-// Decision is the result of Begin for an Ask.
+// Decision is the result of Begin for a KeyedCall.
 type Decision struct {
 	Verdict    Verdict
 	Call       *Call  // for Run and Join
 	Answer     Answer // for Replay
-	Holder     Holder // for Elsewhere
+	Holder     Holder // for AskHolder
 	RetryAfter time.Duration
 }
 
@@ -97,8 +97,8 @@
 }
 
 func (k *Keeper) unreadDecision() Decision {
-	k.counts.Unreads++
-	return Decision{Verdict: Unread, RetryAfter: k.RetryAfter}
+	k.counts.UnreadableClaims++
+	return Decision{Verdict: ClaimsUnreadable, RetryAfter: k.RetryAfter}
 }
 
 func (k *Keeper) unknownDecision() Decision {
--- a/core/jwclaim/fuzz_test.go
+++ b/core/jwclaim/fuzz_test.go
@@ -36,8 +36,8 @@
 	f.Fuzz(func(t *testing.T, w1, k1, w2, k2 string) {
 		k := &Keeper{Salt: []byte("salt")}
 		same := w1 == w2 && k1 == k2
-		assert.Equal(t, k.keyHash(Ask{Workspace: w1, Key: k1}) == k.keyHash(Ask{Workspace: w2, Key: k2}), same)
-		assert.Equal(t, k.bodyHash(Ask{Workspace: w1, Key: k1}) == k.bodyHash(Ask{Workspace: w2, Key: k2}), same)
+		assert.Equal(t, k.keyHash(KeyedCall{Workspace: w1, Key: k1}) == k.keyHash(KeyedCall{Workspace: w2, Key: k2}), same)
+		assert.Equal(t, k.bodyHash(KeyedCall{Workspace: w1, Key: k1}) == k.bodyHash(KeyedCall{Workspace: w2, Key: k2}), same)
 	})
 }
 
--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -21,7 +21,7 @@
 // Receipt is a successor's confirmation that it answers for the records it was
 // sent.
 type Receipt struct {
-	Kept        uint64 // records taken over, without the end record
+	Records     uint64 // records taken over, without the end record
 	Incarnation string // of the successor
 }
 
@@ -49,10 +49,10 @@
 	k.closed = true
 }
 
-// Cut ends all calls that may run or are running, for a stop that can wait no
+// SettleAll ends all calls that may run or are running, for a stop that can wait no
 // longer: those that may have run become unknown, the others are released. It
 // returns how many became unknown.
-func (k *Keeper) Cut() int {
+func (k *Keeper) SettleAll() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	unknownCalls := 0
@@ -118,8 +118,8 @@
 	}
 	count := uint64(len(records) - 1)
 	receipt, err := s.Handover(ctx, slices.Values(records))
-	if err == nil && receipt.Kept != count {
-		err = errors.Errorf("successor kept %d of %d records", receipt.Kept, count)
+	if err == nil && receipt.Records != count {
+		err = errors.Errorf("successor kept %d of %d records", receipt.Records, count)
 	}
 	k.endHandover(s, receipt, err)
 	return errors.Wrapf(err, "handover: %s", s.Holder().Node)
@@ -177,7 +177,7 @@
 		return k.unknownDecision(), nil
 	case k.handover.completed:
 		to := k.handover.successor
-		return Decision{Verdict: Elsewhere, Holder: to}, nil
+		return Decision{Verdict: AskHolder, Holder: to}, nil
 	}
 	return k.notRunDecision(), nil
 }
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -62,7 +62,7 @@
 	f.used, f.unused = mint(t, f.stopping), mint(t, f.stopping)
 	for _, key := range []string{f.used, "k"} {
 		c := mustRun(t, f.stopping, newAsk(key, "deposit"))
-		assert.NilError(t, c.Dispatched())
+		assert.NilError(t, c.MarkDispatched())
 		c.Finish(servedAnswer("paid"))
 	}
 	f.stopping.Close()
@@ -90,10 +90,10 @@
 		unused     Verdict
 		atStopping Verdict // verdict on the unused ticket at the stopping node
 	}{
-		"clean":                   {used: Replay, unused: Run, atStopping: Elsewhere},
-		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
+		"clean":                   {used: Replay, unused: Run, atStopping: AskHolder},
+		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
 		"reply of first lost":     {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
-		"records lost on the way": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: Elsewhere},
+		"records lost on the way": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
@@ -109,7 +109,7 @@
 				assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, tc.unused)
 				assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
 				for _, m := range f.b.Moves() {
-					f.c.Learn(m)
+					f.c.AddMove(m)
 				}
 				if tc.first == nil {
 					assert.Equal(t, begin(t, f.c, newAsk(f.unused, "deposit")).Holder, f.b.self())
@@ -130,7 +130,7 @@
 		go func() { _ = f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}) }()
 		synctest.Wait()
 		assert.Equal(t, begin(t, f.stopping, newAsk(f.used, "deposit")).Verdict, Replay)
-		assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -144,12 +144,12 @@
 		defer b.crash()
 		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
 		sent := mustRun(t, a, newAsk("k", "deposit"))
-		assert.NilError(t, sent.Dispatched())
+		assert.NilError(t, sent.MarkDispatched())
 		assert.ErrorIs(t, a.Handover(context.Background(), &faultySuccessor{to: b}), ErrBusy)
 		a.Close()
 		assert.ErrorIs(t, a.Handover(context.Background(), &faultySuccessor{to: b}), ErrBusy)
-		assert.Equal(t, a.Cut(), 1)
-		assert.ErrorIs(t, c.Dispatched(), ErrSettled)
+		assert.Equal(t, a.SettleAll(), 1)
+		assert.ErrorIs(t, c.MarkDispatched(), ErrSettled)
 		assert.NilError(t, a.Handover(context.Background(), &faultySuccessor{to: b}))
 		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Unknown)
 		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unknown)
@@ -165,8 +165,8 @@
 		lostReply := &faultySuccessor{to: f.b, replyErr: errors.New("no reply")}
 		assert.Assert(t, f.stopping.Handover(context.Background(), lostReply) != nil)
 		c := mustRun(t, f.b, newAsk(f.unused, "deposit"))
-		assert.NilError(t, c.Dispatched())
-		c.Lost()
+		assert.NilError(t, c.MarkDispatched())
+		c.MarkLost()
 		assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
 		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, Unknown)
 	})
@@ -206,7 +206,7 @@
 			_ = yield(rs[0], nil) && yield(Record{}, errors.New("connection reset"))
 		})
 		assert.ErrorIs(t, err, ErrNotAdopted)
-		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, AskHolder)
 		assert.Equal(t, len(f.b.Moves()), 0)
 	})
 }
@@ -229,7 +229,7 @@
 		assert.Equal(t, <-verdict, Replay)
 		assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
 		assert.Equal(t, f.b.Counts().Calls, uint64(0))
-		assert.DeepEqual(t, f.stopping.Moves(), []Move{{Incarnation: "a-1", To: f.b.self()}})
+		assert.DeepEqual(t, f.stopping.Moves(), []HolderMove{{Incarnation: "a-1", To: f.b.self()}})
 	})
 }
 
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -49,12 +49,12 @@
 		case NotRun:
 			// The call may be released here while other nodes still read its claim.
 			return holder == "" || holder == in.node, holder
-		case Unread:
+		case ClaimsUnreadable:
 			// No caller of this test gives up waiting, so its claim was never sent.
 			return true, holder
 		case Join:
 			return holder == in.node, holder
-		case Elsewhere:
+		case AskHolder:
 			return holder != "" && holder != in.node, holder
 		}
 		return false, holder
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -18,7 +18,7 @@
 
 // Defaults and limits of a Keeper.
 const (
-	DefaultMemory         = time.Hour
+	DefaultKeyMemory      = time.Hour
 	DefaultGroupWindow    = 100 * time.Millisecond
 	DefaultClaimTimeout   = 2 * time.Second
 	DefaultStoreTimeout   = 2 * time.Second
@@ -46,7 +46,7 @@
 	Tickets           uint64 // tickets run
 	Releases          uint64 // calls released as not run
 	Unknowns          uint64 // verdicts and calls that ended as unknown
-	Unreads           uint64 // caller keys rejected because their claims could not be read
+	UnreadableClaims  uint64 // caller keys rejected because their claims could not be read
 	Evicted           uint64 // answers dropped to stay within MaxAnswerBytes
 	Writes            uint64 // swaps sent to the store
 	LostSwaps         uint64 // swaps lost to another node
@@ -70,7 +70,7 @@
 	Salt  []byte
 	Peers Peers // for Preferred; may be nil
 
-	Memory         time.Duration // how long keys without Ask.Memory and adopted tickets are remembered
+	KeyMemory      time.Duration // how long keys without KeyedCall.KeyMemory and adopted tickets are remembered
 	GroupWindow    time.Duration // minimum time between two cycles of a slot
 	ClaimTimeout   time.Duration // maximum wait of a call for its claim
 	StoreTimeout   time.Duration // maximum duration of a store operation
@@ -148,7 +148,7 @@
 func (k *Keeper) initialize() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	setDefault(&k.Memory, DefaultMemory)
+	setDefault(&k.KeyMemory, DefaultKeyMemory)
 	setDefault(&k.GroupWindow, DefaultGroupWindow)
 	setDefault(&k.ClaimTimeout, DefaultClaimTimeout)
 	setDefault(&k.StoreTimeout, DefaultStoreTimeout)
@@ -200,13 +200,13 @@
 // Begin decides on one call. It waits for the store only if the key is a caller
 // key that is not known here, and no longer than ClaimTimeout. An unused ticket
 // waits for the end of a handover in progress.
-func (k *Keeper) Begin(ctx context.Context, a Ask) (Decision, error) {
+func (k *Keeper) Begin(ctx context.Context, a KeyedCall) (Decision, error) {
 	k.initOnce.Do(k.initialize)
 	if a.Key == "" || (len(a.Key) > maxKeyLength && !IsTicket(a.Key)) {
 		return Decision{}, errors.Wrapf(ErrKey, "begin: %s", k.Node)
 	}
-	if a.Memory <= 0 {
-		a.Memory = k.Memory
+	if a.KeyMemory <= 0 {
+		a.KeyMemory = k.KeyMemory
 	}
 	if IsTicket(a.Key) {
 		return k.beginTicket(ctx, a), nil
@@ -217,19 +217,19 @@
 	return k.beginCallerKey(ctx, a), nil
 }
 
-func (k *Keeper) keyHash(a Ask) (h keyHash) {
+func (k *Keeper) keyHash(a KeyedCall) (h keyHash) {
 	copy(h[:], k.mac("key", a.Workspace, a.Key))
 	return h
 }
 
 // bodyHash includes the workspace, so that a caller from another workspace who
 // obtains a ticket can't read the answer to it.
-func (k *Keeper) bodyHash(a Ask) (h bodyHash) {
+func (k *Keeper) bodyHash(a KeyedCall) (h bodyHash) {
 	copy(h[:], k.mac("body", a.Workspace, a.Key, string(a.Body[:])))
 	return h
 }
 
-func (k *Keeper) beginCallerKey(ctx context.Context, a Ask) Decision {
+func (k *Keeper) beginCallerKey(ctx context.Context, a KeyedCall) Decision {
 	ref := callRef{key: k.keyHash(a)}
 	hash := k.bodyHash(a)
 	it, d := k.queueCallerKey(ref, hash, a)
@@ -251,7 +251,7 @@
 // queueCallerKey decides at once on a caller key that is known here. Otherwise
 // it queues its claim, or a lookup if the keeper is closed, and returns the
 // item to wait for.
-func (k *Keeper) queueCallerKey(ref callRef, hash bodyHash, a Ask) (*item, Decision) {
+func (k *Keeper) queueCallerKey(ref callRef, hash bodyHash, a KeyedCall) (*item, Decision) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.running {
@@ -276,7 +276,7 @@
 		d.RetryAfter = max(d.RetryAfter, s.retryAt.Sub(now))
 		return nil, d
 	}
-	it := &item{kind: lookupItem, key: ref.key, keyMemory: a.Memory, waiters: 1}
+	it := &item{kind: lookupItem, key: ref.key, keyMemory: a.KeyMemory, waiters: 1}
 	if !k.closed {
 		it.kind = claimItem
 		rand.Read(it.id[:])
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -47,18 +47,18 @@
 	n.done.Wait()
 }
 
-func newAsk(key, body string) Ask {
-	return Ask{Workspace: "hall", Region: "irbid-a", Key: key, Body: sha256.Sum256([]byte(body))}
+func newAsk(key, body string) KeyedCall {
+	return KeyedCall{Workspace: "hall", Region: "irbid-a", Key: key, Body: sha256.Sum256([]byte(body))}
 }
 
-func begin(t *testing.T, n *testNode, a Ask) Decision {
+func begin(t *testing.T, n *testNode, a KeyedCall) Decision {
 	t.Helper()
 	d, err := n.Begin(context.Background(), a)
 	assert.NilError(t, err)
 	return d
 }
 
-func mustRun(t *testing.T, n *testNode, a Ask) *Call {
+func mustRun(t *testing.T, n *testNode, a KeyedCall) *Call {
 	t.Helper()
 	d := begin(t, n, a)
 	assert.Equal(t, d.Verdict, Run)
@@ -80,9 +80,9 @@
 		assert.Equal(t, begin(t, a, newAsk("k", "other")).Verdict, Mismatch)
 		assert.Equal(t, begin(t, b, newAsk("k", "other")).Verdict, Mismatch)
 		d := begin(t, b, newAsk("k", "deposit"))
-		assert.Equal(t, d.Verdict, Elsewhere)
+		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
-		assert.NilError(t, c.Dispatched())
+		assert.NilError(t, c.MarkDispatched())
 		c.Finish(servedAnswer("paid"))
 		d = begin(t, a, newAsk("k", "deposit"))
 		assert.Equal(t, d.Verdict, Replay)
@@ -100,8 +100,8 @@
 		c.Release()
 		time.Sleep(time.Second)
 		mustRun(t, b, newAsk("k", "deposit"))
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
-		assert.ErrorIs(t, c.Dispatched(), ErrSettled)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.ErrorIs(t, c.MarkDispatched(), ErrSettled)
 	})
 }
 
@@ -114,7 +114,7 @@
 		ticket, err := a.Mint()
 		assert.NilError(t, err)
 		d := begin(t, b, newAsk(ticket, "deposit"))
-		assert.Equal(t, d.Verdict, Elsewhere)
+		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
 		c := mustRun(t, a, newAsk(ticket, "deposit"))
 		assert.Equal(t, begin(t, a, newAsk(ticket, "deposit")).Verdict, Join)
@@ -149,21 +149,21 @@
 	})
 }
 
-// An invalid Ask is rejected with the matching error before anything is
+// An invalid KeyedCall is rejected with the matching error before anything is
 // written.
-func TestAskErrors(t *testing.T) {
+func TestKeyedCallErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startTestNode(newFakeStore(), "a", nil)
 		defer a.crash()
 		for name, tc := range map[string]struct {
-			ask Ask
-			err error
+			keyedCall KeyedCall
+			err       error
 		}{
-			"no key":    {Ask{Region: "irbid-a"}, ErrKey},
-			"long key":  {Ask{Region: "irbid-a", Key: strings.Repeat("k", maxKeyLength+1)}, ErrKey},
-			"no region": {Ask{Key: "k"}, ErrRegion},
+			"no key":    {KeyedCall{Region: "irbid-a"}, ErrKey},
+			"long key":  {KeyedCall{Region: "irbid-a", Key: strings.Repeat("k", maxKeyLength+1)}, ErrKey},
+			"no region": {KeyedCall{Key: "k"}, ErrRegion},
 		} {
-			_, err := a.Begin(t.Context(), tc.ask)
+			_, err := a.Begin(t.Context(), tc.keyedCall)
 			assert.ErrorIs(t, err, tc.err, name)
 		}
 	})
@@ -193,7 +193,7 @@
 	k := &Keeper{Store: &storeLink{store: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
 	d, err := k.Begin(t.Context(), newAsk("k", "deposit"))
 	assert.NilError(t, err)
-	assert.Equal(t, d.Verdict, Unread)
+	assert.Equal(t, d.Verdict, ClaimsUnreadable)
 	d, err = k.Begin(t.Context(), newAsk(signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: 1}), "deposit"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Verdict, Unknown)
--- a/core/jwclaim/preferred.go
+++ b/core/jwclaim/preferred.go
@@ -10,7 +10,7 @@
 // Preferred returns the node of a region to which the calls of a key are best
 // sent, so that its slot has one writer. It returns "" if no node is known.
 // Every other node decides just as correctly, but loses more swaps.
-func (k *Keeper) Preferred(a Ask) string {
+func (k *Keeper) Preferred(a KeyedCall) string {
 	k.initOnce.Do(k.initialize)
 	if k.Peers == nil {
 		return ""
--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -31,7 +31,7 @@
 				defer b.crash()
 				a.link.set(fault)
 				c := mustRun(t, a, newAsk("k", "deposit"))
-				assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Elsewhere)
+				assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, AskHolder)
 				c.Release()
 				time.Sleep(10 * time.Second)
 				c = mustRun(t, b, newAsk("k", "deposit"))
@@ -45,7 +45,7 @@
 				defer cancel()
 				d, err := a.Begin(ctx, newAsk("gone", "deposit"))
 				assert.NilError(t, err)
-				assert.Equal(t, d.Verdict, Unread)
+				assert.Equal(t, d.Verdict, ClaimsUnreadable)
 				time.Sleep(10 * time.Second)
 				mustRun(t, b, newAsk("gone", "deposit"))
 			})
@@ -65,7 +65,7 @@
 		begun := time.Now()
 		for range 50 {
 			d := begin(t, a, newAsk("k", "deposit"))
-			assert.Equal(t, d.Verdict, Unread)
+			assert.Equal(t, d.Verdict, ClaimsUnreadable)
 			assert.Assert(t, d.RetryAfter > 0)
 		}
 		assert.Assert(t, time.Since(begun) < 500*time.Millisecond, "%v", time.Since(begun))
@@ -77,7 +77,7 @@
 
 		gate := a.link.freeze()
 		begun = time.Now()
-		assert.Equal(t, begin(t, a, newAsk("slow", "deposit")).Verdict, Unread)
+		assert.Equal(t, begin(t, a, newAsk("slow", "deposit")).Verdict, ClaimsUnreadable)
 		assert.Equal(t, time.Since(begun), a.ClaimTimeout)
 		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
@@ -91,7 +91,7 @@
 func TestWriteAfterPauseBeyondRetention(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 1, time.Minute }
+		smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.KeyMemory = 1, 1, time.Minute }
 		a, b := startTestNode(s, "a", smallSlot), startTestNode(s, "b", smallSlot)
 		// A paused process finds its timer and the reply together when it
 		// resumes.
@@ -99,12 +99,12 @@
 		defer a.crash()
 		defer b.crash()
 		mustRun(t, b, newAsk("warm", "up"))
-		assert.Equal(t, begin(t, a, newAsk("warm", "up")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, a, newAsk("warm", "up")).Verdict, AskHolder)
 		gate := a.link.freeze()
 		got := make(chan Decision, 1)
 		go func() {
 			long := newAsk("k", "deposit")
-			long.Memory = 5 * time.Hour
+			long.KeyMemory = 5 * time.Hour
 			d, _ := a.Begin(context.Background(), long)
 			got <- d
 		}()
@@ -118,10 +118,10 @@
 		close(gate)
 		assert.Assert(t, (<-got).Verdict != Run)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
 		c := startTestNode(s, "c", smallSlot)
 		defer c.crash()
-		assert.Equal(t, begin(t, c, newAsk("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, c, newAsk("k", "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -130,7 +130,7 @@
 func TestSegmentsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, 2, time.Minute })
+		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.KeyMemory = 1, 2, time.Minute })
 		defer a.crash()
 		for i := range 40 {
 			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
@@ -161,7 +161,7 @@
 				defer a.crash()
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 1), []byte(value), 0)
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 3), []byte(later), 0)
-				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unread)
+				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, ClaimsUnreadable)
 			})
 		})
 	}
@@ -178,12 +178,12 @@
 		first := []string{"k", mint(t, a)}
 		for _, key := range append(first, "k2", "k3", "k4") {
 			c := mustRun(t, a, newAsk(key, "deposit"))
-			assert.NilError(t, c.Dispatched())
+			assert.NilError(t, c.MarkDispatched())
 			c.Finish(servedAnswer("paid"))
 		}
 		for _, key := range first {
 			assert.Equal(t, begin(t, a, newAsk(key, "deposit")).Verdict, Unknown)
-			assert.Equal(t, begin(t, b, newAsk(key, "deposit")).Verdict, Elsewhere)
+			assert.Equal(t, begin(t, b, newAsk(key, "deposit")).Verdict, AskHolder)
 		}
 		assert.Assert(t, a.Counts().AnswerBytes <= 2*callOverhead)
 	})
@@ -195,14 +195,14 @@
 func TestDispatchAfterClaimExpired(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		shortMemory := func(n *testNode) { n.Memory = time.Minute }
+		shortMemory := func(n *testNode) { n.KeyMemory = time.Minute }
 		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
 		c := mustRun(t, a, newAsk("k", "deposit"))
 		time.Sleep(time.Hour)
 		mustRun(t, b, newAsk("k", "deposit"))
-		assert.ErrorIs(t, c.Dispatched(), ErrStale)
+		assert.ErrorIs(t, c.MarkDispatched(), ErrStale)
 	})
 }
 
@@ -211,7 +211,7 @@
 func TestLateRelease(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
-		shortMemory := func(n *testNode) { n.Memory, n.SlotsPerRegion = time.Minute, 1 }
+		shortMemory := func(n *testNode) { n.KeyMemory, n.SlotsPerRegion = time.Minute, 1 }
 		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
@@ -220,7 +220,7 @@
 		mustRun(t, b, newAsk("k", "deposit"))
 		c.Release()
 		time.Sleep(time.Second)
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
 
 		// The same holds for a release that a successor writes for a process
 		// that is gone.
@@ -232,7 +232,7 @@
 		})
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, begin(t, successor, newAsk("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, successor, newAsk("k", "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -264,7 +264,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				s := newFakeStore()
-				smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.Memory = 1, rows, time.Minute }
+				smallSlot := func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.KeyMemory = 1, rows, time.Minute }
 				a, b := startTestNode(s, "a", func(n *testNode) { smallSlot(n); n.SweepInterval = 100 * time.Hour }), startTestNode(s, "b", smallSlot)
 				defer a.crash()
 				defer b.crash()
@@ -281,7 +281,7 @@
 				assert.NilError(t, err)
 				_, swapped := s.swap(segmentKey(slotPrefix("irbid-a", 0), at), value, 0)
 				assert.Assert(t, swapped)
-				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
+				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
 			})
 		})
 	}
@@ -299,7 +299,7 @@
 		defer b.crash()
 		mustRun(t, a, newAsk("warm", "up")).Finish(servedAnswer("paid"))
 		gate := a.link.freeze()
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unread)
+		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, ClaimsUnreadable)
 		time.Sleep(59 * time.Minute)
 		got := make(chan Decision, 1)
 		go func() { got <- begin(t, a, newAsk("k", "deposit")) }()
@@ -310,6 +310,6 @@
 		time.Sleep(time.Second)
 		mustRun(t, a, newAsk("k", "deposit")).Finish(servedAnswer("paid"))
 		time.Sleep(59 * time.Minute)
-		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Elsewhere)
+		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, AskHolder)
 	})
 }
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -122,7 +122,7 @@
 		nd.MaxSegmentRows = 4
 		nd.GroupWindow = 50 * time.Millisecond
 		nd.MaxAnswerBytes = sim.answerBytes
-		nd.Memory = simKeyMemory
+		nd.KeyMemory = simKeyMemory
 		nd.MaxClockSkew = simClockSkew
 		nd.Peers = sim
 		nd.Now = func() time.Time { return time.Now().Add(skew) }
@@ -171,7 +171,7 @@
 			sim.failf("begin: %v", err)
 			return
 		}
-		if d.Verdict != Elsewhere {
+		if d.Verdict != AskHolder {
 			sim.checkDecision(n, d, key, body, begunAt, ranBefore)
 			return
 		}
@@ -198,7 +198,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.verdicts[d.Verdict]++
-	if sim.noFaults && (d.Verdict == Unknown || d.Verdict == Unread) {
+	if sim.noFaults && (d.Verdict == Unknown || d.Verdict == ClaimsUnreadable) {
 		sim.fail("%s: %s without any fault, holder %s", key, d.Verdict, d.Holder.Incarnation)
 	}
 	switch d.Verdict {
@@ -257,7 +257,7 @@
 }
 
 func (sim *simulation) dispatchCall(c *grantedCall) {
-	if err := c.call.Dispatched(); err != nil {
+	if err := c.call.MarkDispatched(); err != nil {
 		sim.remove(c)
 		return
 	}
@@ -431,7 +431,7 @@
 	for _, a := range sim.nodes {
 		for _, b := range sim.nodes {
 			for _, m := range a.Moves() {
-				b.Learn(m)
+				b.AddMove(m)
 			}
 		}
 	}
--- a/core/jwclaim/ticket.go
+++ b/core/jwclaim/ticket.go
@@ -52,14 +52,14 @@
 	return verifyTicket(k.ticketSecret, key)
 }
 
-func (k *Keeper) beginTicket(ctx context.Context, a Ask) Decision {
+func (k *Keeper) beginTicket(ctx context.Context, a KeyedCall) Decision {
 	t, err := k.ParseTicket(a.Key)
 	if err != nil {
 		return Decision{Verdict: Refused}
 	}
 	hash := k.bodyHash(a)
 	for {
-		d, wait := k.decideTicket(t, hash, a.Memory)
+		d, wait := k.decideTicket(t, hash, a.KeyMemory)
 		if wait == nil {
 			return d
 		}
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -235,17 +235,17 @@
 	now := j.Now()
 	room := j.Board.Targets.Room(j.entry.Service, now)
 	q := &jwlimit.Query{
-		Entry:   j.entry,
-		Owner:   j.workspace.Owner,
-		Caller:  j.callerHash(),
-		Foreign: j.forwarded,
-		Bound:   j.request.Bound,
-		Left:    j.request.Deadline.Sub(now),
-		Work:    j.expectedWork(now),
-		Away:    away,
-		Room:    room,
-		Now:     now,
-		Random:  rand.Float64(),
+		Entry:    j.entry,
+		Owner:    j.workspace.Owner,
+		Caller:   j.callerHash(),
+		Foreign:  j.forwarded,
+		Bound:    j.request.Bound,
+		TimeLeft: j.request.Deadline.Sub(now),
+		Work:     j.expectedWork(now),
+		Away:     away,
+		Capacity: room,
+		Now:      now,
+		Random:   rand.Float64(),
 	}
 	token, refused, ok := j.Board.Limiter.Admit(q)
 	if !ok {
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -96,7 +96,7 @@
 	if admitted {
 		return place, release, Head{}, true
 	}
-	if !away && refused.Reason.Room() {
+	if !away && refused.Reason.LacksCapacity() {
 		j.query.Full = true
 		other := j.Router.Place(&j.query)
 		if other.Region != "" && other.Region != j.Self.Region {
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -18,32 +18,32 @@
 // Claims decides which requests with an idempotency key may run.
 type Claims interface {
 	// Begin claims the key or reports what is known of an earlier claim.
-	Begin(ctx context.Context, a jwclaim.Ask) (jwclaim.Decision, error)
+	Begin(ctx context.Context, a jwclaim.KeyedCall) (jwclaim.Decision, error)
 	// Preferred returns the node of the home region that writes the claims of
 	// the key's slot, or an empty string if there is none.
-	Preferred(a jwclaim.Ask) string
+	Preferred(a jwclaim.KeyedCall) string
 }
 
 // serveOnce runs a request at most once for its key. It continues when its
 // caller disconnects: the answer is kept for the caller's next try.
 func (j *job) serveOnce(ctx context.Context) {
-	ask := jwclaim.Ask{
+	keyedCall := jwclaim.KeyedCall{
 		Workspace: j.request.Workspace,
 		Region:    j.workspace.Region,
 		Key:       j.request.Key,
 		Body:      j.bodyHash(),
-		Memory:    j.entry.KeyMemory,
+		KeyMemory: j.entry.KeyMemory,
 	}
 	if j.workspace.Region != j.Self.Region {
-		j.forwardToHome(ctx, ask)
+		j.forwardToHome(ctx, keyedCall)
 		return
 	}
-	if j.forwardToPreferred(ctx, ask) {
+	if j.forwardToPreferred(ctx, keyedCall) {
 		return
 	}
 	ctx, cancel := context.WithDeadline(context.WithoutCancel(ctx), j.request.Deadline)
 	defer cancel()
-	decision, err := j.Claims.Begin(ctx, ask)
+	decision, err := j.Claims.Begin(ctx, keyedCall)
 	if err != nil {
 		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonKey, err.Error()))
 		return
@@ -76,7 +76,7 @@
 		j.replay(a)
 	case jwclaim.Replay:
 		j.replay(d.Answer)
-	case jwclaim.Elsewhere:
+	case jwclaim.AskHolder:
 		j.forwardToHolder(ctx, d.Holder)
 	case jwclaim.Mismatch:
 		// This body did not run, but the key belongs to another request that
@@ -86,7 +86,7 @@
 		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
 	case jwclaim.NotRun:
 		j.sink.refuse(unavailable(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
-	case jwclaim.Unread:
+	case jwclaim.ClaimsUnreadable:
 		h := unavailable(ReasonClaim, "this try ran nothing, but whether an earlier one with this key did can't be read now; send the same key again, or use a ticket for a new order", d.RetryAfter)
 		h.Outcome = jwrequest.Unknown
 		j.sink.refuse(h)
@@ -113,7 +113,7 @@
 func (j *job) runOnce(ctx context.Context, call *jwclaim.Call) {
 	// Without this a panic would leave the key in flight forever, and all
 	// later tries with it would wait. It has no effect on a settled call.
-	defer call.Lost()
+	defer call.MarkLost()
 	if state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now()); state == jwsuspect.Quarantined {
 		call.Release()
 		h := Refusal(http.StatusUnprocessableEntity, jwrequest.NotRun, ReasonQuarantine, "requests with this body crashed targets")
@@ -128,7 +128,7 @@
 		return
 	}
 	defer release()
-	if err := call.Dispatched(); err != nil {
+	if err := call.MarkDispatched(); err != nil {
 		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, err.Error()))
 		return
 	}
@@ -146,7 +146,7 @@
 			return
 		}
 		if !notRun(err) {
-			call.Lost()
+			call.MarkLost()
 			j.mayHaveRun = true
 			j.sink.refuse(j.failure(ctx, err))
 			return
@@ -193,13 +193,13 @@
 
 // forwardToHome forwards a request to the home region of its workspace, where
 // its keys are claimed.
-func (j *job) forwardToHome(ctx context.Context, ask jwclaim.Ask) {
+func (j *job) forwardToHome(ctx context.Context, keyedCall jwclaim.KeyedCall) {
 	if j.forwarded {
 		j.sink.refuse(j.keyUncheckedRefusal("the home region has changed on the way"))
 		return
 	}
 	peers := j.peersIn(j.workspace.Region, j.workspace.Name)
-	j.movePreferredToFront(peers, ask)
+	j.movePreferredToFront(peers, keyedCall)
 	if len(peers) > 0 {
 		_, a, err := j.forwardToFirst(ctx, peers)
 		if j.relayAnswer(a, err) {
@@ -211,8 +211,8 @@
 
 // movePreferredToFront moves the node that writes the claims of the key to the
 // front.
-func (j *job) movePreferredToFront(peers []jwpeer.Peer, ask jwclaim.Ask) {
-	name := j.preferredNode(ask)
+func (j *job) movePreferredToFront(peers []jwpeer.Peer, keyedCall jwclaim.KeyedCall) {
+	name := j.preferredNode(keyedCall)
 	i := slices.IndexFunc(peers, func(p jwpeer.Peer) bool { return p.Name == name })
 	if i > 0 {
 		writer := peers[i]
@@ -228,11 +228,11 @@
 // region most calls would get no claim in time. It returns false if the request
 // is to be claimed here: because this is that node, because the request was
 // forwarded before, or because the other node certainly did not accept it.
-func (j *job) forwardToPreferred(ctx context.Context, ask jwclaim.Ask) bool {
+func (j *job) forwardToPreferred(ctx context.Context, keyedCall jwclaim.KeyedCall) bool {
 	if j.forwarded {
 		return false
 	}
-	name := j.preferredNode(ask)
+	name := j.preferredNode(keyedCall)
 	p, known := j.Board.Peers.Get(name)
 	if !known || name == j.Self.Node || p.State != jwpeer.Serving {
 		return false
@@ -245,11 +245,11 @@
 
 // preferredNode returns the node that writes the claims of a key chosen by a
 // caller, and an empty string for a ticket, which has none.
-func (j *job) preferredNode(ask jwclaim.Ask) string {
-	if jwclaim.IsTicket(ask.Key) {
+func (j *job) preferredNode(keyedCall jwclaim.KeyedCall) string {
+	if jwclaim.IsTicket(keyedCall.Key) {
 		return ""
 	}
-	return j.Claims.Preferred(ask)
+	return j.Claims.Preferred(keyedCall)
 }
 
 // keyUncheckedRefusal returns the refusal of a request whose key could not be
--- a/core/jwdrain/drain.go
+++ b/core/jwdrain/drain.go
@@ -36,8 +36,8 @@
 type Keys interface {
 	// Close rejects new keys. Calls in flight go on.
 	Close()
-	// Cut ends all calls in flight and returns how many of them may have run.
-	Cut() int
+	// SettleAll ends all calls in flight and returns how many of them may have run.
+	SettleAll() int
 	// Flush waits until all claims and releases are written to the store.
 	Flush(ctx context.Context) error
 	// Handover sends the tickets and answers to a successor. After an error it
@@ -47,12 +47,12 @@
 
 // Counts holds the number of calls in flight and the totals of one stop.
 type Counts struct {
-	InFlight  int // calls in flight now
-	Turned    int // calls rejected since the stop began
-	Cut       int // calls still in flight when InFlightTimeout had passed or Run's ctx ended
-	Lost      int // those of Cut with a key that may have run
-	Unflushed int // 1 if claims or releases were still unwritten after FlushTimeout
-	Failed    int // successors that did not take over
+	InFlight        int // calls in flight now
+	Rejected        int // calls rejected since the stop began
+	Cut             int // calls still in flight when InFlightTimeout had passed or Run's ctx ended
+	Unknown         int // those of SettleAll with a key that may have run
+	Unflushed       int // 1 if claims or releases were still unwritten after FlushTimeout
+	FailedHandovers int // successors that did not take over
 }
 
 // Drain counts the calls in flight and carries out the stop. The zero value
@@ -111,7 +111,7 @@
 	// not be waited for: it would still run after the handover and be cut off by
 	// the end of the process.
 	if d.current() != Serving {
-		d.counts.Turned++
+		d.counts.Rejected++
 		return nil, false
 	}
 	d.counts.InFlight++
@@ -200,11 +200,11 @@
 }
 
 func (d *Drain) cutCalls() {
-	lost := d.Keys.Cut()
+	lost := d.Keys.SettleAll()
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.counts.Cut = d.counts.InFlight
-	d.counts.Lost = lost
+	d.counts.Unknown = lost
 }
 
 func (d *Drain) flush(ctx context.Context) error {
@@ -233,7 +233,7 @@
 		}
 		lastErr = errors.Wrapf(ErrNoSuccessor, "%v", err)
 		d.mu.Lock()
-		d.counts.Failed++
+		d.counts.FailedHandovers++
 		d.mu.Unlock()
 	}
 	return errors.Wrap(lastErr, "drain")
--- a/core/jwdrain/drain_test.go
+++ b/core/jwdrain/drain_test.go
@@ -20,8 +20,8 @@
 	results map[string]error // returned by Handover, by name of the successor
 }
 
-func (k *keys) Close()   { k.steps = append(k.steps, "close") }
-func (k *keys) Cut() int { k.steps = append(k.steps, "cut"); return 1 }
+func (k *keys) Close()         { k.steps = append(k.steps, "close") }
+func (k *keys) SettleAll() int { k.steps = append(k.steps, "cut"); return 1 }
 
 func (k *keys) Flush(context.Context) error {
 	k.steps = append(k.steps, "flush")
@@ -134,7 +134,7 @@
 		first()
 		time.Sleep(time.Minute)
 		assert.Equal(t, d.State(), Gone)
-		assert.DeepEqual(t, d.Counts(), Counts{Turned: 1})
+		assert.DeepEqual(t, d.Counts(), Counts{Rejected: 1})
 	})
 }
 
--- a/core/jwdrain/keeper_test.go
+++ b/core/jwdrain/keeper_test.go
@@ -72,20 +72,20 @@
 		synctest.Wait()
 		ticket, err := keepers[0].Mint()
 		assert.NilError(t, err)
-		ask := jwclaim.Ask{Workspace: "hall", Region: "irbid-a", Key: ticket, Body: sha256.Sum256([]byte("deposit"))}
+		keyedCall := jwclaim.KeyedCall{Workspace: "hall", Region: "irbid-a", Key: ticket, Body: sha256.Sum256([]byte("deposit"))}
 		d := &Drain{Keys: keepers[0], Successors: func() []jwclaim.Successor { return []jwclaim.Successor{localSuccessor{keepers[1]}} }}
 
 		done, ok := d.Enter()
 		assert.Assert(t, ok)
-		first, err := keepers[0].Begin(ctx, ask)
+		first, err := keepers[0].Begin(ctx, keyedCall)
 		assert.NilError(t, err)
-		assert.NilError(t, first.Call.Dispatched())
+		assert.NilError(t, first.Call.MarkDispatched())
 		time.AfterFunc(time.Minute, func() {
 			first.Call.Finish(jwclaim.Answer{Status: 200, Body: []byte("paid"), Outcome: jwrequest.Served})
 			done()
 		})
 		assert.NilError(t, d.Run(ctx))
-		again, err := keepers[1].Begin(ctx, ask)
+		again, err := keepers[1].Begin(ctx, keyedCall)
 		assert.NilError(t, err)
 		assert.Equal(t, again.Verdict, jwclaim.Replay)
 		assert.Equal(t, string(again.Answer.Body), "paid")
--- a/core/jwhost/host.go
+++ b/core/jwhost/host.go
@@ -7,18 +7,18 @@
 
 // The roles of a host.
 const (
-	Entry  Role = "entry"  // a node of this system
+	Node   Role = "entry"  // a node of this system
 	Target Role = "target" // a runner of a service
 )
 
 // Host is one entry of the platform's host list.
 type Host struct {
-	Name       string // name of the node, for entry hosts
-	Role       Role
-	Region     string
-	DataCentre string
-	Service    string         // name of the service that a target runs
-	Address    netip.AddrPort // where an entry host listens for callers, or a target for calls
-	Nodes      netip.AddrPort // where an entry host listens for other nodes
-	Leaving    bool           // the host is about to be removed
+	Name        string // name of the node, for entry hosts
+	Role        Role
+	Region      string
+	DataCentre  string
+	Service     string         // name of the service that a target runs
+	Address     netip.AddrPort // where an entry host listens for callers, or a target for calls
+	NodeAddress netip.AddrPort // where an entry host listens for other nodes
+	Leaving     bool           // the host is about to be removed
 }
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -38,7 +38,7 @@
 // refusals that cost the caller least come last: a request above a limit of the
 // entry is refused for that reason even when the service is full as well.
 func (a *admission) check() (Refusal, bool) {
-	if a.Room.Targets == 0 && !a.Away {
+	if a.Capacity.Targets == 0 && !a.Away {
 		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
 	}
 	if a.nodeFull() {
@@ -50,8 +50,8 @@
 	if a.Away {
 		return Refusal{}, false
 	}
-	if a.Foreign && float64(a.Room.Outstanding) >= maxForeignUse*float64(a.Room.Slots) {
-		return Refusal{Reason: Crowded, RetryAfter: a.withJitter(a.slotInterval())}, true
+	if a.Foreign && float64(a.Capacity.Outstanding) >= maxForeignUse*float64(a.Capacity.Slots) {
+		return Refusal{Reason: QueueFull, RetryAfter: a.withJitter(a.slotInterval())}, true
 	}
 	return a.checkCapacity()
 }
@@ -62,7 +62,7 @@
 
 // nodeFull reports whether this node runs as many requests as the class allows.
 func (a *admission) nodeFull() bool {
-	maxRunning := a.limiter.Running
+	maxRunning := a.limiter.MaxRunning
 	return maxRunning > 0 && float64(a.limiter.running) >= a.classLimit().node*float64(maxRunning)
 }
 
@@ -94,7 +94,7 @@
 // tokens first, and callers that retry at the given time would be refused again
 // and again.
 func (a *admission) mayTakeToken(q *reservationQueue, free float64, interval time.Duration) bool {
-	if a.limiter.Policy.NoBooking {
+	if a.limiter.Policy.NoReservations {
 		return free >= 1
 	}
 	if free >= 1 && q.claim(a.Caller, a.Now) {
@@ -105,15 +105,15 @@
 
 // checkCapacity checks whether the service can accept the request.
 func (a *admission) checkCapacity() (Refusal, bool) {
-	if a.Room.Wait == 0 {
+	if a.Capacity.Wait == 0 {
 		return Refusal{}, false
 	}
 	limit := a.maxOutstandingPerSlot()
 	switch queue := a.outstandingPerSlot(); {
 	case queue >= limit:
-		return Refusal{Reason: Crowded, RetryAfter: a.staggeredRetryAfter(a.service, a.Room.Wait)}, true
+		return Refusal{Reason: QueueFull, RetryAfter: a.staggeredRetryAfter(a.service, a.Capacity.Wait)}, true
 	case queue >= ownerQueueShare*limit && a.ownerOverShare():
-		return Refusal{Reason: OwnerShare, RetryAfter: a.staggeredRetryAfter(a.owner, a.Room.Wait)}, true
+		return Refusal{Reason: OwnerShare, RetryAfter: a.staggeredRetryAfter(a.owner, a.Capacity.Wait)}, true
 	}
 	if late := a.lateness(); late > 0 && !a.limiter.Policy.NoDeadline {
 		return Refusal{Reason: TooLate, RetryAfter: a.staggeredRetryAfter(a.service, late)}, true
@@ -124,7 +124,7 @@
 // outstandingPerSlot returns the number of outstanding requests per slot of the
 // service.
 func (a *admission) outstandingPerSlot() float64 {
-	return float64(a.Room.Outstanding) / float64(max(a.Room.Slots, 1))
+	return float64(a.Capacity.Outstanding) / float64(max(a.Capacity.Slots, 1))
 }
 
 // lateness returns how far past its deadline the request would end, or how far
@@ -133,8 +133,8 @@
 func (a *admission) lateness() time.Duration {
 	wait := a.expectedWait()
 	late := time.Duration(0)
-	if a.Left > 0 {
-		late = wait + a.Work - a.Left
+	if a.TimeLeft > 0 {
+		late = wait + a.Work - a.TimeLeft
 	}
 	if first := a.Query.Entry.FirstToken; first > 0 {
 		late = max(late, wait-first)
@@ -147,12 +147,12 @@
 // urgent ones.
 func (a *admission) expectedWait() time.Duration {
 	if a.Query.Entry.Class == jwcatalogue.Draft || a.limiter.Policy.NoClasses {
-		return a.Room.Wait
+		return a.Capacity.Wait
 	}
 	if a.service.running == 0 {
 		return 0
 	}
-	return time.Duration(float64(a.Room.Wait) * float64(a.service.urgent) / float64(a.service.running))
+	return time.Duration(float64(a.Capacity.Wait) * float64(a.service.urgent) / float64(a.service.running))
 }
 
 // ownerQueueShare is the fraction of a class's queue that an owner above its
@@ -183,7 +183,7 @@
 		return false
 	}
 	nodes := max(len(a.limiter.members), 1)
-	capacity := ownerQueueShare * a.maxOutstandingPerSlot() * float64(a.Room.Slots) / float64(nodes)
+	capacity := ownerQueueShare * a.maxOutstandingPerSlot() * float64(a.Capacity.Slots) / float64(nodes)
 	fairShare := capacity / float64(a.limiter.activeOwners(a.Query.Entry.Service, a.service, a.Now))
 	return float64(a.owner.running) >= max(fairShare, 1)
 }
@@ -222,15 +222,15 @@
 // slotInterval returns the average time between two slots of the service that
 // become free for this node.
 func (a *admission) slotInterval() time.Duration {
-	slots := max(a.Room.Slots, 1)
+	slots := max(a.Capacity.Slots, 1)
 	nodes := max(len(a.limiter.members), 1)
-	return a.Room.Work * time.Duration(nodes) / time.Duration(slots)
+	return a.Capacity.Work * time.Duration(nodes) / time.Duration(slots)
 }
 
 // refuseWithReservation refuses the request and reserves the next free place in
 // a queue for its caller.
 func (a *admission) refuseWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Refusal {
-	if a.limiter.Policy.NoBooking {
+	if a.limiter.Policy.NoReservations {
 		return Refusal{Reason: reason, RetryAfter: a.withJitter(interval)}
 	}
 	at, kept := q.reserve(a.Caller, a.Now, interval)
--- a/core/jwlimit/budget.go
+++ b/core/jwlimit/budget.go
@@ -4,8 +4,8 @@
 
 // Defaults for the fields of Budget that are zero.
 const (
-	DefaultRetryShare = 0.1
-	DefaultRetrySaved = 10
+	DefaultRetryShare      = 0.1
+	DefaultMaxSavedRetries = 10
 )
 
 // Budget limits the retries of each entry to a fraction of its first tries. In
@@ -13,8 +13,8 @@
 // when the least can be served. The zero value uses the defaults; one mutex
 // guards it.
 type Budget struct {
-	Share float64 // retries allowed per first try
-	Saved float64 // maximum number of retries that can be saved up; also the initial number
+	Share    float64 // retries allowed per first try
+	MaxSaved float64 // maximum number of retries that can be saved up; also the initial number
 
 	mu       sync.Mutex
 	balances map[string]float64
@@ -81,8 +81,8 @@
 }
 
 func (b *Budget) maxSaved() float64 {
-	if b.Saved <= 0 {
-		return DefaultRetrySaved
+	if b.MaxSaved <= 0 {
+		return DefaultMaxSavedRetries
 	}
-	return b.Saved
+	return b.MaxSaved
 }
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -17,15 +17,15 @@
 	EntryConcurrent Reason = "entryConcurrent" // the entry's limit on concurrent requests
 	OwnerShare      Reason = "ownerShare"      // the owner has more requests than its share, and the service is busy
 	TooLate         Reason = "tooLate"         // the request cannot end before its deadline, or begin in the time that its entry allows for the first token
-	Crowded         Reason = "crowded"         // the queue is too long for the request's class, or the region too busy for other regions' requests
+	QueueFull       Reason = "crowded"         // the queue is too long for the request's class, or the region too busy for other regions' requests
 	NodeFull        Reason = "nodeFull"        // this node runs as many requests as it can
 	NoTarget        Reason = "noTarget"        // no target may get the request
 )
 
-// Room reports whether the request was refused for lack of capacity in this
+// LacksCapacity reports whether the request was refused for lack of capacity in this
 // region, so that another region may still take it.
-func (r Reason) Room() bool {
-	return r == OwnerShare || r == TooLate || r == Crowded || r == NoTarget
+func (r Reason) LacksCapacity() bool {
+	return r == OwnerShare || r == TooLate || r == QueueFull || r == NoTarget
 }
 
 // Refusal states why a request was not admitted and when to retry it.
@@ -36,17 +36,17 @@
 
 // Query holds what the limiter needs to know of one request.
 type Query struct {
-	Entry   *jwcatalogue.Entry
-	Owner   string        // owner of the workspace
-	Caller  uint64        // equal for all tries of one request, 0 if unknown
-	Foreign bool          // the request was sent here by another region
-	Bound   bool          // the request cannot run in another region
-	Away    bool          // the request is to be sent to another region, so Room does not limit it
-	Left    time.Duration // time until the deadline, 0 for none
-	Work    time.Duration // expected duration of the call
-	Room    jwtarget.Room // capacity and load of the service in this region
-	Now     time.Time
-	Random  float64 // in [0, 1)
+	Entry    *jwcatalogue.Entry
+	Owner    string        // owner of the workspace
+	Caller   uint64        // equal for all tries of one request, 0 if unknown
+	Foreign  bool          // the request was sent here by another region
+	Bound    bool          // the request cannot run in another region
+	Away     bool          // the request is to be sent to another region, so Capacity does not limit it
+	TimeLeft time.Duration // time until the deadline, 0 for none
+	Work     time.Duration // expected duration of the call
+	Capacity jwtarget.Room // capacity and load of the service in this region
+	Now      time.Time
+	Random   float64 // in [0, 1)
 }
 
 // Token stands for one admitted request; Release returns it.
@@ -60,9 +60,9 @@
 // Limiter admits requests on one node. Its fields are set before use. One mutex
 // guards it, and no other lock is taken while it is held.
 type Limiter struct {
-	Node    string // name of this node
-	Running int    // maximum number of concurrent requests on this node, 0 for no limit
-	Policy  Policy
+	Node       string // name of this node
+	MaxRunning int    // maximum number of concurrent requests on this node, 0 for no limit
+	Policy     Policy
 
 	mu       sync.Mutex
 	running  int
@@ -74,10 +74,10 @@
 
 // Policy disables parts of the admission, to measure the effect of each.
 type Policy struct {
-	NoDeadline bool // requests that would miss their deadline are admitted too
-	NoClasses  bool // all classes have the limits and the expected wait of drafts
-	NoOwners   bool // owners have no shares and may displace each other
-	NoBooking  bool // no places are reserved for refused callers
+	NoDeadline     bool // requests that would miss their deadline are admitted too
+	NoClasses      bool // all classes have the limits and the expected wait of drafts
+	NoOwners       bool // owners have no shares and may displace each other
+	NoReservations bool // no places are reserved for refused callers
 }
 
 // poolKey identifies the requests of one owner to one service.
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -26,8 +26,8 @@
 func query(class jwcatalogue.Class, outstanding int) *Query {
 	return &Query{
 		Entry: &jwcatalogue.Entry{Name: "e", Class: class, Service: "s"},
-		Owner: "o", Caller: 1, Left: 10 * time.Second, Work: time.Second,
-		Room: room(outstanding), Now: start, Random: 0.5,
+		Owner: "o", Caller: 1, TimeLeft: 10 * time.Second, Work: time.Second,
+		Capacity: room(outstanding), Now: start, Random: 0.5,
 	}
 }
 
@@ -40,30 +40,30 @@
 	}{
 		"free slots":                            {jwcatalogue.Draft, 3, nil, ""},
 		"short queue":                           {jwcatalogue.Draft, 20, nil, ""},
-		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Room = jwtarget.Room{} }, NoTarget},
-		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Room = true, jwtarget.Room{} }, ""},
-		"too late":                              {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Left = 1500 * time.Millisecond }, TooLate},
+		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Capacity = jwtarget.Room{} }, NoTarget},
+		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Capacity = true, jwtarget.Room{} }, ""},
+		"too late":                              {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.TimeLeft = 1500 * time.Millisecond }, TooLate},
 		"first token too late":                  {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
-		"queue too long for a draft":            {jwcatalogue.Draft, 32, nil, Crowded},
+		"queue too long for a draft":            {jwcatalogue.Draft, 32, nil, QueueFull},
 		"queue short enough for a lookup":       {jwcatalogue.Lookup, 32, nil, ""},
 		"queue short enough for a confirmation": {jwcatalogue.Confirmation, 64, nil, ""},
 		"foreign with free slots":               {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
-		"foreign without free slots":            {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, Crowded},
+		"foreign without free slots":            {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, QueueFull},
 		"owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
-			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
+			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: room(0), Now: start})
 			for range 10 {
-				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
+				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: room(0), Now: start})
 			}
 		}, OwnerShare},
 		"bound request of an owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
-			l.Admit(&Query{Entry: q.Entry, Owner: "other", Room: room(0), Now: start})
+			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: room(0), Now: start})
 			for range 10 {
-				l.Admit(&Query{Entry: q.Entry, Owner: "o", Room: room(0), Now: start})
+				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: room(0), Now: start})
 			}
 			q.Bound = true
 		}, ""},
-		"node full for drafts":      {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, NodeFull},
-		"node not full for lookups": {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.Running, l.running = 10, 8 }, ""},
+		"node full for drafts":      {jwcatalogue.Draft, 0, func(_ *Query, l *Limiter) { l.MaxRunning, l.running = 10, 8 }, NodeFull},
+		"node not full for lookups": {jwcatalogue.Lookup, 0, func(_ *Query, l *Limiter) { l.MaxRunning, l.running = 10, 8 }, ""},
 		"entry at its concurrent limit": {jwcatalogue.Confirmation, 0, func(q *Query, l *Limiter) {
 			q.Entry.Limits.Concurrent = 1
 			l.Admit(q)
@@ -130,7 +130,7 @@
 	assert.Assert(t, returned > 50, "%d callers retried", returned)
 	assert.Equal(t, refusedAgain, 0)
 	assert.Assert(t, together <= 2, "%d callers retry at the same time", together)
-	_, refusedAgain, _ = simulateRetries(Policy{NoBooking: true})
+	_, refusedAgain, _ = simulateRetries(Policy{NoReservations: true})
 	assert.Assert(t, refusedAgain > 0)
 }
 
@@ -209,7 +209,7 @@
 }
 
 func TestBudget(t *testing.T) {
-	b := &Budget{Share: 0.1, Saved: 5}
+	b := &Budget{Share: 0.1, MaxSaved: 5}
 	retries := 0
 	for range 1000 {
 		b.Try("e")
@@ -292,7 +292,7 @@
 	var retryAfters []time.Duration
 	for range 40 {
 		_, refusal, admitted := l.Admit(query(jwcatalogue.Draft, 32))
-		assert.Assert(t, !admitted && refusal.Reason == Crowded)
+		assert.Assert(t, !admitted && refusal.Reason == QueueFull)
 		retryAfters = append(retryAfters, refusal.RetryAfter)
 	}
 	// Sixteen calls of one second each finish per second. A quarter of them,
@@ -309,5 +309,5 @@
 	q := query(jwcatalogue.Draft, 32)
 	q.Now = at(time.Minute)
 	_, refusal, _ := l.Admit(q)
-	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Room.Wait, "earlier retry times must not count a minute later")
+	assert.Assert(t, refusal.RetryAfter < 2*time.Second+q.Capacity.Wait, "earlier retry times must not count a minute later")
 }
--- a/core/jwlimit/rapid_test.go
+++ b/core/jwlimit/rapid_test.go
@@ -123,8 +123,8 @@
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		b := &Budget{
-			Share: rapid.Float64Range(0.01, 1).Draw(t, "share"),
-			Saved: rapid.Float64Range(1, 20).Draw(t, "saved"),
+			Share:    rapid.Float64Range(0.01, 1).Draw(t, "share"),
+			MaxSaved: rapid.Float64Range(1, 20).Draw(t, "saved"),
 		}
 		tries, retries := 0, 0
 		t.Repeat(map[string]func(*rapid.T){
@@ -135,7 +135,7 @@
 				}
 			},
 			"": func(t *rapid.T) {
-				if allowed := b.Saved + b.Share*float64(tries); float64(retries) > allowed+1e-6 {
+				if allowed := b.MaxSaved + b.Share*float64(tries); float64(retries) > allowed+1e-6 {
 					t.Fatalf("%d retries, %v allowed", retries, allowed)
 				}
 			},
--- a/core/jwplacement/placement.go
+++ b/core/jwplacement/placement.go
@@ -12,29 +12,29 @@
 
 // Option is a reachable region that may serve a request.
 type Option struct {
-	Region   string
-	Known    bool          // it has recently reported how long requests wait
-	Expected time.Duration // until the first event, including the round trip
-	Own      time.Duration // part of Expected that reading the request's own prompt takes
-	Later    time.Duration // cost beside that of the first event, such as slow later events
-	Miss     int           // prompt tokens that are not cached there
+	Region      string
+	Known       bool          // it has recently reported how long requests wait
+	Expected    time.Duration // until the first event, including the round trip
+	OwnReadTime time.Duration // part of Expected that reading the request's own prompt takes
+	LaterCost   time.Duration // cost beside that of the first event, such as slow later events
+	MissTokens  int           // prompt tokens that are not cached there
 }
 
 // Cost returns the cost by which options are compared.
-func (o Option) Cost() time.Duration { return o.Expected + o.Later }
+func (o Option) Cost() time.Duration { return o.Expected + o.LaterCost }
 
 // Reason tells why a region was chosen.
 type Reason string
 
 // The possible reasons.
 const (
-	Nowhere       Reason = "no region has a target"
+	NoTarget      Reason = "no region has a target"
 	Local         Reason = "here"
 	RemoteCheaper Reason = "clearly cheaper"
 	RemoteOnly    Reason = "none here"
 )
 
-// Choice is the region that a request is sent to, and why. Its Reason is Nowhere if there
+// Choice is the region that a request is sent to, and why. Its Reason is NoTarget if there
 // is none.
 type Choice struct {
 	Option
@@ -54,13 +54,13 @@
 // if no target in the node's region can take the request. Of regions in others with the
 // same cost, Choose returns the first.
 func (p Policy) Choose(local *Option, others []Option) Choice {
-	best := Choice{Reason: Nowhere}
+	best := Choice{Reason: NoTarget}
 	if local != nil {
 		best = Choice{*local, Local}
 	}
 	for _, o := range others {
 		switch {
-		case best.Reason == Nowhere:
+		case best.Reason == NoTarget:
 			best = Choice{o, RemoteOnly}
 		case !o.Known || local != nil && p.PreferLocal:
 		case local != nil && local.Cost() <= o.Cost()+RemotePenalty:
@@ -73,10 +73,10 @@
 	return best
 }
 
-// Node selects one of the nodes of a region by a point in [0, 1). It prefers nodes to
+// PickNode selects one of the nodes of a region by a point in [0, 1). It prefers nodes to
 // which a connection is open, because opening one takes as long as the answer of a fast
 // target, which made two of three such requests late.
-func Node(nodes []jwmember.Member, isConnected func(jwmember.Member) bool, point float64) jwmember.Member {
+func PickNode(nodes []jwmember.Member, isConnected func(jwmember.Member) bool, point float64) jwmember.Member {
 	var connected []jwmember.Member
 	for _, m := range nodes {
 		if isConnected(m) {
--- a/core/jwplacement/placement_test.go
+++ b/core/jwplacement/placement_test.go
@@ -21,7 +21,7 @@
 	silent := option("silent", 0)
 	silent.Known = false
 	slow := option("slow", 100*ms)
-	slow.Later = 500 * ms
+	slow.LaterCost = 500 * ms
 	cases := map[string]struct {
 		here   *Option
 		others []Option
@@ -29,7 +29,7 @@
 		want   string
 		reason Reason
 	}{
-		"nobody":                              {nil, nil, Policy{}, "", Nowhere},
+		"nobody":                              {nil, nil, Policy{}, "", NoTarget},
 		"nobody else":                         {&here, nil, Policy{}, "here", Local},
 		"another a little cheaper":            {&here, []Option{option("a", 300*ms)}, Policy{}, "here", Local},
 		"another clearly cheaper":             {&here, []Option{option("a", 250*ms)}, Policy{}, "a", RemoteCheaper},
@@ -54,11 +54,11 @@
 }
 
 // Opening a connection to another region takes an additional round trip.
-func TestNode(t *testing.T) {
+func TestPickNode(t *testing.T) {
 	nodes := []jwmember.Member{{Name: "a"}, {Name: "b"}, {Name: "c"}}
 	none := func(jwmember.Member) bool { return false }
 	b := func(m jwmember.Member) bool { return m.Name == "b" }
-	assert.Equal(t, Node(nodes, none, 0).Name, "a")
-	assert.Equal(t, Node(nodes, none, 0.999).Name, "c")
-	assert.Equal(t, Node(nodes, b, 0.999).Name, "b")
+	assert.Equal(t, PickNode(nodes, none, 0).Name, "a")
+	assert.Equal(t, PickNode(nodes, none, 0.999).Name, "c")
+	assert.Equal(t, PickNode(nodes, b, 0.999).Name, "b")
 }
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -109,9 +109,9 @@
 	n.waiters, n.wakePending, n.nextExchange = nil, false, f.now
 	n.callTimeouts = map[int]time.Time{}
 	n.ledger = &Ledger{
-		Quota:  func(w string) jwworkspace.Quota { return f.quotas[w] },
-		Bounds: func() Bounds { return f.bounds },
-		Lacks:  func() { n.wakePending = true },
+		Quota:      func(w string) jwworkspace.Quota { return f.quotas[w] },
+		Bounds:     func() Bounds { return f.bounds },
+		OnShortage: func() { n.wakePending = true },
 	}
 	f.updateTopology(n)
 }
@@ -330,7 +330,7 @@
 			return false
 		}
 		if !granted {
-			granted = n.ledger.Leave(f.now, x.w).Outcome == Taken
+			granted = n.ledger.CancelWait(f.now, x.w).Outcome == Taken
 		}
 		if granted {
 			f.spent = append(f.spent, spending{f.now, x.w.workspace, x.w.cost})
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -23,9 +23,9 @@
 // Ledger holds a node's units of all quotas. Set its fields before use. Its mutex is
 // held while Quota is called; no other lock is acquired while it is held.
 type Ledger struct {
-	Quota  func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
-	Bounds func() Bounds
-	Lacks  func() // called when a request here or at a child waits for units, so that they are claimed at once; may be nil
+	Quota      func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
+	Bounds     func() Bounds
+	OnShortage func() // called when a request here or at a child waits for units, so that they are claimed at once; may be nil
 
 	mu           sync.Mutex
 	topology     Topology
@@ -115,9 +115,9 @@
 	return d
 }
 
-// Leave ends the wait of a request. The outcome is Taken if the request has received its
+// CancelWait ends the wait of a request. The outcome is Taken if the request has received its
 // units by now, and otherwise Refused with a Retry-After.
-func (l *Ledger) Leave(now time.Time, w *Waiter) Decision {
+func (l *Ledger) CancelWait(now time.Time, w *Waiter) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.granted {
@@ -129,8 +129,8 @@
 	return Decision{Outcome: Refused, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
 }
 
-// Return gives back the units of a request that no target has run or will run.
-func (l *Ledger) Return(now time.Time, workspace string, cost float64) {
+// Refund gives back the units of a request that no target has run or will run.
+func (l *Ledger) Refund(now time.Time, workspace string, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, q := l.account(now, workspace)
@@ -194,8 +194,8 @@
 }
 
 func (l *Ledger) notifyShortage() {
-	if l.Lacks != nil {
-		l.Lacks()
+	if l.OnShortage != nil {
+		l.OnShortage()
 	}
 }
 
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -73,7 +73,7 @@
 	lowest := r.cost(q, r.Region, here.Wait)
 	if here.Region != "" {
 		best.Reason = CheaperHere
-		lowest -= q.Entry.Weights.Tail * r.Policy.margin().Seconds()
+		lowest -= q.Entry.Weights.Wait * r.Policy.margin().Seconds()
 	}
 	var buf [typicalRegions]Load
 	loads := r.Regions.loads(q.Entry.Service, q.Now, buf[:0])
@@ -124,10 +124,10 @@
 // its weight from the entry.
 func (r *Router) cost(q *Query, region string, wait time.Duration) float64 {
 	w := q.Entry.Weights
-	cost := w.Tail * wait.Seconds()
+	cost := w.Wait * wait.Seconds()
 	if region != r.Region {
 		link := r.Regions.link(region)
-		cost += w.Tail*2*link.Delay.Seconds() + w.Cost*link.Price
+		cost += w.Wait*2*link.Delay.Seconds() + w.Cost*link.Price
 	}
 	if region != q.Home {
 		cost += w.SentAway
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -34,7 +34,7 @@
 			Regions: rapid.SliceOf(rapid.SampledFrom([]string{"a", "b", "c", "*"})).Draw(t, "allowed"),
 			Weights: jwcatalogue.Weights{
 				Cost:     rapid.Float64Range(0, 10).Draw(t, "cost"),
-				Tail:     rapid.Float64Range(0, 10).Draw(t, "tail"),
+				Wait:     rapid.Float64Range(0, 10).Draw(t, "tail"),
 				SentAway: rapid.Float64Range(0, 10).Draw(t, "sentAway"),
 			},
 		}
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -45,7 +45,7 @@
 func draftEntry() *jwcatalogue.Entry {
 	return &jwcatalogue.Entry{
 		Name: "draft", Class: jwcatalogue.Draft, Service: "s", Idempotent: true, Regions: []string{"*"},
-		Weights: jwcatalogue.Weights{Cost: 0.1, Tail: 1, SentAway: 0.1},
+		Weights: jwcatalogue.Weights{Cost: 0.1, Wait: 1, SentAway: 0.1},
 	}
 }
 
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -91,7 +91,7 @@
 	}
 	away := p.Region != n.region
 	token, refusal, ok := n.limiter.Admit(n.admission(q, false, away))
-	if !ok && !away && refusal.Reason.Room() && !n.sim.policy.noSecondPlacement {
+	if !ok && !away && refusal.Reason.LacksCapacity() && !n.sim.policy.noSecondPlacement {
 		rq.Full = true
 		if p = n.router.Place(rq); p.Region != "" {
 			away = true
@@ -220,8 +220,8 @@
 func (n *node) admission(q *request, foreign, away bool) *jwlimit.Query {
 	return &jwlimit.Query{
 		Entry: q.entry, Owner: q.owner, Caller: q.id, Foreign: foreign, Bound: q.bound, Away: away,
-		Left: q.deadline.Sub(n.sim.now), Work: kindOf(q.entry.Name).work(),
-		Room: n.targets.Room(q.entry.Service, n.sim.now), Now: n.sim.now, Random: n.sim.rnd.Float64(),
+		TimeLeft: q.deadline.Sub(n.sim.now), Work: kindOf(q.entry.Name).work(),
+		Capacity: n.targets.Room(q.entry.Service, n.sim.now), Now: n.sim.now, Random: n.sim.rnd.Float64(),
 	}
 }
 
--- a/io/jwbench/world.go
+++ b/io/jwbench/world.go
@@ -41,14 +41,14 @@
 			Regions:   equalRegions("amman-a", "irbid-a", "aqaba-a"),
 			LinkDelay: 40 * time.Millisecond,
 			LinkPrice: 0.5,
-			Weights:   jwcatalogue.Weights{Cost: 1, Tail: 0.5, SentAway: 1},
+			Weights:   jwcatalogue.Weights{Cost: 1, Wait: 0.5, SentAway: 1},
 		},
 		{
 			Name:      "cladagh",
 			Regions:   equalRegions("eu-west-a", "eu-central-a", "uk-south-a"),
 			LinkDelay: 25 * time.Millisecond,
 			LinkPrice: 0.2,
-			Weights:   jwcatalogue.Weights{Cost: 0.2, Tail: 1, SentAway: 0.1},
+			Weights:   jwcatalogue.Weights{Cost: 0.2, Wait: 1, SentAway: 0.1},
 		},
 	}
 }
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -89,7 +89,7 @@
 	trail.Add(jwaudit.Record{Kind: jwaudit.Applied, Subject: "menu", Revision: 1, Detail: "came from the store"})
 	o := &jwoperate.Operators{
 		Token: token, Table: table, Acceptance: f, Members: f, Explainer: tracer, Audit: trail,
-		Editor:  &jwcatalogue.Editor{Store: &f.store, Table: table, Retry: time.Millisecond},
+		Editor:  &jwcatalogue.Editor{Store: &f.store, Table: table, RetryDelay: time.Millisecond},
 		Peers:   &jwpeer.Table{},
 		Targets: &jwtarget.Table{},
 		Metrics: (&jwmeter.Meter{}).Handler(),
--- a/io/jwconsul/hostlist.go
+++ b/io/jwconsul/hostlist.go
@@ -136,7 +136,7 @@
 }
 
 func isNodeOrTarget(role jwhost.Role) bool {
-	return role == jwhost.Entry || role == jwhost.Target
+	return role == jwhost.Node || role == jwhost.Target
 }
 
 func decodeHost(target string, labels hostLabels) (jwhost.Host, error) {
@@ -159,6 +159,6 @@
 	if labels.Nodes == "" {
 		return host, nil
 	}
-	host.Nodes, err = netip.ParseAddrPort(labels.Nodes)
+	host.NodeAddress, err = netip.ParseAddrPort(labels.Nodes)
 	return host, err
 }
--- a/io/jwconsul/hostlist_test.go
+++ b/io/jwconsul/hostlist_test.go
@@ -21,8 +21,8 @@
 				{"targets":["127.0.0.1:90"],"labels":{"role":"target","region":"r1","dataCentre":"d1","service":"s1","state":"leaving","__meta_x":"y"}}]`,
 			want: []jwhost.Host{
 				{
-					Name: "n1", Role: jwhost.Entry, Region: "r1", DataCentre: "d1",
-					Address: netip.MustParseAddrPort("127.0.0.1:80"), Nodes: netip.MustParseAddrPort("127.0.0.1:81"),
+					Name: "n1", Role: jwhost.Node, Region: "r1", DataCentre: "d1",
+					Address: netip.MustParseAddrPort("127.0.0.1:80"), NodeAddress: netip.MustParseAddrPort("127.0.0.1:81"),
 				},
 				{
 					Role: jwhost.Target, Region: "r1", DataCentre: "d1", Service: "s1",
@@ -36,7 +36,7 @@
 		"a role that is neither node nor target": {body: `[{"targets":["printer"],"labels":{"role":"x"}}]`},
 		"unknown state": {
 			body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry","region":"r1","state":"x"}}]`,
-			want: []jwhost.Host{{Role: jwhost.Entry, Region: "r1", Address: netip.MustParseAddrPort("127.0.0.1:80"), Leaving: true}},
+			want: []jwhost.Host{{Role: jwhost.Node, Region: "r1", Address: netip.MustParseAddrPort("127.0.0.1:80"), Leaving: true}},
 		},
 		"nodes address without port": {body: `[{"targets":["127.0.0.1:80"],"labels":{"role":"entry","region":"r1","nodes":"127.0.0.1"}}]`, err: "decode group 0"},
 	}
--- a/io/jwdemo/catalogue.go
+++ b/io/jwdemo/catalogue.go
@@ -16,7 +16,7 @@
 
 // entries returns the entries that are in force from the start of the demo.
 func entries() []jwcatalogue.Entry {
-	weights := jwcatalogue.Weights{Cost: 1, Tail: 0.3, SentAway: 1}
+	weights := jwcatalogue.Weights{Cost: 1, Wait: 0.3, SentAway: 1}
 	return []jwcatalogue.Entry{
 		{
 			Name: draft, Owner: "kitchen", Class: jwcatalogue.Draft, Service: modelService, Path: "/v1/completions",
--- a/io/jwfleet/deployment.go
+++ b/io/jwfleet/deployment.go
@@ -31,7 +31,7 @@
 		Delay:         30 * time.Millisecond,
 		LinkCostPerGB: 0.03,
 		SentAwayCost:  0.5,
-		Weights:       jwcatalogue.Weights{Cost: 1, Tail: 0.5, SentAway: 1},
+		Weights:       jwcatalogue.Weights{Cost: 1, Wait: 0.5, SentAway: 1},
 		Mix:           jwload.Mixes["zaitoun"],
 	},
 	"cladagh": {
@@ -42,7 +42,7 @@
 		Delay:         25 * time.Millisecond,
 		LinkCostPerGB: 0.02,
 		SentAwayCost:  0.2,
-		Weights:       jwcatalogue.Weights{Cost: 0.2, Tail: 1, SentAway: 0.1},
+		Weights:       jwcatalogue.Weights{Cost: 0.2, Wait: 1, SentAway: 0.1},
 		Mix:           jwload.Mixes["cladagh"],
 	},
 }
--- a/io/jwfleet/trial_test.go
+++ b/io/jwfleet/trial_test.go
@@ -35,6 +35,6 @@
 	assert.Equal(t, audit.FalseServed, 0)
 	assert.Equal(t, audit.OutsideRegion, 0)
 
-	saved := float64(jwlimit.DefaultRetrySaved * result.Nodes * entries)
+	saved := float64(jwlimit.DefaultMaxSavedRetries * result.Nodes * entries)
 	assert.Assert(t, result.Retries <= jwlimit.DefaultRetryShare*result.Tries+saved)
 }
--- a/io/jwforward/handover.go
+++ b/io/jwforward/handover.go
@@ -61,7 +61,7 @@
 	if err != nil {
 		return jwclaim.Receipt{}, errors.Wrapf(err, "handover: %s", s.Peer.Name)
 	}
-	return jwclaim.Receipt{Kept: result.GetKept(), Incarnation: result.GetIncarnation()}, nil
+	return jwclaim.Receipt{Records: result.GetKept(), Incarnation: result.GetIncarnation()}, nil
 }
 
 func (s Successor) notAdopted(err error) error {
@@ -77,7 +77,7 @@
 	if err != nil {
 		return err
 	}
-	return stream.SendAndClose(&jwwire.HandoverResult{Kept: receipt.Kept, Incarnation: receipt.Incarnation})
+	return stream.SendAndClose(&jwwire.HandoverResult{Kept: receipt.Records, Incarnation: receipt.Incarnation})
 }
 
 func receivedRecords(stream grpc.ClientStreamingServer[jwwire.HandoverRecord, jwwire.HandoverResult]) iter.Seq2[jwclaim.Record, error] {
--- a/io/jwforward/hosts.go
+++ b/io/jwforward/hosts.go
@@ -48,8 +48,8 @@
 	if out.Address, err = netip.ParseAddrPort(h.GetAddress()); err != nil {
 		return out, false
 	}
-	if out.Role == jwhost.Entry {
-		out.Nodes, err = netip.ParseAddrPort(h.GetNodeAddress())
+	if out.Role == jwhost.Node {
+		out.NodeAddress, err = netip.ParseAddrPort(h.GetNodeAddress())
 	}
 	return out, err == nil
 }
@@ -65,7 +65,7 @@
 		}
 		out.Hosts = append(out.Hosts, &jwwire.Host{
 			Name: h.Name, Role: string(h.Role), Region: h.Region, DataCentre: h.DataCentre, Service: h.Service,
-			Address: h.Address.String(), NodeAddress: h.Nodes.String(), Leaving: h.Leaving,
+			Address: h.Address.String(), NodeAddress: h.NodeAddress.String(), Leaving: h.Leaving,
 		})
 	}
 	return out, nil
--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -84,13 +84,13 @@
 	case <-t.C:
 	case <-d.Waiter.Ready():
 	}
-	return g.quotas.Leave(time.Now(), d.Waiter)
+	return g.quotas.CancelWait(time.Now(), d.Waiter)
 }
 
 // refund returns the units of a request that no target has run or will run.
 func (g *Gateway) refund(q *request) {
 	if q.units > 0 {
-		g.quotas.Return(time.Now(), q.workspace, q.units)
+		g.quotas.Refund(time.Now(), q.workspace, q.units)
 		q.units = 0
 	}
 }
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -36,7 +36,7 @@
 	if q.forwarded || q.homes.Allows(g.Settings.Region) {
 		if c, ok := g.targets.Peek(now, n); ok {
 			here = &jwplacement.Option{
-				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.OwnReadTime, Later: c.Cost - c.Expected, Miss: c.MissTokens,
+				Region: g.Settings.Region, Known: true, Expected: c.Expected, OwnReadTime: c.OwnReadTime, LaterCost: c.Cost - c.Expected, MissTokens: c.MissTokens,
 			}
 		}
 	}
@@ -58,13 +58,13 @@
 	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.roundTrip(region) + w.wait}
 	if n.Prompt.Tokens > 0 {
 		miss, targets := g.targets.MissIn(now, region, n)
-		o.Miss = miss
+		o.MissTokens = miss
 		// The other nodes of this region see the same state and send prompts there too.
 		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
-		o.Own = g.targets.ReadTime(n.Service, 0, miss)
+		o.OwnReadTime = g.targets.ReadTime(n.Service, 0, miss)
 		o.Expected += g.targets.ReadTime(n.Service, unreported/max(targets, 1), miss)
 	}
-	o.Later = time.Duration(jwinstance.LaterEventWeight * float64(n.Events) * float64(w.eventGap))
+	o.LaterCost = time.Duration(jwinstance.LaterEventWeight * float64(n.Events) * float64(w.eventGap))
 	return o
 }
 
@@ -94,7 +94,7 @@
 // chooseNode returns the node of another region to forward a request to. It prefers nodes with an
 // open connection. fraction, in [0, 1), spreads the requests over the nodes.
 func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
-	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
+	return jwplacement.PickNode(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
 }
 
 // anyUntried reports whether the request has not been sent to at least one of the nodes.
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -160,7 +160,7 @@
 		b := g.bounds.Load()
 		return jwquota.Bounds{Window: b.QuotaWindow, Ratio: b.QuotaRatio, Slack: b.QuotaSlack}
 	}
-	g.quotas.Lacks = g.quotaExchange.Kick
+	g.quotas.OnShortage = g.quotaExchange.Wake
 	g.quotaExchange.Ledger, g.quotaExchange.Members, g.quotaExchange.Limited = &g.quotas, &g.members, g.hasQuotas
 	g.quotaExchange.Window = func() time.Duration { return g.bounds.Load().QuotaWindow }
 	g.quotaExchange.Call, g.quotaExchange.Log = g.nodeCall, g.Log
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -61,7 +61,7 @@
 	for range 20 {
 		c := g.Placement.Choose(nil, []jwplacement.Option{g.regionOption(now, "p", n), g.regionOption(now, "q", n)})
 		sent[c.Region]++
-		g.regions.recordSend(now, c.Region, "s", c.Miss)
+		g.regions.recordSend(now, c.Region, "s", c.MissTokens)
 	}
 	assert.DeepEqual(t, sent, map[string]int{"q": 10, "p": 10})
 }
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -112,23 +112,23 @@
 		return q.reject(quarantined, quarantineRetryAfter)
 	}
 	p := g.chooseRegion(now, q)
-	if p.Reason == jwplacement.Nowhere && len(q.tried) > 0 && q.entry.Repeatable() {
+	if p.Reason == jwplacement.NoTarget && len(q.tried) > 0 && q.entry.Repeatable() {
 		// All remaining targets were tried; one of them may answer on a new connection.
 		clear(q.tried)
 		p = g.chooseRegion(now, q)
 	}
-	if p.Reason == jwplacement.Nowhere {
+	if p.Reason == jwplacement.NoTarget {
 		return g.rejectWithoutTarget(now, q)
 	}
 	d := g.Admission.Decide(jwadmission.Request{
-		Goal: q.entry.Goal, Left: q.deadline.Sub(now), Expected: p.Expected, Own: p.Own,
-		Engine: q.Prompt.Tokens > 0, Begun: q.forwarded || q.answerStarted || q.sends > 0,
+		Goal: q.entry.Goal, TimeLeft: q.deadline.Sub(now), Expected: p.Expected, OwnReadTime: p.OwnReadTime,
+		HasPrompt: q.Prompt.Tokens > 0, AlreadyAccepted: q.forwarded || q.answerStarted || q.sends > 0,
 	})
-	if !d.Taken() {
+	if !d.Accepted() {
 		return q.reject(string(d.Reason), d.RetryAfter)
 	}
 	if p.Region != g.Settings.Region {
-		return g.sendNode(ctx, q, p.Region, p.Miss)
+		return g.sendNode(ctx, q, p.Region, p.MissTokens)
 	}
 	need := g.targetNeed(q)
 	g.excludeSuspectTargets(now, q, &need)
--- a/io/jwnode/assemble.go
+++ b/io/jwnode/assemble.go
@@ -70,7 +70,7 @@
 	n.keeper = &jwclaim.Keeper{
 		Store: n.store, Node: s.Node, Region: s.Region, Incarnation: incarnation,
 		Salt: []byte(s.Claims.Salt), Peers: servingPeers{&n.board.Peers},
-		Memory: s.Claims.KeyMemory, GroupWindow: s.Claims.GroupWindow,
+		KeyMemory: s.Claims.KeyMemory, GroupWindow: s.Claims.GroupWindow,
 	}
 	n.drain.Keys = n.keeper
 	n.drain.Successors = n.successors
@@ -88,7 +88,7 @@
 	n.dispatcher = &jwdispatch.Dispatcher{
 		Self: n.self, Board: &n.board, Router: router, Targets: n.targets, Peers: n.pool, Claims: n.keeper,
 		Crashed:  n.reportCrash,
-		Departed: func(p jwpeer.Peer) bool { return n.departures.Gone(memberOf(p)) },
+		Departed: func(p jwpeer.Peer) bool { return n.hostRemovals.Gone(memberOf(p)) },
 		Now:      time.Now, Counter: &counter{meter: n.Meter, settings: s}, Tracer: n.tracer,
 	}
 }
@@ -99,21 +99,21 @@
 	s := n.Settings
 	n.editor = &jwcatalogue.Editor{Store: n.store, Table: &n.board.Catalogue}
 	n.follower = &jwcatalogue.Follower{
-		Store: n.store, Table: &n.board.Catalogue, Watcher: n.watchesStore,
+		Store: n.store, Table: &n.board.Catalogue, WatchesStore: n.watchesStore,
 		Source: &changeSource{peers: &n.board.Peers, pool: n.pool, self: s.Node},
 	}
-	n.departures = &jwcatalogue.Departures{Hosts: &n.board.Hosts, Lag: s.Periods.HostsLag}
-	n.adoptions = &jwcatalogue.Adoptions{
-		Table: &n.board.Catalogue, Peers: &n.board.Peers, Departures: n.departures, Serving: n.ready,
+	n.hostRemovals = &jwcatalogue.HostRemovals{Hosts: &n.board.Hosts, Lag: s.Periods.HostsLag}
+	n.sponsoredNodes = &jwcatalogue.SponsoredNodes{
+		Table: &n.board.Catalogue, Peers: &n.board.Peers, HostRemovals: n.hostRemovals, Serving: n.ready,
 	}
 	n.membership = &jwcatalogue.Membership{
 		Member: jwcatalogue.Member{Name: s.Node, Region: s.Region, Incarnation: incarnation},
 		Store:  n.store, Follower: n.follower,
-		Sponsors: &sponsorClient{peers: &n.board.Peers, pool: n.pool}, Adoptions: n.adoptions,
+		Sponsors: &sponsorClient{peers: &n.board.Peers, pool: n.pool}, SponsoredNodes: n.sponsoredNodes,
 	}
 	n.gatherer = &jwcatalogue.Gatherer{
 		Name: s.Node, Region: s.Region, Store: n.store, Table: &n.board.Catalogue, Peers: freshPeers{&n.board.Peers},
-		Departures: n.departures, Registered: n.membership.Registered,
+		HostRemovals: n.hostRemovals, Registered: n.membership.Registered,
 	}
 	n.acceptance = &jwcatalogue.Acceptance{Store: n.store}
 }
@@ -137,7 +137,7 @@
 		Credentials: n.nodeCredentials(),
 		Dispatcher:  n.dispatcher, Gate: &n.drain, Ready: n.ready, Exchanger: n.exchange,
 		Adopter:   &auditedAdopter{keeper: n.keeper, audit: n.Audit},
-		Sponsor:   &sponsorServer{adoptions: n.adoptions, region: n.Settings.Region},
+		Sponsor:   &sponsorServer{sponsoredNodes: n.sponsoredNodes, region: n.Settings.Region},
 		Catalogue: &changeRecords{&n.board.Catalogue}, Workspaces: &n.board.Directory, HostList: &n.board.Hosts,
 		MaxBody: n.Settings.Limits.MaxBody,
 	}
--- a/io/jwnode/audit.go
+++ b/io/jwnode/audit.go
@@ -72,7 +72,7 @@
 	})
 	if err == nil {
 		a.audit.Add(jwaudit.Record{
-			Kind: jwaudit.Handover, Subject: from, To: "takenOver", Detail: fmt.Sprintf("%d records", receipt.Kept),
+			Kind: jwaudit.Handover, Subject: from, To: "takenOver", Detail: fmt.Sprintf("%d records", receipt.Records),
 		})
 	}
 	return receipt, err
--- a/io/jwnode/hosts.go
+++ b/io/jwnode/hosts.go
@@ -19,7 +19,7 @@
 			if h.Region == n.Settings.Region {
 				targets = append(targets, targetOf(h))
 			}
-		case jwhost.Entry:
+		case jwhost.Node:
 			if h.Name != n.Settings.Node && !h.Leaving {
 				peers = append(peers, peerOf(h))
 			}
@@ -69,6 +69,6 @@
 func peerOf(h jwhost.Host) jwpeer.Peer {
 	return jwpeer.Peer{
 		Name: h.Name, Region: h.Region, DataCentre: h.DataCentre,
-		Callers: h.Address, Nodes: h.Nodes, State: jwpeer.Joining,
+		Callers: h.Address, Nodes: h.NodeAddress, State: jwpeer.Joining,
 	}
 }
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -73,8 +73,8 @@
 // sponsorServer confirms catalogue revisions on behalf of other nodes that can't reach
 // the platform.
 type sponsorServer struct {
-	adoptions *jwcatalogue.Adoptions
-	region    string
+	sponsoredNodes *jwcatalogue.SponsoredNodes
+	region         string
 }
 
 // AdoptRecords starts confirming revisions for another node of the region and
@@ -84,7 +84,7 @@
 	if region != s.region {
 		return nil, nil, errors.Errorf("confirm revisions for node %q: this node is not in region %q", node, region)
 	}
-	changes, cp, err := s.adoptions.Adopt(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation}, after)
+	changes, cp, err := s.sponsoredNodes.Adopt(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation}, after)
 	if err != nil {
 		return nil, nil, errors.Wrapf(err, "confirm revisions for node %q", node)
 	}
@@ -94,7 +94,7 @@
 // ReleaseNode stops confirming revisions for a node that AdoptRecords was called
 // for.
 func (s *sponsorServer) ReleaseNode(node, region, incarnation string) {
-	s.adoptions.Release(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation})
+	s.sponsoredNodes.Release(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation})
 }
 
 func memberOf(p jwpeer.Peer) jwcatalogue.Member {
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -55,30 +55,30 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 
-	board         jwboard.Board
-	self          jwrequest.Hop
-	store         *jwconsul.KeyValue
-	pool          *jwforward.Pool
-	targets       *jwtargetclient.Client
-	keeper        *jwclaim.Keeper
-	drain         jwdrain.Drain
-	follower      *jwcatalogue.Follower
-	editor        *jwcatalogue.Editor
-	departures    *jwcatalogue.Departures
-	adoptions     *jwcatalogue.Adoptions
-	membership    *jwcatalogue.Membership
-	gatherer      *jwcatalogue.Gatherer
-	acceptance    *jwcatalogue.Acceptance
-	exchange      *jwpeer.Exchange
-	dispatcher    *jwdispatch.Dispatcher
-	callers       *jwrest.Server
-	nodeListener  net.Listener
-	grpcServer    *grpc.Server
-	operators     *jwrest.Server
-	tracer        *jwexplain.Tracer
-	keys          keys
-	serving       atomic.Bool
-	pauseDetector jwclock.PauseDetector
+	board          jwboard.Board
+	self           jwrequest.Hop
+	store          *jwconsul.KeyValue
+	pool           *jwforward.Pool
+	targets        *jwtargetclient.Client
+	keeper         *jwclaim.Keeper
+	drain          jwdrain.Drain
+	follower       *jwcatalogue.Follower
+	editor         *jwcatalogue.Editor
+	hostRemovals   *jwcatalogue.HostRemovals
+	sponsoredNodes *jwcatalogue.SponsoredNodes
+	membership     *jwcatalogue.Membership
+	gatherer       *jwcatalogue.Gatherer
+	acceptance     *jwcatalogue.Acceptance
+	exchange       *jwpeer.Exchange
+	dispatcher     *jwdispatch.Dispatcher
+	callers        *jwrest.Server
+	nodeListener   net.Listener
+	grpcServer     *grpc.Server
+	operators      *jwrest.Server
+	tracer         *jwexplain.Tracer
+	keys           keys
+	serving        atomic.Bool
+	pauseDetector  jwclock.PauseDetector
 }
 
 // Run serves until ctx ends, then stops gracefully: the node accepts no new
@@ -215,11 +215,11 @@
 func (n *Node) reportRevision(ctx context.Context) error {
 	for {
 		changed := n.board.Catalogue.Changed()
-		revision := n.adoptions.Confirmed()
+		revision := n.sponsoredNodes.Confirmed()
 		if n.board.Peers.Self().Revision != revision {
 			n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
 				p.Revision = revision
-				p.Base = n.board.Catalogue.Base()
+				p.Base = n.board.Catalogue.OldestChange()
 			})
 		}
 		select {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -184,7 +184,7 @@
 func (s *refusalSystem) keyOf(n *runningNode, name string) string {
 	for i := range 1000 {
 		key := fmt.Sprintf("%s-%d", name, i)
-		if n.keeper.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
+		if n.keeper.Preferred(jwclaim.KeyedCall{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
 			return key
 		}
 	}
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -209,5 +209,5 @@
 	retries := program.calls.Load() - reached.Load()
 	t.Logf("%d calls to targets for %d requests: %d retries", program.calls.Load(), reached.Load(), retries)
 	assert.Assert(t, reached.Load() >= callers/4, "only %d reached a target", reached.Load())
-	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultRetrySaved, "%d retries", retries)
+	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultMaxSavedRetries, "%d retries", retries)
 }
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -201,7 +201,7 @@
 	return jwcatalogue.Entry{
 		Name: "draft", Owner: "o", Class: jwcatalogue.Draft, Service: "writer", Path: "/v1/completions",
 		Idempotent: true, Deadline: 20 * time.Second, Progress: 5 * time.Second, Regions: []string{"*"},
-		Weights: jwcatalogue.Weights{Cost: 1, Tail: 1, SentAway: 1}, MaxBodySize: 1 << 20,
+		Weights: jwcatalogue.Weights{Cost: 1, Wait: 1, SentAway: 1}, MaxBodySize: 1 << 20,
 	}
 }
 
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -51,10 +51,10 @@
 	if o.Drain != nil {
 		c := o.Drain.Counts()
 		values[series{name: "requests_in_flight"}] = float64(c.InFlight)
-		o.addIncrease("drain_total", "turned", uint64(c.Turned))
+		o.addIncrease("drain_total", "turned", uint64(c.Rejected))
 		o.addIncrease("drain_total", "cut", uint64(c.Cut))
-		o.addIncrease("drain_total", "lost", uint64(c.Lost))
-		o.addIncrease("drain_total", "successorFailed", uint64(c.Failed))
+		o.addIncrease("drain_total", "lost", uint64(c.Unknown))
+		o.addIncrease("drain_total", "successorFailed", uint64(c.FailedHandovers))
 	}
 	if o.Claims != nil {
 		c := o.Claims.Counts()
@@ -63,7 +63,7 @@
 		o.addIncrease("claims_total", "ticketRun", c.Tickets)
 		o.addIncrease("claims_total", "released", c.Releases)
 		o.addIncrease("claims_total", "unknown", c.Unknowns)
-		o.addIncrease("claims_total", "unread", c.Unreads)
+		o.addIncrease("claims_total", "unread", c.UnreadableClaims)
 		o.addIncrease("claims_total", "evicted", c.Evicted)
 		o.addIncrease("claims_total", "lostSwap", c.LostSwaps)
 		o.addIncrease("claims_total", "storeFailure", c.StoreFailures)
--- a/io/jwoperate/catalogue.go
+++ b/io/jwoperate/catalogue.go
@@ -136,7 +136,7 @@
 			w.Header().Set("ETag", etag(conflict.Revision))
 		}
 		writeError(w, http.StatusPreconditionFailed, ErrorBody{
-			Error: err.Error(), Revision: conflict.Revision, Winner: conflict.Winner,
+			Error: err.Error(), Revision: conflict.Revision, Winner: conflict.ConflictingChange,
 		})
 	case errors.Is(err, jwstore.ErrUnavailable):
 		w.Header().Set("Retry-After", retryAfter)
@@ -196,7 +196,7 @@
 	if !ok {
 		return
 	}
-	list := History{Revision: o.Table.Current().Revision, Oldest: o.Table.Base(), Changes: []jwcatalogue.Change{}}
+	list := History{Revision: o.Table.Current().Revision, Oldest: o.Table.OldestChange(), Changes: []jwcatalogue.Change{}}
 	if list.Oldest > 0 {
 		after = max(after, list.Oldest-1)
 	}
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -25,7 +25,7 @@
 // Table is the catalogue in force at this node.
 type Table interface {
 	Current() *jwcatalogue.Snapshot
-	Base() uint64
+	OldestChange() uint64
 	Changes(after uint64, limit int) ([]jwcatalogue.Change, *jwcatalogue.Checkpoint)
 }
 
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -59,7 +59,7 @@
 	n.Operators = &Operators{
 		Token:      token,
 		Table:      table,
-		Editor:     &jwcatalogue.Editor{Store: store, Table: table, Retry: time.Millisecond},
+		Editor:     &jwcatalogue.Editor{Store: store, Table: table, RetryDelay: time.Millisecond},
 		Acceptance: n.acceptance,
 		Members:    n.acceptance,
 		Explainer:  &jwexplain.Tracer{Region: "irbid-a"},
--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -72,8 +72,8 @@
 	Grants []jwquota.Grant `json:"grants,omitempty"`
 }
 
-// Kick makes Run check at once whether claims are due.
-func (x *Exchange) Kick() {
+// Wake makes Run check at once whether claims are due.
+func (x *Exchange) Wake() {
 	select {
 	case x.wakeChannel() <- struct{}{}:
 	default:
