--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -72,7 +72,7 @@
 		Records:         platform.Records{Regions: options.DataCentres},
 		Dialect:         platform.Headers{},
 		Targets:         &jwconn.Pool{DialTimeout: targetDialTimeout},
-		Nodes:           &jwconn.Pool{Idle: nodeIdleTimeout},
+		Nodes:           &jwconn.Pool{IdleTimeout: nodeIdleTimeout},
 		Log:             log,
 		Meter:           meter,
 		DroppedLogLines: queue.Lost,
--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -16,17 +16,17 @@
 // Reporter builds the news that this node sends to its partners from the board, and
 // writes the news that it receives to the board.
 type Reporter struct {
-	Board *Board
-	Moves Moves // may be nil
-	Now   func() time.Time
-	Nudge func() // called when received news must be sent on at once; may be nil
+	Board   *Board
+	Moves   HolderMoves // may be nil
+	Now     func() time.Time
+	Trigger func() // called when received news must be sent on at once; may be nil
 
 	mu   sync.Mutex
 	sent map[string]*sent // by name of the partner
 }
 
-// Moves knows which process answers for the tickets of a stopped process.
-type Moves interface {
+// HolderMoves knows which process answers for the tickets of a stopped process.
+type HolderMoves interface {
 	Moves() []jwclaim.HolderMove
 	AddMove(jwclaim.HolderMove)
 }
@@ -55,7 +55,7 @@
 			n.Leaving = append(n.Leaving, jwpeer.LeavingTarget{Target: d.Address, Age: now.Sub(d.Since)})
 		}
 	}
-	n.Moves = r.moves(record, now)
+	n.HolderMoves = r.moves(record, now)
 	if due {
 		n.Usages = r.usages(self.Name, now)
 		n.Loads = r.otherRegionLoads(self.Region, now)
@@ -98,10 +98,10 @@
 func (r *Reporter) ownLoads(region string, now time.Time) []jwpeer.RegionLoad {
 	var out []jwpeer.RegionLoad
 	for _, service := range r.services() {
-		room := r.Board.Targets.Room(service, now)
+		capacity := r.Board.Targets.Capacity(service, now)
 		out = append(out, jwpeer.RegionLoad{
-			Region: region, Service: service, Wait: room.Wait, Work: room.Work,
-			Free: room.Free(), Slots: room.Slots, Targets: room.Targets,
+			Region: region, Service: service, Wait: capacity.Wait, CallTime: capacity.CallTime,
+			Free: capacity.Free(), Slots: capacity.Slots, Targets: capacity.Targets,
 		})
 	}
 	return out
@@ -123,7 +123,7 @@
 		})
 		for _, l := range loads[:min(len(loads), maxReportedRegions)] {
 			out = append(out, jwpeer.RegionLoad{
-				Region: l.Region, Service: l.Service, Wait: l.Wait, Work: l.Work,
+				Region: l.Region, Service: l.Service, Wait: l.Wait, CallTime: l.CallTime,
 				Free: l.Free, Slots: l.Slots, Targets: l.Targets, Age: now.Sub(l.Taken),
 			})
 		}
@@ -152,23 +152,23 @@
 
 // moves returns the moves that a partner has not been sent. They are reported only
 // within the region, where the tickets run.
-func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.Move {
+func (r *Reporter) moves(record *sent, now time.Time) []jwpeer.HolderMove {
 	if r.Moves == nil {
 		return nil
 	}
-	var out []jwpeer.Move
+	var out []jwpeer.HolderMove
 	for _, m := range r.Moves.Moves() {
 		if !record.markSent("move "+m.Incarnation+m.To.Incarnation, now) {
 			continue
 		}
-		out = append(out, jwpeer.Move{
+		out = append(out, jwpeer.HolderMove{
 			Incarnation: m.Incarnation, ToNode: m.To.Node, ToRegion: m.To.Region, ToIncarnation: m.To.Incarnation,
 		})
 	}
 	return out
 }
 
-func (r *Reporter) mergeMoves(moves []jwpeer.Move) {
+func (r *Reporter) mergeMoves(moves []jwpeer.HolderMove) {
 	if r.Moves == nil {
 		return
 	}
@@ -185,14 +185,14 @@
 	if from.Region == self.Region {
 		r.mergeLeaving(n.Leaving, now)
 		r.mergeUsages(n.Usages, now)
-		r.mergeMoves(n.Moves)
+		r.mergeMoves(n.HolderMoves)
 	}
 	for _, l := range n.Loads {
 		if l.Region == self.Region {
 			continue
 		}
 		r.Board.Regions.Merge(jwrouter.Load{
-			Region: l.Region, Service: l.Service, Wait: l.Wait, Work: l.Work,
+			Region: l.Region, Service: l.Service, Wait: l.Wait, CallTime: l.CallTime,
 			Free: l.Free, Slots: l.Slots, Targets: l.Targets, Taken: now.Add(-l.Age),
 		})
 	}
@@ -206,8 +206,8 @@
 	for _, l := range leaving {
 		r.Board.Targets.MarkLeaving(l.Target, now.Add(-l.Age), now)
 	}
-	if len(r.Board.Targets.Leaving()) > before && r.Nudge != nil {
-		r.Nudge()
+	if len(r.Board.Targets.Leaving()) > before && r.Trigger != nil {
+		r.Trigger()
 	}
 }
 
@@ -233,7 +233,7 @@
 		}
 		notices = append(notices, n)
 	}
-	if len(r.Board.Suspects.Merge(notices, now)) > 0 && r.Nudge != nil {
-		r.Nudge()
+	if len(r.Board.Suspects.Merge(notices, now)) > 0 && r.Trigger != nil {
+		r.Trigger()
 	}
 }
--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -41,8 +41,8 @@
 // end.
 const UnknownLength = -1
 
-// Head holds what is known of an answer before its body.
-type Head struct {
+// AnswerHead holds what is known of an answer before its body.
+type AnswerHead struct {
 	Status      int // HTTP status for the caller
 	ContentType string
 	Outcome     jwrequest.Outcome // empty while the request still runs
@@ -54,8 +54,8 @@
 	Hosts       []netip.AddrPort // for refusals: other hosts that the caller may try
 }
 
-// End marks the end of an answer; an answer without it is not complete.
-type End struct {
+// AnswerEnd marks the end of an answer; an answer without it is not complete.
+type AnswerEnd struct {
 	Outcome jwrequest.Outcome
 	Length  int64
 	Reason  Reason
@@ -65,28 +65,28 @@
 // Sink receives one answer for the caller: one Head, any number of Body calls,
 // one End. An error means that nobody waits for the answer any more.
 type Sink interface {
-	Head(Head) error
+	Head(AnswerHead) error
 	Body([]byte) error
-	End(End) error
+	End(AnswerEnd) error
 }
 
 // Answer is the answer of a target or another node. Reading Body returns io.EOF
 // only when the answer is complete, and a *CallError when it broke off.
 type Answer struct {
-	Head Head
+	Head AnswerHead
 	Body io.ReadCloser
 }
 
 // Refusal returns the head of a final answer for a request that did not run, or
 // of which it is not known whether it ran.
-func Refusal(status int, outcome jwrequest.Outcome, reason Reason, detail string) Head {
-	return Head{Status: status, Outcome: outcome, Reason: reason, Detail: detail}
+func Refusal(status int, outcome jwrequest.Outcome, reason Reason, detail string) AnswerHead {
+	return AnswerHead{Status: status, Outcome: outcome, Reason: reason, Detail: detail}
 }
 
 // ForKey adapts the refusal for a key that was not looked up. This try ran
 // nothing, but an earlier one with the same key may have; a caller that is told
 // otherwise would send the order again under another key.
-func (h Head) ForKey(key string) Head {
+func (h AnswerHead) ForKey(key string) AnswerHead {
 	if key == "" || h.Outcome != jwrequest.NotRun {
 		return h
 	}
@@ -96,7 +96,7 @@
 }
 
 // unavailable refuses a request that may be retried later.
-func unavailable(reason Reason, detail string, after time.Duration) Head {
+func unavailable(reason Reason, detail string, after time.Duration) AnswerHead {
 	h := Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, reason, detail)
 	h.RetryAfter = after
 	return h
--- a/core/jwdispatch/call.go
+++ b/core/jwdispatch/call.go
@@ -11,12 +11,12 @@
 
 // TargetCall describes one call of a target.
 type TargetCall struct {
-	Request    *jwrequest.Request
-	Path       string
-	Idempotent bool
-	Progress   time.Duration // longest time without data before the call is aborted, 0 for no bound
-	Urgency    int           // RFC 9218 urgency, 0 is the most urgent
-	After      string        // id of the last event of the stream that the caller has, empty for none
+	Request         *jwrequest.Request
+	Path            string
+	Idempotent      bool
+	ProgressTimeout time.Duration // longest time without data before the call is aborted, 0 for no bound
+	Urgency         int           // RFC 9218 urgency, 0 is the most urgent
+	LastEventID     string        // id of the last event of the stream that the caller has, empty for none
 }
 
 // Targets calls targets.
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -33,9 +33,9 @@
 	// Departed reports whether the platform has given a host up; it may be
 	// nil.
 	Departed func(jwpeer.Peer) bool
-	// Crashed is called with a target that crashed and the fingerprints that
+	// OnCrash is called with a target that crashed and the fingerprints that
 	// were quarantined because of it; it may be nil.
-	Crashed func(target netip.AddrPort, quarantined []jwsuspect.Fingerprint)
+	OnCrash func(target netip.AddrPort, quarantined []jwsuspect.Fingerprint)
 	Now     func() time.Time
 	Tracer  Tracer // may be nil
 	Counter Counter
@@ -43,17 +43,17 @@
 
 // Counter counts the results of requests and calls.
 type Counter interface {
-	// Ended counts one request that ended at this node.
-	Ended(entry string, outcome jwrequest.Outcome, reason Reason)
-	// Tried counts one call of a target or another node.
-	Tried(entry, kind string, ok bool)
-	// Seen measures one served request that a caller sent to this node; a
+	// RecordEnd counts one request that ended at this node.
+	RecordEnd(entry string, outcome jwrequest.Outcome, reason Reason)
+	// RecordTry counts one call of a target or another node.
+	RecordTry(entry, kind string, ok bool)
+	// RecordServed measures one served request that a caller sent to this node; a
 	// forwarded request is measured at the node that its caller sent it to.
-	Seen(entry string, s Seen)
+	RecordServed(entry string, s Latency)
 }
 
-// Seen holds what a caller observed of a served request.
-type Seen struct {
+// Latency holds what a caller observed of a served request.
+type Latency struct {
 	First    time.Duration // from the arrival of the request to the first byte of the answer's body
 	Whole    time.Duration // from the arrival of the request to the end of the answer
 	ServedBy string        // region of the target
@@ -103,7 +103,7 @@
 
 // Check validates a request by its headers alone, before its body is read;
 // refused is false when the request may proceed.
-func (d *Dispatcher) Check(r *jwrequest.Request) (refusal Head, refused bool) {
+func (d *Dispatcher) Check(r *jwrequest.Request) (refusal AnswerHead, refused bool) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
 	refusal, refused = j.checkHeaders()
 	if refused {
@@ -116,10 +116,10 @@
 // ticket is run by the node that minted it, and confirmations run in the home
 // region. An unknown workspace, such as an empty one, is treated as one of this
 // region.
-func (d *Dispatcher) CheckTicket(workspace string) (refusal Head, refused bool) {
+func (d *Dispatcher) CheckTicket(workspace string) (refusal AnswerHead, refused bool) {
 	w, known := d.Board.Directory.Lookup(workspace)
 	if !known || w.Region == d.Self.Region {
-		return Head{}, false
+		return AnswerHead{}, false
 	}
 	h := Refusal(http.StatusMisdirectedRequest, jwrequest.NotRun, ReasonRegion, "tickets of this workspace are minted in region "+w.Region)
 	h.Hosts = d.hosts(workspace, w.Region, true)
@@ -132,7 +132,7 @@
 	if j.entry == nil {
 		entry = "" // a name that is not in the catalogue would create a counter of its own
 	}
-	j.Counter.Ended(entry, outcome, reason)
+	j.Counter.RecordEnd(entry, outcome, reason)
 	if j.Tracer != nil {
 		j.Tracer.End(j.request, outcome, reason, servedBy)
 	}
@@ -150,7 +150,7 @@
 
 // prepare validates the request and fills in the fields that depend on the
 // catalogue and the client directory.
-func (j *job) prepare() (Head, bool) {
+func (j *job) prepare() (AnswerHead, bool) {
 	if refusal, refused := j.checkHeaders(); refused {
 		return refusal, true
 	}
@@ -165,18 +165,18 @@
 	}
 	r.Hops = r.Hops.With(j.Self)
 	j.prefix = jwrouter.PrefixOf(r.Workspace, r.Entry, r.Body)
-	return Head{}, false
+	return AnswerHead{}, false
 }
 
 // checkHeaders checks everything that does not depend on the body.
-func (j *job) checkHeaders() (Head, bool) {
+func (j *job) checkHeaders() (AnswerHead, bool) {
 	refusal, refused := j.validate()
 	return j.withKeyUnchecked(refusal), refused
 }
 
 // withKeyUnchecked adapts a refusal that is made before the key is looked up.
 // Only entries that are not idempotent claim keys.
-func (j *job) withKeyUnchecked(refusal Head) Head {
+func (j *job) withKeyUnchecked(refusal AnswerHead) AnswerHead {
 	if j.entry != nil && j.entry.Idempotent {
 		return refusal
 	}
@@ -185,7 +185,7 @@
 
 // validate checks the entry, the workspace, the region and the key of the
 // request, and its record of hops.
-func (j *job) validate() (Head, bool) {
+func (j *job) validate() (AnswerHead, bool) {
 	r := j.request
 	e, _, known := j.Board.Catalogue.Current().Entry(r.Entry)
 	if !known {
@@ -217,23 +217,23 @@
 // region twice, whatever else its record of hops says. Nodes with different
 // catalogue revisions or client directories could each take the other's region
 // for the right one and forward the request back and forth.
-func (j *job) checkLoop() (Head, bool) {
+func (j *job) checkLoop() (AnswerHead, bool) {
 	hops := j.request.Hops
 	if len(hops) == 0 {
-		return Head{}, false
+		return AnswerHead{}, false
 	}
 	way := hops.With(j.Self)
-	if len(hops) >= MaxHops || hops.Visited(j.Self.Node) || way.RegionChanges() > 1 || way.Returns() {
+	if len(hops) >= MaxHops || hops.Visited(j.Self.Node) || way.RegionChanges() > 1 || way.RevisitsDataCentre() {
 		return Refusal(http.StatusLoopDetected, jwrequest.NotRun, ReasonLoop, "the request has passed too many nodes"), true
 	}
-	return Head{}, false
+	return AnswerHead{}, false
 }
 
 // admit asks the limiter for admission; away means that another region is to
 // run the request. The caller must call release when the request has ended.
 func (j *job) admit(away bool) (release func(), refused jwlimit.Refusal, admitted bool) {
 	now := j.Now()
-	room := j.Board.Targets.Room(j.entry.Service, now)
+	capacity := j.Board.Targets.Capacity(j.entry.Service, now)
 	q := &jwlimit.Query{
 		Entry:    j.entry,
 		Owner:    j.workspace.Owner,
@@ -241,9 +241,9 @@
 		Foreign:  j.forwarded,
 		Bound:    j.request.Bound,
 		TimeLeft: j.request.Deadline.Sub(now),
-		Work:     j.expectedWork(now),
+		CallTime: j.expectedCallTime(now),
 		Away:     away,
-		Capacity: room,
+		Capacity: capacity,
 		Now:      now,
 		Random:   rand.Float64(),
 	}
--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -22,7 +22,7 @@
 }
 
 // failure converts the last error into the refusal that the caller gets.
-func (j *job) failure(ctx context.Context, err error) Head {
+func (j *job) failure(ctx context.Context, err error) AnswerHead {
 	var place *noPlacementError
 	var failed *CallError
 	outcome := jwrequest.NotRun
@@ -41,7 +41,7 @@
 		if ctx.Err() != nil {
 			return Refusal(http.StatusGatewayTimeout, outcome, ReasonDeadline, "no whole answer in time")
 		}
-		h := Refusal(http.StatusBadGateway, outcome, ReasonTarget, string(failed.Fate))
+		h := Refusal(http.StatusBadGateway, outcome, ReasonTarget, string(failed.Kind))
 		if outcome == jwrequest.NotRun {
 			h.Status = http.StatusServiceUnavailable
 		}
--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -42,10 +42,10 @@
 	for _, accept := range groups {
 		responsive, rest := d.servingPeers(workspace, accept)
 		for _, p := range responsive {
-			out = append(out, p.Callers)
+			out = append(out, p.CallerAddress)
 		}
 		for _, p := range rest {
-			silent = append(silent, p.Callers)
+			silent = append(silent, p.CallerAddress)
 		}
 	}
 	out = append(out, silent...)
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -73,11 +73,11 @@
 // serve. It has only been admitted for the other region so far; if such
 // requests ran here without a check, they would lengthen the queue of a region
 // that has refused others.
-func (j *job) admitLocally() (release func(), refusal Head, admitted bool) {
-	j.query.Full = false
+func (j *job) admitLocally() (release func(), refusal AnswerHead, admitted bool) {
+	j.query.RefusedLocally = false
 	release, refused, admitted := j.admit(false)
 	if admitted {
-		return release, Head{}, true
+		return release, AnswerHead{}, true
 	}
 	refusal = unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter)
 	if j.mayHaveRun {
@@ -89,20 +89,20 @@
 // placeAndAdmit chooses a region and asks for admission there. The first choice
 // is the region with the lowest cost. If that is this region and it has no
 // capacity, it tries another region that may have some.
-func (j *job) placeAndAdmit() (place jwrouter.Placement, release func(), refusal Head, admitted bool) {
+func (j *job) placeAndAdmit() (place jwrouter.Placement, release func(), refusal AnswerHead, admitted bool) {
 	place = j.Router.Place(&j.query)
 	away := place.Region != "" && place.Region != j.Self.Region
 	release, refused, admitted := j.admit(away)
 	if admitted {
-		return place, release, Head{}, true
+		return place, release, AnswerHead{}, true
 	}
 	if !away && refused.Reason.LacksCapacity() {
-		j.query.Full = true
+		j.query.RefusedLocally = true
 		other := j.Router.Place(&j.query)
 		if other.Region != "" && other.Region != j.Self.Region {
 			release, _, admitted = j.admit(true)
 			if admitted {
-				return other, release, Head{}, true
+				return other, release, AnswerHead{}, true
 			}
 		}
 	}
@@ -119,19 +119,19 @@
 		Forwarded: j.forwarded,
 		Hops:      j.request.Hops[:len(j.request.Hops)-1],
 		Prefix:    j.prefix,
-		Work:      j.expectedWork(now),
+		CallTime:  j.expectedCallTime(now),
 		Deadline:  j.request.Deadline,
 		Now:       now,
 		Random:    rand.Uint64(),
 	}
 }
 
-// expectedWork returns the usual duration of a call of this entry.
-func (j *job) expectedWork(now time.Time) time.Duration {
-	if known := j.Board.Targets.WorkOf(j.entry.Service, j.entry.Name); known > 0 {
+// expectedCallTime returns the usual duration of a call of this entry.
+func (j *job) expectedCallTime(now time.Time) time.Duration {
+	if known := j.Board.Targets.CallTimeOf(j.entry.Service, j.entry.Name); known > 0 {
 		return known
 	}
-	return j.Board.Targets.Room(j.entry.Service, now).Work
+	return j.Board.Targets.Capacity(j.entry.Service, now).CallTime
 }
 
 // try makes one call and copies its answer; nil means that the request has
@@ -160,21 +160,21 @@
 	if len(peers) == 0 {
 		return &noPlacementError{reason: jwrouter.Nowhere}
 	}
-	j.Board.Regions.Sent(region, j.entry.Service)
+	j.Board.Regions.RecordSent(region, j.entry.Service)
 	to, a, err := j.forwardToFirst(ctx, peers)
 	if err == nil {
 		if a.Head.Outcome == jwrequest.NotRun {
 			_ = a.Body.Close()
 			j.refusedByRegion = true
 			err = &CallError{
-				Step: "forward to region " + region, Peer: to.Nodes, Fate: Refused,
+				Step: "forward to region " + region, Peer: to.NodeAddress, Kind: Refused,
 				RetryAfter: a.Head.RetryAfter, Err: errors.New(a.Head.Detail),
 			}
 		} else {
 			err = rl.copy(a)
 		}
 	}
-	j.Counter.Tried(j.entry.Name, "region", err == nil)
+	j.Counter.RecordTry(j.entry.Name, "region", err == nil)
 	if err != nil {
 		// The next try stays in this region or is not made at all: a request
 		// may change region only once, and it may have begun to run in the
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -99,7 +99,7 @@
 func (j *job) replay(a jwclaim.Answer) {
 	switch a.Outcome {
 	case jwrequest.Served:
-		j.sink.sendWhole(Head{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
+		j.sink.sendWhole(AnswerHead{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
 	case jwrequest.NotRun:
 		j.sink.refuse(unavailable(ReasonTarget, "the try that this one waited for was not run", defaultRetryAfter))
 	default:
@@ -161,16 +161,16 @@
 
 // callOnce makes one call of a target of this region and reads the whole
 // answer.
-func (j *job) callOnce(ctx context.Context) (Head, []byte, error) {
+func (j *job) callOnce(ctx context.Context) (AnswerHead, []byte, error) {
 	j.query.Now = j.Now()
 	t, a, err := j.callTarget(ctx, false)
 	if err != nil {
-		return Head{}, nil, err
+		return AnswerHead{}, nil, err
 	}
 	defer func() { _ = a.Body.Close() }()
 	body, err := io.ReadAll(io.LimitReader(a.Body, maxBufferedAnswer+1))
 	if err == nil && len(body) > maxBufferedAnswer {
-		err = &CallError{Step: "read answer", Fate: Broken, Err: errors.New("answer too long to keep")}
+		err = &CallError{Step: "read answer", Kind: BrokenOff, Err: errors.New("answer too long to keep")}
 	}
 	t.end(ctx, err)
 	return a.Head, body, err
@@ -239,7 +239,7 @@
 	}
 	j.trace("forward", p.Name)
 	a, err := j.Peers.Forward(ctx, p, j.request, ForwardWriter)
-	j.Counter.Tried(j.entry.Name, ForwardWriter, err == nil)
+	j.Counter.RecordTry(j.entry.Name, ForwardWriter, err == nil)
 	return j.relayAnswer(a, err)
 }
 
@@ -254,7 +254,7 @@
 
 // keyUncheckedRefusal returns the refusal of a request whose key could not be
 // looked up.
-func (j *job) keyUncheckedRefusal(detail string) Head {
+func (j *job) keyUncheckedRefusal(detail string) AnswerHead {
 	h := unavailable(ReasonPeer, detail, defaultRetryAfter).ForKey(j.request.Key)
 	h.Hosts = j.Hosts(j.request.Workspace)
 	return h
@@ -269,11 +269,11 @@
 		return
 	}
 	holderHop := jwrequest.Hop{Node: p.Name, Region: p.Region, DataCentre: p.DataCentre}
-	if j.request.Hops.With(holderHop).Returns() {
+	if j.request.Hops.With(holderHop).RevisitsDataCentre() {
 		// The request would return to a data centre that it has passed
 		// before. The caller can send it to that node directly.
 		h := Refusal(http.StatusServiceUnavailable, jwrequest.Unknown, ReasonClaim, "another host took this key; send it there")
-		h.RetryAfter, h.Hosts = defaultRetryAfter, []netip.AddrPort{p.Callers}
+		h.RetryAfter, h.Hosts = defaultRetryAfter, []netip.AddrPort{p.CallerAddress}
 		j.sink.refuse(h)
 		return
 	}
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -43,7 +43,7 @@
 // joined as one.
 type relay struct {
 	sink      *trackedSink
-	head      Head          // as sent to the caller
+	head      AnswerHead    // as sent to the caller
 	bytesSent int64         // of the body
 	sentHash  xxhash.Digest // hash of the bytes sent
 	events    eventTracker
@@ -64,7 +64,7 @@
 }
 
 // isEventStream reports whether the answer is a text/event-stream.
-func isEventStream(h Head) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
+func isEventStream(h AnswerHead) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
 
 // copyWhole reads the whole answer before it sends the first byte, so that the
 // caller does not notice when a broken answer is tried again. An answer longer
@@ -148,7 +148,7 @@
 			if skip.remaining > 0 {
 				return errDiverged
 			}
-			if rl.sink.End(End{Outcome: jwrequest.Served, Length: rl.bytesSent}) != nil {
+			if rl.sink.End(AnswerEnd{Outcome: jwrequest.Served, Length: rl.bytesSent}) != nil {
 				return errCallerGone
 			}
 			return nil
@@ -171,7 +171,7 @@
 // sendHead sends the head of the first try. The head of a later try must be
 // equal to it: an error page after the head of a stream would reach the caller
 // as the content of the stream, and would look complete.
-func (rl *relay) sendHead(h Head) error {
+func (rl *relay) sendHead(h AnswerHead) error {
 	h.Outcome = ""
 	if rl.sink.headSent {
 		if h.Status != rl.head.Status || h.ContentType != rl.head.ContentType {
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -25,12 +25,12 @@
 
 // recordingSink is a caller that records what it receives.
 type recordingSink struct {
-	heads []Head
+	heads []AnswerHead
 	body  strings.Builder
-	ends  []End
+	ends  []AnswerEnd
 }
 
-func (s *recordingSink) Head(h Head) error {
+func (s *recordingSink) Head(h AnswerHead) error {
 	s.heads = append(s.heads, h)
 	return nil
 }
@@ -40,12 +40,12 @@
 	return err
 }
 
-func (s *recordingSink) End(e End) error {
+func (s *recordingSink) End(e AnswerEnd) error {
 	s.ends = append(s.ends, e)
 	return nil
 }
 
-var errBroken = &CallError{Step: "read answer", Fate: Broken, Err: errors.New("cut")}
+var errBroken = &CallError{Step: "read answer", Kind: BrokenOff, Err: errors.New("cut")}
 
 // brokenReader returns a body that breaks off after the text.
 func brokenReader(text string) io.Reader {
@@ -59,7 +59,7 @@
 	if broken {
 		r = brokenReader(lettersAsEvents(letters))
 	}
-	return newAnswer(Head{Status: status, ContentType: "text/event-stream", Length: UnknownLength}, r)
+	return newAnswer(AnswerHead{Status: status, ContentType: "text/event-stream", Length: UnknownLength}, r)
 }
 
 func byteByByte(a *Answer) *Answer {
@@ -67,14 +67,14 @@
 	return a
 }
 
-func newAnswer(h Head, r io.Reader) *Answer { return &Answer{Head: h, Body: io.NopCloser(r)} }
+func newAnswer(h AnswerHead, r io.Reader) *Answer { return &Answer{Head: h, Body: io.NopCloser(r)} }
 
 // A target fails while its answer is being sent, and the request is tried
 // again. The caller must get each byte once and the end of the same answer, or
 // be told that the answer broke off. Parts of two answers, or an error page in
 // place of the rest, would look to the caller like the draft it asked for.
 func TestRelayRetriesAnswer(t *testing.T) {
-	page := Head{Status: 500, ContentType: "text/plain", Length: 5}
+	page := AnswerHead{Status: 500, ContentType: "text/plain", Length: 5}
 	tests := map[string]struct {
 		tries  []*Answer
 		body   string
@@ -89,9 +89,9 @@
 		"shorter":                            {[]*Answer{letterStream(200, "abc", true), letterStream(200, "ab", false)}, "abc", false},
 		"error page after text":              {[]*Answer{letterStream(200, "abc", true), newAnswer(page, strings.NewReader("sorry"))}, "abc", false},
 		"error page before text":             {[]*Answer{letterStream(200, "", true), newAnswer(page, strings.NewReader("sorry"))}, "", false},
-		"plain text after a head":            {[]*Answer{letterStream(200, "", true), newAnswer(Head{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
-		"plain, cut, then whole":             {[]*Answer{newAnswer(Head{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(Head{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
-		"plain of unknown length, cut":       {[]*Answer{newAnswer(Head{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(Head{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
+		"plain text after a head":            {[]*Answer{letterStream(200, "", true), newAnswer(AnswerHead{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
+		"plain, cut, then whole":             {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
+		"plain of unknown length, cut":       {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
 		"refused by another node after text": {[]*Answer{letterStream(200, "abc", true), newAnswer(Refusal(504, jwrequest.Unknown, ReasonTarget, ""), strings.NewReader(""))}, "abc", false},
 	}
 	for name, tc := range tests {
--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -18,25 +18,25 @@
 // recorder is a caller that records what it receives.
 type recorder struct {
 	body strings.Builder
-	end  *End
+	end  *AnswerEnd
 }
 
-func (r *recorder) Head(Head) error { return nil }
+func (r *recorder) Head(AnswerHead) error { return nil }
 func (r *recorder) Body(p []byte) error {
 	r.body.Write(p)
 	return nil
 }
 
-func (r *recorder) End(e End) error {
+func (r *recorder) End(e AnswerEnd) error {
 	r.end = &e
 	return nil
 }
 
 type discardCounter struct{}
 
-func (discardCounter) Ended(string, jwrequest.Outcome, Reason) {}
-func (discardCounter) Seen(string, Seen)                       {}
-func (discardCounter) Tried(string, string, bool)              {}
+func (discardCounter) RecordEnd(string, jwrequest.Outcome, Reason) {}
+func (discardCounter) RecordServed(string, Latency)                {}
+func (discardCounter) RecordTry(string, string, bool)              {}
 
 func newRelay() (*relay, *recorder) {
 	r := &recorder{}
@@ -64,7 +64,7 @@
 		parts = append(parts, iotest.ErrReader(end))
 	}
 	return &Answer{
-		Head: Head{Status: 200, ContentType: "text/event-stream", Length: UnknownLength},
+		Head: AnswerHead{Status: 200, ContentType: "text/event-stream", Length: UnknownLength},
 		Body: io.NopCloser(io.MultiReader(parts...)),
 	}
 }
@@ -74,7 +74,7 @@
 // Otherwise halves of two different drafts could be sent to customers as one
 // price sheet.
 func TestRelayResumesStream(t *testing.T) {
-	broken := &CallError{Fate: Broken, Err: errors.New("cut")}
+	broken := &CallError{Kind: BrokenOff, Err: errors.New("cut")}
 	done := "data: [DONE]\n\n"
 	tests := map[string]struct {
 		tries []*Answer
@@ -153,7 +153,7 @@
 	f.Add(uint16(0), uint16(9), true, false)
 	f.Add(uint16(30), uint16(31), false, true)
 	whole := numberedEvents(1, 8, "text") + "data: [DONE]\n\n"
-	broken := &CallError{Fate: Broken, Err: errors.New("cut")}
+	broken := &CallError{Kind: BrokenOff, Err: errors.New("cut")}
 	f.Fuzz(func(t *testing.T, first, second uint16, resumeFirst, resumeSecond bool) {
 		rl, caller := newRelay()
 		next := func(resume bool) string {
--- a/core/jwdispatch/ending.go
+++ b/core/jwdispatch/sink.go
@@ -21,7 +21,7 @@
 }
 
 // Head passes the head of the answer to the Sink.
-func (e *trackedSink) Head(h Head) error {
+func (e *trackedSink) Head(h AnswerHead) error {
 	e.headSent = true
 	e.servedBy = h.ServedBy
 	return e.Sink.Head(h)
@@ -37,7 +37,7 @@
 }
 
 // End passes the end of the answer to the Sink and counts the request.
-func (e *trackedSink) End(end End) error {
+func (e *trackedSink) End(end AnswerEnd) error {
 	if e.ended {
 		return nil
 	}
@@ -66,7 +66,7 @@
 	if e.firstByteAt.IsZero() {
 		e.firstByteAt = now // the answer had no body
 	}
-	e.job.Counter.Seen(e.job.entry.Name, Seen{
+	e.job.Counter.RecordServed(e.job.entry.Name, Latency{
 		First: e.firstByteAt.Sub(e.startedAt), Whole: now.Sub(e.startedAt), ServedBy: e.servedBy,
 		Bytes: e.bytesSent + int64(len(e.job.request.Body)),
 	})
@@ -74,7 +74,7 @@
 
 // refuse ends the request with a refusal, even if part of the answer was
 // already sent.
-func (e *trackedSink) refuse(h Head) {
+func (e *trackedSink) refuse(h AnswerHead) {
 	if h.Outcome != jwrequest.Served {
 		e.job.trace("refused", h.Detail)
 	}
@@ -84,11 +84,11 @@
 			return
 		}
 	}
-	_ = e.End(End{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
+	_ = e.End(AnswerEnd{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
 }
 
 // sendWhole sends an answer whose whole body is available.
-func (e *trackedSink) sendWhole(h Head, body []byte) {
+func (e *trackedSink) sendWhole(h AnswerHead, body []byte) {
 	h.Length = int64(len(body))
 	if h.Outcome == "" {
 		h.Outcome = jwrequest.Served
@@ -96,5 +96,5 @@
 	if e.Head(h) != nil || e.Body(body) != nil {
 		return
 	}
-	_ = e.End(End{Outcome: h.Outcome, Length: int64(len(body)), Reason: h.Reason, Detail: h.Detail})
+	_ = e.End(AnswerEnd{Outcome: h.Outcome, Length: int64(len(body)), Reason: h.Reason, Detail: h.Detail})
 }
--- a/core/jwdispatch/ending_test.go
+++ b/core/jwdispatch/sink_test.go
@@ -14,15 +14,15 @@
 // recordingCounter is a Counter and a Tracer that records its calls.
 type recordingCounter struct {
 	ended  []Reason
-	seen   []Seen
+	seen   []Latency
 	traced []string
 }
 
-func (c *recordingCounter) Ended(_ string, _ jwrequest.Outcome, reason Reason) {
+func (c *recordingCounter) RecordEnd(_ string, _ jwrequest.Outcome, reason Reason) {
 	c.ended = append(c.ended, reason)
 }
-func (c *recordingCounter) Tried(string, string, bool)              {}
-func (c *recordingCounter) Seen(_ string, s Seen)                   { c.seen = append(c.seen, s) }
+func (c *recordingCounter) RecordTry(string, string, bool)          {}
+func (c *recordingCounter) RecordServed(_ string, s Latency)        { c.seen = append(c.seen, s) }
 func (c *recordingCounter) Step(*jwrequest.Request, string, string) {}
 func (c *recordingCounter) End(_ *jwrequest.Request, _ jwrequest.Outcome, _ Reason, servedBy string) {
 	c.traced = append(c.traced, servedBy)
@@ -34,7 +34,7 @@
 
 var errGone = errors.New("caller disconnected")
 
-func (s failingSink) Head(Head) error {
+func (s failingSink) Head(AnswerHead) error {
 	if s.head {
 		return errGone
 	}
@@ -48,7 +48,7 @@
 	return nil
 }
 
-func (s failingSink) End(End) error { return nil }
+func (s failingSink) End(AnswerEnd) error { return nil }
 
 func TestTrackedSinkCountsRequestOnce(t *testing.T) {
 	// A caller disconnects while its answer is being sent. The request must
@@ -84,12 +84,14 @@
 			assert.Equal(t, len(c.traced), 1)
 			assert.Equal(t, len(c.seen), tc.seen)
 			if tc.seen > 0 {
-				assert.Equal(t, c.seen[0], Seen{First: time.Second, Whole: 2 * time.Second, ServedBy: "east", Bytes: 8})
+				assert.Equal(t, c.seen[0], Latency{First: time.Second, Whole: 2 * time.Second, ServedBy: "east", Bytes: 8})
 			}
 		})
 	}
 }
 
-func sendWhole(e *trackedSink) { e.sendWhole(Head{Status: 200, ServedBy: "east"}, []byte("hello")) }
+func sendWhole(e *trackedSink) {
+	e.sendWhole(AnswerHead{Status: 200, ServedBy: "east"}, []byte("hello"))
+}
 
 func sendRefusal(e *trackedSink) { e.refuse(unavailable(ReasonLimit, "", time.Second)) }
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -40,8 +40,8 @@
 		return
 	}
 	quarantined := j.Board.Suspects.Crashed(failed.Peer, j.Now())
-	if j.Crashed != nil {
-		j.Crashed(failed.Peer, quarantined)
+	if j.OnCrash != nil {
+		j.OnCrash(failed.Peer, quarantined)
 	}
 }
 
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -39,7 +39,7 @@
 		}
 		j.trace("resume", t.address.String())
 		call := t.call
-		call.After = rl.events.lastEventID()
+		call.LastEventID = rl.events.lastEventID()
 		a, err := j.Targets.Call(ctx, t.address, call)
 		if err != nil {
 			return false
@@ -75,9 +75,9 @@
 	j.trace("target", string(choice.Reason)+" "+choice.Address.String())
 	t := &targetAttempt{job: j, address: choice.Address, fp: fp, call: TargetCall{
 		Request: j.request, Path: j.entry.Path, Idempotent: idempotent,
-		Progress: j.entry.Progress, Urgency: urgency(j.entry.Class),
+		ProgressTimeout: j.entry.Progress, Urgency: urgency(j.entry.Class),
 	}}
-	t.inFlight = j.Board.Targets.Begin(choice.Address, j.query.Work, j.Now())
+	t.inFlight = j.Board.Targets.Begin(choice.Address, j.query.CallTime, j.Now())
 	t.inFlight.Kind = j.entry.Name
 	j.Board.Suspects.Begin(fp, choice.Address, j.request.Bound)
 	a, err := j.Targets.Call(ctx, choice.Address, t.call)
@@ -109,7 +109,7 @@
 	j.recordCrash(err)
 	j.Board.Suspects.End(t.fp, t.address, err == nil, now)
 	j.Board.Targets.End(t.inFlight, callResult(ctx, err), now)
-	j.Counter.Tried(j.entry.Name, "target", err == nil)
+	j.Counter.RecordTry(j.entry.Name, "target", err == nil)
 	if err != nil {
 		j.query.Exclude = append(j.query.Exclude, t.address)
 	}
@@ -118,7 +118,7 @@
 // usableTargets returns the targets of the entry's service that this node uses.
 func (j *job) usableTargets() []netip.AddrPort {
 	var out []netip.AddrPort
-	for _, t := range j.Board.Targets.Used() {
+	for _, t := range j.Board.Targets.Polled() {
 		if t.Service == j.entry.Service {
 			out = append(out, t.Address)
 		}
@@ -134,7 +134,7 @@
 		return jwtarget.Done
 	case ctx.Err() != nil, errors.Is(err, errCallerGone), errors.Is(err, errDiverged):
 		return jwtarget.Canceled
-	case errors.As(err, &failed) && failed.Fate == Refused:
+	case errors.As(err, &failed) && failed.Kind == Refused:
 		return jwtarget.Refused
 	}
 	return jwtarget.Broken
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -134,7 +134,7 @@
 	wait := a.expectedWait()
 	late := time.Duration(0)
 	if a.TimeLeft > 0 {
-		late = wait + a.Work - a.TimeLeft
+		late = wait + a.CallTime - a.TimeLeft
 	}
 	if first := a.Query.Entry.FirstToken; first > 0 {
 		late = max(late, wait-first)
@@ -224,7 +224,7 @@
 func (a *admission) slotInterval() time.Duration {
 	slots := max(a.Capacity.Slots, 1)
 	nodes := max(len(a.limiter.members), 1)
-	return a.Capacity.Work * time.Duration(nodes) / time.Duration(slots)
+	return a.Capacity.CallTime * time.Duration(nodes) / time.Duration(slots)
 }
 
 // refuseWithReservation refuses the request and reserves the next free place in
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -37,14 +37,14 @@
 // Query holds what the limiter needs to know of one request.
 type Query struct {
 	Entry    *jwcatalogue.Entry
-	Owner    string        // owner of the workspace
-	Caller   uint64        // equal for all tries of one request, 0 if unknown
-	Foreign  bool          // the request was sent here by another region
-	Bound    bool          // the request cannot run in another region
-	Away     bool          // the request is to be sent to another region, so Capacity does not limit it
-	TimeLeft time.Duration // time until the deadline, 0 for none
-	Work     time.Duration // expected duration of the call
-	Capacity jwtarget.Room // capacity and load of the service in this region
+	Owner    string            // owner of the workspace
+	Caller   uint64            // equal for all tries of one request, 0 if unknown
+	Foreign  bool              // the request was sent here by another region
+	Bound    bool              // the request cannot run in another region
+	Away     bool              // the request is to be sent to another region, so Capacity does not limit it
+	TimeLeft time.Duration     // time until the deadline, 0 for none
+	CallTime time.Duration     // expected duration of the call
+	Capacity jwtarget.Capacity // capacity and load of the service in this region
 	Now      time.Time
 	Random   float64 // in [0, 1)
 }
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -16,9 +16,9 @@
 
 func at(d time.Duration) time.Time { return start.Add(d) }
 
-// room returns the load of a service with 16 slots and calls of one second.
-func room(outstanding int) jwtarget.Room {
-	r := jwtarget.Room{Targets: 2, Slots: 16, Outstanding: outstanding, Work: time.Second}
+// capacity returns the load of a service with 16 slots and calls of one second.
+func capacity(outstanding int) jwtarget.Capacity {
+	r := jwtarget.Capacity{Targets: 2, Slots: 16, Outstanding: outstanding, CallTime: time.Second}
 	r.Wait = time.Duration(max(outstanding+1-16, 0)) * time.Second / 16
 	return r
 }
@@ -26,8 +26,8 @@
 func query(class jwcatalogue.Class, outstanding int) *Query {
 	return &Query{
 		Entry: &jwcatalogue.Entry{Name: "e", Class: class, Service: "s"},
-		Owner: "o", Caller: 1, TimeLeft: 10 * time.Second, Work: time.Second,
-		Capacity: room(outstanding), Now: start, Random: 0.5,
+		Owner: "o", Caller: 1, TimeLeft: 10 * time.Second, CallTime: time.Second,
+		Capacity: capacity(outstanding), Now: start, Random: 0.5,
 	}
 }
 
@@ -40,8 +40,8 @@
 	}{
 		"free slots":                            {jwcatalogue.Draft, 3, nil, ""},
 		"short queue":                           {jwcatalogue.Draft, 20, nil, ""},
-		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Capacity = jwtarget.Room{} }, NoTarget},
-		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Capacity = true, jwtarget.Room{} }, ""},
+		"no target":                             {jwcatalogue.Draft, 3, func(q *Query, _ *Limiter) { q.Capacity = jwtarget.Capacity{} }, NoTarget},
+		"sent to another region":                {jwcatalogue.Draft, 99, func(q *Query, _ *Limiter) { q.Away, q.Capacity = true, jwtarget.Capacity{} }, ""},
 		"too late":                              {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.TimeLeft = 1500 * time.Millisecond }, TooLate},
 		"first token too late":                  {jwcatalogue.Draft, 24, func(q *Query, _ *Limiter) { q.Entry.FirstToken = time.Millisecond }, TooLate},
 		"queue too long for a draft":            {jwcatalogue.Draft, 32, nil, QueueFull},
@@ -50,15 +50,15 @@
 		"foreign with free slots":               {jwcatalogue.Draft, 10, func(q *Query, _ *Limiter) { q.Foreign = true }, ""},
 		"foreign without free slots":            {jwcatalogue.Draft, 15, func(q *Query, _ *Limiter) { q.Foreign = true }, QueueFull},
 		"owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
-			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: room(0), Now: start})
+			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: capacity(0), Now: start})
 			for range 10 {
-				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: room(0), Now: start})
+				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: capacity(0), Now: start})
 			}
 		}, OwnerShare},
 		"bound request of an owner above its share": {jwcatalogue.Draft, 25, func(q *Query, l *Limiter) {
-			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: room(0), Now: start})
+			l.Admit(&Query{Entry: q.Entry, Owner: "other", Capacity: capacity(0), Now: start})
 			for range 10 {
-				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: room(0), Now: start})
+				l.Admit(&Query{Entry: q.Entry, Owner: "o", Capacity: capacity(0), Now: start})
 			}
 			q.Bound = true
 		}, ""},
--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -16,16 +16,16 @@
 
 // Digest is what one node sends to another in one exchange.
 type Digest struct {
-	From  string
-	Peers []Peer
-	Marks []Mark
-	News  News
-	Again bool // the sender does not have all that it was sent; the receiver must send it everything
-	Whole bool // the digest is complete: it does not depend on earlier ones
+	From      string
+	Peers     []Peer
+	Updates   []StateUpdate
+	News      News
+	ResendAll bool // the sender does not have all that it was sent; the receiver must send it everything
+	Complete  bool // the digest is complete: it does not depend on earlier ones
 }
 
 // empty reports whether the digest has nothing to report.
-func (t *Digest) empty() bool { return len(t.Peers) == 0 && len(t.Marks) == 0 && t.News.empty() }
+func (t *Digest) empty() bool { return len(t.Peers) == 0 && len(t.Updates) == 0 && t.News.empty() }
 
 // Transport sends a digest to another node and returns its answer.
 type Transport interface {
@@ -39,20 +39,20 @@
 // A node that is no relay exchanges only with the relays of its data centre. A
 // relay exchanges with all nodes of its data centre, with the other relays of its
 // region, and with the relays of one data centre in each other region. A partner
-// is sent only what it has not been sent yet, and most of that as marks. So the
+// is sent only what it has not been sent yet, and most of that as updates. So the
 // messages of a node don't grow with the fleet, and those of a relay grow with its
 // data centre.
 type Exchange struct {
-	Table   *Table
-	Partner Transport
-	Period  time.Duration // time between exchanges with one partner
-	Beat    time.Duration // min time between heartbeats: states that are published without a change
-	Timeout time.Duration // for one exchange
-	Silence time.Duration // age of the newest state from which on a peer is no partner
-	Now     func() time.Time
-	Rand    *rand.Rand
-	News    Reporter                 // may be nil
-	Failed  func(to Peer, err error) // called after a failed exchange; may be nil
+	Table                *Table
+	Transport            Transport
+	Period               time.Duration // time between exchanges with one partner
+	MinHeartbeatInterval time.Duration // min time between heartbeats: states that are published without a change
+	Timeout              time.Duration // for one exchange
+	Silence              time.Duration // age of the newest state from which on a peer is no partner
+	Now                  func() time.Time
+	Rand                 *rand.Rand
+	News                 Reporter                 // may be nil
+	Failed               func(to Peer, err error) // called after a failed exchange; may be nil
 	// Gatherer returns the name of the node that needs to know the revision in
 	// force at each node of a region. If it is nil, all nodes need to.
 	Gatherer func(peers []Peer, region string) string
@@ -67,16 +67,16 @@
 // partnerState records what was exchanged with a partner.
 type partnerState struct {
 	sentVersion       uint64    // version of the table that the partner has, 0 for none
-	remoteSentVersion uint64    // sentVersion for the marks that are sent when recipient.remoteDue
-	remoteSentAt      time.Time // when those marks were last sent
+	remoteSentVersion uint64    // sentVersion for the updates that are sent when recipient.remoteDue
+	remoteSentAt      time.Time // when those updates were last sent
 	inSync            bool      // whether this node has everything that the partner sent
 	failedAt          time.Time // when the last exchange failed, zero if it succeeded
 	finishedAt        time.Time // end of the last exchange that this node started or answered
 }
 
-// Nudge starts an exchange with all partners at once, for news that must not wait for
+// Trigger starts an exchange with all partners at once, for news that must not wait for
 // the next period.
-func (x *Exchange) Nudge() {
+func (x *Exchange) Trigger() {
 	x.once.Do(x.makeTrigger)
 	select {
 	case x.trigger <- struct{}{}:
@@ -93,7 +93,7 @@
 	defer period.Stop()
 	// Without a random first interval, nodes that start together would send their
 	// heartbeats at the same time forever.
-	lastHeartbeat := x.Now().Add(-x.randomDuration(x.Beat))
+	lastHeartbeat := x.Now().Add(-x.randomDuration(x.MinHeartbeatInterval))
 	for {
 		changed := x.Table.Changed()
 		select {
@@ -106,7 +106,7 @@
 			x.exchangeAll(ctx, x.currentView().partners, false)
 		case <-period.C:
 			v := x.currentView()
-			if now, interval := x.Now(), HeartbeatInterval(x.Beat, v.regionNodes); now.Sub(lastHeartbeat) >= interval {
+			if now, interval := x.Now(), HeartbeatInterval(x.MinHeartbeatInterval, v.regionNodes); now.Sub(lastHeartbeat) >= interval {
 				lastHeartbeat = now.Add(-x.randomDuration(interval / heartbeatJitterDivisor))
 				x.Table.Update(now, func(*Peer) {})
 			}
@@ -124,7 +124,7 @@
 // so that changes of all nodes of a data centre at the same time are sent together.
 const batchDelayDivisor = 5
 
-// waitForBatch waits for the batch delay, or until Nudge is called or ctx ends.
+// waitForBatch waits for the batch delay, or until Trigger is called or ctx ends.
 func (x *Exchange) waitForBatch(ctx context.Context) {
 	select {
 	case <-ctx.Done():
@@ -252,7 +252,7 @@
 func (x *Exchange) exchange(ctx context.Context, p Peer, digest Digest, version uint64) {
 	ctx, cancel := context.WithTimeout(ctx, x.Timeout)
 	defer cancel()
-	answer, err := x.Partner.Exchange(ctx, p, digest)
+	answer, err := x.Transport.Exchange(ctx, p, digest)
 	if err != nil {
 		x.recordFailure(p)
 		if x.Failed != nil && ctx.Err() != context.Canceled {
@@ -290,7 +290,7 @@
 	defer x.mu.Unlock()
 	ps := x.stateOf(name)
 	ps.sentVersion = max(ps.sentVersion, version)
-	if ps.remoteSentVersion == 0 || digest.Whole {
+	if ps.remoteSentVersion == 0 || digest.Complete {
 		ps.remoteSentVersion = version
 	}
 	ps.failedAt = time.Time{}
@@ -299,16 +299,16 @@
 
 // receive stores in the table what a partner sent.
 func (x *Exchange) receive(digest Digest) {
-	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Marks, x.Now())
+	allKnown := x.Table.receive(digest.From, digest.Peers, digest.Updates, x.Now())
 	x.mu.Lock()
 	ps := x.stateOf(digest.From)
-	ps.inSync = allKnown && (ps.inSync || digest.Whole)
-	if digest.Again {
+	ps.inSync = allKnown && (ps.inSync || digest.Complete)
+	if digest.ResendAll {
 		ps.sentVersion, ps.remoteSentVersion = 0, 0
 	}
 	ps.failedAt = time.Time{}
 	x.mu.Unlock()
-	if digest.Again && x.News != nil {
+	if digest.ResendAll && x.News != nil {
 		x.News.Forget(digest.From)
 	}
 }
@@ -332,7 +332,7 @@
 	x.receive(digest)
 	from, known := x.Table.Get(digest.From)
 	if !known {
-		return Digest{From: x.Table.Self().Name, Again: true}
+		return Digest{From: x.Table.Self().Name, ResendAll: true}
 	}
 	if x.News != nil {
 		x.News.Merge(from, digest.News)
@@ -342,7 +342,7 @@
 	return answer
 }
 
-// smallFleet is the size of a fleet up to which marks of other regions are sent in
+// smallFleet is the size of a fleet up to which updates of other regions are sent in
 // each exchange. In a small fleet, two hops that each wait for the heartbeat
 // interval would make some nodes look silent to others now and then.
 const smallFleet = 30
@@ -357,13 +357,13 @@
 	if ps.remoteSentAt.IsZero() {
 		// Without a random start, partners that became known together would all
 		// be due at the same time forever.
-		ps.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.Beat, v.fleetNodes)))))
+		ps.remoteSentAt = now.Add(-time.Duration(x.Rand.Int64N(int64(HeartbeatInterval(x.MinHeartbeatInterval, v.fleetNodes)))))
 	}
 	to := recipient{
 		name: p.Name, region: p.Region, gatherer: x.Gatherer == nil || v.gatherer == p.Name,
-		sentVersion: ps.sentVersion, remoteSentVersion: ps.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(ps.remoteSentAt) >= HeartbeatInterval(x.Beat, v.fleetNodes),
+		sentVersion: ps.sentVersion, remoteSentVersion: ps.remoteSentVersion, remoteDue: v.fleetNodes <= smallFleet || now.Sub(ps.remoteSentAt) >= HeartbeatInterval(x.MinHeartbeatInterval, v.fleetNodes),
 	}
-	out := Digest{From: x.Table.Self().Name, Again: !ps.inSync, Whole: ps.sentVersion == 0}
+	out := Digest{From: x.Table.Self().Name, ResendAll: !ps.inSync, Complete: ps.sentVersion == 0}
 	x.mu.Unlock()
 	missing := x.Table.deltaFor(to, now)
 	if to.remoteDue {
@@ -371,7 +371,7 @@
 		ps.remoteSentAt, ps.remoteSentVersion = now, missing.version
 		x.mu.Unlock()
 	}
-	out.Peers, out.Marks = missing.peers, missing.marks
+	out.Peers, out.Updates = missing.peers, missing.updates
 	if x.News != nil {
 		out.News = x.News.Report(p)
 	}
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -21,14 +21,14 @@
 	down        map[string]bool // nodes that can't be reached
 	loseAnswers map[string]int  // for each node, how many of its next answers are lost
 	fullStates  int             // whole states that were sent
-	marks       int             // marks that were sent
+	updates     int             // updates that were sent
 }
 
 func (n *memoryNet) Exchange(_ context.Context, to Peer, digest Digest) (Digest, error) {
 	n.mu.Lock()
 	x, down := n.nodes[to.Name], n.down[to.Name] || n.down[digest.From]
 	n.fullStates += len(digest.Peers)
-	n.marks += len(digest.Marks)
+	n.updates += len(digest.Updates)
 	n.mu.Unlock()
 	if x == nil || down {
 		return Digest{}, errors.New("no connection")
@@ -49,7 +49,7 @@
 	table.SetSelf(Peer{Name: name, Region: region, DataCentre: centre, Incarnation: incarnation, State: Serving, Sequence: 1}, now)
 	table.Merge(listed, now)
 	x := &Exchange{
-		Table: table, Partner: n, Period: 500 * time.Millisecond, Beat: 5 * time.Second, Timeout: time.Second,
+		Table: table, Transport: n, Period: 500 * time.Millisecond, MinHeartbeatInterval: 5 * time.Second, Timeout: time.Second,
 		Silence: 15 * time.Second, Now: time.Now, Rand: rand.New(rand.NewPCG(1, uint64(len(n.nodes)))),
 		Gatherer: func([]Peer, string) string { return "n0" },
 	}
@@ -65,7 +65,7 @@
 
 func listed(name, region, centre string) Peer {
 	return Peer{
-		Name: name, Region: region, DataCentre: centre, State: Joining, Nodes: netip.MustParseAddrPort("10.0.0.1:1"),
+		Name: name, Region: region, DataCentre: centre, State: Joining, NodeAddress: netip.MustParseAddrPort("10.0.0.1:1"),
 	}
 }
 
@@ -115,7 +115,7 @@
 			}
 		}
 		n.mu.Lock()
-		n.fullStates, n.marks = 0, 0
+		n.fullStates, n.updates = 0, 0
 		n.mu.Unlock()
 		for _, x := range n.nodes {
 			x.Table.Update(time.Now(), func(p *Peer) { p.Revision = 7 })
@@ -129,8 +129,8 @@
 		time.Sleep(30 * time.Second)
 		n.mu.Lock()
 		defer n.mu.Unlock()
-		assert.Equal(t, n.fullStates, 0) // marks suffice if only revisions and sequences have changed
-		assert.Assert(t, n.marks > 0)
+		assert.Equal(t, n.fullStates, 0) // updates suffice if only revisions and sequences have changed
+		assert.Assert(t, n.updates > 0)
 	})
 }
 
--- a/core/jwpeer/news.go
+++ b/core/jwpeer/news.go
@@ -8,15 +8,15 @@
 // News is what nodes report to each other besides their own states. Points in time
 // are sent as ages, so that the clocks of the nodes need not agree.
 type News struct {
-	Leaving  []LeavingTarget
-	Suspects []Suspect
-	Loads    []RegionLoad
-	Usages   []Usage
-	Moves    []Move
+	Leaving     []LeavingTarget
+	Suspects    []Suspect
+	Loads       []RegionLoad
+	Usages      []Usage
+	HolderMoves []HolderMove
 }
 
 func (n *News) empty() bool {
-	return len(n.Leaving)+len(n.Suspects)+len(n.Loads)+len(n.Usages)+len(n.Moves) == 0
+	return len(n.Leaving)+len(n.Suspects)+len(n.Loads)+len(n.Usages)+len(n.HolderMoves) == 0
 }
 
 // LeavingTarget is a target that is leaving.
@@ -36,14 +36,14 @@
 
 // RegionLoad is the load that a region reports for one of its services.
 type RegionLoad struct {
-	Region  string
-	Service string
-	Wait    time.Duration // expected wait of a new call for a slot
-	Work    time.Duration // average duration of a call, without its wait for a slot
-	Free    float64       // share of slots that are free, 0 to 1
-	Slots   int
-	Targets int
-	Age     time.Duration
+	Region   string
+	Service  string
+	Wait     time.Duration // expected wait of a new call for a slot
+	CallTime time.Duration // average duration of a call, without its wait for a slot
+	Free     float64       // share of slots that are free, 0 to 1
+	Slots    int
+	Targets  int
+	Age      time.Duration
 }
 
 // Usage is how much of one limit a node uses.
@@ -54,8 +54,8 @@
 	Running int
 }
 
-// Move names the process that answers for the tickets of a stopped process.
-type Move struct {
+// HolderMove names the process that answers for the tickets of a stopped process.
+type HolderMove struct {
 	Incarnation   string
 	ToNode        string
 	ToRegion      string
--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -80,7 +80,7 @@
 		table.SetSelf(self, time.Now())
 		table.Merge(all, time.Now())
 		n.nodes[p.Name] = &Exchange{
-			Table: table, Partner: n.transport(self), Period: 500 * time.Millisecond, Beat: 5 * time.Second,
+			Table: table, Transport: n.transport(self), Period: 500 * time.Millisecond, MinHeartbeatInterval: 5 * time.Second,
 			Timeout: time.Second, Silence: 15 * time.Second, Now: time.Now,
 			Rand: rand.New(rand.NewPCG(uint64(i), 7)),
 		}
@@ -256,7 +256,7 @@
 		"earlier state":             {Peer{Name: "a", Incarnation: "2", Sequence: 4, State: Joining}, false, false},
 		"earlier incarnation":       {Peer{Name: "a", Incarnation: "1", Sequence: 99, State: Gone}, false, false},
 		"later incarnation":         {Peer{Name: "a", Incarnation: "3", Sequence: 1, State: Joining}, true, true},
-		"older than MostAge":        {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MostAge + 1}, false, false},
+		"older than MaxAge":         {Peer{Name: "a", Incarnation: "3", Sequence: 1, Age: MaxAge + 1}, false, false},
 		"state of this node":        {Peer{Name: "self", Incarnation: "9", Sequence: 9, State: Gone}, false, false},
 		"no name":                   {Peer{Incarnation: "9"}, false, false},
 	}
--- a/core/jwpeer/mark.go
+++ b/core/jwpeer/stateupdate.go
@@ -6,19 +6,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mark is a short update of a peer's state for a receiver that already knows the
+// StateUpdate is a short update of a peer's state for a receiver that already knows the
 // peer. Most updates only say that a node is alive or has a change in force, and a
-// Mark is a tenth of the size of a whole Peer.
-type Mark struct {
-	ID       uint64 // hash of the name and the incarnation of the peer
-	Sequence uint64
-	Revision uint64
-	Base     uint64
-	Age      time.Duration
+// StateUpdate is a tenth of the size of a whole Peer.
+type StateUpdate struct {
+	ID           uint64 // hash of the name and the incarnation of the peer
+	Sequence     uint64
+	Revision     uint64
+	OldestChange uint64
+	Age          time.Duration
 }
 
-// hashMarkID returns the ID of the marks of a peer.
-func hashMarkID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
+// hashUpdateID returns the ID of the updates of a peer.
+func hashUpdateID(p Peer) uint64 { return xxhash.Sum64String(p.Name + "\x00" + p.Incarnation) }
 
 // heartbeatIntervalPerNode is the time that each node of a group adds to the
 // heartbeat interval, so that all heartbeats together stay within a node's budget
@@ -41,14 +41,14 @@
 	remote            bool   // whether the partner is in another region
 	gatherer          bool   // whether it needs the revision in force at each node of the region
 	sentVersion       uint64 // version of the table that the partner has, 0 for none
-	remoteSentVersion uint64 // sentVersion for the marks that are sent when remoteDue
-	remoteDue         bool   // whether marks of or for another region are due
+	remoteSentVersion uint64 // sentVersion for the updates that are sent when remoteDue
+	remoteDue         bool   // whether updates of or for another region are due
 }
 
 // delta is what a partner has not been sent yet.
 type delta struct {
 	peers   []Peer
-	marks   []Mark
+	updates []StateUpdate
 	version uint64 // version of the table that the partner has afterwards
 }
 
@@ -77,8 +77,8 @@
 			p.Age = max(now.Sub(e.lastSeen), 0)
 			out.peers = append(out.peers, p)
 		case e.markDue(to, name == t.self, remotePeer):
-			out.marks = append(out.marks, Mark{
-				ID: e.markID, Sequence: e.Sequence, Revision: e.Revision, Base: e.Base, Age: max(now.Sub(e.lastSeen), 0),
+			out.updates = append(out.updates, StateUpdate{
+				ID: e.markID, Sequence: e.Sequence, Revision: e.Revision, OldestChange: e.OldestChange, Age: max(now.Sub(e.lastSeen), 0),
 			})
 		}
 	}
@@ -95,14 +95,14 @@
 	return e.heartbeatVersion > to.sentVersion
 }
 
-// receive stores the states that a partner sent. It returns false if a mark is of
+// receive stores the states that a partner sent. It returns false if an update is of
 // an unknown peer, so that the partner must send everything again.
-func (t *Table) receive(partner string, peers []Peer, marks []Mark, now time.Time) bool {
+func (t *Table) receive(partner string, peers []Peer, updates []StateUpdate, now time.Time) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.merge(partner, peers, now)
 	allKnown := true
-	for _, m := range marks {
+	for _, m := range updates {
 		e := t.byMarkID[m.ID]
 		if e == nil {
 			allKnown = false
@@ -112,7 +112,7 @@
 			continue
 		}
 		p := e.Peer
-		p.Sequence, p.Revision, p.Base, p.Age = m.Sequence, m.Revision, m.Base, m.Age
+		p.Sequence, p.Revision, p.OldestChange, p.Age = m.Sequence, m.Revision, m.OldestChange, m.Age
 		t.put(p, now)
 		e.source = partner
 	}
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -19,9 +19,9 @@
 	changed       chan struct{} // closed at the next urgent state; nil if nobody waits for it
 }
 
-// MostAge is the max age of a peer's state. Received states that are older are
+// MaxAge is the max age of a peer's state. Received states that are older are
 // ignored, and the node forgets peers whose newest state is older.
-const MostAge = time.Hour
+const MaxAge = time.Hour
 
 // entry holds the newest state of one peer, when it was published, and the
 // versions of the table at which the peer's last state of each kind was stored.
@@ -31,8 +31,8 @@
 	lastSeen         time.Time // when the peer published the newest state, by the local clock
 	source           string    // partner that sent the newest state, empty if no partner did
 	anyVersion       uint64    // last state of any kind
-	fullVersion      uint64    // last state with a change that a Mark can't carry: incarnation, state or address
-	heartbeatVersion uint64    // last state with no change but its sequence and Base
+	fullVersion      uint64    // last state with a change that a StateUpdate can't carry: incarnation, state or address
+	heartbeatVersion uint64    // last state with no change but its sequence and OldestChange
 }
 
 // SetSelf stores the state of this node and makes it the owner of the table.
@@ -85,7 +85,7 @@
 			continue
 		}
 		e := t.peers[p.Name]
-		if e != nil && !newer(p, e.Peer) || p.Age > MostAge {
+		if e != nil && !newer(p, e.Peer) || p.Age > MaxAge {
 			continue
 		}
 		t.put(p, now)
@@ -133,18 +133,18 @@
 }
 
 // equalExceptMark reports whether two states of a peer differ in nothing but the
-// fields that a Mark carries.
+// fields that a StateUpdate carries.
 func equalExceptMark(a, b Peer) bool {
-	a.Revision, a.Base, a.Sequence, a.Age = b.Revision, b.Base, b.Sequence, b.Age
+	a.Revision, a.OldestChange, a.Sequence, a.Age = b.Revision, b.OldestChange, b.Sequence, b.Age
 	return a == b
 }
 
-// reindex stores the entry under the Mark ID of its new state.
+// reindex stores the entry under the StateUpdate ID of its new state.
 func (t *Table) reindex(e *entry, p Peer) {
 	if t.byMarkID[e.markID] == e {
 		delete(t.byMarkID, e.markID)
 	}
-	e.markID = hashMarkID(p)
+	e.markID = hashUpdateID(p)
 	t.byMarkID[e.markID] = e
 }
 
@@ -175,7 +175,7 @@
 }
 
 // Changed returns a channel that is closed at the next change of a peer, except for
-// states that change nothing but the sequence and Base.
+// states that change nothing but the sequence and OldestChange.
 func (t *Table) Changed() <-chan struct{} {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwrequest/hops.go
+++ b/core/jwrequest/hops.go
@@ -21,9 +21,9 @@
 	return n
 }
 
-// Returns reports whether the request has come back to a data centre that it had
+// RevisitsDataCentre reports whether the request has come back to a data centre that it had
 // left.
-func (h Hops) Returns() bool {
+func (h Hops) RevisitsDataCentre() bool {
 	left := make(map[string]bool)
 	for i := 1; i < len(h); i++ {
 		if h[i].DataCentre == h[i-1].DataCentre {
--- a/core/jwrequest/hops_test.go
+++ b/core/jwrequest/hops_test.go
@@ -31,7 +31,7 @@
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			assert.Equal(t, test.hops.RegionChanges(), test.changes)
-			assert.Equal(t, test.hops.Returns(), test.returns)
+			assert.Equal(t, test.hops.RevisitsDataCentre(), test.returns)
 		})
 	}
 }
--- a/core/jwrouter/pick.go
+++ b/core/jwrouter/pick.go
@@ -15,9 +15,9 @@
 
 // The reasons for the choice of a target.
 const (
-	Cached   PickReason = "cached"   // the target has the prefix in its cache, and its load allows the call
-	Lightest PickReason = "lightest" // least expected time to the end of the call
-	Probe    PickReason = "probe"    // the target is probed again after failures
+	Cached        PickReason = "cached"   // the target has the prefix in its cache, and its load allows the call
+	LeastExpected PickReason = "lightest" // least expected time to the end of the call
+	Probe         PickReason = "probe"    // the target is probed again after failures
 )
 
 // Choice is the target chosen for one call.
@@ -54,7 +54,7 @@
 		return Choice{}, false
 	}
 	best := r.leastExpected(q, usable)
-	choice = Choice{Address: best.Address, Reason: Lightest, Expect: r.expectedTime(q, best)}
+	choice = Choice{Address: best.Address, Reason: LeastExpected, Expect: r.expectedTime(q, best)}
 	if best.Probe {
 		choice.Reason = Probe
 		return choice, true
@@ -152,9 +152,9 @@
 	filled := min(float64(c.Outstanding)/slots, 1)
 	times := queued/slots + 1 + fullBatchSlowdown*filled
 	if !r.Policy.NoPace {
-		times *= c.Pace
+		times *= c.Slowdown
 	}
-	expect := time.Duration(times * float64(q.Work))
+	expect := time.Duration(times * float64(q.CallTime))
 	if c.DataCentre != r.DataCentre {
 		expect += 2 * r.Policy.crossing()
 	}
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -15,7 +15,7 @@
 	Bound        PlaceReason = "bound"        // its data must not leave this region
 	NotAllowed   PlaceReason = "notAllowed"   // the entry names no other region
 	Away         PlaceReason = "away"         // another region costs less
-	NoRoom       PlaceReason = "noRoom"       // this region cannot run it, but another can
+	NoCapacity   PlaceReason = "noRoom"       // this region cannot run it, but another can
 	WrongRegion  PlaceReason = "wrongRegion"  // its data is bound to another region, so it is neither run nor forwarded here
 	Nowhere      PlaceReason = "nowhere"      // no region is known to have a target
 )
@@ -35,9 +35,9 @@
 	if q.bound() && q.Home != r.Region {
 		return Placement{Reason: WrongRegion}
 	}
-	room := r.Targets.Room(q.Entry.Service, q.Now)
-	here := Placement{Region: r.Region, Reason: AtHome, Wait: room.Wait}
-	if room.Targets == 0 || q.Full {
+	capacity := r.Targets.Capacity(q.Entry.Service, q.Now)
+	here := Placement{Region: r.Region, Reason: AtHome, Wait: capacity.Wait}
+	if capacity.Targets == 0 || q.RefusedLocally {
 		here = Placement{Reason: Nowhere}
 	}
 	if reason, fixed := r.mustStay(q); fixed {
@@ -46,7 +46,7 @@
 		}
 		return here
 	}
-	if here.Region != "" && room.Wait == 0 && q.Home == r.Region {
+	if here.Region != "" && capacity.Wait == 0 && q.Home == r.Region {
 		return here
 	}
 	return r.cheapest(q, here)
@@ -83,7 +83,7 @@
 			continue
 		}
 		wait := l.wait()
-		if q.Full && wait > 0 {
+		if q.RefusedLocally && wait > 0 {
 			continue
 		}
 		cost := r.cost(q, l.Region, wait)
@@ -93,7 +93,7 @@
 		}
 	}
 	if here.Region == "" && best.Region != "" {
-		best.Reason = NoRoom
+		best.Reason = NoCapacity
 	}
 	return best
 }
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -39,11 +39,11 @@
 			},
 		}
 		q := &Query{
-			Entry: entry,
-			Home:  rapid.SampledFrom(regions).Draw(t, "home"),
-			Bound: rapid.Bool().Draw(t, "bound"),
-			Work:  time.Second,
-			Now:   start,
+			Entry:    entry,
+			Home:     rapid.SampledFrom(regions).Draw(t, "home"),
+			Bound:    rapid.Bool().Draw(t, "bound"),
+			CallTime: time.Second,
+			Now:      start,
 		}
 		at := rapid.SampledFrom(regions).Draw(t, "entryRegion")
 		path := []string{at}
--- a/core/jwrouter/regions.go
+++ b/core/jwrouter/regions.go
@@ -11,14 +11,14 @@
 // Load is the report of a region about one of its services. It is always
 // somewhat out of date.
 type Load struct {
-	Region  string
-	Service string
-	Wait    time.Duration // expected time that a new call waits for a slot
-	Work    time.Duration // usual duration of a call
-	Free    float64       // fraction of the slots that are free
-	Slots   int           // number of calls that the region runs at the same time
-	Targets int
-	Taken   time.Time // when the region measured it
+	Region   string
+	Service  string
+	Wait     time.Duration // expected time that a new call waits for a slot
+	CallTime time.Duration // usual duration of a call
+	Free     float64       // fraction of the slots that are free
+	Slots    int           // number of calls that the region runs at the same time
+	Targets  int
+	Taken    time.Time // when the region measured it
 
 	sentSince int // calls sent there since the report, by this node and, as estimated, by the other nodes of its region
 }
@@ -33,7 +33,7 @@
 	if queued <= 0 {
 		return l.Wait
 	}
-	return l.Wait + time.Duration(queued/float64(l.Slots)*float64(l.Work))
+	return l.Wait + time.Duration(queued/float64(l.Slots)*float64(l.CallTime))
 }
 
 // Link describes the network link between this region and another.
@@ -75,18 +75,18 @@
 	t.reports[load.Service] = append(list, load)
 }
 
-// SetNodes sets how many nodes of this region send requests to other regions.
+// SetLocalNodes sets how many nodes of this region send requests to other regions.
 // Each node assumes that the others send as many as it does itself.
-func (t *Regions) SetNodes(n int) {
+func (t *Regions) SetLocalNodes(n int) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	t.localNodes = n
 }
 
-// Sent counts a request that was sent to another region. Without it, all
+// RecordSent counts a request that was sent to another region. Without it, all
 // requests between two reports would go to the region that last reported that
 // it was idle.
-func (t *Regions) Sent(region, service string) {
+func (t *Regions) RecordSent(region, service string) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	list := t.reports[service]
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -32,7 +32,7 @@
 	table.Set(list, start)
 	for i := range n {
 		l := load(i)
-		l.Taken = start
+		l.RequestedAt = start
 		table.Report(address(i), l)
 	}
 	return &Router{Region: "r", DataCentre: "r0", Targets: table, Regions: &Regions{}}
@@ -50,7 +50,7 @@
 }
 
 func newQuery() *Query {
-	return &Query{Entry: draftEntry(), Home: "r", Work: time.Second, Now: start, Random: 7}
+	return &Query{Entry: draftEntry(), Home: "r", CallTime: time.Second, Now: start, Random: 7}
 }
 
 func TestPick(t *testing.T) {
@@ -62,12 +62,12 @@
 	}{
 		"least outstanding": {
 			newRouter(4, -1, func(i int) jwtarget.Load { return jwtarget.Load{Running: 8 - i, Slots: 8} }),
-			nil, 3, Lightest,
+			nil, 3, LeastExpected,
 		},
-		"same data centre first": {newRouter(2, -1, idle), nil, 0, Lightest},
+		"same data centre first": {newRouter(2, -1, idle), nil, 0, LeastExpected},
 		"excluded": {
 			newRouter(2, -1, idle),
-			func(q *Query, _ *Router) { q.Exclude = []netip.AddrPort{address(0)} }, 1, Lightest,
+			func(q *Query, _ *Router) { q.Exclude = []netip.AddrPort{address(0)} }, 1, LeastExpected,
 		},
 		"all excluded": {
 			newRouter(1, -1, idle),
@@ -75,16 +75,16 @@
 		},
 		"slow target is avoided": {
 			newRouter(3, -1, func(i int) jwtarget.Load {
-				return jwtarget.Load{Slots: 8, Token: time.Duration(100-30*i) * time.Millisecond}
+				return jwtarget.Load{Slots: 8, TokenInterval: time.Duration(100-30*i) * time.Millisecond}
 			}),
-			nil, 2, Lightest,
+			nil, 2, LeastExpected,
 		},
 		"not idempotent avoids a probe": {
 			newRouter(2, -1, busy),
 			func(q *Query, r *Router) {
 				q.Entry.Idempotent = false
 				r.Targets.Failed(address(0), start.Add(-time.Hour))
-			}, 1, Lightest,
+			}, 1, LeastExpected,
 		},
 		"not idempotent with only a probe": {
 			newRouter(1, -1, idle),
@@ -122,7 +122,7 @@
 	const calls = 64
 	for range calls {
 		c, _ := r.Pick(q)
-		r.Targets.Begin(c.Address, q.Work, start)
+		r.Targets.Begin(c.Address, q.CallTime, start)
 		count[c.Address]++
 	}
 	assert.Assert(t, len(count) >= 6, "only %d targets used", len(count)) // 64 calls, at most 11 on each target
@@ -147,7 +147,7 @@
 }
 
 func TestPlace(t *testing.T) {
-	other := Load{Region: "o", Service: "s", Free: 0.5, Slots: 64, Targets: 8, Work: time.Second, Taken: start}
+	other := Load{Region: "o", Service: "s", Free: 0.5, Slots: 64, Targets: 8, CallTime: time.Second, Taken: start}
 	tests := map[string]struct {
 		router *Router
 		change func(*Query, *Router)
@@ -156,18 +156,18 @@
 	}{
 		"home with room":          {newRouter(2, -1, idle), nil, "r", AtHome},
 		"home is busy":            {newRouter(2, -1, busy), nil, "o", Away},
-		"home has no target":      {newRouter(0, -1, idle), nil, "o", NoRoom},
+		"home has no target":      {newRouter(0, -1, idle), nil, "o", NoCapacity},
 		"no region has a target":  {newRouter(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
 		"bound workspace":         {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "r", Bound},
 		"bound entry":             {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
 		"bound, no target":        {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
 		"bound to another region": {newRouter(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
-		"full":                    {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full = true }, "o", NoRoom},
-		"full and bound":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Full, q.Bound = true, true }, "", Nowhere},
+		"full":                    {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RefusedLocally = true }, "o", NoCapacity},
+		"full and bound":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RefusedLocally, q.Bound = true, true }, "", Nowhere},
 		"full everywhere": {newRouter(2, -1, busy), func(q *Query, r *Router) {
-			q.Full = true
+			q.RefusedLocally = true
 			for range 100 {
-				r.Regions.Sent("o", "s")
+				r.Regions.RecordSent("o", "s")
 			}
 		}, "", Nowhere},
 		"late at home": {newRouter(2, -1, busy), func(q *Query, _ *Router) {
@@ -206,11 +206,11 @@
 // that it was idle, and that region's own callers would queue behind it.
 func TestSentAwayCountsUntilNextReport(t *testing.T) {
 	r := newRouter(2, -1, busy)
-	r.Regions.Merge(Load{Region: "o", Service: "s", Free: 0.5, Slots: 16, Targets: 2, Work: time.Second, Taken: start})
+	r.Regions.Merge(Load{Region: "o", Service: "s", Free: 0.5, Slots: 16, Targets: 2, CallTime: time.Second, Taken: start})
 	sent := 0
 	for range 1000 {
 		if r.Place(newQuery()).Reason == Away {
-			r.Regions.Sent("o", "s")
+			r.Regions.RecordSent("o", "s")
 			sent++
 		}
 	}
--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -22,7 +22,7 @@
 	lastLease    Lease
 	activeLeases map[Lease]bool
 	changed      chan struct{}
-	err          error
+	callErr      error
 }
 
 // memoryItem is an item with the lease it was written under, 0 for none.
@@ -37,7 +37,7 @@
 func (m *MemoryFeed) SetError(err error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	m.err = err
+	m.callErr = err
 	m.notify()
 }
 
@@ -148,7 +148,7 @@
 	if m.PageSize > 0 && len(p.Items) > m.PageSize {
 		p.Items, p.More = p.Items[:m.PageSize], true
 	}
-	return p, m.err
+	return p, m.callErr
 }
 
 // Watch implements Feed.
@@ -157,8 +157,8 @@
 	defer timer.Stop()
 	for {
 		m.mu.Lock()
-		if m.err != nil || after < m.compacted {
-			err := m.err
+		if m.callErr != nil || after < m.compacted {
+			err := m.callErr
 			if err == nil {
 				err = ErrCompacted
 			}
@@ -194,8 +194,8 @@
 func (m *MemoryFeed) Grant(_ context.Context, ttl time.Duration) (Lease, time.Duration, error) {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err != nil {
-		return 0, 0, m.err
+	if m.callErr != nil {
+		return 0, 0, m.callErr
 	}
 	if m.activeLeases == nil {
 		m.activeLeases = make(map[Lease]bool)
@@ -209,18 +209,18 @@
 func (m *MemoryFeed) Renew(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err == nil && !m.activeLeases[lease] {
+	if m.callErr == nil && !m.activeLeases[lease] {
 		return ErrNoLease
 	}
-	return m.err
+	return m.callErr
 }
 
 // End implements Feed.
 func (m *MemoryFeed) End(_ context.Context, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err != nil {
-		return m.err
+	if m.callErr != nil {
+		return m.callErr
 	}
 	m.endLease(lease)
 	return nil
@@ -249,8 +249,8 @@
 func (m *MemoryFeed) Set(_ context.Context, key string, value []byte, lease Lease) error {
 	m.mu.Lock()
 	defer m.mu.Unlock()
-	if m.err != nil {
-		return m.err
+	if m.callErr != nil {
+		return m.callErr
 	}
 	if lease != 0 && !m.activeLeases[lease] {
 		return ErrNoLease
--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -12,7 +12,7 @@
 	Key         uint64  // AddressKey of the address, for Mix
 	Outstanding int     // calls running or waiting: the last report, corrected by this node's calls since
 	Slots       int     // max calls that it runs at once, at least 1
-	Pace        float64 // duration of its calls divided by the average duration; 1 unless it is clearly slow
+	Slowdown    float64 // duration of its calls divided by the average duration; 1 unless it is clearly slow
 	Probe       bool    // it failed before; the next call is the only one allowed until its result is known
 }
 
@@ -60,7 +60,7 @@
 		Key:         e.key,
 		Outstanding: e.outstanding(),
 		Slots:       e.slots(),
-		Pace:        s.slowdownOf(e, now),
+		Slowdown:    s.slowdownOf(e, now),
 		Probe:       e.failures > 0,
 	}
 }
@@ -114,8 +114,8 @@
 	if e.slowdown > 0 {
 		slowdown = e.slowdownAt(now)
 	}
-	if s.tokenInterval > 0 && e.load.Token > 0 {
-		slowdown = max(slowdown, float64(e.load.Token)/float64(s.tokenInterval))
+	if s.tokenInterval > 0 && e.load.TokenInterval > 0 {
+		slowdown = max(slowdown, float64(e.load.TokenInterval)/float64(s.tokenInterval))
 	}
 	if slowdown < slowThreshold {
 		return 1
@@ -123,32 +123,32 @@
 	return min(slowdown, maxSlowdown)
 }
 
-// Room is the capacity and the load of one service in the region, estimated from
+// Capacity is the capacity and the load of one service in the region, estimated from
 // the subset of targets that one node uses.
-type Room struct {
+type Capacity struct {
 	Targets     int           // targets of the region that may get work
 	Slots       int           // max calls that the region runs at once, scaled up from the subset
 	Outstanding int           // calls running or waiting in the region, scaled up from the subset
 	Wait        time.Duration // expected wait of a new call for a slot
-	Work        time.Duration // average duration of a call, without its wait for a slot
+	CallTime    time.Duration // average duration of a call, without its wait for a slot
 }
 
 // Free returns the share of slots that are free, from 0 to 1.
-func (r Room) Free() float64 {
+func (r Capacity) Free() float64 {
 	if r.Slots == 0 {
 		return 0
 	}
 	return max(1-float64(r.Outstanding)/float64(r.Slots), 0)
 }
 
-// Room returns the capacity and load of a service; it is zero if no target may
+// Capacity returns the capacity and load of a service; it is zero if no target may
 // get work.
-func (t *Table) Room(serviceName string, now time.Time) Room {
+func (t *Table) Capacity(serviceName string, now time.Time) Capacity {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[serviceName]
 	if s == nil {
-		return Room{}
+		return Capacity{}
 	}
 	slots, outstanding, usable := 0, 0, 0
 	for _, e := range s.subset {
@@ -160,22 +160,22 @@
 		outstanding += e.outstanding()
 	}
 	if usable == 0 {
-		return t.fallbackRoom(s)
+		return t.fallbackCapacity(s)
 	}
-	r := Room{
+	r := Capacity{
 		Targets:     s.available * usable / len(s.subset),
 		Slots:       slots * s.available / len(s.subset),
 		Outstanding: outstanding * s.available / len(s.subset),
-		Work:        orDefault(s.callTime, DefaultCallTime),
+		CallTime:    orDefault(s.callTime, DefaultCallTime),
 	}
 	queued := max(outstanding+1-slots, 0)
-	r.Wait = time.Duration(float64(r.Work) * float64(queued) / float64(slots))
+	r.Wait = time.Duration(float64(r.CallTime) * float64(queued) / float64(slots))
 	return r
 }
 
-// fallbackRoom returns the Room for the time in which all targets are in backoff:
+// fallbackCapacity returns the Capacity for the time in which all targets are in backoff:
 // one slot for each target that isFallback.
-func (t *Table) fallbackRoom(s *service) Room {
+func (t *Table) fallbackCapacity(s *service) Capacity {
 	n := 0
 	for _, e := range s.all {
 		if t.isFallback(e) {
@@ -183,9 +183,9 @@
 		}
 	}
 	if n == 0 {
-		return Room{}
+		return Capacity{}
 	}
-	return Room{Targets: n, Slots: n, Work: orDefault(s.callTime, DefaultCallTime)}
+	return Capacity{Targets: n, Slots: n, CallTime: orDefault(s.callTime, DefaultCallTime)}
 }
 
 // defaultSlots is the number of slots assumed for a target that has not reported
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -67,7 +67,7 @@
 	defer wg.Wait()
 	defer close(queue)
 	for {
-		targets := p.Table.Used()
+		targets := p.Table.Polled()
 		rand.Shuffle(len(targets), func(i, k int) { targets[i], targets[k] = targets[k], targets[i] })
 		period := p.period(len(targets))
 		next := time.After(period/2 + time.Duration(rand.Int64N(int64(period))))
@@ -98,7 +98,7 @@
 		}
 		return
 	}
-	load.Taken = requestedAt
+	load.RequestedAt = requestedAt
 	p.Table.Report(t.Address, load)
 	if leaving {
 		p.Table.MarkLeaving(t.Address, now, now)
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -132,7 +132,7 @@
 }
 
 // Report stores the load report of a target. Calls that started or ended after
-// load.Taken, when the report was requested, are still counted in addition to it.
+// load.RequestedAt, when the report was requested, are still counted in addition to it.
 func (t *Table) Report(addr netip.AddrPort, load Load) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -141,22 +141,22 @@
 		return
 	}
 	e.load = load
-	included := func(at time.Time) bool { return !at.After(load.Taken) }
+	included := func(at time.Time) bool { return !at.After(load.RequestedAt) }
 	e.startedSinceReport = slices.DeleteFunc(e.startedSinceReport, included)
 	e.endedSinceReport = slices.DeleteFunc(e.endedSinceReport, included)
 	s := t.services[e.target.Service]
-	if load.Token > 0 {
-		s.tokenInterval = movingAverage(s.tokenInterval, load.Token)
+	if load.TokenInterval > 0 {
+		s.tokenInterval = movingAverage(s.tokenInterval, load.TokenInterval)
 	}
 }
 
 // Call is one call to a target, from Begin, which returns it, to End, which
 // receives it.
 type Call struct {
-	Address netip.AddrPort
-	Kind    string        // calls of the same kind have similar durations; may be empty
-	Work    time.Duration // expected duration of the call once it has a slot
-	Began   time.Time
+	Address  netip.AddrPort
+	Kind     string        // calls of the same kind have similar durations; may be empty
+	CallTime time.Duration // expected duration of the call once it has a slot
+	Began    time.Time
 
 	expectedWait float64 // expected wait for a slot, as a multiple of the duration of a call
 	probe        bool    // the only call allowed at a target that failed before, until its result is known
@@ -173,9 +173,9 @@
 	Broken   Result = "broken"   // the connection failed or broke, or the target stopped sending
 )
 
-// WorkOf returns the average duration of one kind of call once it has a slot, or
+// CallTimeOf returns the average duration of one kind of call once it has a slot, or
 // 0 before the first call of that kind has ended.
-func (t *Table) WorkOf(serviceName, kind string) time.Duration {
+func (t *Table) CallTimeOf(serviceName, kind string) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	s := t.services[serviceName]
@@ -187,10 +187,10 @@
 
 // Begin counts a new call as outstanding. The caller must pass the Call that it
 // returns to End.
-func (t *Table) Begin(addr netip.AddrPort, work time.Duration, now time.Time) Call {
+func (t *Table) Begin(addr netip.AddrPort, callTime time.Duration, now time.Time) Call {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	c := Call{Address: addr, Work: work, Began: now}
+	c := Call{Address: addr, CallTime: callTime, Began: now}
 	if e := t.targets[addr]; e != nil {
 		c.expectedWait = e.expectedWait()
 		e.inFlight++
@@ -310,9 +310,9 @@
 	e.backoffUntil = now.Add(min(backoff, t.maxBackoff()))
 }
 
-// Used returns the targets whose load this node polls: its subset of each
+// Polled returns the targets whose load this node polls: its subset of each
 // service, those in backoff included, sorted by address.
-func (t *Table) Used() []Target {
+func (t *Table) Polled() []Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	var out []Target
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -86,7 +86,7 @@
 			test.steps(table)
 			_, ok := usable(table, at(test.now))[address(0)]
 			assert.Equal(t, ok, test.want)
-			assert.Equal(t, len(table.Used()) == 3, test.want)
+			assert.Equal(t, len(table.Polled()) == 3, test.want)
 		})
 	}
 }
@@ -122,7 +122,7 @@
 func TestOtherTargetsReplaceFailedSubset(t *testing.T) {
 	table := &Table{Node: "n", Region: "r", Subset: 4}
 	table.Set(list(20), start)
-	for _, target := range table.Used() {
+	for _, target := range table.Polled() {
 		table.Failed(target.Address, start)
 	}
 	assert.Equal(t, len(usable(table, start)), 16)
@@ -134,14 +134,14 @@
 	table := &Table{Region: "r"}
 	table.Set(list(1), start)
 	before := table.Begin(address(0), time.Second, at(0))
-	table.Report(address(0), Load{Running: 5, Waiting: 1, Slots: 8, Taken: at(time.Second)})
+	table.Report(address(0), Load{Running: 5, Waiting: 1, Slots: 8, RequestedAt: at(time.Second)})
 	after := table.Begin(address(0), time.Second, at(2*time.Second))
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 7)
 	table.End(before, Done, at(3*time.Second))
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 6)
 	table.End(after, Done, at(3*time.Second))
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 5)
-	table.Report(address(0), Load{Slots: 8, Taken: at(4 * time.Second)})
+	table.Report(address(0), Load{Slots: 8, RequestedAt: at(4 * time.Second)})
 	assert.Equal(t, usable(table, start)[address(0)].Outstanding, 0)
 }
 
@@ -154,14 +154,14 @@
 	for i := range nodes {
 		table := &Table{Node: fmt.Sprintf("node-%d", i), Region: "r", Subset: size}
 		table.Set(list(targets), start)
-		before := table.Used()
+		before := table.Polled()
 		assert.Equal(t, len(before), size)
 		for _, target := range before {
 			count[target.Address]++
 		}
 		table.Set(list(targets-1), start)
 		after := make(map[netip.AddrPort]bool)
-		for _, target := range table.Used() {
+		for _, target := range table.Polled() {
 			after[target.Address] = true
 		}
 		for _, target := range before {
@@ -179,20 +179,20 @@
 	assert.Assert(t, most <= 15, "a target is in the subsets of %d nodes", most)
 }
 
-func TestRoom(t *testing.T) {
+func TestCapacity(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
-	table.Report(address(0), Load{Running: 8, Waiting: 5, Slots: 8, Taken: start})
-	table.Report(address(1), Load{Running: 8, Waiting: 2, Slots: 8, Taken: start})
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultCallTime / 2, Work: DefaultCallTime})
-	assert.DeepEqual(t, table.Room("none", start), Room{})
+	table.Report(address(0), Load{Running: 8, Waiting: 5, Slots: 8, RequestedAt: start})
+	table.Report(address(1), Load{Running: 8, Waiting: 2, Slots: 8, RequestedAt: start})
+	assert.DeepEqual(t, table.Capacity("s", start), Capacity{Targets: 2, Slots: 16, Outstanding: 23, Wait: DefaultCallTime / 2, CallTime: DefaultCallTime})
+	assert.DeepEqual(t, table.Capacity("none", start), Capacity{})
 	table.Failed(address(0), start)
 	table.Failed(address(1), start)
-	assert.DeepEqual(t, table.Room("s", start), Room{Targets: 2, Slots: 2, Work: DefaultCallTime})
+	assert.DeepEqual(t, table.Capacity("s", start), Capacity{Targets: 2, Slots: 2, CallTime: DefaultCallTime})
 	again := start.Add(DefaultMaxBackoff)
 	table.Failed(address(0), again)
 	table.Failed(address(1), again)
-	assert.DeepEqual(t, table.Room("s", again), Room{})
+	assert.DeepEqual(t, table.Capacity("s", again), Capacity{})
 }
 
 func TestSubsetFor(t *testing.T) {
@@ -226,11 +226,11 @@
 		}
 	}
 	now := at(5 * time.Second)
-	assert.Assert(t, usable(table, now)[address(0)].Pace > slowThreshold)
+	assert.Assert(t, usable(table, now)[address(0)].Slowdown > slowThreshold)
 	for n := 1; n < 4; n++ {
-		assert.Equal(t, usable(table, now)[address(n)].Pace, 1.0)
+		assert.Equal(t, usable(table, now)[address(n)].Slowdown, 1.0)
 	}
-	assert.Equal(t, usable(table, now.Add(slowdownTTL))[address(0)].Pace, 1.0)
+	assert.Equal(t, usable(table, now.Add(slowdownTTL))[address(0)].Slowdown, 1.0)
 }
 
 // One service runs long drafts and short questions. If the duration of a draft
@@ -240,20 +240,20 @@
 func TestCallTimeIsPerKindAndExcludesWait(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Set(list(2), start)
-	table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: start})
+	table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, RequestedAt: start})
 	for range 20 {
-		long := table.Begin(address(0), table.WorkOf("s", "draft"), at(0))
+		long := table.Begin(address(0), table.CallTimeOf("s", "draft"), at(0))
 		long.Kind = "draft"
 		table.End(long, Done, at(8*time.Second))
-		short := table.Begin(address(1), table.WorkOf("s", "question"), at(0))
+		short := table.Begin(address(1), table.CallTimeOf("s", "question"), at(0))
 		short.Kind = "question"
 		table.End(short, Done, at(2*time.Second)) // half of it in the queue
-		table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, Taken: at(2 * time.Second)})
+		table.Report(address(1), Load{Running: 8, Waiting: 7, Slots: 8, RequestedAt: at(2 * time.Second)})
 	}
-	assert.Equal(t, table.WorkOf("s", "draft"), 8*time.Second)
-	assert.Equal(t, table.WorkOf("s", "question"), time.Second)
+	assert.Equal(t, table.CallTimeOf("s", "draft"), 8*time.Second)
+	assert.Equal(t, table.CallTimeOf("s", "question"), time.Second)
 	for n, c := range usable(table, at(8*time.Second)) {
-		assert.Equal(t, c.Pace, 1.0, "%s", n)
+		assert.Equal(t, c.Slowdown, 1.0, "%s", n)
 	}
 }
 
@@ -268,7 +268,7 @@
 		table.End(table.Begin(address(i), time.Second, at(0)), Broken, at(0))
 	}
 	assert.Equal(t, len(usable(table, at(0))), 3)
-	assert.Equal(t, table.Room("s", at(0)).Targets, 3)
+	assert.Equal(t, table.Capacity("s", at(0)).Targets, 3)
 
 	first := table.Begin(address(0), time.Second, at(0))
 	assert.Equal(t, len(usable(table, at(0))), 2, "only one call probes a target")
@@ -286,5 +286,5 @@
 		}
 	}
 	assert.Equal(t, len(usable(down, at(0))), 0)
-	assert.Equal(t, down.Room("s", at(0)).Targets, 0)
+	assert.Equal(t, down.Capacity("s", at(0)).Targets, 0)
 }
--- a/core/jwtarget/target.go
+++ b/core/jwtarget/target.go
@@ -27,10 +27,10 @@
 // Load is a target's own report of its load. It is older than the calls that
 // started since.
 type Load struct {
-	Running  int           // requests in the batch being processed
-	Waiting  int           // requests queued
-	Slots    int           // max requests in one batch; 0 if not known
-	CacheUse float64       // share of its prefix cache in use, 0 to 1
-	Token    time.Duration // time between tokens of one stream
-	Taken    time.Time     // when the report was requested
+	Running       int           // requests in the batch being processed
+	Waiting       int           // requests queued
+	Slots         int           // max requests in one batch; 0 if not known
+	CacheUse      float64       // share of its prefix cache in use, 0 to 1
+	TokenInterval time.Duration // time between tokens of one stream
+	RequestedAt   time.Time     // when the report was requested
 }
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -92,7 +92,7 @@
 	away := p.Region != n.region
 	token, refusal, ok := n.limiter.Admit(n.admission(q, false, away))
 	if !ok && !away && refusal.Reason.LacksCapacity() && !n.sim.policy.noSecondPlacement {
-		rq.Full = true
+		rq.RefusedLocally = true
 		if p = n.router.Place(rq); p.Region != "" {
 			away = true
 			token, refusal, ok = n.limiter.Admit(n.admission(q, false, away))
@@ -108,7 +108,7 @@
 		n.serve(q, rq, localDelay, release)
 		return
 	}
-	n.router.Regions.Sent(p.Region, q.entry.Service)
+	n.router.Regions.RecordSent(p.Region, q.entry.Service)
 	peers := n.sim.nodes[p.Region]
 	peer := peers[n.sim.rnd.IntN(len(peers))]
 	n.sim.after(n.sim.deployment.LinkDelay, func() { peer.receiveForwarded(q, n, release) })
@@ -165,7 +165,7 @@
 		n.sim.retryLater(q, 2*time.Second)
 		return
 	}
-	call := n.targets.Begin(choice.Address, rq.Work, n.sim.now)
+	call := n.targets.Begin(choice.Address, rq.CallTime, n.sim.now)
 	call.Kind = q.entry.Name
 	n.suspects.Begin(q.fingerprint, choice.Address, q.bound)
 	n.run(q, n.sim.runners[choice.Address], delay, func(end endReason) {
@@ -200,7 +200,7 @@
 
 // addresses returns the targets of a service that this node uses.
 func (n *node) addresses(service string) (out []netip.AddrPort) {
-	for _, target := range n.targets.Used() {
+	for _, target := range n.targets.Polled() {
 		if target.Service == service {
 			out = append(out, target.Address)
 		}
@@ -212,7 +212,7 @@
 	k := kindOf(q.entry.Name)
 	return &jwrouter.Query{
 		Entry: q.entry, Home: q.home, Bound: q.bound, Prefix: q.prefix,
-		Prefill: time.Duration(float64(k.prefill) * (1 - cachedPrefillShare)), Work: k.work(),
+		Prefill: time.Duration(float64(k.prefill) * (1 - cachedPrefillShare)), CallTime: k.work(),
 		Deadline: q.deadline, Exclude: q.exclude, Now: n.sim.now, Random: n.sim.rnd.Uint64(),
 	}
 }
@@ -220,8 +220,8 @@
 func (n *node) admission(q *request, foreign, away bool) *jwlimit.Query {
 	return &jwlimit.Query{
 		Entry: q.entry, Owner: q.owner, Caller: q.id, Foreign: foreign, Bound: q.bound, Away: away,
-		TimeLeft: q.deadline.Sub(n.sim.now), Work: kindOf(q.entry.Name).work(),
-		Capacity: n.targets.Room(q.entry.Service, n.sim.now), Now: n.sim.now, Random: n.sim.rnd.Float64(),
+		TimeLeft: q.deadline.Sub(n.sim.now), CallTime: kindOf(q.entry.Name).work(),
+		Capacity: n.targets.Capacity(q.entry.Service, n.sim.now), Now: n.sim.now, Random: n.sim.rnd.Float64(),
 	}
 }
 
--- a/io/jwbench/runner.go
+++ b/io/jwbench/runner.go
@@ -229,5 +229,5 @@
 	if r.hidesSlowness {
 		token = time.Duration(float64(baseTokenTime) / r.rate() * r.speed)
 	}
-	return jwtarget.Load{Running: len(r.running), Waiting: waiting, Slots: r.slots, Token: token}
+	return jwtarget.Load{Running: len(r.running), Waiting: waiting, Slots: r.slots, TokenInterval: token}
 }
--- a/io/jwbench/world.go
+++ b/io/jwbench/world.go
@@ -175,7 +175,7 @@
 			Region: region.Name, DataCentre: region.Name, Targets: n.targets,
 			Regions: &jwrouter.Regions{Links: links}, Policy: sim.policy.router,
 		}
-		n.router.Regions.SetNodes(region.Nodes)
+		n.router.Regions.SetLocalNodes(region.Nodes)
 		n.limiter = &jwlimit.Limiter{Node: name, Policy: sim.policy.limiter}
 		n.limiter.SetMembers(names)
 		n.suspects = &jwsuspect.Table{Node: name, Region: region.Name}
@@ -204,7 +204,7 @@
 // pollLoads reads the load of the node's targets and marks those that are down
 // as failed.
 func (n *node) pollLoads() {
-	for _, target := range n.targets.Used() {
+	for _, target := range n.targets.Polled() {
 		r := n.sim.runners[target.Address]
 		if r.down {
 			n.targets.Failed(target.Address, n.sim.now)
@@ -212,7 +212,7 @@
 		}
 		r.advance()
 		load := r.load()
-		load.Taken = n.sim.now
+		load.RequestedAt = n.sim.now
 		n.sim.after(reportDelay, func() {
 			n.targets.Report(target.Address, load)
 			n.reports[target.Address] = load
@@ -251,9 +251,9 @@
 // region.
 func (n *node) sendLoad(other *node, delay time.Duration) {
 	for _, service := range []string{writer, desk} {
-		room := n.targets.Room(service, n.sim.now)
+		room := n.targets.Capacity(service, n.sim.now)
 		load := jwrouter.Load{
-			Region: n.region, Service: service, Wait: room.Wait, Work: room.Work,
+			Region: n.region, Service: service, Wait: room.Wait, CallTime: room.CallTime,
 			Free: room.Free(), Slots: room.Slots, Targets: room.Targets,
 		}
 		n.sim.after(delay, func() {
--- a/io/jwcommand/program.go
+++ b/io/jwcommand/program.go
@@ -39,7 +39,7 @@
 
 // Run executes the command line and returns its exit code.
 func (p *Program) Run(ctx context.Context) Exit {
-	jwrest.Quiet()
+	jwrest.DisableGoZeroDefaults()
 	var cli commands
 	exited := false
 	parser, err := kong.New(&cli,
--- a/io/jwcommand/words.go
+++ b/io/jwcommand/words.go
@@ -40,14 +40,14 @@
 		string(jwrouter.Bound):        "its data must not leave this region",
 		string(jwrouter.NotAllowed):   "the entry names no other region",
 		string(jwrouter.Away):         "another region costs less",
-		string(jwrouter.NoRoom):       "this region cannot take it, another can",
+		string(jwrouter.NoCapacity):   "this region cannot take it, another can",
 		string(jwrouter.WrongRegion):  "its data is bound to another region",
 		string(jwrouter.Nowhere):      "no region is known to have a target",
 	},
 	"target": {
-		string(jwrouter.Cached):   "the target has its prefix cached and its load allows it",
-		string(jwrouter.Lightest): "least expected time",
-		string(jwrouter.Probe):    "tried again after failures",
+		string(jwrouter.Cached):        "the target has its prefix cached and its load allows it",
+		string(jwrouter.LeastExpected): "least expected time",
+		string(jwrouter.Probe):         "tried again after failures",
 	},
 	"claim": {
 		string(jwclaim.Run):              "this node alone may run it",
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -20,7 +20,7 @@
 // The defaults for the fields of a Pool that are zero.
 const (
 	DefaultDialTimeout = 700 * time.Millisecond // for Pool.DialTimeout
-	DefaultIdleTimeout = 8 * time.Second        // for Pool.Idle
+	DefaultIdleTimeout = 8 * time.Second        // for Pool.IdleTimeout
 	DefaultMaxIdle     = 32                     // for Pool.MaxIdle
 )
 
@@ -45,13 +45,13 @@
 
 // The stages at which a call can fail.
 const (
-	Dial Stage = "dial" // not connected: nothing was sent
-	Sent Stage = "sent" // the request was sent, at least in part, and no answer was read
-	Read Stage = "read" // the head of the answer was read, but its body is incomplete
+	StageDial Stage = "dial" // not connected: nothing was sent
+	StageSent Stage = "sent" // the request was sent, at least in part, and no answer was read
+	StageRead Stage = "read" // the head of the answer was read, but its body is incomplete
 )
 
 // CallError is the error of a failed call. The peer may have acted on the call
-// unless Stage is Dial.
+// unless Stage is StageDial.
 type CallError struct {
 	Stage Stage
 	Peer  netip.AddrPort
@@ -73,13 +73,13 @@
 // before use.
 type Pool struct {
 	DialTimeout time.Duration // longest time to open a connection
-	Idle        time.Duration // longest time for which an unused connection is kept
+	IdleTimeout time.Duration // longest time for which an unused connection is kept
 	MaxIdle     int           // max number of unused connections kept to one address
-	// Share, if set, is a further limit on the number of unused connections kept
+	// MaxIdlePerPeer, if set, is a further limit on the number of unused connections kept
 	// to an address: a target accepts a limited number from all nodes together.
 	// At least one is kept.
-	Share  func(netip.AddrPort) int
-	Opened func() // called before each attempt to open a connection, if set
+	MaxIdlePerPeer func(netip.AddrPort) int
+	OnDial         func() // called before each attempt to open a connection, if set
 
 	mu   sync.Mutex
 	idle map[netip.AddrPort][]*conn
@@ -110,11 +110,11 @@
 	// Match reports whether a header belongs to the answer to this call, and not
 	// to an earlier call on the connection; nil accepts any.
 	Match func(http.Header) bool
-	// Fresh is the longest time for which a connection may have been unused to
-	// be chosen for this call; 0 means the pool's Idle. A short time is meant for
+	// MaxUnused is the longest time for which a connection may have been unused to
+	// be chosen for this call; 0 means the pool's IdleTimeout. A short time is meant for
 	// calls that must not be sent twice: if the peer closes the connection at the
 	// moment of sending, it is unknown whether the call ran.
-	Fresh time.Duration
+	MaxUnused time.Duration
 }
 
 // Answer is the head of an answer and a reader of its body. Close must be called.
@@ -138,7 +138,7 @@
 func (p *Pool) Do(ctx context.Context, c *Call) (*Answer, error) {
 	cn, err := p.take(ctx, c)
 	if err != nil {
-		return nil, &CallError{Dial, c.Peer, err}
+		return nil, &CallError{StageDial, c.Peer, err}
 	}
 	stop := context.AfterFunc(ctx, func() { cn.Close() })
 	a, err := p.exchange(cn, c)
@@ -148,7 +148,7 @@
 		if ctx.Err() != nil {
 			err = context.Cause(ctx)
 		}
-		return nil, &CallError{Sent, c.Peer, err}
+		return nil, &CallError{StageSent, c.Peer, err}
 	}
 	a.stop = stop
 	return a, nil
@@ -182,14 +182,14 @@
 	return a, nil
 }
 
-// RestError is the error if Call.Rest failed, so that the body of the call is
+// BodyReadError is the error if Call.Rest failed, so that the body of the call is
 // incomplete.
-type RestError struct{ Err error }
+type BodyReadError struct{ Err error }
 
-func (e *RestError) Error() string { return "body: " + e.Err.Error() }
+func (e *BodyReadError) Error() string { return "body: " + e.Err.Error() }
 
 // Unwrap returns the cause.
-func (e *RestError) Unwrap() error { return e.Err }
+func (e *BodyReadError) Unwrap() error { return e.Err }
 
 // writeBody writes the body of a call. If the body is incomplete, it closes the
 // connection, so that the peer doesn't take the part that it has for the whole.
@@ -223,24 +223,24 @@
 	return err
 }
 
-// restReader wraps the read errors of Call.Rest in RestError.
+// restReader wraps the read errors of Call.Rest in BodyReadError.
 type restReader struct{ r io.Reader }
 
 func (r *restReader) Read(p []byte) (int, error) {
 	n, err := r.r.Read(p)
 	if err != nil && err != io.EOF {
-		err = &RestError{err}
+		err = &BodyReadError{err}
 	}
 	return n, err
 }
 
-// requestError returns the reason why no answer was read: the RestError if
+// requestError returns the reason why no answer was read: the BodyReadError if
 // reading the body failed, because that closed the connection, and err otherwise.
 func (a *Answer) requestError(err error) error {
 	if a.bodyResult == nil {
 		return err
 	}
-	var rest *RestError
+	var rest *BodyReadError
 	select {
 	case writeErr := <-a.bodyResult:
 		if errors.As(writeErr, &rest) {
@@ -325,9 +325,9 @@
 // take returns a kept connection that is still usable, or a new one. A connection
 // is not used again after half of the time for which the peer keeps it.
 func (p *Pool) take(ctx context.Context, c *Call) (*conn, error) {
-	idle := durationOr(p.Idle, DefaultIdleTimeout)
-	if c.Fresh > 0 {
-		idle = c.Fresh
+	idle := durationOr(p.IdleTimeout, DefaultIdleTimeout)
+	if c.MaxUnused > 0 {
+		idle = c.MaxUnused
 	}
 	for {
 		cn := p.pop(c.Peer)
@@ -356,8 +356,8 @@
 
 func (p *Pool) dial(ctx context.Context, peer netip.AddrPort) (*conn, error) {
 	d := net.Dialer{Timeout: durationOr(p.DialTimeout, DefaultDialTimeout), KeepAlive: -1, Control: setUserTimeout}
-	if p.Opened != nil {
-		p.Opened()
+	if p.OnDial != nil {
+		p.OnDial()
 	}
 	c, err := d.DialContext(ctx, "tcp", peer.String())
 	if err != nil {
@@ -375,13 +375,13 @@
 }
 
 // put keeps a connection for later calls. It closes the ones unused longest where
-// there are too many, and those unused for longer than Idle.
+// there are too many, and those unused for longer than IdleTimeout.
 func (p *Pool) put(peer netip.AddrPort, cn *conn) {
 	now := time.Now()
 	cn.idleSince = now
 	maxIdle := intOr(p.MaxIdle, DefaultMaxIdle)
-	if p.Share != nil {
-		maxIdle = max(min(maxIdle, p.Share(peer)), 1)
+	if p.MaxIdlePerPeer != nil {
+		maxIdle = max(min(maxIdle, p.MaxIdlePerPeer(peer)), 1)
 	}
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -389,23 +389,23 @@
 		p.idle = make(map[netip.AddrPort][]*conn)
 	}
 	list := p.idle[peer]
-	for len(list) > 0 && (len(list) >= maxIdle || now.Sub(list[0].idleSince) > durationOr(p.Idle, DefaultIdleTimeout)) {
+	for len(list) > 0 && (len(list) >= maxIdle || now.Sub(list[0].idleSince) > durationOr(p.IdleTimeout, DefaultIdleTimeout)) {
 		list[0].Close()
 		list = list[1:]
 	}
 	p.idle[peer] = append(list, cn)
 }
 
-// Kept returns the number of unused connections kept to an address.
-func (p *Pool) Kept(peer netip.AddrPort) int {
+// IdleCount returns the number of unused connections kept to an address.
+func (p *Pool) IdleCount(peer netip.AddrPort) int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return len(p.idle[peer])
 }
 
-// Drop closes the unused connections kept to an address. It is called when one
+// CloseIdle closes the unused connections kept to an address. It is called when one
 // connection stopped responding, because the others may have too.
-func (p *Pool) Drop(peer netip.AddrPort) {
+func (p *Pool) CloseIdle(peer netip.AddrPort) {
 	p.mu.Lock()
 	list := p.idle[peer]
 	delete(p.idle, peer)
@@ -439,8 +439,8 @@
 	return err == nil && open
 }
 
-// Whole reports whether the body was read to its end.
-func (a *Answer) Whole() bool { return a.complete }
+// Complete reports whether the body was read to its end.
+func (a *Answer) Complete() bool { return a.complete }
 
 // Close returns the connection to the pool if the request was sent and the answer
 // read completely, and closes it otherwise.
@@ -480,7 +480,7 @@
 	if err == io.EOF {
 		b.a.complete = true
 	} else if err != nil {
-		err = &CallError{Read, b.a.peer, err}
+		err = &CallError{StageRead, b.a.peer, err}
 	}
 	return n, err
 }
--- a/io/jwconn/pool_test.go
+++ b/io/jwconn/pool_test.go
@@ -74,11 +74,11 @@
 		"interim first":                          {raw: "HTTP/1.1 103 Early Hints\r\n\r\n" + responseText("ID", "abc"), body: "abc", kept: true},
 		"a late answer to another request first": {raw: responseText("old", "zzz") + responseText("ID", "abc"), body: "abc", kept: true},
 		"an extra answer after it":               {raw: responseText("ID", "abc") + responseText("ID", "zzz"), body: "abc"},
-		"incomplete body":                        {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 9\r\n\r\nabc", close: true, stage: Read},
-		"incomplete chunked body":                {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", close: true, stage: Read},
-		"no answer":                              {close: true, stage: Sent},
-		"no HTTP":                                {raw: "what?\r\n\r\n", stage: Sent, close: true},
-		"only answers to others":                 {raw: strings.Repeat(responseText("old", "z"), 4), stage: Sent},
+		"incomplete body":                        {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nContent-Length: 9\r\n\r\nabc", close: true, stage: StageRead},
+		"incomplete chunked body":                {raw: "HTTP/1.1 200 OK\r\nId: ID\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n", close: true, stage: StageRead},
+		"no answer":                              {close: true, stage: StageSent},
+		"no HTTP":                                {raw: "what?\r\n\r\n", stage: StageSent, close: true},
+		"only answers to others":                 {raw: strings.Repeat(responseText("old", "z"), 4), stage: StageSent},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -95,7 +95,7 @@
 					}
 				}
 			})
-			p := &Pool{Opened: func() { conns++ }}
+			p := &Pool{OnDial: func() { conns++ }}
 			for _, id := range []string{"one", "two"} {
 				body, err := doAndRead(p, newCall(a, id))
 				var ce *CallError
@@ -135,7 +135,7 @@
 		_, _ = io.WriteString(cn, responseText("one", "no"))
 		time.Sleep(100 * time.Millisecond)
 	})
-	p := &Pool{Opened: func() { conns++ }}
+	p := &Pool{OnDial: func() { conns++ }}
 	c := newCall(a, "one")
 	c.Body = make([]byte, 64<<20) // more than the socket buffers hold
 	body, err := doAndRead(p, c)
@@ -204,7 +204,7 @@
 	_, err = (&Pool{}).Do(context.Background(), newCall(a, "one"))
 	var ce *CallError
 	assert.Assert(t, errors.As(err, &ce))
-	assert.Equal(t, ce.Stage, Dial)
+	assert.Equal(t, ce.Stage, StageDial)
 }
 
 func TestKeepAlive(t *testing.T) {
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -28,7 +28,7 @@
 // Run runs the demo and writes what happens to w. It returns an error if the
 // system can't be started or a check fails.
 func (Demo) Run(ctx context.Context, w io.Writer) error {
-	jwrest.Quiet()
+	jwrest.DisableGoZeroDefaults()
 	r := &reporter{w: w}
 	began := time.Now()
 	r.printLine("starting a node, four model runners and a plain service in each of three regions")
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -36,7 +36,7 @@
 
 // Run starts the system, sends the load and returns the measurements.
 func (t *Trial) Run(ctx context.Context) (Result, error) {
-	jwrest.Quiet()
+	jwrest.DisableGoZeroDefaults()
 	f, err := start(ctx, t.Deployment)
 	if err != nil {
 		return Result{}, errors.Wrap(err, "start")
--- a/io/jwforward/adopt.go
+++ b/io/jwforward/adopt.go
@@ -12,17 +12,17 @@
 // Sponsor confirms catalogue revisions on behalf of nodes of the region that
 // can't reach the platform.
 type Sponsor interface {
-	// AdoptRecords makes this node the sponsor of another one and returns the
+	// StartSponsorship makes this node the sponsor of another one and returns the
 	// catalogue changes that the other lacks after a revision, as JSON records.
-	AdoptRecords(node, region, incarnation string, after uint64) (changes [][]byte, checkpoint []byte, err error)
-	// ReleaseNode ends the sponsorship that AdoptRecords began.
-	ReleaseNode(node, region, incarnation string)
+	StartSponsorship(node, region, incarnation string, after uint64) (changes [][]byte, checkpoint []byte, err error)
+	// EndSponsorship ends the sponsorship that StartSponsorship began.
+	EndSponsorship(node, region, incarnation string)
 }
 
-// AskAdopt asks a node to be the sponsor of this one and returns the catalogue
+// RequestSponsor asks a node to be the sponsor of this one and returns the catalogue
 // changes that this one lacks after the given revision.
-func (p *Pool) AskAdopt(ctx context.Context, sponsor, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
-	client, _, err := p.client(sponsor.Nodes)
+func (p *Pool) RequestSponsor(ctx context.Context, sponsor, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
+	client, _, err := p.client(sponsor.NodeAddress)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -35,9 +35,9 @@
 	return out.GetChanges(), out.GetCheckpoint(), nil
 }
 
-// AskRelease ends the sponsorship of a node for this one.
-func (p *Pool) AskRelease(ctx context.Context, sponsor, self jwpeer.Peer) error {
-	client, _, err := p.client(sponsor.Nodes)
+// EndSponsorship ends the sponsorship of a node for this one.
+func (p *Pool) EndSponsorship(ctx context.Context, sponsor, self jwpeer.Peer) error {
+	client, _, err := p.client(sponsor.NodeAddress)
 	if err != nil {
 		return err
 	}
@@ -47,25 +47,25 @@
 	return errors.Wrapf(err, "ask %s to end its sponsorship", sponsor.Name)
 }
 
-// Adopt handles AskAdopt of another node: it makes this node the sponsor of
+// Adopt handles RequestSponsor of another node: it makes this node the sponsor of
 // the caller.
 func (s *Server) Adopt(ctx context.Context, in *jwwire.AdoptRequest) (*jwwire.ChangesResponse, error) {
 	if err := checkIdentity(ctx, in.GetNode(), in.GetRegion()); err != nil {
 		return nil, err
 	}
-	changes, checkpoint, err := s.Sponsor.AdoptRecords(in.GetNode(), in.GetRegion(), in.GetIncarnation(), in.GetAfter())
+	changes, checkpoint, err := s.Sponsor.StartSponsorship(in.GetNode(), in.GetRegion(), in.GetIncarnation(), in.GetAfter())
 	if err != nil {
 		return nil, err
 	}
 	return &jwwire.ChangesResponse{Changes: changes, Checkpoint: checkpoint}, nil
 }
 
-// Release handles AskRelease of another node: it ends the sponsorship that
+// Release handles EndSponsorship of another node: it ends the sponsorship that
 // Adopt began.
 func (s *Server) Release(ctx context.Context, in *jwwire.AdoptRequest) (*jwwire.ReleaseResponse, error) {
 	if err := checkIdentity(ctx, in.GetNode(), in.GetRegion()); err != nil {
 		return nil, err
 	}
-	s.Sponsor.ReleaseNode(in.GetNode(), in.GetRegion(), in.GetIncarnation())
+	s.Sponsor.EndSponsorship(in.GetNode(), in.GetRegion(), in.GetIncarnation())
 	return &jwwire.ReleaseResponse{}, nil
 }
--- a/io/jwforward/exchange.go
+++ b/io/jwforward/exchange.go
@@ -24,14 +24,14 @@
 // answers with. If the node does not answer before the deadline of ctx, the
 // connection is probed, and replaced if the probe fails too.
 func (p *Pool) Exchange(ctx context.Context, to jwpeer.Peer, digest jwpeer.Digest) (jwpeer.Digest, error) {
-	client, conn, err := p.client(to.Nodes)
+	client, conn, err := p.client(to.NodeAddress)
 	if err != nil {
 		return jwpeer.Digest{}, err
 	}
 	answer, err := client.Exchange(ctx, digestToWire(digest))
 	if err != nil {
 		if code := status.Code(err); code == codes.DeadlineExceeded && ctx.Err() == context.DeadlineExceeded {
-			go p.probeOrReplace(to.Nodes, conn)
+			go p.probeOrReplace(to.NodeAddress, conn)
 		}
 		return jwpeer.Digest{}, errors.Wrapf(err, "exchange with %s", to.Name)
 	}
@@ -47,20 +47,20 @@
 }
 
 func digestToWire(digest jwpeer.Digest) *jwwire.Digest {
-	out := &jwwire.Digest{Node: digest.From, Again: digest.Again, Whole: digest.Whole}
+	out := &jwwire.Digest{Node: digest.From, Again: digest.ResendAll, Whole: digest.Complete}
 	newsToWire(digest.News, out)
 	for _, p := range digest.Peers {
 		out.Peers = append(out.Peers, &jwwire.PeerState{
 			Node: p.Name, Region: p.Region, DataCentre: p.DataCentre,
-			CallerAddress: p.Callers.String(), NodeAddress: p.Nodes.String(),
+			CallerAddress: p.CallerAddress.String(), NodeAddress: p.NodeAddress.String(),
 			Incarnation: p.Incarnation, State: string(p.State),
-			Revision: p.Revision, Sequence: p.Sequence, BaseRevision: p.Base,
+			Revision: p.Revision, Sequence: p.Sequence, BaseRevision: p.OldestChange,
 			AgeMicros: p.Age.Microseconds(),
 		})
 	}
-	for _, m := range digest.Marks {
+	for _, m := range digest.Updates {
 		out.Marks = append(out.Marks, &jwwire.PeerMark{
-			Id: m.ID, Sequence: m.Sequence, Revision: m.Revision, BaseRevision: m.Base,
+			Id: m.ID, Sequence: m.Sequence, Revision: m.Revision, BaseRevision: m.OldestChange,
 			AgeMillis: uint64(m.Age.Milliseconds()),
 		})
 	}
@@ -70,10 +70,10 @@
 // digestFromWire leaves out peers whose addresses can't be parsed, as those of
 // a later version might be.
 func digestFromWire(d *jwwire.Digest) jwpeer.Digest {
-	out := jwpeer.Digest{From: d.GetNode(), News: newsFromWire(d), Again: d.GetAgain(), Whole: d.GetWhole()}
+	out := jwpeer.Digest{From: d.GetNode(), News: newsFromWire(d), ResendAll: d.GetAgain(), Complete: d.GetWhole()}
 	for _, m := range d.GetMarks() {
-		out.Marks = append(out.Marks, jwpeer.Mark{
-			ID: m.GetId(), Sequence: m.GetSequence(), Revision: m.GetRevision(), Base: m.GetBaseRevision(),
+		out.Updates = append(out.Updates, jwpeer.StateUpdate{
+			ID: m.GetId(), Sequence: m.GetSequence(), Revision: m.GetRevision(), OldestChange: m.GetBaseRevision(),
 			Age: time.Duration(m.GetAgeMillis()) * time.Millisecond,
 		})
 	}
@@ -88,9 +88,9 @@
 		}
 		out.Peers = append(out.Peers, jwpeer.Peer{
 			Name: p.GetNode(), Region: p.GetRegion(), DataCentre: p.GetDataCentre(),
-			Callers: callers, Nodes: nodes,
+			CallerAddress: callers, NodeAddress: nodes,
 			Incarnation: p.GetIncarnation(), State: jwpeer.State(p.GetState()),
-			Revision: p.GetRevision(), Base: p.GetBaseRevision(), Sequence: p.GetSequence(),
+			Revision: p.GetRevision(), OldestChange: p.GetBaseRevision(), Sequence: p.GetSequence(),
 			Age: micros(p.GetAgeMicros()),
 		})
 	}
--- a/io/jwforward/forward.go
+++ b/io/jwforward/forward.go
@@ -22,15 +22,15 @@
 // Forward sends a request to another node and returns when the head of the
 // answer has arrived. Errors are of type *jwdispatch.CallError.
 func (p *Pool) Forward(ctx context.Context, to jwpeer.Peer, r *jwrequest.Request, reason string) (*jwdispatch.Answer, error) {
-	if p.isExcluded(to.Nodes) {
-		return nil, forwardError(to.Nodes, jwdispatch.Unsent, errors.New("node did not answer a probe"))
+	if p.isExcluded(to.NodeAddress) {
+		return nil, forwardError(to.NodeAddress, jwdispatch.Unsent, errors.New("node did not answer a probe"))
 	}
-	client, conn, err := p.client(to.Nodes)
+	client, conn, err := p.client(to.NodeAddress)
 	if err != nil {
-		return nil, forwardError(to.Nodes, jwdispatch.Unsent, err)
+		return nil, forwardError(to.NodeAddress, jwdispatch.Unsent, err)
 	}
 	ctx, cancelStream := context.WithCancel(ctx)
-	done := p.trackCall(to.Nodes, conn)
+	done := p.trackCall(to.NodeAddress, conn)
 	cancel := sync.OnceFunc(func() {
 		cancelStream()
 		done()
@@ -38,23 +38,23 @@
 	stream, err := client.Forward(ctx)
 	if err != nil {
 		cancel()
-		return nil, forwardError(to.Nodes, jwdispatch.Unsent, err)
+		return nil, forwardError(to.NodeAddress, jwdispatch.Unsent, err)
 	}
 	if err := sendRequest(stream, r, reason); err != nil {
 		cancel()
-		return nil, err.at(to.Nodes)
+		return nil, err.at(to.NodeAddress)
 	}
 	first, err := stream.Recv()
 	if err != nil {
 		cancel()
-		p.replaceIfUnavailable(to.Nodes, conn, err)
-		return nil, forwardError(to.Nodes, fate(err), err)
+		p.replaceIfUnavailable(to.NodeAddress, conn, err)
+		return nil, forwardError(to.NodeAddress, failureKind(err), err)
 	}
 	if code := first.GetHead().GetStatus(); code < http.StatusOK || code > maxStatus {
 		cancel()
-		return nil, forwardError(to.Nodes, jwdispatch.Broken, errors.Errorf("answer has no head or the invalid status %d", code))
+		return nil, forwardError(to.NodeAddress, jwdispatch.BrokenOff, errors.Errorf("answer has no head or the invalid status %d", code))
 	}
-	b := &answerBody{stream: stream, cancel: cancel, peer: to.Nodes}
+	b := &answerBody{stream: stream, cancel: cancel, peer: to.NodeAddress}
 	return &jwdispatch.Answer{Head: headFromWire(first.GetHead()), Body: b}, nil
 }
 
@@ -69,19 +69,19 @@
 	}
 }
 
-// fate returns whether the other node may have run a request whose stream
+// failureKind returns whether the other node may have run a request whose stream
 // failed with err. A node returns the codes below only before it accepts a
 // request; for an accepted request it sends the outcome in an answer.
-func fate(err error) jwdispatch.Fate {
+func failureKind(err error) jwdispatch.FailureKind {
 	switch status.Code(err) {
 	case codes.FailedPrecondition, codes.InvalidArgument, codes.PermissionDenied, codes.Unimplemented:
 		return jwdispatch.Refused
 	}
-	return jwdispatch.Broken
+	return jwdispatch.BrokenOff
 }
 
-func forwardError(peer netip.AddrPort, f jwdispatch.Fate, err error) *jwdispatch.CallError {
-	return &jwdispatch.CallError{Step: "forward to node", Peer: peer, Fate: f, Err: err}
+func forwardError(peer netip.AddrPort, f jwdispatch.FailureKind, err error) *jwdispatch.CallError {
+	return &jwdispatch.CallError{Step: "forward to node", Peer: peer, Kind: f, Err: err}
 }
 
 // sendError is a failure to send a request. The other node does not start the
@@ -92,8 +92,8 @@
 }
 
 func (e *sendError) at(peer netip.AddrPort) *jwdispatch.CallError {
-	f := fate(e.err)
-	if f == jwdispatch.Broken && !e.lastFrame {
+	f := failureKind(e.err)
+	if f == jwdispatch.BrokenOff && !e.lastFrame {
 		f = jwdispatch.Unsent
 	}
 	return forwardError(peer, f, e.err)
@@ -149,8 +149,8 @@
 	return head
 }
 
-func headFromWire(h *jwwire.AnswerHead) jwdispatch.Head {
-	return jwdispatch.Head{
+func headFromWire(h *jwwire.AnswerHead) jwdispatch.AnswerHead {
+	return jwdispatch.AnswerHead{
 		Status:      int(h.GetStatus()),
 		ContentType: h.GetContentType(),
 		Outcome:     jwrequest.Outcome(h.GetOutcome()),
@@ -190,7 +190,7 @@
 	f, err := b.stream.Recv()
 	if err != nil {
 		// io.EOF here means that the stream ended without its end frame.
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Wrap(err, "answer has no end frame"))
+		b.err = forwardError(b.peer, jwdispatch.BrokenOff, errors.Wrap(err, "answer has no end frame"))
 		return
 	}
 	b.unread = f.GetBody()
@@ -201,9 +201,9 @@
 	}
 	switch {
 	case endFrame.GetOutcome() != string(jwrequest.Served):
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("answer ended as %s: %s", endFrame.GetOutcome(), endFrame.GetDetail()))
+		b.err = forwardError(b.peer, jwdispatch.BrokenOff, errors.Errorf("answer ended as %s: %s", endFrame.GetOutcome(), endFrame.GetDetail()))
 	case endFrame.GetLength() != b.length:
-		b.err = forwardError(b.peer, jwdispatch.Broken, errors.Errorf("received %d bytes of an answer of %d bytes", b.length, endFrame.GetLength()))
+		b.err = forwardError(b.peer, jwdispatch.BrokenOff, errors.Errorf("received %d bytes of an answer of %d bytes", b.length, endFrame.GetLength()))
 	default:
 		b.err = io.EOF
 	}
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -45,7 +45,7 @@
 		g.Stop()
 		<-done
 	})
-	return jwpeer.Peer{Name: "there", Nodes: l.Addr().(*net.TCPAddr).AddrPort()}, g
+	return jwpeer.Peer{Name: "there", NodeAddress: l.Addr().(*net.TCPAddr).AddrPort()}, g
 }
 
 func testRequest() *jwrequest.Request {
@@ -61,7 +61,7 @@
 // answer counts as complete only if the other node reported that it is.
 func TestForwardFailures(t *testing.T) {
 	type result struct {
-		atCall, atEnd jwdispatch.Fate // failure of Forward and of reading the body, empty for none
+		atCall, atEnd jwdispatch.FailureKind // failure of Forward and of reading the body, empty for none
 		body          string
 	}
 	var stop func()
@@ -73,37 +73,37 @@
 		want    result
 	}{
 		"whole": {open: true, serve: func(_ context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
-			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
+			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body(r.Body)
-			_ = sink.End(jwdispatch.End{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
+			_ = sink.End(jwdispatch.AnswerEnd{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
 		}, want: result{body: strings.Repeat("body ", 20_000)}},
 		"the other node stops": {open: false, want: result{atCall: jwdispatch.Refused}},
 		"no hop in the record": {open: true, request: func(r *jwrequest.Request) { r.Hops = nil }, want: result{atCall: jwdispatch.Refused}},
 		"body too long":        {open: true, request: func(r *jwrequest.Request) { r.Body = make([]byte, 2<<20) }, want: result{atCall: jwdispatch.Refused}},
 		"ends without an end frame": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
-			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
+			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
-		}, want: result{atEnd: jwdispatch.Broken, body: "half"}},
+		}, want: result{atEnd: jwdispatch.BrokenOff, body: "half"}},
 		"end frame reports a failure": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
-			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
+			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
-			_ = sink.End(jwdispatch.End{Outcome: jwrequest.Unknown, Length: 4})
-		}, want: result{atEnd: jwdispatch.Broken, body: "half"}},
+			_ = sink.End(jwdispatch.AnswerEnd{Outcome: jwrequest.Unknown, Length: 4})
+		}, want: result{atEnd: jwdispatch.BrokenOff, body: "half"}},
 		"wrong length in the end frame": {open: true, serve: func(_ context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
-			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
+			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body([]byte("half"))
-			_ = sink.End(jwdispatch.End{Outcome: jwrequest.Served, Length: 8})
-		}, want: result{atEnd: jwdispatch.Broken, body: "half"}},
+			_ = sink.End(jwdispatch.AnswerEnd{Outcome: jwrequest.Served, Length: 8})
+		}, want: result{atEnd: jwdispatch.BrokenOff, body: "half"}},
 		"killed before the answer": {open: true, serve: func(ctx context.Context, _ *jwrequest.Request, _ jwdispatch.Sink) {
 			stop()
 			<-ctx.Done()
-		}, want: result{atCall: jwdispatch.Broken}},
+		}, want: result{atCall: jwdispatch.BrokenOff}},
 		"killed in the middle of the answer": {open: true, serve: func(ctx context.Context, _ *jwrequest.Request, sink jwdispatch.Sink) {
-			_ = sink.Head(jwdispatch.Head{Status: 200, Length: jwdispatch.UnknownLength})
+			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			<-begun
 			stop()
 			<-ctx.Done()
-		}, want: result{atEnd: jwdispatch.Broken}},
+		}, want: result{atEnd: jwdispatch.BrokenOff}},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -135,11 +135,11 @@
 	}
 }
 
-func assertFate(t *testing.T, err error, want jwdispatch.Fate) {
+func assertFate(t *testing.T, err error, want jwdispatch.FailureKind) {
 	t.Helper()
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
-	assert.Equal(t, failed.Fate, want, "%v", err)
+	assert.Equal(t, failed.Kind, want, "%v", err)
 }
 
 // The other node is not running. Nothing was sent, so the caller must not be
--- a/io/jwforward/handover.go
+++ b/io/jwforward/handover.go
@@ -16,8 +16,8 @@
 	"jujubewheel/io/jwwire"
 )
 
-// Adopter takes over the tickets and answers of a node that stops.
-type Adopter interface {
+// HandoverReceiver takes over the tickets and answers of a node that stops.
+type HandoverReceiver interface {
 	// Adopt takes over all records or none. Its error is jwclaim.ErrNotAdopted
 	// if it certainly took over none.
 	Adopt(records iter.Seq2[jwclaim.Record, error]) (jwclaim.Receipt, error)
@@ -37,7 +37,7 @@
 // Handover sends the records. An error that is jwclaim.ErrNotAdopted means that
 // the successor certainly took over none of them.
 func (s Successor) Handover(ctx context.Context, records iter.Seq[jwclaim.Record]) (jwclaim.Receipt, error) {
-	client, _, err := s.Pool.client(s.Peer.Nodes)
+	client, _, err := s.Pool.client(s.Peer.NodeAddress)
 	if err != nil {
 		return jwclaim.Receipt{}, s.notAdopted(err)
 	}
@@ -70,7 +70,7 @@
 
 // Handover takes over the records of another node that stops.
 func (s *Server) Handover(stream grpc.ClientStreamingServer[jwwire.HandoverRecord, jwwire.HandoverResult]) error {
-	receipt, err := s.Adopter.Adopt(receivedRecords(stream))
+	receipt, err := s.HandoverReceiver.Adopt(receivedRecords(stream))
 	if errors.Is(err, jwclaim.ErrNotAdopted) {
 		return status.Error(codes.FailedPrecondition, err.Error())
 	}
--- a/io/jwforward/hosts.go
+++ b/io/jwforward/hosts.go
@@ -21,7 +21,7 @@
 // FetchHosts asks a node for the hosts of a region. It leaves out hosts whose
 // addresses can't be parsed.
 func (p *Pool) FetchHosts(ctx context.Context, from jwpeer.Peer, region string) ([]jwhost.Host, error) {
-	client, _, err := p.client(from.Nodes)
+	client, _, err := p.client(from.NodeAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/io/jwforward/news.go
+++ b/io/jwforward/news.go
@@ -21,7 +21,7 @@
 	for _, l := range n.Loads {
 		out.Loads = append(out.Loads, &jwwire.RegionLoad{
 			Region: l.Region, Service: l.Service,
-			WaitMicros: l.Wait.Microseconds(), WorkMicros: l.Work.Microseconds(),
+			WaitMicros: l.Wait.Microseconds(), WorkMicros: l.CallTime.Microseconds(),
 			FreeShare: l.Free, Slots: uint64(l.Slots), Targets: uint64(l.Targets), AgeMicros: l.Age.Microseconds(),
 		})
 	}
@@ -30,7 +30,7 @@
 			Node: u.Node, Name: u.Name, Rate: u.Rate, Running: uint32(u.Running),
 		})
 	}
-	for _, m := range n.Moves {
+	for _, m := range n.HolderMoves {
 		out.Moves = append(out.Moves, &jwwire.Move{
 			Incarnation: m.Incarnation, ToNode: m.ToNode, ToRegion: m.ToRegion, ToIncarnation: m.ToIncarnation,
 		})
@@ -53,7 +53,7 @@
 	for _, l := range d.GetLoads() {
 		n.Loads = append(n.Loads, jwpeer.RegionLoad{
 			Region: l.GetRegion(), Service: l.GetService(),
-			Wait: micros(l.GetWaitMicros()), Work: micros(l.GetWorkMicros()), Free: l.GetFreeShare(),
+			Wait: micros(l.GetWaitMicros()), CallTime: micros(l.GetWorkMicros()), Free: l.GetFreeShare(),
 			Slots: int(l.GetSlots()), Targets: int(l.GetTargets()), Age: micros(l.GetAgeMicros()),
 		})
 	}
@@ -63,7 +63,7 @@
 		})
 	}
 	for _, m := range d.GetMoves() {
-		n.Moves = append(n.Moves, jwpeer.Move{
+		n.HolderMoves = append(n.HolderMoves, jwpeer.HolderMove{
 			Incarnation: m.GetIncarnation(), ToNode: m.GetToNode(), ToRegion: m.GetToRegion(), ToIncarnation: m.GetToIncarnation(),
 		})
 	}
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -34,17 +34,17 @@
 type Server struct {
 	jwwire.UnimplementedNodeServer
 
-	Dispatcher  Dispatcher
-	Gate        Gate
-	Ready       func() bool // whether the node serves requests; nil means always
-	Exchanger   Exchanger
-	Catalogue   ChangeSource
-	Workspaces  DirectorySource
-	HostList    HostSource
-	Adopter     Adopter
-	Sponsor     Sponsor
-	MaxBody     int64                            // max bytes of a request's body, 0 for no limit
-	Credentials credentials.TransportCredentials // nil for no TLS
+	Dispatcher       Dispatcher
+	Gate             Gate
+	Ready            func() bool // whether the node serves requests; nil means always
+	Exchanger        Exchanger
+	Catalogue        ChangeSource
+	Workspaces       DirectorySource
+	HostList         HostSource
+	HandoverReceiver HandoverReceiver
+	Sponsor          Sponsor
+	MaxBody          int64                            // max bytes of a request's body, 0 for no limit
+	Credentials      credentials.TransportCredentials // nil for no TLS
 }
 
 // GRPC returns a gRPC server on which s is registered.
@@ -161,7 +161,7 @@
 }
 
 // Head sends the head of the answer.
-func (s *wireSink) Head(h jwdispatch.Head) error {
+func (s *wireSink) Head(h jwdispatch.AnswerHead) error {
 	return s.send(&jwwire.AnswerFrame{Head: &jwwire.AnswerHead{
 		Status:           int32(h.Status),
 		Outcome:          string(h.Outcome),
@@ -178,7 +178,7 @@
 func (s *wireSink) Body(p []byte) error { return s.send(&jwwire.AnswerFrame{Body: p}) }
 
 // End sends the end frame of the answer.
-func (s *wireSink) End(e jwdispatch.End) error {
+func (s *wireSink) End(e jwdispatch.AnswerEnd) error {
 	return s.send(&jwwire.AnswerFrame{End: &jwwire.AnswerEnd{
 		Length: uint64(e.Length), Outcome: string(e.Outcome), Detail: e.Detail,
 	}})
--- a/io/jwforward/sources.go
+++ b/io/jwforward/sources.go
@@ -35,7 +35,7 @@
 // revision, as JSON records. It returns a checkpoint if the node no longer has
 // the changes themselves.
 func (p *Pool) ChangeRecords(ctx context.Context, from jwpeer.Peer, after uint64, limit int) (changes [][]byte, checkpoint []byte, err error) {
-	client, _, err := p.client(from.Nodes)
+	client, _, err := p.client(from.NodeAddress)
 	if err != nil {
 		return nil, nil, err
 	}
@@ -55,7 +55,7 @@
 // FetchDirectory asks a node for its directory. It returns nil if the node has
 // the given version, or no directory.
 func (p *Pool) FetchDirectory(ctx context.Context, from jwpeer.Peer, version string) (*jwdirectory.Snapshot, error) {
-	client, _, err := p.client(from.Nodes)
+	client, _, err := p.client(from.NodeAddress)
 	if err != nil {
 		return nil, err
 	}
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -72,10 +72,10 @@
 		}
 		digest := digestFromWire(d)
 		for _, p := range digest.Peers {
-			assert.Assert(t, p.Age >= 0 && p.Nodes.IsValid() && p.Callers.IsValid(), "%+v", p)
+			assert.Assert(t, p.Age >= 0 && p.NodeAddress.IsValid() && p.CallerAddress.IsValid(), "%+v", p)
 		}
 		for _, l := range digest.News.Loads {
-			assert.Assert(t, l.Age >= 0 && l.Wait >= 0 && l.Work >= 0, "%+v", l)
+			assert.Assert(t, l.Age >= 0 && l.Wait >= 0 && l.CallTime >= 0, "%+v", l)
 		}
 		for _, l := range digest.News.Leaving {
 			assert.Assert(t, l.Age >= 0, "%+v", l)
@@ -106,7 +106,7 @@
 			}
 			more := r.Hops.With(jwrequest.Hop{Node: "self", Region: "self"})
 			assert.Equal(t, len(more), len(r.Hops)+1)
-			_, _ = more.RegionChanges(), more.Returns()
+			_, _ = more.RegionChanges(), more.RevisitsDataCentre()
 		}
 		a := &jwwire.AnswerHead{}
 		if proto.Unmarshal(data, a) == nil {
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -176,7 +176,7 @@
 	answer, err := g.nodeCall(ctx, m, http.MethodPost, statePath, body)
 	if err != nil {
 		g.members.MarkUnreachable(time.Now(), m.Name)
-		g.Nodes.Drop(m.Nodes)
+		g.Nodes.CloseIdle(m.Nodes)
 		return
 	}
 	var s state
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -94,7 +94,7 @@
 // chooseNode returns the node of another region to forward a request to. It prefers nodes with an
 // open connection. fraction, in [0, 1), spreads the requests over the nodes.
 func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
-	return jwplacement.PickNode(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
+	return jwplacement.PickNode(nodes, func(m jwmember.Member) bool { return g.Nodes.IdleCount(m.Nodes) > 0 }, fraction)
 }
 
 // anyUntried reports whether the request has not been sent to at least one of the nodes.
@@ -185,13 +185,13 @@
 // classifyForwardError returns the verdict on a forward that failed before an answer arrived.
 func (g *Gateway) classifyForwardError(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
 	q.lastReason = err.Error()
-	var rest *jwconn.RestError
+	var rest *jwconn.BodyReadError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
 		g.members.MarkUnreachable(time.Now(), m.Name)
-		g.Nodes.Drop(m.Nodes)
+		g.Nodes.CloseIdle(m.Nodes)
 	}
 	var ce *jwconn.CallError
-	if errors.As(err, &ce) && ce.Stage == jwconn.Dial {
+	if errors.As(err, &ce) && ce.Stage == jwconn.StageDial {
 		return notRun
 	}
 	q.attempts++
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -134,8 +134,8 @@
 	g.pauseDetector.Limit, g.pauseDetector.TimeSinceBoot = pauseLimit, g.TimeSinceBoot
 	g.metrics = newMetrics(g.Meter)
 	g.storeWatcher = newStoreWatcher(g)
-	g.Targets.Share = g.maxIdleConns
-	g.Targets.Opened = func() { g.metrics.connectionsOpened.Inc(1) }
+	g.Targets.MaxIdlePerPeer = g.maxIdleConns
+	g.Targets.OnDial = func() { g.metrics.connectionsOpened.Inc(1) }
 	g.registrationChanged = make(chan struct{}, 1)
 	g.members.Self = jwmember.Member{
 		Name: s.Node, Region: s.Region, DataCentre: s.DataCentre,
--- a/io/jwgateway/passanswer.go
+++ b/io/jwgateway/passanswer.go
@@ -46,12 +46,12 @@
 	}
 	q.answerStarted = true
 	g.copyHeaders(q, a)
-	if a.Whole() || len(body) < maxBufferedAnswer {
+	if a.Complete() || len(body) < maxBufferedAnswer {
 		q.w.Header()["Content-Length"] = []string{strconv.Itoa(len(body))}
 	}
 	q.w.WriteHeader(a.Status)
 	_, _ = q.w.Write(body)
-	if len(body) == maxBufferedAnswer && !a.Whole() {
+	if len(body) == maxBufferedAnswer && !a.Complete() {
 		if _, err := io.Copy(q.w, a.Body); err != nil {
 			q.lastReason = err.Error()
 			return failed
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -208,7 +208,7 @@
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
 	if !q.entry.Repeatable() {
-		call.Fresh = maxIdleForSingleSend
+		call.MaxUnused = maxIdleForSingleSend
 	}
 	return call
 }
@@ -226,16 +226,16 @@
 func (g *Gateway) classifySendError(ctx context.Context, q *request, x *jwinstance.Target, err error) Verdict {
 	q.lastReason = err.Error()
 	var ce *jwconn.CallError
-	if errors.As(err, &ce) && ce.Stage == jwconn.Dial {
+	if errors.As(err, &ce) && ce.Stage == jwconn.StageDial {
 		if ctx.Err() == nil {
 			g.targets.Unreached(time.Now(), x)
 		}
 		return notRun
 	}
-	var rest *jwconn.RestError
+	var rest *jwconn.BodyReadError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
 		g.targets.Failed(x)
-		g.Targets.Drop(x.Address)
+		g.Targets.CloseIdle(x.Address)
 	}
 	q.sends++
 	q.attempts++
--- a/io/jwgateway/storewatcher.go
+++ b/io/jwgateway/storewatcher.go
@@ -297,10 +297,10 @@
 // dropOldConnections drops the connections to the previous process of a node. If its host lost
 // power, nothing has closed them, and the next request on one would be lost.
 func (g *Gateway) dropOldConnections(m jwmember.Member) {
-	if g.Nodes.Kept(m.Nodes) > 0 {
+	if g.Nodes.IdleCount(m.Nodes) > 0 {
 		g.Log.Info("node began anew", "peer", m.Name)
 	}
-	g.Nodes.Drop(m.Nodes)
+	g.Nodes.CloseIdle(m.Nodes)
 }
 
 // endEvacuationsExcept ends the evacuations of all data centres but the given ones.
--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -33,13 +33,13 @@
 type Dispatcher interface {
 	// Check returns a refusal for a request that can't be served. It is called
 	// before the body is read.
-	Check(r *jwrequest.Request) (refusal jwdispatch.Head, refused bool)
+	Check(r *jwrequest.Request) (refusal jwdispatch.AnswerHead, refused bool)
 	// MaxBody returns the maximum length of a request's body in bytes.
 	MaxBody(entry string) int64
 	// Serve runs a request and writes its answer to sink.
 	Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
 	// CheckTicket returns a refusal if this node mints no ticket for a workspace.
-	CheckTicket(workspace string) (refusal jwdispatch.Head, refused bool)
+	CheckTicket(workspace string) (refusal jwdispatch.AnswerHead, refused bool)
 	// Hosts returns the addresses that callers of a workspace should use.
 	Hosts(workspace string) []netip.AddrPort
 }
@@ -60,9 +60,9 @@
 // Counter counts requests that this package refuses. The dispatcher counts those
 // that it refuses or serves.
 type Counter interface {
-	// Ended counts one request. The entry is empty if its name has not been
+	// RecordEnd counts one request. The entry is empty if its name has not been
 	// checked.
-	Ended(entry string, outcome jwrequest.Outcome, reason jwdispatch.Reason)
+	RecordEnd(entry string, outcome jwrequest.Outcome, reason jwdispatch.Reason)
 }
 
 // Callers handles the HTTP requests of callers. Its fields are set before Handler.
@@ -85,7 +85,7 @@
 		{Method: http.MethodGet, Path: hostsPath, Handler: c.hosts},
 		{Method: http.MethodPost, Path: "/v1/tickets", Handler: c.ticket},
 		{Method: http.MethodPost, Path: "/v1/requests/:entry", Handler: c.request},
-	}, jwrest.Stray{NotFound: http.HandlerFunc(notFound), NotAllowed: http.HandlerFunc(notAllowed)})
+	}, jwrest.UnmatchedHandlers{NotFound: http.HandlerFunc(notFound), NotAllowed: http.HandlerFunc(notAllowed)})
 }
 
 // hostList is the body of the answer to a request for the hosts to use.
@@ -168,18 +168,18 @@
 // refuseUnchecked refuses a request that the dispatcher has not checked. It
 // records no trace: it is not known yet whether the data is bound to another
 // region, in which case no trace may be recorded here.
-func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.Head) {
+func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
-		c.Counter.Ended("", h.Outcome, h.Reason)
+		c.Counter.RecordEnd("", h.Outcome, h.Reason)
 	}
 	writeRefusal(w, h)
 }
 
 // refuseBody refuses a request because of its body, after the dispatcher has
 // checked everything else.
-func (c *Callers) refuseBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.Head) {
+func (c *Callers) refuseBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
-		c.Counter.Ended(in.Entry, h.Outcome, h.Reason)
+		c.Counter.RecordEnd(in.Entry, h.Outcome, h.Reason)
 	}
 	if c.Tracer != nil {
 		c.Tracer.Step(in, "body", h.Detail)
@@ -190,7 +190,7 @@
 
 // refusalWhenLeaving returns the refusal that directs callers to other nodes
 // while this one starts or stops.
-func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.Head {
+func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.AnswerHead {
 	h := jwdispatch.Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, jwdispatch.ReasonLeaving, "this node takes no requests now").ForKey(in.Key)
 	h.Hosts = c.Dispatcher.Hosts(in.Workspace)
 	h.RetryAfter = time.Second
@@ -199,7 +199,7 @@
 
 // receiveBody reads the body into the request, or returns a refusal. A body whose
 // announced length is too long is refused without reading it.
-func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.Head, bool) {
+func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.AnswerHead, bool) {
 	limit := c.Dispatcher.MaxBody(in.Entry)
 	if r.ContentLength > limit {
 		return bodyRefusal(&http.MaxBytesError{Limit: limit}), true
@@ -212,7 +212,7 @@
 	}
 	_ = control.SetReadDeadline(time.Time{})
 	in.Body = body
-	return jwdispatch.Head{}, false
+	return jwdispatch.AnswerHead{}, false
 }
 
 // maxPreallocation is the maximum length in bytes for which a buffer is allocated
@@ -230,7 +230,7 @@
 }
 
 // bodyRefusal returns the refusal for an error of reading the body.
-func bodyRefusal(err error) jwdispatch.Head {
+func bodyRefusal(err error) jwdispatch.AnswerHead {
 	status, detail := http.StatusBadRequest, "the body is malformed or broke off"
 	var tooLong *http.MaxBytesError
 	switch {
--- a/io/jwlisten/callers_test.go
+++ b/io/jwlisten/callers_test.go
@@ -40,14 +40,14 @@
 	ended []jwdispatch.Reason
 }
 
-func (d *fakeDispatcher) Check(r *jwrequest.Request) (jwdispatch.Head, bool) {
+func (d *fakeDispatcher) Check(r *jwrequest.Request) (jwdispatch.AnswerHead, bool) {
 	switch {
 	case r.Entry != "menu":
 		return jwdispatch.Refusal(http.StatusNotFound, jwrequest.NotRun, jwdispatch.ReasonEntry, ""), true
 	case r.Workspace != testWorkspace:
 		return jwdispatch.Refusal(http.StatusForbidden, jwrequest.NotRun, jwdispatch.ReasonWorkspace, ""), true
 	}
-	return jwdispatch.Head{}, false
+	return jwdispatch.AnswerHead{}, false
 }
 
 func (d *fakeDispatcher) MaxBody(string) int64 { return testMaxBody }
@@ -56,16 +56,18 @@
 	d.mu.Lock()
 	d.ran = append(d.ran, string(r.Body))
 	d.mu.Unlock()
-	_ = sink.Head(jwdispatch.Head{Status: http.StatusOK, Outcome: jwrequest.Served, Length: int64(len(r.Body))})
+	_ = sink.Head(jwdispatch.AnswerHead{Status: http.StatusOK, Outcome: jwrequest.Served, Length: int64(len(r.Body))})
 	_ = sink.Body(r.Body)
-	_ = sink.End(jwdispatch.End{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
+	_ = sink.End(jwdispatch.AnswerEnd{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
 }
 
-func (d *fakeDispatcher) CheckTicket(string) (jwdispatch.Head, bool) { return jwdispatch.Head{}, false }
+func (d *fakeDispatcher) CheckTicket(string) (jwdispatch.AnswerHead, bool) {
+	return jwdispatch.AnswerHead{}, false
+}
 
 func (d *fakeDispatcher) Hosts(string) []netip.AddrPort { return []netip.AddrPort{otherHost} }
 
-func (d *fakeDispatcher) Ended(_ string, _ jwrequest.Outcome, reason jwdispatch.Reason) {
+func (d *fakeDispatcher) RecordEnd(_ string, _ jwrequest.Outcome, reason jwdispatch.Reason) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.ended = append(d.ended, reason)
--- a/io/jwlisten/header.go
+++ b/io/jwlisten/header.go
@@ -26,7 +26,7 @@
 
 // parse reads a request's path and headers, or returns a refusal. The request is
 // returned in both cases, but its fields are not checked if it is refused.
-func parse(r *http.Request) (*jwrequest.Request, jwdispatch.Head, bool) {
+func parse(r *http.Request) (*jwrequest.Request, jwdispatch.AnswerHead, bool) {
 	in := &jwrequest.Request{
 		ID:          r.Header.Get(headerRequestID),
 		Workspace:   r.Header.Get(headerWorkspace),
@@ -58,7 +58,7 @@
 		}
 		in.Deadline = time.Now().Add(timeout)
 	}
-	return in, jwdispatch.Head{}, false
+	return in, jwdispatch.AnswerHead{}, false
 }
 
 // repeatedHeader returns the name of a header that is given more than once
@@ -87,11 +87,11 @@
 	return n
 }
 
-func badHeader(name string) jwdispatch.Head {
+func badHeader(name string) jwdispatch.AnswerHead {
 	return refuseHeader("missing or malformed header: " + name)
 }
 
-func refuseHeader(detail string) jwdispatch.Head {
+func refuseHeader(detail string) jwdispatch.AnswerHead {
 	return jwdispatch.Refusal(http.StatusBadRequest, jwrequest.NotRun, jwdispatch.ReasonHeader, detail)
 }
 
--- a/io/jwlisten/sink.go
+++ b/io/jwlisten/sink.go
@@ -42,7 +42,7 @@
 }
 
 // Head writes status and headers, or the whole answer if it is a refusal.
-func (s *httpSink) Head(h jwdispatch.Head) error {
+func (s *httpSink) Head(h jwdispatch.AnswerHead) error {
 	if h.Reason != jwdispatch.ReasonNone && h.Length == 0 {
 		writeRefusal(s.w, h)
 		return nil
@@ -79,7 +79,7 @@
 
 // End ends the response. A stream ends with a done event, or with an error event
 // if it is incomplete.
-func (s *httpSink) End(e jwdispatch.End) error {
+func (s *httpSink) End(e jwdispatch.AnswerEnd) error {
 	if s.stream {
 		s.writeEndEvent(e)
 	}
@@ -94,7 +94,7 @@
 	return nil
 }
 
-func (s *httpSink) writeEndEvent(e jwdispatch.End) {
+func (s *httpSink) writeEndEvent(e jwdispatch.AnswerEnd) {
 	name := "done"
 	if e.Outcome != jwrequest.Served {
 		name = "error"
@@ -104,7 +104,7 @@
 }
 
 // writeRefusal writes an answer by the node itself, not by a target.
-func writeRefusal(w http.ResponseWriter, h jwdispatch.Head) {
+func writeRefusal(w http.ResponseWriter, h jwdispatch.AnswerHead) {
 	w.Header().Set(headerOutcome, string(h.Outcome))
 	if h.RetryAfter > 0 {
 		w.Header().Set("Retry-After", strconv.FormatInt(int64(math.Ceil(h.RetryAfter.Seconds())), 10))
--- a/io/jwnode/assemble.go
+++ b/io/jwnode/assemble.go
@@ -87,7 +87,7 @@
 	}
 	n.dispatcher = &jwdispatch.Dispatcher{
 		Self: n.self, Board: &n.board, Router: router, Targets: n.targets, Peers: n.pool, Claims: n.keeper,
-		Crashed:  n.reportCrash,
+		OnCrash:  n.reportCrash,
 		Departed: func(p jwpeer.Peer) bool { return n.hostRemovals.Gone(memberOf(p)) },
 		Now:      time.Now, Counter: &counter{meter: n.Meter, settings: s}, Tracer: n.tracer,
 	}
@@ -123,12 +123,12 @@
 	s := n.Settings
 	reporter := &jwboard.Reporter{Board: &n.board, Moves: n.keeper, Now: time.Now}
 	n.exchange = &jwpeer.Exchange{
-		Table: &n.board.Peers, Partner: n.pool, News: reporter,
-		Period: s.Periods.Exchange, Beat: stateReportInterval, Timeout: exchangeTimeout, Silence: peerTimeout,
+		Table: &n.board.Peers, Transport: n.pool, News: reporter,
+		Period: s.Periods.Exchange, MinHeartbeatInterval: stateReportInterval, Timeout: exchangeTimeout, Silence: peerTimeout,
 		Now: time.Now, Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 		Gatherer: jwcatalogue.GathererOf,
 	}
-	reporter.Nudge = n.exchange.Nudge
+	reporter.Trigger = n.exchange.Trigger
 }
 
 // assembleServer creates the gRPC server for other nodes.
@@ -136,9 +136,9 @@
 	server := &jwforward.Server{
 		Credentials: n.nodeCredentials(),
 		Dispatcher:  n.dispatcher, Gate: &n.drain, Ready: n.ready, Exchanger: n.exchange,
-		Adopter:   &auditedAdopter{keeper: n.keeper, audit: n.Audit},
-		Sponsor:   &sponsorServer{sponsoredNodes: n.sponsoredNodes, region: n.Settings.Region},
-		Catalogue: &changeRecords{&n.board.Catalogue}, Workspaces: &n.board.Directory, HostList: &n.board.Hosts,
+		HandoverReceiver: &auditedHandoverReceiver{keeper: n.keeper, audit: n.Audit},
+		Sponsor:          &sponsorServer{sponsoredNodes: n.sponsoredNodes, region: n.Settings.Region},
+		Catalogue:        &changeRecords{&n.board.Catalogue}, Workspaces: &n.board.Directory, HostList: &n.board.Hosts,
 		MaxBody: n.Settings.Limits.MaxBody,
 	}
 	n.grpcServer = server.GRPC()
--- a/io/jwnode/audit.go
+++ b/io/jwnode/audit.go
@@ -40,7 +40,7 @@
 // out the fingerprints of the requests: logs may be collected outside the region,
 // and a short body that is bound to the region could be guessed from its hash.
 func (n *Node) reportCrash(target netip.AddrPort, quarantined []jwsuspect.Fingerprint) {
-	n.exchange.Nudge()
+	n.exchange.Trigger()
 	if len(quarantined) == 0 {
 		return
 	}
@@ -50,15 +50,15 @@
 	})
 }
 
-// auditedAdopter takes over the records of stopping nodes and adds an audit record.
-type auditedAdopter struct {
+// auditedHandoverReceiver takes over the records of stopping nodes and adds an audit record.
+type auditedHandoverReceiver struct {
 	keeper *jwclaim.Keeper
 	audit  *jwaudit.Trail
 }
 
 // Adopt takes over the tickets and answers of a stopping node: all records or,
 // with an error, none.
-func (a *auditedAdopter) Adopt(records iter.Seq2[jwclaim.Record, error]) (jwclaim.Receipt, error) {
+func (a *auditedHandoverReceiver) Adopt(records iter.Seq2[jwclaim.Record, error]) (jwclaim.Receipt, error) {
 	from := ""
 	receipt, err := a.keeper.Adopt(func(yield func(jwclaim.Record, error) bool) {
 		for r, err := range records {
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -70,7 +70,7 @@
 		return s.send(n.CallersAddr(), "draft", "free-east", "x", nil).status == http.StatusOK
 	})
 	s.await("the target's load is known", func() bool {
-		return n.board.Targets.Room("writer", time.Now()).Slots > 1
+		return n.board.Targets.Capacity("writer", time.Now()).Slots > 1
 	})
 	return httpURL(target.Address, "/v1/completions"), httpURL(n.CallersAddr(), "/v1/requests/draft")
 }
--- a/io/jwnode/bound_test.go
+++ b/io/jwnode/bound_test.go
@@ -73,7 +73,7 @@
 	local.Name, local.Regions = "local", nil
 	s.edit(home, local)
 	s.awaitRevision(3)
-	s.await("targets", func() bool { return len(home.board.Targets.Used()) == 3 && len(away.board.Targets.Used()) == 2 })
+	s.await("targets", func() bool { return len(home.board.Targets.Polled()) == 3 && len(away.board.Targets.Polled()) == 2 })
 	s.await("load of west at east", func() bool { return len(home.board.Regions.Loads("writer", time.Now())) > 0 })
 
 	text := secret + strings.Repeat(" menu", 20)
--- a/io/jwnode/counter.go
+++ b/io/jwnode/counter.go
@@ -33,8 +33,8 @@
 	ok          bool
 }
 
-// Ended counts one request that ended at this node, in requests_total.
-func (c *counter) Ended(entry string, outcome jwrequest.Outcome, reason jwdispatch.Reason) {
+// RecordEnd counts one request that ended at this node, in requests_total.
+func (c *counter) RecordEnd(entry string, outcome jwrequest.Outcome, reason jwdispatch.Reason) {
 	tags := endedTags{entry, outcome, reason}
 	h, found := c.ended.Load(tags)
 	if !found {
@@ -45,8 +45,8 @@
 	h.(tally.Counter).Inc(1)
 }
 
-// Tried counts one call to a target or another node, in calls_total.
-func (c *counter) Tried(entry, kind string, ok bool) {
+// RecordTry counts one call to a target or another node, in calls_total.
+func (c *counter) RecordTry(entry, kind string, ok bool) {
 	tags := triedTags{entry, kind, ok}
 	h, found := c.tried.Load(tags)
 	if !found {
@@ -69,9 +69,9 @@
 	price                 float64       // cost of a byte in units of 1e-9, the same number as the cost of a GB
 }
 
-// Seen records the duration of one served request and, if another region served
+// RecordServed records the duration of one served request and, if another region served
 // it, the bytes sent over the link and their cost.
-func (c *counter) Seen(entry string, s jwdispatch.Seen) {
+func (c *counter) RecordServed(entry string, s jwdispatch.Latency) {
 	h := c.metricsFor(servedTags{entry, s.ServedBy})
 	h.first.RecordDuration(s.First)
 	h.whole.RecordDuration(s.Whole)
--- a/io/jwnode/counter_test.go
+++ b/io/jwnode/counter_test.go
@@ -17,7 +17,7 @@
 		Region: "north", Links: []jwsettings.Link{{From: "north", To: "south", CostPerGB: 0.5}},
 	}}
 	for _, region := range []string{"north", "", "south", "south"} {
-		c.Seen("menu", jwdispatch.Seen{First: time.Millisecond, Whole: time.Second, ServedBy: region, Bytes: 1000})
+		c.RecordServed("menu", jwdispatch.Latency{First: time.Millisecond, Whole: time.Second, ServedBy: region, Bytes: 1000})
 	}
 	assert.NilError(t, m.Close())
 	assert.Equal(t, m.Total("sent_away_total", nil), 2.0)
--- a/io/jwnode/hosts.go
+++ b/io/jwnode/hosts.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		peers = append(peers, jwpeer.Peer{
-			Name: s.Node, Region: n.Settings.Region, DataCentre: n.Settings.DataCentre, Nodes: s.Address, State: jwpeer.Joining,
+			Name: s.Node, Region: n.Settings.Region, DataCentre: n.Settings.DataCentre, NodeAddress: s.Address, State: jwpeer.Joining,
 		})
 	}
 	n.addPeers(peers, now)
@@ -49,7 +49,7 @@
 func (n *Node) addPeers(peers []jwpeer.Peer, now time.Time) {
 	var added []jwpeer.Peer
 	for _, p := range peers {
-		if known, ok := n.board.Peers.Get(p.Name); !ok || known.Nodes != p.Nodes && known.Incarnation == "" {
+		if known, ok := n.board.Peers.Get(p.Name); !ok || known.NodeAddress != p.NodeAddress && known.Incarnation == "" {
 			added = append(added, p)
 		}
 	}
@@ -69,6 +69,6 @@
 func peerOf(h jwhost.Host) jwpeer.Peer {
 	return jwpeer.Peer{
 		Name: h.Name, Region: h.Region, DataCentre: h.DataCentre,
-		Callers: h.Address, Nodes: h.NodeAddress, State: jwpeer.Joining,
+		CallerAddress: h.Address, NodeAddress: h.NodeAddress, State: jwpeer.Joining,
 	}
 }
--- a/io/jwnode/keys.go
+++ b/io/jwnode/keys.go
@@ -76,7 +76,7 @@
 // identify returns the node that is expected at an address; ok is false if none
 // is known there.
 func (n *Node) identify(address netip.AddrPort) (jwkeys.Identity, bool) {
-	candidates := n.board.Peers.Select(func(p jwpeer.Peer) bool { return p.Nodes == address && p.State != jwpeer.Gone })
+	candidates := n.board.Peers.Select(func(p jwpeer.Peer) bool { return p.NodeAddress == address && p.State != jwpeer.Gone })
 	if len(candidates) == 0 {
 		return jwkeys.Identity{}, false
 	}
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -46,7 +46,7 @@
 	peer := serving[rand.IntN(len(serving))]
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	records, checkpoint, err := s.pool.AskAdopt(ctx, peer, peerOfMember(m), after)
+	records, checkpoint, err := s.pool.RequestSponsor(ctx, peer, peerOfMember(m), after)
 	if err != nil {
 		return "", nil, nil, err
 	}
@@ -63,7 +63,7 @@
 	}
 	ctx, cancel := context.WithTimeout(ctx, platformTimeout)
 	defer cancel()
-	return s.pool.AskRelease(ctx, peer, peerOfMember(m))
+	return s.pool.EndSponsorship(ctx, peer, peerOfMember(m))
 }
 
 func peerOfMember(m jwcatalogue.Member) jwpeer.Peer {
@@ -77,10 +77,10 @@
 	region         string
 }
 
-// AdoptRecords starts confirming revisions for another node of the region and
+// StartSponsorship starts confirming revisions for another node of the region and
 // returns the encoded catalogue changes after a revision, or a checkpoint if they
 // are no longer kept.
-func (s *sponsorServer) AdoptRecords(node, region, incarnation string, after uint64) (records [][]byte, checkpoint []byte, err error) {
+func (s *sponsorServer) StartSponsorship(node, region, incarnation string, after uint64) (records [][]byte, checkpoint []byte, err error) {
 	if region != s.region {
 		return nil, nil, errors.Errorf("confirm revisions for node %q: this node is not in region %q", node, region)
 	}
@@ -91,9 +91,9 @@
 	return encodeChanges(changes, cp)
 }
 
-// ReleaseNode stops confirming revisions for a node that AdoptRecords was called
+// EndSponsorship stops confirming revisions for a node that AdoptRecords was called
 // for.
-func (s *sponsorServer) ReleaseNode(node, region, incarnation string) {
+func (s *sponsorServer) EndSponsorship(node, region, incarnation string) {
 	s.sponsoredNodes.Release(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation})
 }
 
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -155,8 +155,8 @@
 func (n *Node) setAdvertisedAddresses() {
 	s := n.Settings
 	n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
-		p.Callers = advertisedAddress(s.Advertise.Callers, n.callers.Addr())
-		p.Nodes = advertisedAddress(s.Advertise.Nodes, n.NodesAddr())
+		p.CallerAddress = advertisedAddress(s.Advertise.Callers, n.callers.Addr())
+		p.NodeAddress = advertisedAddress(s.Advertise.Nodes, n.NodesAddr())
 	})
 }
 
@@ -199,7 +199,7 @@
 	}
 	poller := &jwtarget.Poller{
 		Table: &n.board.Targets, Source: n.targets, Period: s.Periods.LoadPoll, Timeout: loadTimeout,
-		Workers: s.Workers, Now: time.Now, Leaving: func(netip.AddrPort) { n.exchange.Nudge() },
+		Workers: s.Workers, Now: time.Now, Leaving: func(netip.AddrPort) { n.exchange.Trigger() },
 		Busy: n.isBusyRelay,
 	}
 	for _, run := range []func(context.Context) error{
@@ -219,7 +219,7 @@
 		if n.board.Peers.Self().Revision != revision {
 			n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
 				p.Revision = revision
-				p.Base = n.board.Catalogue.OldestChange()
+				p.OldestChange = n.board.Catalogue.OldestChange()
 			})
 		}
 		select {
@@ -256,7 +256,7 @@
 func (n *Node) maintainTables(ctx context.Context) error {
 	for {
 		now := time.Now()
-		n.board.Peers.Forget(now.Add(-jwpeer.MostAge))
+		n.board.Peers.Forget(now.Add(-jwpeer.MaxAge))
 		n.board.Limiter.Forget(now)
 		var members []string
 		for _, p := range n.board.Peers.Fresh(now.Add(-peerTimeout)) {
@@ -266,7 +266,7 @@
 		}
 		n.board.Limiter.SetMembers(members)
 		n.board.Suspects.SetMembers(members)
-		n.board.Regions.SetNodes(len(members))
+		n.board.Regions.SetLocalNodes(len(members))
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
--- a/io/jwnode/node_test.go
+++ b/io/jwnode/node_test.go
@@ -29,7 +29,7 @@
 	assert.NilError(t, resp.Body.Close())
 	assert.DeepEqual(t, list.Hosts, []string{a.CallersAddr().String()})
 
-	s.await("targets", func() bool { return len(a.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(a.board.Targets.Polled()) == 1 })
 	plain := s.send(a.CallersAddr(), "draft", "free-east", prompt("menu", 5, false), nil)
 	assert.NilError(t, plain.err)
 	assert.Equal(t, plain.status, http.StatusOK, plain.body)
@@ -60,7 +60,7 @@
 	b := s.node("e2", "east")
 	s.edit(a, confirmation())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(a.board.Targets.Used())+len(b.board.Targets.Used()) == 2 })
+	s.await("targets", func() bool { return len(a.board.Targets.Polled())+len(b.board.Targets.Polled()) == 2 })
 
 	key := header{"Idempotency-Key": "deposit-17"}
 	first := s.send(a.CallersAddr(), "confirm", "bound-east", `{"deposit":1}`, key)
@@ -85,7 +85,7 @@
 	home, away := s.node("e1", "east"), s.node("w1", "west")
 	s.edit(home, confirmation())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(home.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(home.board.Targets.Polled()) == 1 })
 
 	mint := func(n *runningNode) (status int, key string, hosts []string) {
 		r, err := http.NewRequestWithContext(t.Context(), http.MethodPost, "http://"+n.CallersAddr().String()+"/v1/tickets", nil)
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -50,7 +50,9 @@
 		s.edit(s.home, e)
 	}
 	s.awaitRevision(5)
-	s.await("targets", func() bool { return len(s.home.board.Targets.Used()) == 2 && len(s.leaving.board.Targets.Used()) == 2 })
+	s.await("targets", func() bool {
+		return len(s.home.board.Targets.Polled()) == 2 && len(s.leaving.board.Targets.Polled()) == 2
+	})
 	s.directory = s.home.board.Directory.Current()
 	return s
 }
@@ -281,7 +283,7 @@
 	s.edit(a, draft())
 	s.edit(a, confirmation())
 	s.awaitRevision(2)
-	s.await("targets", func() bool { return len(a.board.Targets.Used()) == 6 })
+	s.await("targets", func() bool { return len(a.board.Targets.Polled()) == 6 })
 
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
@@ -373,7 +375,7 @@
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
 	s.awaitRevision(1)
-	s.await("target", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("target", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	answers := make(chan reply, 2)
 	sendConfirmation := func() {
 		answers <- s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k", "Jujube-Request-Id": "press"})
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -50,7 +50,7 @@
 			awaitTargets := func(want int) {
 				s.await("targets", func() bool {
 					for _, n := range nodes {
-						if len(n.board.Targets.Used()) != want {
+						if len(n.board.Targets.Polled()) != want {
 							return false
 						}
 					}
@@ -121,7 +121,7 @@
 	}
 	s.edit(nodes[0], draft())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(nodes[0].board.Targets.Used())+len(nodes[1].board.Targets.Used()) == 10 })
+	s.await("targets", func() bool { return len(nodes[0].board.Targets.Polled())+len(nodes[1].board.Targets.Polled()) == 10 })
 	poison := prompt("poison", 5, false)
 	quarantinedAt := map[*runningNode]bool{}
 	sent, innocent, wronglyQuarantined := 0, 0, 0
@@ -186,7 +186,7 @@
 	n := s.node("e1", "east")
 	s.edit(n, draft())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return n.board.Targets.Room("writer", time.Now()).Slots > 4*8 })
+	s.await("targets", func() bool { return n.board.Targets.Capacity("writer", time.Now()).Slots > 4*8 })
 	const callers = 200
 	var reached atomic.Int64
 	var wg sync.WaitGroup
--- a/io/jwnode/pulse_test.go
+++ b/io/jwnode/pulse_test.go
@@ -27,5 +27,5 @@
 	}, jwdispatch.ForwardRegion)
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
-	assert.Equal(t, failed.Fate, jwdispatch.Refused)
+	assert.Equal(t, failed.Kind, jwdispatch.Refused)
 }
--- a/io/jwnode/seeds_test.go
+++ b/io/jwnode/seeds_test.go
@@ -22,7 +22,7 @@
 	s.edit(first, draft())
 	s.edit(first, confirmation())
 	s.awaitRevision(2)
-	s.await("targets", func() bool { return len(first.board.Targets.Used()) == 2 })
+	s.await("targets", func() bool { return len(first.board.Targets.Polled()) == 2 })
 
 	for _, p := range s.platform {
 		p.SetFaults(jwstand.Faults{Down: true})
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -28,7 +28,7 @@
 	e.Progress = time.Second
 	s.edit(n, e)
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	const running = 6
 	answers := make(chan reply, running)
 	for i := range running {
@@ -39,7 +39,7 @@
 	s.await("all streams run on the target", func() bool { return len(r.Journal.Runs()) == running })
 	second, _ := s.runner("east")
 	second.Engine.Token = 5 * time.Millisecond
-	s.await("another target", func() bool { return len(n.board.Targets.Used()) == 2 })
+	s.await("another target", func() bool { return len(n.board.Targets.Polled()) == 2 })
 	began := time.Now()
 	stand.SetFaults(jwstand.Faults{Silent: true})
 	for range running {
@@ -63,7 +63,7 @@
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	assert.Equal(t, s.send(n.CallersAddr(), "confirm", "free-east", "deposit", header{"Idempotency-Key": "k"}).outcome, "served")
 	tests := map[string]struct{ key, outcome string }{
 		"second call": {"Idempotency-Key: k\r\n", "unknown"},
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -173,7 +173,7 @@
 		<-done
 	})
 	s.links[l.Name] = l
-	n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) { p.Nodes = l.Listen })
+	n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) { p.NodeAddress = l.Listen })
 	return l.Listen
 }
 
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -97,7 +97,7 @@
 // targetStates returns the state of each target that this node uses.
 func (o *Observer) targetStates(now time.Time) map[netip.AddrPort]jwtarget.State {
 	states := make(map[netip.AddrPort]jwtarget.State)
-	for _, t := range o.Board.Targets.Used() {
+	for _, t := range o.Board.Targets.Polled() {
 		if state, known := o.Board.Targets.State(t.Address, now); known {
 			states[t.Address] = state
 		}
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -52,7 +52,7 @@
 
 // Targets lists the targets that this node uses.
 type Targets interface {
-	Used() []jwtarget.Target
+	Polled() []jwtarget.Target
 	State(address netip.AddrPort, now time.Time) (state jwtarget.State, known bool)
 }
 
@@ -110,7 +110,7 @@
 		get("/metrics", o.Metrics.ServeHTTP),
 		{Method: http.MethodGet, Path: "/healthz", Handler: healthy},
 		{Method: http.MethodGet, Path: "/readyz", Handler: o.ready},
-	}, jwrest.Stray{})
+	}, jwrest.UnmatchedHandlers{})
 }
 
 // authorized calls next for requests with the operators' token and rejects all
@@ -151,7 +151,7 @@
 	list := PeerList{Peers: []Peer{}}
 	for _, p := range o.Peers.Peers() {
 		list.Peers = append(list.Peers, Peer{
-			Name: p.Name, Region: p.Region, DataCentre: p.DataCentre, Callers: p.Callers, Nodes: p.Nodes,
+			Name: p.Name, Region: p.Region, DataCentre: p.DataCentre, Callers: p.CallerAddress, Nodes: p.NodeAddress,
 			Incarnation: p.Incarnation, State: p.State, Revision: p.Revision, Heard: o.Peers.LastSeen(p.Name),
 		})
 	}
@@ -160,7 +160,7 @@
 
 func (o *Operators) targets(w http.ResponseWriter, _ *http.Request) {
 	list := TargetList{Targets: []Target{}}
-	for _, t := range o.Targets.Used() {
+	for _, t := range o.Targets.Polled() {
 		state, known := o.Targets.State(t.Address, time.Now())
 		if !known {
 			state = t.State
--- a/io/jwrest/handler.go
+++ b/io/jwrest/handler.go
@@ -23,26 +23,26 @@
 
 var quietOnce sync.Once
 
-// Stray holds the handlers of requests that match no route. Its zero value gives
+// UnmatchedHandlers holds the handlers of requests that match no route. Its zero value gives
 // net/http's answers.
-type Stray struct {
+type UnmatchedHandlers struct {
 	NotFound   http.Handler // unknown path
 	NotAllowed http.Handler // known path, but no route for the method; it sets the header Allow itself
 }
 
 // Handler returns a handler for the routes. Their paths may hold variables such
 // as ":name", whose values Var returns.
-func Handler(log logr.Logger, routes []rest.Route, stray Stray) (http.Handler, error) {
+func Handler(log logr.Logger, routes []rest.Route, unmatched UnmatchedHandlers) (http.Handler, error) {
 	// Without a custom router, rest would wrap the handler for unknown paths and
 	// start a trace span for each such request.
 	customRouter := router.NewRouter()
-	customRouter.SetNotFoundHandler(stray.NotFound)
-	customRouter.SetNotAllowedHandler(stray.NotAllowed)
+	customRouter.SetNotFoundHandler(unmatched.NotFound)
+	customRouter.SetNotAllowedHandler(unmatched.NotAllowed)
 	server, err := rest.NewServer(minimalConfig(), rest.WithRouter(customRouter))
 	if err != nil {
 		return nil, errors.Wrap(err, "set up rest")
 	}
-	Quiet()
+	DisableGoZeroDefaults()
 	server.AddRoutes(routes)
 	serverless, err := rest.NewServerless(server)
 	if err != nil {
@@ -55,10 +55,10 @@
 // none.
 func Var(r *http.Request, name string) string { return pathvar.Vars(r)[name] }
 
-// Quiet disables go-zero's log lines and statistics, and its handling of SIGTERM
+// DisableGoZeroDefaults disables go-zero's log lines and statistics, and its handling of SIGTERM
 // that would end the process. Handler calls it; programs that use only go-zero's
 // client have to call it themselves.
-func Quiet() {
+func DisableGoZeroDefaults() {
 	quietOnce.Do(func() {
 		// SetUp takes effect only once, so later calls leave the log disabled.
 		_ = logx.SetUp(logx.LogConf{})
--- a/io/jwrest/server_test.go
+++ b/io/jwrest/server_test.go
@@ -25,7 +25,7 @@
 
 func startServer(t *testing.T, routes []rest.Route) testServer {
 	t.Helper()
-	h, err := Handler(logr.Discard(), routes, Stray{})
+	h, err := Handler(logr.Discard(), routes, UnmatchedHandlers{})
 	assert.NilError(t, err)
 	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, Log: logr.Discard()}
 	assert.NilError(t, s.Listen())
@@ -169,7 +169,7 @@
 		mu.Lock()
 		active--
 		mu.Unlock()
-	}}}, Stray{})
+	}}}, UnmatchedHandlers{})
 	assert.NilError(t, err)
 	s := &Server{Name: "test", Address: netip.MustParseAddrPort("127.0.0.1:0"), Handler: h, MaxConnections: maxConnections, Log: logr.Discard()}
 	assert.NilError(t, s.Listen())
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -58,7 +58,7 @@
 // too.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	progress := newProgressTimer(call.Progress, func() { cancel(errSilent) })
+	progress := newProgressTimer(call.ProgressTimeout, func() { cancel(errSilent) })
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -89,7 +89,7 @@
 		progress.stop()
 		cancel(nil)
 		return nil, &jwdispatch.CallError{
-			Step: "call target", Peer: addr, Fate: jwdispatch.Refused, RetryAfter: after,
+			Step: "call target", Peer: addr, Kind: jwdispatch.Refused, RetryAfter: after,
 			Err: errors.Errorf("target answered %s", resp.Status),
 		}
 	}
@@ -98,7 +98,7 @@
 		cancel: func() { cancel(nil) }, resp: resp, endsWithConnection: endsWithConnection(resp),
 	}
 	b.stream = isStream(resp.Header)
-	head := jwdispatch.Head{
+	head := jwdispatch.AnswerHead{
 		Status:      resp.StatusCode,
 		ContentType: resp.Header.Get("Content-Type"),
 		Length:      resp.ContentLength,
@@ -127,7 +127,7 @@
 	setHeader(r.Header, "Jujube-Workspace", in.Workspace)
 	setHeader(r.Header, "Jujube-Request-Id", in.ID)
 	setHeader(r.Header, "Idempotency-Key", in.Key)
-	setHeader(r.Header, "Last-Event-ID", call.After)
+	setHeader(r.Header, "Last-Event-ID", call.LastEventID)
 	r.Header.Set("Priority", "u="+strconv.Itoa(call.Urgency))
 	return r, nil
 }
@@ -179,7 +179,7 @@
 }
 
 func (c *Client) newTargetConns() *targetConns {
-	jwrest.Quiet()
+	jwrest.DisableGoZeroDefaults()
 	timeout := c.DialTimeout
 	if timeout == 0 {
 		timeout = time.Second
@@ -202,8 +202,8 @@
 	return httpc.NewServiceWithClient(serviceName, &http.Client{Transport: t, CheckRedirect: noRedirect})
 }
 
-// Forget closes the idle connections to a target. Later calls open new ones.
-func (c *Client) Forget(addr netip.AddrPort) {
+// CloseIdle closes the idle connections to a target. Later calls open new ones.
+func (c *Client) CloseIdle(addr netip.AddrPort) {
 	c.mu.Lock()
 	conns := c.targets[addr]
 	delete(c.targets, addr)
@@ -218,14 +218,14 @@
 // connections to that target are closed too: a device on the path may have lost
 // their state, and every call on one of them would wait as long.
 func (c *Client) callError(ctx context.Context, addr netip.AddrPort, step string, sent bool, err error) *jwdispatch.CallError {
-	out := &jwdispatch.CallError{Step: step, Peer: addr, Err: err, Fate: jwdispatch.Broken}
+	out := &jwdispatch.CallError{Step: step, Peer: addr, Err: err, Kind: jwdispatch.BrokenOff}
 	switch {
 	case !sent:
-		out.Fate = jwdispatch.Unsent
+		out.Kind = jwdispatch.Unsent
 	case errors.Is(context.Cause(ctx), errSilent):
-		out.Fate = jwdispatch.Silent
+		out.Kind = jwdispatch.NoProgress
 		out.Err = errSilent
-		c.Forget(addr)
+		c.CloseIdle(addr)
 	case ctx.Err() == nil:
 		out.Crashed = crashed(err)
 	}
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -42,8 +42,8 @@
 	tests := map[string]struct {
 		handler  http.HandlerFunc
 		progress time.Duration
-		atCall   jwdispatch.Fate // empty when the answer begins
-		atEnd    jwdispatch.Fate // empty when it is complete
+		atCall   jwdispatch.FailureKind // empty when the answer begins
+		atEnd    jwdispatch.FailureKind // empty when it is complete
 	}{
 		"whole plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "fine")
@@ -57,33 +57,33 @@
 		}, atCall: jwdispatch.Refused},
 		"connection cut before the answer": {handler: func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
-		}, atCall: jwdispatch.Broken},
+		}, atCall: jwdispatch.BrokenOff},
 		"plain answer cut short": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
 			_ = http.NewResponseController(w).Flush()
 			panic(http.ErrAbortHandler)
-		}, atEnd: jwdispatch.Broken},
+		}, atEnd: jwdispatch.BrokenOff},
 		"stream that ends cleanly without its end mark": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			_, _ = io.WriteString(w, "data: a\n\n")
-		}, atEnd: jwdispatch.Broken},
+		}, atEnd: jwdispatch.BrokenOff},
 		"answer without any length": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			conn, _, err := w.(http.Hijacker).Hijack()
 			if err == nil {
 				_, _ = io.WriteString(conn, "HTTP/1.0 200 OK\r\n\r\nhalf")
 				_ = conn.Close()
 			}
-		}, atEnd: jwdispatch.Broken},
+		}, atEnd: jwdispatch.BrokenOff},
 		"no answer in time": {progress: 50 * time.Millisecond, handler: func(_ http.ResponseWriter, r *http.Request) {
 			<-r.Context().Done()
-		}, atCall: jwdispatch.Silent},
+		}, atCall: jwdispatch.NoProgress},
 		"stream that stops without closing": {progress: 50 * time.Millisecond, handler: func(w http.ResponseWriter, r *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			_, _ = io.WriteString(w, "data: a\n\n")
 			_ = http.NewResponseController(w).Flush()
 			<-r.Context().Done()
-		}, atEnd: jwdispatch.Silent},
+		}, atEnd: jwdispatch.NoProgress},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -94,7 +94,7 @@
 			defer s.Close()
 			c := &Client{}
 			in := call("hello")
-			in.Progress = test.progress
+			in.ProgressTimeout = test.progress
 			a, err := c.Call(t.Context(), address(t, s), in)
 			if test.atCall != "" {
 				assertFate(t, err, test.atCall)
@@ -112,11 +112,11 @@
 	}
 }
 
-func assertFate(t *testing.T, err error, want jwdispatch.Fate) {
+func assertFate(t *testing.T, err error, want jwdispatch.FailureKind) {
 	t.Helper()
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
-	assert.Equal(t, failed.Fate, want)
+	assert.Equal(t, failed.Kind, want)
 }
 
 // Nothing listens at the target's address any more. The node must report that
@@ -163,7 +163,7 @@
 				runs.Store(0)
 				order.Idempotent = idempotent
 				_, err = c.Call(t.Context(), address(t, s), order)
-				assertFate(t, err, jwdispatch.Broken)
+				assertFate(t, err, jwdispatch.BrokenOff)
 				assert.Equal(t, runs.Load(), int32(1))
 			}
 		})
@@ -194,7 +194,7 @@
 		"# TYPE vllm:seconds_per_output_token gauge\nvllm:seconds_per_output_token 0.02\n# TYPE vllm:leaving gauge\nvllm:leaving 1\n"))
 	assert.NilError(t, err)
 	assert.Equal(t, load.Running, 3)
-	assert.Equal(t, load.Token, 20*time.Millisecond)
+	assert.Equal(t, load.TokenInterval, 20*time.Millisecond)
 	assert.Assert(t, leaving)
 }
 
--- a/io/jwtargetclient/load.go
+++ b/io/jwtargetclient/load.go
@@ -40,7 +40,7 @@
 	resp, err := c.connsTo(addr).pooled.DoRequest(r)
 	if err != nil {
 		if ctx.Err() != nil {
-			c.Forget(addr)
+			c.CloseIdle(addr)
 		}
 		return load, false, errors.Wrapf(err, "read load: %s", addr)
 	}
@@ -65,7 +65,7 @@
 	load.Waiting = int(gauge(families, gaugeWaiting))
 	load.Slots = int(gauge(families, gaugeSlots))
 	load.CacheUse = gauge(families, gaugeCache)
-	load.Token = time.Duration(gauge(families, gaugeToken) * float64(time.Second))
+	load.TokenInterval = time.Duration(gauge(families, gaugeToken) * float64(time.Second))
 	return load, gauge(families, gaugeLeaving) > 0, nil
 }
 
