--- a/cmd/jujubebench/day.go
+++ b/cmd/jujubebench/day.go
@@ -23,7 +23,7 @@
 			return err
 		}
 	}
-	return jwchart.Day(os.Stdout, jwlogtrace.DayOf(log))
+	return jwchart.Day(os.Stdout, jwlogtrace.NewTimeline(log))
 }
 
 // readFile adds the lines of a log file, or of standard input if file is "-".
--- a/cmd/jujubebench/main.go
+++ b/cmd/jujubebench/main.go
@@ -68,21 +68,21 @@
 	}
 	load := &jwload.Load{
 		Schedule: jwload.Schedule{
-			Mix:        mix,
-			Regions:    regionShares(c.Region, hosts),
-			Workspaces: c.Workspaces,
-			Bound:      c.Bound,
-			Rate:       c.Rate,
-			Swing:      c.Swing,
-			Day:        c.Day,
-			Again:      c.Again,
-			Direct:     directShare(len(c.Direct)+len(c.DirectTo) > 0, len(hosts) > 0),
-			Seed:       c.Seed,
+			Mix:            mix,
+			Regions:        regionShares(c.Region, hosts),
+			Workspaces:     c.Workspaces,
+			Bound:          c.Bound,
+			Rate:           c.Rate,
+			RateSwing:      c.Swing,
+			Day:            c.Day,
+			SendTwiceShare: c.Again,
+			Direct:         directShare(len(c.Direct)+len(c.DirectTo) > 0, len(hosts) > 0),
+			Seed:           c.Seed,
 		},
-		Duration: c.Duration,
-		Hosts:    hosts,
-		Targets:  map[jwload.Target][]netip.AddrPort{jwload.Runner: c.Direct, jwload.Service: c.DirectTo},
-		Follow:   c.Follow,
+		Duration:      c.Duration,
+		Hosts:         hosts,
+		Targets:       map[jwload.Target][]netip.AddrPort{jwload.Runner: c.Direct, jwload.Service: c.DirectTo},
+		FollowRetries: c.Follow,
 	}
 	journals, err := parseHosts(c.Journal)
 	if err != nil {
--- a/cmd/jujubebench/main_test.go
+++ b/cmd/jujubebench/main_test.go
@@ -29,9 +29,9 @@
 }
 
 // startStandIn runs a stand-in until the test ends.
-func startStandIn(t *testing.T, program jwstand.Program) *jwstand.Stand {
+func startStandIn(t *testing.T, program jwstand.Program) *jwstand.StandIn {
 	t.Helper()
-	stand := &jwstand.Stand{Program: program}
+	stand := &jwstand.StandIn{Program: program}
 	stop, err := stand.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, stop()) })
--- a/cmd/jujubebench/system.go
+++ b/cmd/jujubebench/system.go
@@ -36,7 +36,7 @@
 		}
 		for _, load := range c.Load {
 			for _, fault := range faults {
-				t := &jwfleet.Trial{Deployment: deployment, Load: load, Fault: fault, Length: c.Length, Seed: c.Seed}
+				t := &jwfleet.Trial{Deployment: deployment, Load: load, Fault: fault, Duration: c.Length, Seed: c.Seed}
 				if err := c.run(ctx, t); err != nil {
 					return errors.Wrapf(err, "trial: %s, load %v, fault %s", name, load, fault)
 				}
--- a/cmd/jujubewheel/gateway.go
+++ b/cmd/jujubewheel/gateway.go
@@ -47,11 +47,11 @@
 }
 
 // Run implements jwcommand.Runner.
-func (g gateway) Run(ctx context.Context, n jwcommand.Node) error {
+func (g gateway) Run(ctx context.Context, n jwcommand.RunParams) error {
 	options := n.Settings.Gateway
 	debug.SetGCPercent(gcPercent)
-	if options.Memory > 0 {
-		debug.SetMemoryLimit(options.Memory / memoryDivisor)
+	if options.MemoryBytes > 0 {
+		debug.SetMemoryLimit(options.MemoryBytes / memoryDivisor)
 	}
 	queue := &jwlog.Queue{W: os.Stdout}
 	stopQueue, queueDone := make(chan struct{}), make(chan struct{})
@@ -76,7 +76,7 @@
 		Log:             log,
 		Meter:           meter,
 		DroppedLogLines: queue.Lost,
-		Decisions:       jwlog.NewDecisions(queue, queue.Minor(), n.Settings.Node),
+		Decisions:       jwlog.NewDecisions(queue, queue.DropFirst(), n.Settings.Node),
 		Reload:          watchSettings(ctx, g.hup, n.File, log),
 	}
 	return gw.Run(ctx)
--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -86,7 +86,7 @@
 
 	checkRevisions := f.checkRevisionsNeverFall(w1, e1)
 	relay.setCut("west")
-	f.putControl(links.Control, "/links", jwstand.Weather{Cut: true})
+	f.putControl(links.Control, "/links", jwstand.Conditions{Cut: true})
 	path := f.write("edit.json", json.RawMessage(oneEntryCatalogue("sheet")))
 	out, err := f.runCommand(e1, "catalogue", "put", "--reason", "test", "--wait", "2s", path)
 	assert.Assert(t, err != nil && strings.Contains(out, "not yet in force"), "%v %s", err, out)
--- a/cmd/jujubewheel/main.go
+++ b/cmd/jujubewheel/main.go
@@ -33,7 +33,7 @@
 type node struct{}
 
 // Run implements jwcommand.Runner.
-func (node) Run(ctx context.Context, n jwcommand.Node) error {
+func (node) Run(ctx context.Context, n jwcommand.RunParams) error {
 	server := &jwnode.Node{Settings: n.Settings, Log: n.Log, Meter: n.Meter, Audit: n.Audit}
 	return server.Run(ctx)
 }
--- a/io/jwkeys/config.go
+++ b/io/jwcert/config.go
@@ -1,4 +1,4 @@
-package jwkeys
+package jwcert
 
 import (
 	"crypto/tls"
@@ -7,9 +7,9 @@
 	"github.com/pkg/errors"
 )
 
-// Server returns the TLS configuration of a port for callers or operators. It does not
+// ServerConfig returns the TLS configuration of a port for callers or operators. It does not
 // ask for client certificates.
-func (k *Keeper) Server() *tls.Config {
+func (k *CertificateReloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
@@ -18,10 +18,10 @@
 	}
 }
 
-// NodeServer returns the TLS configuration of the port for other nodes. It accepts the
+// NodeServerConfig returns the TLS configuration of the port for other nodes. It accepts the
 // certificate of any node; IdentityOf returns which node connected.
-func (k *Keeper) NodeServer() *tls.Config {
-	cfg := k.Server()
+func (k *CertificateReloader) NodeServerConfig() *tls.Config {
+	cfg := k.ServerConfig()
 	cfg.MinVersion = tls.VersionTLS13
 	// VerifyConnection verifies the certificate against the authority that is
 	// loaded now. crypto/tls would use the authority that was loaded when the
@@ -34,10 +34,10 @@
 	return cfg
 }
 
-// NodeClient returns the TLS configuration of a connection to the node want, which
+// NodeClientConfig returns the TLS configuration of a connection to the node want, which
 // rejects the certificates of all other nodes. The address may since have been given to
 // another host, possibly in another region, which must not receive bound data.
-func (k *Keeper) NodeClient(want Identity) *tls.Config {
+func (k *CertificateReloader) NodeClientConfig(want Identity) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
@@ -62,7 +62,7 @@
 }
 
 // certificate returns the loaded certificate, or an error before the first Load.
-func (k *Keeper) certificate() (*tls.Certificate, error) {
+func (k *CertificateReloader) certificate() (*tls.Certificate, error) {
 	l := k.current.Load()
 	if l == nil {
 		return nil, errors.Errorf("no certificate loaded: %s", k.Port)
@@ -72,7 +72,7 @@
 
 // verify checks the peer's certificate chain against the loaded authority and returns
 // the peer's identity.
-func (k *Keeper) verify(state tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
+func (k *CertificateReloader) verify(state tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
 	l := k.current.Load()
 	if l == nil || l.authority == nil {
 		return Identity{}, errors.Errorf("verify node: no authority loaded: %s", k.Port)
--- a/io/jwkeys/identity.go
+++ b/io/jwcert/identity.go
@@ -1,4 +1,4 @@
-package jwkeys
+package jwcert
 
 import (
 	"crypto/tls"
--- a/io/jwkeys/keeper.go
+++ b/io/jwcert/reloader.go
@@ -1,4 +1,4 @@
-package jwkeys
+package jwcert
 
 import (
 	"bytes"
@@ -17,12 +17,12 @@
 )
 
 // DefaultCheckInterval is the interval between two checks of the files if
-// Keeper.CheckInterval is 0.
+// CertificateReloader.CheckInterval is 0.
 const DefaultCheckInterval = 10 * time.Second
 
-// Keeper holds the certificate of one port and reloads it when its files change. Set the
+// CertificateReloader holds the certificate of one port and reloads it when its files change. Set the
 // exported fields, then call Load and Run.
-type Keeper struct {
+type CertificateReloader struct {
 	Port          string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
 	Files         jwsettings.KeyFiles
 	CheckInterval time.Duration // interval between two checks of the files; 0 means DefaultCheckInterval
@@ -41,7 +41,7 @@
 }
 
 // Load reads the files for the first time. It fails if they cannot be used.
-func (k *Keeper) Load() error {
+func (k *CertificateReloader) Load() error {
 	l, err := readFiles(k.Files)
 	if err != nil {
 		return errors.Wrapf(err, "load certificate: %s", k.Port)
@@ -52,7 +52,7 @@
 
 // Run reloads the files when they change, until ctx ends. While the files cannot be
 // used, the previous certificate stays in use.
-func (k *Keeper) Run(ctx context.Context) error {
+func (k *CertificateReloader) Run(ctx context.Context) error {
 	interval := k.CheckInterval
 	if interval == 0 {
 		interval = DefaultCheckInterval
@@ -70,7 +70,7 @@
 }
 
 // refresh reads the files and uses their content if it has changed.
-func (k *Keeper) refresh() {
+func (k *CertificateReloader) refresh() {
 	l, err := readFiles(k.Files)
 	if err != nil {
 		k.recordFailure(err)
@@ -86,7 +86,7 @@
 
 // recordFailure counts and records that the files cannot be used. The cause can be
 // temporary: while certificate and key are replaced one after the other, they do not match.
-func (k *Keeper) recordFailure(err error) {
+func (k *CertificateReloader) recordFailure(err error) {
 	k.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": k.Port}).Inc(1)
 	if k.lastError == err.Error() {
 		return
@@ -96,7 +96,7 @@
 }
 
 // use starts to use the content of the files and adds an audit record.
-func (k *Keeper) use(l *loadedFiles) {
+func (k *CertificateReloader) use(l *loadedFiles) {
 	k.current.Store(l)
 	k.updateValidity(l)
 	leaf := l.certificate.Leaf
@@ -108,7 +108,7 @@
 
 // updateValidity updates the metric of the remaining validity. After the certificate
 // expires, new connections fail, which established connections can hide for some time.
-func (k *Keeper) updateValidity(l *loadedFiles) {
+func (k *CertificateReloader) updateValidity(l *loadedFiles) {
 	left := time.Until(l.certificate.Leaf.NotAfter)
 	k.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": k.Port}).Update(left.Seconds())
 }
--- a/io/jwkeys/keeper_test.go
+++ b/io/jwcert/reloader_test.go
@@ -1,4 +1,4 @@
-package jwkeys_test
+package jwcert_test
 
 import (
 	"context"
@@ -15,42 +15,42 @@
 	"gotest.tools/v3/assert"
 
 	"jujubewheel/io/jwaudit"
-	"jujubewheel/io/jwkeys"
-	"jujubewheel/io/jwkeystest"
+	"jujubewheel/io/jwcert"
+	"jujubewheel/io/jwcerttest"
 )
 
-// loadKeeper returns a Keeper with a loaded certificate that a issued for the identities.
-func loadKeeper(t *testing.T, a *jwkeystest.Authority, ids ...jwkeys.Identity) *jwkeys.Keeper {
+// loadReloader returns a CertificateReloader with a loaded certificate that a issued for the identities.
+func loadReloader(t *testing.T, a *jwcerttest.Authority, ids ...jwcert.Identity) *jwcert.CertificateReloader {
 	t.Helper()
-	k := &jwkeys.Keeper{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
+	k := &jwcert.CertificateReloader{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
 	assert.NilError(t, k.Load())
 	return k
 }
 
 var (
-	n1 = jwkeys.Identity{Node: "n1", Region: "north"}
-	n2 = jwkeys.Identity{Node: "n2", Region: "south"}
+	n1 = jwcert.Identity{Node: "n1", Region: "north"}
+	n2 = jwcert.Identity{Node: "n2", Region: "south"}
 )
 
 func TestBetweenNodes(t *testing.T) {
 	// A node may connect to an address that has been given to another host, and a
 	// host that is not a node may connect to a node's port. Both connections must
 	// fail. Otherwise bound data would leave its region unnoticed.
-	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
+	ours, theirs := jwcerttest.New(t), jwcerttest.New(t)
 	tests := map[string]struct {
-		server, client *jwkeys.Keeper
-		want           jwkeys.Identity
+		server, client *jwcert.CertificateReloader
+		want           jwcert.Identity
 		wantErr        string
 	}{
-		"expected node":               {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n1, ""},
-		"another node":                {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), n2, "certificate is of node n1 in region north"},
-		"another region":              {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{"n1", "south"}, "certificate is of node n1 in region north"},
-		"server of another authority": {loadKeeper(t, theirs, n1), loadKeeper(t, ours, n2), n1, "unknown authority"},
-		"client of another authority": {loadKeeper(t, ours, n1), loadKeeper(t, theirs, n2), n1, "unknown"},
-		"server without identity":     {loadKeeper(t, ours), loadKeeper(t, ours, n2), n1, "names 0 nodes"},
-		"client without identity":     {loadKeeper(t, ours, n1), loadKeeper(t, ours), n1, "bad certificate"},
-		"server with two identities":  {loadKeeper(t, ours, n1, n2), loadKeeper(t, ours, n2), n1, "names 2 nodes"},
-		"unknown address":             {loadKeeper(t, ours, n1), loadKeeper(t, ours, n2), jwkeys.Identity{}, "no node is known"},
+		"expected node":               {loadReloader(t, ours, n1), loadReloader(t, ours, n2), n1, ""},
+		"another node":                {loadReloader(t, ours, n1), loadReloader(t, ours, n2), n2, "certificate is of node n1 in region north"},
+		"another region":              {loadReloader(t, ours, n1), loadReloader(t, ours, n2), jwcert.Identity{"n1", "south"}, "certificate is of node n1 in region north"},
+		"server of another authority": {loadReloader(t, theirs, n1), loadReloader(t, ours, n2), n1, "unknown authority"},
+		"client of another authority": {loadReloader(t, ours, n1), loadReloader(t, theirs, n2), n1, "unknown"},
+		"server without identity":     {loadReloader(t, ours), loadReloader(t, ours, n2), n1, "names 0 nodes"},
+		"client without identity":     {loadReloader(t, ours, n1), loadReloader(t, ours), n1, "bad certificate"},
+		"server with two identities":  {loadReloader(t, ours, n1, n2), loadReloader(t, ours, n2), n1, "names 2 nodes"},
+		"unknown address":             {loadReloader(t, ours, n1), loadReloader(t, ours, n2), jwcert.Identity{}, "no node is known"},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -66,7 +66,7 @@
 
 // handshake connects client to server and returns the first error that the client sees.
 // The client reads one byte, so that it also sees a rejection by the server.
-func handshake(t *testing.T, server, client *jwkeys.Keeper, want jwkeys.Identity) error {
+func handshake(t *testing.T, server, client *jwcert.CertificateReloader, want jwcert.Identity) error {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -77,7 +77,7 @@
 			return
 		}
 		defer conn.Close()
-		secure, _, err := (&jwkeys.Credentials{Keeper: server}).ServerHandshake(conn)
+		secure, _, err := (&jwcert.Credentials{Keeper: server}).ServerHandshake(conn)
 		if err == nil {
 			_, _ = secure.Write([]byte("!"))
 		}
@@ -85,8 +85,8 @@
 	conn, err := net.Dial("tcp", l.Addr().String())
 	assert.NilError(t, err)
 	defer conn.Close()
-	c := &jwkeys.Credentials{Keeper: client, Identify: func(a netip.AddrPort) (jwkeys.Identity, bool) {
-		return want, want != jwkeys.Identity{} && a.String() == l.Addr().String()
+	c := &jwcert.Credentials{Keeper: client, Identify: func(a netip.AddrPort) (jwcert.Identity, bool) {
+		return want, want != jwcert.Identity{} && a.String() == l.Addr().String()
 	}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
 	defer cancel()
@@ -99,7 +99,7 @@
 }
 
 func TestIdentityOf(t *testing.T) {
-	_, err := jwkeys.IdentityOf(tls.ConnectionState{})
+	_, err := jwcert.IdentityOf(tls.ConnectionState{})
 	assert.ErrorContains(t, err, "the peer sent no certificate")
 	for name, uri := range map[string]string{
 		"other scheme":       "https://jujubewheel/region/r/node/n",
@@ -111,7 +111,7 @@
 		t.Run(name, func(t *testing.T) {
 			u, err := url.Parse(uri)
 			assert.NilError(t, err)
-			_, err = jwkeys.IdentityOf(tls.ConnectionState{PeerCertificates: []*x509.Certificate{{URIs: []*url.URL{u}}}})
+			_, err = jwcert.IdentityOf(tls.ConnectionState{PeerCertificates: []*x509.Certificate{{URIs: []*url.URL{u}}}})
 			assert.ErrorContains(t, err, "names 0 nodes")
 		})
 	}
@@ -121,23 +121,23 @@
 	// Certificate and key are replaced one after the other, so for a while they do
 	// not match. The old certificate must stay in use until the new pair is complete.
 	synctest.Test(t, func(t *testing.T) {
-		a := jwkeystest.New(t)
+		a := jwcerttest.New(t)
 		dir := t.TempDir()
 		trail := &jwaudit.Trail{}
-		k := &jwkeys.Keeper{Port: "nodes", Files: a.Issue(dir, n1), Audit: trail}
+		k := &jwcert.CertificateReloader{Port: "nodes", Files: a.Issue(dir, n1), Audit: trail}
 		assert.NilError(t, k.Load())
 		ctx, cancel := context.WithCancel(t.Context())
 		done := make(chan error)
 		go func() { done <- k.Run(ctx) }()
 		serial := func() int64 {
-			time.Sleep(3 * jwkeys.DefaultCheckInterval)
-			c, err := k.Server().GetCertificate(nil)
+			time.Sleep(3 * jwcert.DefaultCheckInterval)
+			c, err := k.ServerConfig().GetCertificate(nil)
 			assert.NilError(t, err)
 			return c.Leaf.SerialNumber.Int64()
 		}
-		// Move half an interval away from the ticks, so that the Keeper does not
+		// Move half an interval away from the ticks, so that the CertificateReloader does not
 		// read the files while the test writes them.
-		time.Sleep(jwkeys.DefaultCheckInterval / 2)
+		time.Sleep(jwcert.DefaultCheckInterval / 2)
 		assert.Equal(t, serial(), int64(2))
 
 		key, err := os.ReadFile(k.Files.Key)
@@ -160,10 +160,10 @@
 	})
 }
 
-func TestServer(t *testing.T) {
-	a := jwkeystest.New(t)
-	k := loadKeeper(t, a, n1)
-	l, err := tls.Listen("tcp", "127.0.0.1:0", k.Server())
+func TestServerConfig(t *testing.T) {
+	a := jwcerttest.New(t)
+	k := loadReloader(t, a, n1)
+	l, err := tls.Listen("tcp", "127.0.0.1:0", k.ServerConfig())
 	assert.NilError(t, err)
 	defer l.Close()
 	go func() {
@@ -175,5 +175,5 @@
 	conn, err := tls.Dial("tcp", l.Addr().String(), &tls.Config{RootCAs: a.Pool(), ServerName: "127.0.0.1"})
 	assert.NilError(t, err)
 	assert.NilError(t, conn.Close())
-	assert.ErrorContains(t, (&jwkeys.Keeper{Port: "callers"}).Load(), "load certificate: callers")
+	assert.ErrorContains(t, (&jwcert.CertificateReloader{Port: "callers"}).Load(), "load certificate: callers")
 }
--- a/io/jwkeystest/authority.go
+++ b/io/jwcerttest/authority.go
@@ -1,4 +1,4 @@
-package jwkeystest
+package jwcerttest
 
 import (
 	"crypto/ecdsa"
@@ -17,7 +17,7 @@
 
 	"gotest.tools/v3/assert"
 
-	"jujubewheel/io/jwkeys"
+	"jujubewheel/io/jwcert"
 	"jujubewheel/io/jwsettings"
 )
 
@@ -57,7 +57,7 @@
 // Issue writes a new key, its certificate for the identities and the certificate of the
 // authority into dir and returns the paths. Serial numbers are consecutive and begin
 // with 2.
-func (a *Authority) Issue(dir string, ids ...jwkeys.Identity) jwsettings.KeyFiles {
+func (a *Authority) Issue(dir string, ids ...jwcert.Identity) jwsettings.KeyFiles {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	assert.NilError(a.t, err)
--- /dev/null
+++ b/io/jwcerttest/doc.go
@@ -0,0 +1,2 @@
+// Package jwcerttest issues short-lived certificates for tests.
+package jwcerttest
--- a/io/jwchart/day.go
+++ b/io/jwchart/day.go
@@ -23,14 +23,14 @@
 // outcome, rejected requests by reason, the longest time in seconds for which a
 // node had no answer of the store, and which nodes had lost the store or were
 // not running. The x axis is in seconds from the first line of the logs.
-func Day(w io.Writer, d *jwlogtrace.Day) error {
+func Day(w io.Writer, d *jwlogtrace.Timeline) error {
 	panels := []struct {
 		title string
 		list  []jwlogtrace.Series
 	}{
 		{"requests a second, by outcome", d.Outcomes},
-		{"rejected a second, by reason", d.Refusals},
-		{"seconds without an answer from the store, maximum of all nodes", []jwlogtrace.Series{d.StoreAge}},
+		{"rejected a second, by reason", d.Rejections},
+		{"seconds without an answer from the store, maximum of all nodes", []jwlogtrace.Series{d.StoreLostSeconds}},
 		{"nodes that lost the store (up) or do not run (down), a line each", states(d)},
 	}
 	canvas := vgsvg.New(width, panelHeight*vg.Length(len(panels)))
@@ -52,11 +52,11 @@
 
 // states returns a series for each node, each at its own height: the value goes
 // up while the node has lost the store and down while it does not run.
-func states(d *jwlogtrace.Day) []jwlogtrace.Series {
+func states(d *jwlogtrace.Timeline) []jwlogtrace.Series {
 	const step = 0.4
 	var list []jwlogtrace.Series
 	for i, lost := range d.StoreLost {
-		away := d.Away[i].Counts
+		away := d.NodeDown[i].Counts
 		s := jwlogtrace.Series{Name: lost.Name, Counts: make([]float64, len(away))}
 		for second := range away {
 			s.Counts[second] = float64(i) + step*(lost.Counts[second]-away[second])
--- a/io/jwchart/day_test.go
+++ b/io/jwchart/day_test.go
@@ -18,7 +18,7 @@
 {"time":"2026-01-02T03:00:02Z","message":"store lost","node":"n1"}
 `)))
 	var out bytes.Buffer
-	assert.NilError(t, jwchart.Day(&out, jwlogtrace.DayOf(l)))
+	assert.NilError(t, jwchart.Day(&out, jwlogtrace.NewTimeline(l)))
 	for _, want := range []string{"<svg", "rejected a second", "no target has room", "n1"} {
 		assert.Assert(t, strings.Contains(out.String(), want), want)
 	}
@@ -26,5 +26,5 @@
 
 // The log of a node may be empty, for example just after its start.
 func TestEmptyDay(t *testing.T) {
-	assert.NilError(t, jwchart.Day(&bytes.Buffer{}, jwlogtrace.DayOf(&jwlogtrace.Log{})))
+	assert.NilError(t, jwchart.Day(&bytes.Buffer{}, jwlogtrace.NewTimeline(&jwlogtrace.Log{})))
 }
--- a/io/jwcommand/catalogue.go
+++ b/io/jwcommand/catalogue.go
@@ -81,7 +81,7 @@
 	Entry     string `json:"entry"`
 	EditID    string `json:"editId,omitempty"`
 	Unchanged bool   `json:"unchanged,omitempty"`
-	jwoperate.Standing
+	jwoperate.RevisionStatus
 }
 
 // Run writes the entries in their order and stops at the first that fails.
@@ -118,7 +118,7 @@
 			return putResult{}, err
 		}
 		if exists && sameEntry(current.Entry, item.Entry) {
-			return putResult{Entry: item.Entry.Name, Unchanged: true, Standing: jwoperate.Standing{Revision: current.Revision}}, nil
+			return putResult{Entry: item.Entry.Name, Unchanged: true, RevisionStatus: jwoperate.RevisionStatus{Revision: current.Revision}}, nil
 		}
 		if overwrite {
 			item.Revision = current.Revision
@@ -145,7 +145,7 @@
 		path:   entryPath(name) + "?wait=" + e.Wait.String(),
 		header: header,
 		body:   jwoperate.EditBody{Entry: entry, Author: e.Author, Reason: e.Reason, EditID: e.EditID},
-	}, &r.Standing)
+	}, &r.RevisionStatus)
 	return r, e.withEditID(err)
 }
 
@@ -272,7 +272,7 @@
 	if c.Revision > 0 {
 		path += "?revision=" + formatUint(c.Revision)
 	}
-	var s jwoperate.Standing
+	var s jwoperate.RevisionStatus
 	if err := api.get(ctx, path, &s); err != nil {
 		return err
 	}
@@ -315,7 +315,7 @@
 	return nil
 }
 
-func revisionText(s jwoperate.Standing) string {
+func revisionText(s jwoperate.RevisionStatus) string {
 	if s.Accepted {
 		return "revision " + formatUint(s.Revision) + " is in force everywhere"
 	}
--- a/io/jwcommand/exit.go
+++ b/io/jwcommand/exit.go
@@ -37,7 +37,7 @@
 func (e *exitError) Unwrap() error { return e.err }
 
 // errReported stands for a failure that the output already shows.
-var errReported = errors.New("told")
+var errReported = errors.New("already reported")
 
 // exitCodeOf returns the exit code of a command's error.
 func exitCodeOf(err error) Exit {
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -105,9 +105,9 @@
 
 // revisionReport is what explain revision prints.
 type revisionReport struct {
-	Change   *jwcatalogue.Change `json:"change,omitempty"` // nil when the node no longer has it
-	Standing jwoperate.Standing  `json:"standing"`
-	Records  []jwaudit.Record    `json:"records"`
+	Change   *jwcatalogue.Change      `json:"change,omitempty"` // nil when the node no longer has it
+	Standing jwoperate.RevisionStatus `json:"standing"`
+	Records  []jwaudit.Record         `json:"records"`
 }
 
 // Run fetches the change, its status and the audit records about it.
--- a/io/jwcommand/program_test.go
+++ b/io/jwcommand/program_test.go
@@ -51,7 +51,7 @@
 // fakeNode is a Runner that adds one audit record and fails.
 type fakeNode struct{}
 
-func (fakeNode) Run(_ context.Context, n Node) error {
+func (fakeNode) Run(_ context.Context, n RunParams) error {
 	n.Audit.Add(jwaudit.Record{Kind: jwaudit.NodeState, Subject: n.Settings.Node, To: "serving"})
 	return errors.New("node ended")
 }
--- a/io/jwcommand/serve.go
+++ b/io/jwcommand/serve.go
@@ -13,12 +13,12 @@
 
 // Runner runs a node until ctx ends and its requests have finished.
 type Runner interface {
-	Run(ctx context.Context, n Node) error
+	Run(ctx context.Context, n RunParams) error
 }
 
-// Node holds the settings and shared parts that a Runner uses. For a gateway,
+// RunParams holds the settings and shared parts that a Runner uses. For a gateway,
 // Log, Meter and Audit are unset; for a node, File and Verbose.
-type Node struct {
+type RunParams struct {
 	Settings *jwsettings.Settings
 	File     string // from which the settings were read
 	Verbose  int
@@ -42,11 +42,11 @@
 	log := jwlog.New(p.Stderr, c.Verbose).WithValues("node", s.Node)
 	jwlog.CaptureGRPC(log)
 	if s.Gateway != nil {
-		return p.Gateway.Run(ctx, Node{Settings: s, File: c.File, Verbose: c.Verbose})
+		return p.Gateway.Run(ctx, RunParams{Settings: s, File: c.File, Verbose: c.Verbose})
 	}
 	meter := &jwmeter.Meter{Log: log.WithName("meter")}
 	defer meter.Close()
-	return p.Node.Run(ctx, Node{
+	return p.Node.Run(ctx, RunParams{
 		Settings: s,
 		Log:      log,
 		Meter:    meter,
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -28,9 +28,9 @@
 }
 
 // startStand serves a stand-in for a platform service until the test ends.
-func startStand(t *testing.T, program jwstand.Program) *jwstand.Stand {
+func startStand(t *testing.T, program jwstand.Program) *jwstand.StandIn {
 	t.Helper()
-	stand := &jwstand.Stand{Program: program}
+	stand := &jwstand.StandIn{Program: program}
 	stop, err := stand.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, stop()) })
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -48,7 +48,7 @@
 }
 
 // injectFaults injects one random fault after another until ctx ends.
-func injectFaults(ctx context.Context, stand *jwstand.Stand) {
+func injectFaults(ctx context.Context, stand *jwstand.StandIn) {
 	rng := rand.New(rand.NewPCG(1, 1))
 	faults := []jwstand.Faults{
 		{LoseReply: 1},
--- a/io/jwconsul/scale_test.go
+++ b/io/jwconsul/scale_test.go
@@ -22,10 +22,10 @@
 )
 
 // serve runs a stand-in for a platform service until the benchmark ends.
-func serve(b *testing.B, program jwstand.Program) *jwstand.Stand {
+func serve(b *testing.B, program jwstand.Program) *jwstand.StandIn {
 	b.Helper()
 	logx.Disable()
-	stand := &jwstand.Stand{Program: program}
+	stand := &jwstand.StandIn{Program: program}
 	stop, err := stand.Start()
 	assert.NilError(b, err)
 	b.Cleanup(func() { assert.Check(b, stop()) })
--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -138,27 +138,27 @@
 
 // putEntry writes a new entry to the catalogue and returns the status of the
 // change.
-func (c *caller) putEntry(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.Standing, error) {
+func (c *caller) putEntry(ctx context.Context, at netip.AddrPort, body jwoperate.EditBody, wait time.Duration) (jwoperate.RevisionStatus, error) {
 	data, err := json.Marshal(body)
 	if err != nil {
-		return jwoperate.Standing{}, err
+		return jwoperate.RevisionStatus{}, err
 	}
 	path := "/v1/catalogue/entries/" + body.Entry.Name + "?wait=" + wait.String()
 	r, err := http.NewRequestWithContext(ctx, http.MethodPut, "http://"+at.String()+path, bytes.NewReader(data))
 	if err != nil {
-		return jwoperate.Standing{}, err
+		return jwoperate.RevisionStatus{}, err
 	}
 	r.Header.Set("Authorization", "Bearer "+operatorsToken)
 	r.Header.Set("If-None-Match", "*")
-	var standing jwoperate.Standing
+	var standing jwoperate.RevisionStatus
 	_, err = c.readJSON(r, &standing)
 	return standing, err
 }
 
 // status returns whether the latest change of the catalogue is in force at every
 // node, and which nodes have not confirmed it.
-func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.Standing, error) {
-	var standing jwoperate.Standing
+func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.RevisionStatus, error) {
+	var standing jwoperate.RevisionStatus
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/catalogue/status", nil)
 	if err != nil {
 		return standing, err
--- a/io/jwdemo/system.go
+++ b/io/jwdemo/system.go
@@ -37,11 +37,11 @@
 // region, and the stand-ins for the platform.
 type system struct {
 	hosts         *jwstand.Hosts
-	desks         map[string]*jwstand.Service // by region
-	runners       map[string][]*jwstand.Stand // by region
-	nodeLinks     []*jwstand.Link             // links to the nodes' ports for other nodes
-	platformLinks map[string][]*jwstand.Link  // by region, links to the platform
-	nodes         map[string]*node            // by region
+	desks         map[string]*jwstand.Service   // by region
+	runners       map[string][]*jwstand.StandIn // by region
+	nodeLinks     []*jwstand.Link               // links to the nodes' ports for other nodes
+	platformLinks map[string][]*jwstand.Link    // by region, links to the platform
+	nodes         map[string]*node              // by region
 
 	ctx  context.Context
 	stop context.CancelFunc
@@ -61,7 +61,7 @@
 	s := &system{
 		hosts:         &jwstand.Hosts{},
 		desks:         map[string]*jwstand.Service{},
-		runners:       map[string][]*jwstand.Stand{},
+		runners:       map[string][]*jwstand.StandIn{},
 		platformLinks: map[string][]*jwstand.Link{},
 		nodes:         map[string]*node{},
 	}
@@ -178,7 +178,7 @@
 	}
 	nodeLink.Dial = n.NodesAddr()
 	for _, l := range links.Links {
-		l.SetWeather(jwstand.Weather{Delay: jwstand.Duration(linkDelay)})
+		l.SetConditions(jwstand.Conditions{Delay: jwstand.Duration(linkDelay)})
 	}
 	s.runPart(links.Run)
 	s.nodes[region] = n
@@ -221,8 +221,8 @@
 }
 
 // startStandIn starts a stand-in on free ports.
-func (s *system) startStandIn(kind string, p jwstand.Program) (*jwstand.Stand, error) {
-	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
+func (s *system) startStandIn(kind string, p jwstand.Program) (*jwstand.StandIn, error) {
+	stand := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	// All stand-ins share this process, so that a crash must not end it: the
 	// stand-in goes down until restartRunners.
 	stand.Exit = func(int) { stand.SetFaults(jwstand.Faults{Down: true}) }
@@ -267,9 +267,9 @@
 
 func (s *system) setCut(region string, cut bool) {
 	for _, l := range slices.Concat(s.nodeLinks, s.platformLinks[region]) {
-		weather := l.Weather()
+		weather := l.Conditions()
 		weather.Cut = cut
-		l.SetWeather(weather)
+		l.SetConditions(weather)
 	}
 }
 
--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -31,7 +31,7 @@
 const slowFactor = 5
 
 // poorWeather is the condition of the links under PoorLinks.
-var poorWeather = jwstand.Weather{
+var poorWeather = jwstand.Conditions{
 	Delay:  jwstand.Duration(80 * time.Millisecond),
 	Jitter: jwstand.Duration(60 * time.Millisecond),
 	Loss:   0.02,
@@ -47,7 +47,7 @@
 		f.keyValue.SetFaults(jwstand.Faults{Down: true})
 		return nil
 	}
-	if err := jwclock.Sleep(ctx, t.warmUp()+t.Length/4); err != nil {
+	if err := jwclock.Sleep(ctx, t.warmUp()+t.Duration/4); err != nil {
 		return err
 	}
 	region := f.Regions[0]
@@ -57,14 +57,14 @@
 		for _, r := range lostRunners {
 			r.down()
 		}
-		err := jwclock.Sleep(ctx, t.Length/3)
+		err := jwclock.Sleep(ctx, t.Duration/3)
 		for _, r := range lostRunners {
 			r.up()
 		}
 		return err
 	case PoorLinks:
 		for _, l := range f.regionLinks {
-			l.SetWeather(poorWeather)
+			l.SetConditions(poorWeather)
 		}
 	case SlowRunner:
 		f.runners[region][0].Engine.SetTimeFactor(slowFactor)
@@ -84,8 +84,8 @@
 		Schedule: jwload.Schedule{
 			Mix: f.Mix, Regions: []jwload.Region{{Name: name, Share: 1}}, Rate: rate, Seed: t.Seed + 1,
 		},
-		Duration: t.Length / 2,
-		Follow:   true,
+		Duration:      t.Duration / 2,
+		FollowRetries: true,
 	}
 	load.Hosts = f.callerAddresses()
 	load.Hosts[name] = load.Hosts[region]
--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -33,7 +33,7 @@
 // runner is a simulated model runner and the stand-in that serves it.
 type runner struct {
 	*jwstand.Runner
-	stand *jwstand.Stand
+	stand *jwstand.StandIn
 }
 
 // down makes the runner unreachable.
@@ -51,7 +51,7 @@
 	nodes       map[string][]*jwnode.Node   // by region
 	runners     map[string][]*runner        // by region
 	journals    map[string][]netip.AddrPort // control ports of the targets, by region
-	keyValue    *jwstand.Stand              // the key-value service
+	keyValue    *jwstand.StandIn            // the key-value service
 	regionLinks []*jwstand.Link             // links that PoorLinks degrades
 
 	ctx  context.Context
@@ -193,7 +193,7 @@
 	}
 	for k, l := range links.Links {
 		if k == 0 || region != f.Regions[0] {
-			l.SetWeather(jwstand.Weather{Delay: jwstand.Duration(f.Delay)})
+			l.SetConditions(jwstand.Conditions{Delay: jwstand.Duration(f.Delay)})
 			f.regionLinks = append(f.regionLinks, l)
 		}
 	}
@@ -247,8 +247,8 @@
 }
 
 // startStand starts a stand-in on free ports.
-func (f *fleet) startStand(kind string, p jwstand.Program) (*jwstand.Stand, error) {
-	stand := &jwstand.Stand{Kind: kind, Program: p, Address: loopback, Control: loopback}
+func (f *fleet) startStand(kind string, p jwstand.Program) (*jwstand.StandIn, error) {
+	stand := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	if err := stand.Listen(); err != nil {
 		return nil, err
 	}
--- a/io/jwfleet/trial.go
+++ b/io/jwfleet/trial.go
@@ -18,7 +18,7 @@
 	Deployment Deployment    // the system to run
 	Load       float64       // share of Deployment.Capacity
 	Fault      Fault         // empty means None
-	Length     time.Duration // length of the measured part
+	Duration   time.Duration // length of the measured part
 	Seed       uint64        // seed of the load
 
 	bursts   []jwload.Line
@@ -29,7 +29,7 @@
 const maxWarmUp = 5 * time.Second
 
 // warmUp returns the length of the load before the measured part.
-func (t *Trial) warmUp() time.Duration { return min(maxWarmUp, t.Length/3) }
+func (t *Trial) warmUp() time.Duration { return min(maxWarmUp, t.Duration/3) }
 
 // counterLag is the maximum time by which the counters of nodes lag behind.
 const counterLag = 2*time.Second + 2*meterInterval
@@ -81,12 +81,12 @@
 	return &jwload.Load{
 		Schedule: jwload.Schedule{
 			Mix: f.Mix, Regions: regions, Workspaces: workspacesPerRegion, Bound: boundShare,
-			Rate: t.Load * f.Capacity(), Again: sendTwiceShare, Seed: t.Seed,
+			Rate: t.Load * f.Capacity(), SendTwiceShare: sendTwiceShare, Seed: t.Seed,
 		},
-		Duration: t.warmUp() + t.Length,
-		Warm:     t.warmUp(),
-		Hosts:    f.callerAddresses(),
-		Follow:   true,
+		Duration:      t.warmUp() + t.Duration,
+		WarmUp:        t.warmUp(),
+		Hosts:         f.callerAddresses(),
+		FollowRetries: true,
 	}
 }
 
@@ -120,7 +120,7 @@
 		}
 	}
 	// The work includes the warm-up, but the answers in time do not.
-	workRatio := (t.warmUp() + t.Length).Seconds() / t.Length.Seconds()
+	workRatio := (t.warmUp() + t.Duration).Seconds() / t.Duration.Seconds()
 	r.Cost = (r.RunnerSeconds + f.SentAwayCost*sentAway) / max(inTime*workRatio, 1)
 	return r
 }
--- a/io/jwfleet/trial_test.go
+++ b/io/jwfleet/trial_test.go
@@ -14,7 +14,7 @@
 // correct outcome, nothing that must run once or in its home region runs twice
 // or elsewhere, and the retries of the nodes stay within their budget.
 func TestTrial(t *testing.T) {
-	trial := &Trial{Deployment: Deployments["zaitoun"], Load: 0.7, Fault: Loss, Length: 1500 * time.Millisecond, Seed: 1}
+	trial := &Trial{Deployment: Deployments["zaitoun"], Load: 0.7, Fault: Loss, Duration: 1500 * time.Millisecond, Seed: 1}
 	result, err := trial.Run(t.Context())
 	assert.NilError(t, err)
 
--- a/io/jwforward/identity.go
+++ b/io/jwforward/identity.go
@@ -8,7 +8,7 @@
 	"google.golang.org/grpc/peer"
 	"google.golang.org/grpc/status"
 
-	"jujubewheel/io/jwkeys"
+	"jujubewheel/io/jwcert"
 )
 
 // checkIdentity compares the name and region that a node claims with its
@@ -25,7 +25,7 @@
 	if !secure {
 		return nil
 	}
-	id, err := jwkeys.IdentityOf(info.State)
+	id, err := jwcert.IdentityOf(info.State)
 	if err != nil {
 		return status.Error(codes.PermissionDenied, err.Error())
 	}
--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -50,12 +50,12 @@
 	}
 	d := q.newDecision(stepSend)
 	d.Target, d.Expected, d.Cold, d.Calls = c.Target.ID, c.Expected, c.Cold, c.Calls
-	d.Prompt, d.Miss, d.Ahead = q.Prompt.Tokens, c.MissTokens, c.AheadTokens
+	d.Prompt, d.MissTokens, d.AheadTokens = q.Prompt.Tokens, c.MissTokens, c.AheadTokens
 	d.First, d.Pause = p.first, p.pause
 	d.Silent = p.silence(v, time.Now())
 	d.ViewAge, d.Outcome, d.Status = c.Age, string(v), status
-	d.Minor = v == finished && status < 500
-	if !d.Minor {
+	d.DropFirst = v == finished && status < 500
+	if !d.DropFirst {
 		d.Reason = q.lastReason
 	}
 	g.Decisions.Write(&d)
@@ -65,7 +65,7 @@
 // this is the only record of them.
 func (g *Gateway) logStreamStart(q *request) {
 	d := q.newDecision(stepBegun)
-	d.Peer, d.Outcome, d.Minor = q.sentTo, outcomeBegun, true
+	d.Peer, d.Outcome, d.DropFirst = q.sentTo, outcomeBegun, true
 	g.Decisions.Write(&d)
 }
 
@@ -78,8 +78,8 @@
 	d := q.newDecision(stepForward)
 	d.Peer, d.Outcome, d.Status = peer, string(v), status
 	d.First, d.Pause = p.first, p.pause
-	d.Minor = v == finished && status < 500
-	if !d.Minor {
+	d.DropFirst = v == finished && status < 500
+	if !d.DropFirst {
 		d.Reason = q.lastReason
 	}
 	g.Decisions.Write(&d)
--- a/io/jwkeystest/doc.go
+++ /dev/null
@@ -1,2 +0,0 @@
-// Package jwkeystest issues short-lived certificates for tests.
-package jwkeystest
--- a/io/jwload/audit_test.go
+++ b/io/jwload/audit_test.go
@@ -67,7 +67,7 @@
 func TestScheduleSwings(t *testing.T) {
 	s := &Schedule{
 		Mix: Mixes["cladagh"], Regions: []Region{{Name: "r1", Share: 1}, {Name: "r2", Share: 1}},
-		Rate: 100, Swing: 0.9, Day: 40 * time.Second, Again: 1, Seed: 3,
+		Rate: 100, RateSwing: 0.9, Day: 40 * time.Second, SendTwiceShare: 1, Seed: 3,
 	}
 	counts := map[string]int{}
 	for a := s.Next(); a.At < 40*time.Second; a = s.Next() {
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -40,12 +40,12 @@
 
 // Load sends the requests of a schedule and records the results.
 type Load struct {
-	Schedule Schedule                    // the requests to send
-	Duration time.Duration               // requests due later than this are not sent
-	Warm     time.Duration               // requests due in this first part are audited, but not reported
-	Hosts    map[string][]netip.AddrPort // addresses of nodes by region; the key is "" if Schedule has no regions
-	Targets  map[Target][]netip.AddrPort // addresses of targets, for direct requests
-	Follow   bool                        // retries after Retry-After and uses the hosts that an answer names
+	Schedule      Schedule                    // the requests to send
+	Duration      time.Duration               // requests due later than this are not sent
+	WarmUp        time.Duration               // requests due in this first part are audited, but not reported
+	Hosts         map[string][]netip.AddrPort // addresses of nodes by region; the key is "" if Schedule has no regions
+	Targets       map[Target][]netip.AddrPort // addresses of targets, for direct requests
+	FollowRetries bool                        // retries after Retry-After and uses the hosts that an answer names
 
 	service     requestDoer
 	results     results
@@ -101,7 +101,7 @@
 	if l.Schedule.Rate <= 0 || l.Duration <= 0 {
 		return errors.New("load: rate and duration must be above 0")
 	}
-	if l.Warm < 0 || l.Warm >= l.Duration {
+	if l.WarmUp < 0 || l.WarmUp >= l.Duration {
 		return errors.New("load: the unreported first part must be shorter than the duration, and not negative")
 	}
 	regions := l.Schedule.Regions
@@ -121,12 +121,12 @@
 	return nil
 }
 
-// Report returns the results of the load, without those of the part Warm.
+// Report returns the results of the load, without those of the part WarmUp.
 func (l *Load) Report() Report {
-	return l.results.report(l.Duration-l.Warm, l.maxInFlight.Load())
+	return l.results.report(l.Duration-l.WarmUp, l.maxInFlight.Load())
 }
 
-// send sends one request, with retries if Follow is set, and records its
+// send sends one request, with retries if FollowRetries is set, and records its
 // result.
 func (l *Load) send(ctx context.Context, a Arrival, due time.Time) {
 	inFlight := l.inFlight.Add(1)
@@ -147,7 +147,7 @@
 		host := hosts[(firstHost+try)%len(hosts)]
 		o.answer = l.call(ctx, a, host, deadline)
 		o.end = time.Now()
-		if !l.Follow || o.answer.outcome != jwrequest.NotRun || a.Direct {
+		if !l.FollowRetries || o.answer.outcome != jwrequest.NotRun || a.Direct {
 			break
 		}
 		if len(o.answer.hosts) > 0 {
@@ -162,7 +162,7 @@
 			break
 		}
 	}
-	if a.At >= l.Warm {
+	if a.At >= l.WarmUp {
 		l.results.add(o, due)
 	}
 	l.audit.recordOutcome(a, o.answer.outcome)
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -124,7 +124,7 @@
 	})
 }
 
-func TestFollow(t *testing.T) {
+func TestFollowRetries(t *testing.T) {
 	notRun := map[string]string{"Jujube-Outcome": "notRun", "Retry-After": "0.1"}
 	tests := map[string]struct {
 		answers    func(r *http.Request, call int) (*http.Response, error)
@@ -188,7 +188,7 @@
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
 				calls := 0
-				l := &Load{Follow: test.follow, Hosts: map[string][]netip.AddrPort{"": {hostA}}}
+				l := &Load{FollowRetries: test.follow, Hosts: map[string][]netip.AddrPort{"": {hostA}}}
 				l.service = callerFunc(func(r *http.Request) (*http.Response, error) {
 					calls++
 					return test.answers(r, calls)
--- a/io/jwload/schedule.go
+++ b/io/jwload/schedule.go
@@ -46,16 +46,16 @@
 // Schedule generates arrivals: a Poisson process in time, with kinds and
 // regions drawn by their shares.
 type Schedule struct {
-	Mix        Mix
-	Regions    []Region      // empty means one region without a name
-	Workspaces int           // number per region; 0 means 1
-	Bound      float64       // share of workspaces whose data is bound to their region
-	Rate       float64       // average number of arrivals per second
-	Swing      float64       // amplitude of a region's rate relative to its average, 0 to 1
-	Day        time.Duration // period of the rate; the peaks of the regions are spread evenly over it
-	Direct     float64       // share of arrivals that are sent to a target instead of a node
-	Again      float64       // share of requests with an idempotency key that are sent twice
-	Seed       uint64        // of the random numbers
+	Mix            Mix
+	Regions        []Region      // empty means one region without a name
+	Workspaces     int           // number per region; 0 means 1
+	Bound          float64       // share of workspaces whose data is bound to their region
+	Rate           float64       // average number of arrivals per second
+	RateSwing      float64       // amplitude of a region's rate relative to its average, 0 to 1
+	Day            time.Duration // period of the rate; the peaks of the regions are spread evenly over it
+	Direct         float64       // share of arrivals that are sent to a target instead of a node
+	SendTwiceShare float64       // share of requests with an idempotency key that are sent twice
+	Seed           uint64        // of the random numbers
 
 	random *rand.Rand
 	zipf   *rand.Zipf
@@ -92,7 +92,7 @@
 		Direct:    s.random.Float64() < s.Direct,
 		ID:        fmt.Sprintf("load-%d-%d", s.Seed, s.number),
 	}
-	sendTwice := s.random.Float64() < s.Again
+	sendTwice := s.random.Float64() < s.SendTwiceShare
 	if kind.Key {
 		a.Key = fmt.Sprintf("key-%d-%d", s.Seed, s.number)
 		a.SendTwice = sendTwice && !a.Direct
@@ -106,7 +106,7 @@
 // time.
 func (s *Schedule) advance() string {
 	for {
-		s.at += time.Duration(s.random.ExpFloat64() / (s.Rate * (1 + s.Swing)) * float64(time.Second))
+		s.at += time.Duration(s.random.ExpFloat64() / (s.Rate * (1 + s.RateSwing)) * float64(time.Second))
 		if len(s.Regions) == 0 {
 			if s.keepArrival(0, 1) {
 				return ""
@@ -123,11 +123,11 @@
 // keepArrival decides whether an arrival of a region is kept, with the
 // probability of the region's present rate to the maximum rate.
 func (s *Schedule) keepArrival(region, regions int) bool {
-	if s.Swing == 0 || s.Day == 0 {
+	if s.RateSwing == 0 || s.Day == 0 {
 		return true
 	}
 	phase := float64(s.at)/float64(s.Day) - float64(region)/float64(regions)
-	return s.random.Float64()*(1+s.Swing) < 1+s.Swing*math.Cos(2*math.Pi*phase)
+	return s.random.Float64()*(1+s.RateSwing) < 1+s.RateSwing*math.Cos(2*math.Pi*phase)
 }
 
 // pickWeighted draws an index; the probability of each is proportional to its
--- a/io/jwlog/decision.go
+++ b/io/jwlog/decision.go
@@ -11,34 +11,34 @@
 // Decision is one log line about a request: what was decided, from which inputs,
 // and the outcome. Empty fields are left out.
 type Decision struct {
-	Step      string        // what was decided, such as "send" or "answer"
-	Request   string        // the caller's identifier of the request
-	Entry     string        // name of the catalogue entry
-	Version   uint64        // of the configuration that applies to the request
-	Workspace string        // workspace of the caller
-	Service   string        // service that runs the request
-	Target    string        // incarnation of the target
-	Peer      string        // the other node
-	Outcome   string        // such as "finished" or "notRun"
-	Reason    string        // why the outcome is no success
-	Status    int           // HTTP status of the answer
-	Attempt   int           // counted from 1
-	Left      time.Duration // until the deadline
-	Took      time.Duration // since the request arrived
-	Expected  time.Duration // estimated wait for the first event
-	First     time.Duration // actual wait for the first event
-	Pause     time.Duration // longest time between two events
-	Silent    time.Duration // since the last event, for a send that broke off
-	Calls     int           // in flight from this node at the target
-	Prompt    int           // tokens of the prompt
-	Miss      int           // of these, tokens that the target probably has not cached
-	Ahead     int           // prompt tokens that the target has to read first
-	ViewAge   time.Duration // since the target's registration was last read
-	LoadAge   time.Duration // age of the target's last load report
-	Units     float64       // of the workspace's quota that the request takes
-	Level     float64       // quota units that the node had
-	Cold      bool          // the target is cold
-	Minor     bool          // the line is written to minor, as for served requests
+	Step        string        // what was decided, such as "send" or "answer"
+	Request     string        // the caller's identifier of the request
+	Entry       string        // name of the catalogue entry
+	Version     uint64        // of the configuration that applies to the request
+	Workspace   string        // workspace of the caller
+	Service     string        // service that runs the request
+	Target      string        // incarnation of the target
+	Peer        string        // the other node
+	Outcome     string        // such as "finished" or "notRun"
+	Reason      string        // why the outcome is no success
+	Status      int           // HTTP status of the answer
+	Attempt     int           // counted from 1
+	Left        time.Duration // until the deadline
+	Took        time.Duration // since the request arrived
+	Expected    time.Duration // estimated wait for the first event
+	First       time.Duration // actual wait for the first event
+	Pause       time.Duration // longest time between two events
+	Silent      time.Duration // since the last event, for a send that broke off
+	Calls       int           // in flight from this node at the target
+	Prompt      int           // tokens of the prompt
+	MissTokens  int           // of these, tokens that the target probably has not cached
+	AheadTokens int           // prompt tokens that the target has to read first
+	ViewAge     time.Duration // since the target's registration was last read
+	LoadAge     time.Duration // age of the target's last load report
+	Units       float64       // of the workspace's quota that the request takes
+	Level       float64       // quota units that the node had
+	Cold        bool          // the target is cold
+	DropFirst   bool          // the line is written to minor, as for served requests
 }
 
 // Decisions writes each Decision as a JSON line; the zero value drops them.
@@ -46,7 +46,7 @@
 	major, minor *zap.Logger
 }
 
-// NewDecisions returns the log of decisions of a node. Lines with Minor set, such
+// NewDecisions returns the log of decisions of a node. Lines with DropFirst set, such
 // as those of served requests, are written to minor, all others to major.
 func NewDecisions(major, minor io.Writer, node string) *Decisions {
 	return &Decisions{major: decisionLog(major, node), minor: decisionLog(minor, node)}
@@ -63,7 +63,7 @@
 		return
 	}
 	log := d.major
-	if x.Minor {
+	if x.DropFirst {
 		log = d.minor
 	}
 	const maxFields = 28
@@ -88,8 +88,8 @@
 	f = appendNumber(f, "silentMs", x.Silent.Milliseconds())
 	f = appendNumber(f, "calls", int64(x.Calls))
 	f = appendNumber(f, "promptTokens", int64(x.Prompt))
-	f = appendNumber(f, "missTokens", int64(x.Miss))
-	f = appendNumber(f, "aheadTokens", int64(x.Ahead))
+	f = appendNumber(f, "missTokens", int64(x.MissTokens))
+	f = appendNumber(f, "aheadTokens", int64(x.AheadTokens))
 	f = appendNumber(f, "units", int64(x.Units))
 	f = appendNumber(f, "levelUnits", int64(x.Level))
 	f = appendNumber(f, "viewAgeMs", x.ViewAge.Milliseconds())
--- a/io/jwlog/queue.go
+++ b/io/jwlog/queue.go
@@ -32,9 +32,9 @@
 // Write implements io.Writer; it queues one line or drops it.
 func (q *Queue) Write(line []byte) (int, error) { return q.put(line, maxQueueBytes) }
 
-// Minor returns a writer for lines that are dropped first, when the queue is half
+// DropFirst returns a writer for lines that are dropped first, when the queue is half
 // full: those of served requests, which operators do not ask about.
-func (q *Queue) Minor() io.Writer { return minor{q} }
+func (q *Queue) DropFirst() io.Writer { return minor{q} }
 
 type minor struct{ q *Queue }
 
--- a/io/jwlog/queue_test.go
+++ b/io/jwlog/queue_test.go
@@ -23,9 +23,9 @@
 		q.Run(done)
 		close(ended)
 	}()
-	d := NewDecisions(q, q.Minor(), "n1")
+	d := NewDecisions(q, q.DropFirst(), "n1")
 	for range 20_000 {
-		d.Write(&Decision{Step: "send", Request: "r", Outcome: "finished", Minor: true})
+		d.Write(&Decision{Step: "send", Request: "r", Outcome: "finished", DropFirst: true})
 	}
 	minorLost := q.Lost()
 	assert.Assert(t, minorLost > 0)
@@ -63,8 +63,8 @@
 	done := make(chan struct{})
 	defer close(done)
 	go q.Run(done)
-	d := NewDecisions(q, q.Minor(), "n1")
-	x := &Decision{Step: "send", Request: "9c41d07be2a35f68", Entry: "menu-draft", Service: "menu-writer", Target: "i-7f3a91c2", Outcome: "finished", Version: 7, Attempt: 1, Left: time.Second, Took: time.Second, Minor: true}
+	d := NewDecisions(q, q.DropFirst(), "n1")
+	x := &Decision{Step: "send", Request: "9c41d07be2a35f68", Entry: "menu-draft", Service: "menu-writer", Target: "i-7f3a91c2", Outcome: "finished", Version: 7, Attempt: 1, Left: time.Second, Took: time.Second, DropFirst: true}
 	b.ReportAllocs()
 	for b.Loop() {
 		d.Write(x)
--- a/io/jwlogtrace/day.go
+++ b/io/jwlogtrace/timeline.go
@@ -7,34 +7,34 @@
 	"time"
 )
 
-// Series holds a value for each second of a Day.
+// Series holds a value for each second of a Timeline.
 type Series struct {
 	Name   string
 	Counts []float64
 }
 
-// Day holds counts from logs for each second, by the nodes' own clocks. It covers
+// Timeline holds counts from logs for each second, by the nodes' own clocks. It covers
 // the period of the logs, up to 24 hours.
-type Day struct {
-	Start     time.Time
-	Outcomes  []Series // requests by outcome, at the node that the caller called
-	Refusals  []Series // rejected requests among these, by reason
-	StoreLost []Series // 1 by node while the store does not answer
-	Away      []Series // 1 by node while it does not run
-	StoreAge  Series   // longest time, in seconds, that a running node has had no answer from the store
+type Timeline struct {
+	Start            time.Time
+	Outcomes         []Series // requests by outcome, at the node that the caller called
+	Rejections       []Series // rejected requests among these, by reason
+	StoreLost        []Series // 1 by node while the store does not answer
+	NodeDown         []Series // 1 by node while it does not run
+	StoreLostSeconds Series   // longest time, in seconds, that a running node has had no answer from the store
 }
 
-// maxPeriod limits the period of a Day, so that a clock that is years ahead does
+// maxPeriod limits the period of a Timeline, so that a clock that is years ahead does
 // not make a plot endless.
 const maxPeriod = 24 * time.Hour
 
-// DayOf returns the counts of a log.
-func DayOf(l *Log) *Day {
+// NewTimeline returns the counts of a log.
+func NewTimeline(l *Log) *Timeline {
 	first, last := l.span()
-	d := &Day{Start: first.Truncate(time.Second)}
+	d := &Timeline{Start: first.Truncate(time.Second)}
 	n := int(min(last.Sub(d.Start), maxPeriod)/time.Second) + 1
 	outcomes, refusals := map[string][]float64{}, map[string][]float64{}
-	d.StoreAge = Series{"longest", make([]float64, n)}
+	d.StoreLostSeconds = Series{"longest", make([]float64, n)}
 	for _, name := range slices.Sorted(maps.Keys(l.Nodes)) {
 		events := l.Nodes[name]
 		for i := range events {
@@ -48,14 +48,14 @@
 		}
 		lost, down := states(events, d.Start, n)
 		d.StoreLost = append(d.StoreLost, Series{name, lost})
-		d.Away = append(d.Away, Series{name, down})
+		d.NodeDown = append(d.NodeDown, Series{name, down})
 		age := 0.0
 		for i := range n {
 			age = (age + 1) * lost[i]
-			d.StoreAge.Counts[i] = max(d.StoreAge.Counts[i], age)
+			d.StoreLostSeconds.Counts[i] = max(d.StoreLostSeconds.Counts[i], age)
 		}
 	}
-	d.Outcomes, d.Refusals = seriesOf(outcomes), seriesOf(refusals)
+	d.Outcomes, d.Rejections = seriesOf(outcomes), seriesOf(refusals)
 	return d
 }
 
@@ -97,7 +97,7 @@
 	return text
 }
 
-func (d *Day) count(counts map[string][]float64, name string, at time.Time, n int) {
+func (d *Timeline) count(counts map[string][]float64, name string, at time.Time, n int) {
 	if counts[name] == nil {
 		counts[name] = make([]float64, n)
 	}
--- a/io/jwnode/keys.go
+++ b/io/jwnode/keys.go
@@ -9,14 +9,14 @@
 	"google.golang.org/grpc/credentials"
 
 	"jujubewheel/core/jwpeer"
-	"jujubewheel/io/jwkeys"
+	"jujubewheel/io/jwcert"
 	"jujubewheel/io/jwsettings"
 )
 
 // keys holds the certificates of the ports. A port whose keeper is nil doesn't
 // use TLS.
 type keys struct {
-	callers, operators, nodes *jwkeys.Keeper
+	callers, operators, nodes *jwcert.CertificateReloader
 }
 
 // loadKeys reads the certificate files that the settings name.
@@ -25,7 +25,7 @@
 	for _, k := range []struct {
 		port  string
 		files jwsettings.KeyFiles
-		dst   **jwkeys.Keeper
+		dst   **jwcert.CertificateReloader
 	}{
 		{"callers", files.Callers, &n.keys.callers},
 		{"operators", files.Operators, &n.keys.operators},
@@ -34,7 +34,7 @@
 		if !k.files.Set() {
 			continue
 		}
-		keeper := &jwkeys.Keeper{Port: k.port, Files: k.files, Audit: n.Audit, Meter: n.Meter}
+		keeper := &jwcert.CertificateReloader{Port: k.port, Files: k.files, Audit: n.Audit, Meter: n.Meter}
 		if err := keeper.Load(); err != nil {
 			return err
 		}
@@ -46,7 +46,7 @@
 // run reloads the certificates when their files change, until ctx ends.
 func (k *keys) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, keeper := range []*jwkeys.Keeper{k.callers, k.operators, k.nodes} {
+	for _, keeper := range []*jwcert.CertificateReloader{k.callers, k.operators, k.nodes} {
 		if keeper != nil {
 			g.Go(func() error { return keeper.Run(ctx) })
 		}
@@ -56,11 +56,11 @@
 
 // serverTLS returns the TLS configuration of a port, or nil for a port without
 // TLS.
-func serverTLS(k *jwkeys.Keeper) *tls.Config {
+func serverTLS(k *jwcert.CertificateReloader) *tls.Config {
 	if k == nil {
 		return nil
 	}
-	return k.Server()
+	return k.ServerConfig()
 }
 
 // nodeCredentials returns the credentials for connections between nodes, or nil
@@ -70,15 +70,15 @@
 	if n.keys.nodes == nil {
 		return nil
 	}
-	return &jwkeys.Credentials{Keeper: n.keys.nodes, Identify: n.identify}
+	return &jwcert.Credentials{Keeper: n.keys.nodes, Identify: n.identify}
 }
 
 // identify returns the node that is expected at an address; ok is false if none
 // is known there.
-func (n *Node) identify(address netip.AddrPort) (jwkeys.Identity, bool) {
+func (n *Node) identify(address netip.AddrPort) (jwcert.Identity, bool) {
 	candidates := n.board.Peers.Select(func(p jwpeer.Peer) bool { return p.NodeAddress == address && p.State != jwpeer.Gone })
 	if len(candidates) == 0 {
-		return jwkeys.Identity{}, false
+		return jwcert.Identity{}, false
 	}
 	// The entry of a replaced host may stay at the address for a while. The node
 	// there is the one that started last, since incarnations are ordered by the
@@ -89,5 +89,5 @@
 			newest = p
 		}
 	}
-	return jwkeys.Identity{Node: newest.Name, Region: newest.Region}, true
+	return jwcert.Identity{Node: newest.Name, Region: newest.Region}, true
 }
--- a/io/jwnode/keys_test.go
+++ b/io/jwnode/keys_test.go
@@ -9,18 +9,18 @@
 	"gotest.tools/v3/assert"
 
 	"jujubewheel/core/jwpeer"
-	"jujubewheel/io/jwkeys"
-	"jujubewheel/io/jwkeystest"
+	"jujubewheel/io/jwcert"
+	"jujubewheel/io/jwcerttest"
 	"jujubewheel/io/jwsettings"
 )
 
 // With certificates on the ports for nodes and operators, a request is still
 // served in another region, and the operators' port answers over TLS.
 func TestWholePathOverTLS(t *testing.T) {
-	authority := jwkeystest.New(t)
+	authority := jwcerttest.New(t)
 	s := newSystem(t, "east", "west")
 	s.tls = func(name, region string) jwsettings.TLS {
-		nodes := authority.Issue(t.TempDir(), jwkeys.Identity{Node: name, Region: region})
+		nodes := authority.Issue(t.TempDir(), jwcert.Identity{Node: name, Region: region})
 		operators := nodes
 		operators.Authority = ""
 		return jwsettings.TLS{Nodes: nodes, Operators: operators}
@@ -44,14 +44,14 @@
 // A node whose certificate comes from another authority is in the host list. The
 // other nodes must not accept it as a peer, or they would send it callers' data.
 func TestForeignNode(t *testing.T) {
-	ours, theirs := jwkeystest.New(t), jwkeystest.New(t)
+	ours, theirs := jwcerttest.New(t), jwcerttest.New(t)
 	s := newSystem(t, "east")
 	s.tls = func(name, region string) jwsettings.TLS {
 		authority := ours
 		if name == "e9" {
 			authority = theirs
 		}
-		return jwsettings.TLS{Nodes: authority.Issue(t.TempDir(), jwkeys.Identity{Node: name, Region: region})}
+		return jwsettings.TLS{Nodes: authority.Issue(t.TempDir(), jwcert.Identity{Node: name, Region: region})}
 	}
 	a := s.node("e1", "east")
 	b := s.node("e2", "east")
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -41,10 +41,10 @@
 }
 
 // setLinkFaults sets the faults of the links to the nodes of west.
-func (s *system) setLinkFaults(w jwstand.Weather) {
+func (s *system) setLinkFaults(w jwstand.Conditions) {
 	for name, l := range s.links {
 		if strings.HasPrefix(name, "w") {
-			l.SetWeather(w)
+			l.SetConditions(w)
 		}
 	}
 }
@@ -63,13 +63,13 @@
 		sendDraft() // connections to all three
 	}
 	tests := map[string]struct {
-		fault       jwstand.Weather
+		fault       jwstand.Conditions
 		wantOutcome string // outcome that must occur while the fault lasts
 	}{
-		"silent":  {jwstand.Weather{Silent: true}, "served"},
-		"one way": {jwstand.Weather{Hold: jwstand.Forward}, "notRun"},
-		"cut":     {jwstand.Weather{Cut: true}, "notRun"},
-		"slow and lossy": {jwstand.Weather{
+		"silent":  {jwstand.Conditions{Silent: true}, "served"},
+		"one way": {jwstand.Conditions{Hold: jwstand.Forward}, "notRun"},
+		"cut":     {jwstand.Conditions{Cut: true}, "notRun"},
+		"slow and lossy": {jwstand.Conditions{
 			Delay: jwstand.Duration(50 * time.Millisecond), Jitter: jwstand.Duration(50 * time.Millisecond), Loss: 0.1,
 		}, "served"},
 	}
@@ -87,7 +87,7 @@
 				return r.outcome == tc.wantOutcome
 			})
 			t.Logf("%v, longest wait %v", outcomes, longest)
-			s.setLinkFaults(jwstand.Weather{})
+			s.setLinkFaults(jwstand.Conditions{})
 			s.await("served again", func() bool { return sendDraft().outcome == "served" })
 		})
 	}
@@ -110,7 +110,7 @@
 	s.await("streams pass", func() bool { return len(r.Journal.Runs()) >= before+cap(answers) })
 	bytesBefore := s.bytesFromWest()
 	s.await("part of the streams has passed", func() bool { return s.bytesFromWest() > bytesBefore+8<<10 })
-	s.setLinkFaults(jwstand.Weather{Cut: true})
+	s.setLinkFaults(jwstand.Conditions{Cut: true})
 	for range cap(answers) {
 		a := <-answers
 		assert.Check(t, !strings.Contains(a.body, "event: done"), "%+v", a)
--- a/io/jwnode/observe.go
+++ b/io/jwnode/observe.go
@@ -12,7 +12,7 @@
 	s := n.Settings
 	o := &jwobserver.Observer{
 		Node: s.Node, Region: s.Region, Board: &n.board, Meter: n.Meter, Audit: n.Audit,
-		Silence: peerTimeout, ListAge: maxListAgePeriods * s.Periods.HostsPoll,
+		RegionTimeout: peerTimeout, MaxListAge: maxListAgePeriods * s.Periods.HostsPoll,
 		Store: n.store, Follower: n.follower, Claims: n.keeper, Drain: &n.drain,
 	}
 	for _, r := range s.Regions {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -29,7 +29,7 @@
 	home, away, leaving    *runningNode
 	runner                 *jwstand.Runner
 	desk                   *jwstand.Service
-	runnerStand, deskStand *jwstand.Stand
+	runnerStand, deskStand *jwstand.StandIn
 	directory              *jwdirectory.Snapshot
 }
 
@@ -134,11 +134,11 @@
 			s.sendFunc(addr, "confirm", "free-east", "poison", "Idempotency-Key", key("poison")), nil, 422, jwdispatch.ReasonQuarantine,
 		},
 		"draft refused by the target": {
-			func() { s.runnerStand.SetFaults(jwstand.Faults{Leave: true}) }, s.sendFunc(addr, "draft", "free-east", body),
+			func() { s.runnerStand.SetFaults(jwstand.Faults{Leaving: true}) }, s.sendFunc(addr, "draft", "free-east", body),
 			func() { s.runnerStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
 		"order refused by the target": {
-			func() { s.deskStand.SetFaults(jwstand.Faults{Leave: true}) },
+			func() { s.deskStand.SetFaults(jwstand.Faults{Leaving: true}) },
 			s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", key("refused")),
 			func() { s.deskStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
@@ -269,7 +269,7 @@
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
 	var journals []*jwstand.Journal
-	var stands []*jwstand.Stand
+	var stands []*jwstand.StandIn
 	for range 3 {
 		r, targetStand := s.runner("east")
 		journals, stands = append(journals, &r.Journal), append(stands, targetStand)
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -24,8 +24,8 @@
 // target and never be answered. Every node must stop sending to it, and the
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
-	tests := map[string]func(s *system, stand *jwstand.Stand){
-		"reported by the host list": func(s *system, stand *jwstand.Stand) {
+	tests := map[string]func(s *system, stand *jwstand.StandIn){
+		"reported by the host list": func(s *system, stand *jwstand.StandIn) {
 			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
 				if g.Targets[0] == stand.Address.String() {
@@ -36,7 +36,7 @@
 			s.groups = groups
 			s.hosts.Set(groups)
 		},
-		"reported by the target": func(_ *system, stand *jwstand.Stand) { stand.SetFaults(jwstand.Faults{Leave: true}) },
+		"reported by the target": func(_ *system, stand *jwstand.StandIn) { stand.SetFaults(jwstand.Faults{Leaving: true}) },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -29,7 +29,7 @@
 type system struct {
 	t                   testing.TB
 	kv                  *jwstand.KeyValue
-	kvStand             *jwstand.Stand
+	kvStand             *jwstand.StandIn
 	hosts               *jwstand.Hosts
 	clients             *jwstand.Clients
 	hostsAddr           netip.AddrPort
@@ -41,9 +41,9 @@
 	taps                *taps                                    // record the nodes' traffic; nil for none
 	links               map[string]*jwstand.Link                 // in front of the nodes' ports, by name of the node; nil for none
 	log                 logr.Logger
-	platform            []*jwstand.Stand  // the key-value service, the host list, the directory
-	seeds               []jwsettings.Seed // for the settings of the nodes that start from now on
-	exchange, hostsPoll string            // periods in the settings of new nodes; empty for 100ms
+	platform            []*jwstand.StandIn // the key-value service, the host list, the directory
+	seeds               []jwsettings.Seed  // for the settings of the nodes that start from now on
+	exchange, hostsPoll string             // periods in the settings of new nodes; empty for 100ms
 }
 
 // runningNode is a node that runs until it is stopped.
@@ -62,7 +62,7 @@
 	s.kvStand = s.stand("kv", s.kv)
 	hosts, clients := s.stand("hosts", s.hosts), s.stand("clients", s.clients)
 	s.hostsAddr, s.clientsAddr = hosts.Address, clients.Address
-	s.platform = []*jwstand.Stand{s.kvStand, hosts, clients}
+	s.platform = []*jwstand.StandIn{s.kvStand, hosts, clients}
 	var list []jwstand.Client
 	for _, r := range regions {
 		list = append(list,
@@ -74,9 +74,9 @@
 }
 
 // stand starts a stand-in program on a port of its own until the test ends.
-func (s *system) stand(kind string, p jwstand.Program) *jwstand.Stand {
+func (s *system) stand(kind string, p jwstand.Program) *jwstand.StandIn {
 	s.t.Helper()
-	stand := &jwstand.Stand{
+	stand := &jwstand.StandIn{
 		Kind: kind, Program: p, Exit: func(int) {},
 		Address: netip.MustParseAddrPort("127.0.0.1:0"), Control: netip.MustParseAddrPort("127.0.0.1:0"),
 	}
@@ -95,7 +95,7 @@
 }
 
 // runner starts a model engine as a target and adds it to the host list.
-func (s *system) runner(region string) (*jwstand.Runner, *jwstand.Stand) {
+func (s *system) runner(region string) (*jwstand.Runner, *jwstand.StandIn) {
 	r := &jwstand.Runner{Engine: jwstand.Engine{Slots: 8, Token: time.Millisecond, Prefill: 10 * time.Microsecond}}
 	stand := s.stand("runner", r)
 	s.addHost(stand.Address, map[string]string{"role": "target", "service": "writer", "region": region, "dataCentre": region + "-1"})
@@ -103,7 +103,7 @@
 }
 
 // service starts a plain service as a target and adds it to the host list.
-func (s *system) service(region string) (*jwstand.Service, *jwstand.Stand) {
+func (s *system) service(region string) (*jwstand.Service, *jwstand.StandIn) {
 	p := &jwstand.Service{}
 	stand := s.stand("service", p)
 	s.addHost(stand.Address, map[string]string{"role": "target", "service": "desk", "region": region, "dataCentre": region + "-1"})
--- a/io/jwobserver/changes.go
+++ b/io/jwobserver/changes.go
@@ -66,7 +66,7 @@
 // told apart here.
 func (o *Observer) recordRegions(now time.Time, peers []jwpeer.Peer) {
 	heard := make(map[string]bool)
-	for _, p := range o.Board.Peers.Fresh(now.Add(-o.Silence)) {
+	for _, p := range o.Board.Peers.Fresh(now.Add(-o.RegionTimeout)) {
 		heard[p.Region] = true
 	}
 	known := make(map[string]bool)
@@ -79,7 +79,7 @@
 		case heard[region]:
 			o.recordState(jwaudit.RegionState, region, reachable, "")
 		case known[region] || o.states[region] != "":
-			o.recordState(jwaudit.RegionState, region, lost, "nothing heard for "+o.Silence.String())
+			o.recordState(jwaudit.RegionState, region, lost, "nothing heard for "+o.RegionTimeout.String())
 		}
 	}
 }
@@ -87,8 +87,8 @@
 func (o *Observer) recordPlatform(now time.Time) {
 	if _, takenAt := o.Board.Hosts.Hosts(); !takenAt.IsZero() {
 		state, detail := answering, ""
-		if now.Sub(takenAt) > o.ListAge {
-			state, detail = failing, "the list is older than "+o.ListAge.String()
+		if now.Sub(takenAt) > o.MaxListAge {
+			state, detail = failing, "the list is older than "+o.MaxListAge.String()
 		}
 		o.recordState(jwaudit.PlatformState, "hosts", state, detail)
 	}
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -44,16 +44,16 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 	Interval time.Duration // between two observations, DefaultInterval if 0
-	// Silence is how long no message from another region may arrive before the
+	// RegionTimeout is how long no message from another region may arrive before the
 	// region counts as lost.
-	Silence time.Duration
-	// ListAge is how old the host list may be before the platform's service
+	RegionTimeout time.Duration
+	// MaxListAge is how old the host list may be before the platform's service
 	// counts as failing.
-	ListAge  time.Duration
-	Store    Store
-	Follower Follower
-	Claims   Claims
-	Drain    Drain
+	MaxListAge time.Duration
+	Store      Store
+	Follower   Follower
+	Claims     Claims
+	Drain      Drain
 
 	gauges   gauges
 	totals   totals
--- a/io/jwobserver/observer_test.go
+++ b/io/jwobserver/observer_test.go
@@ -30,7 +30,7 @@
 	o := &Observer{
 		Node: "n1", Region: "north", Regions: []string{"north", "south"}, Board: &jwboard.Board{},
 		Meter: &jwmeter.Meter{Interval: time.Hour}, Audit: &jwaudit.Trail{Node: "n1"},
-		Silence: 15 * time.Second, ListAge: 30 * time.Second, Store: s,
+		RegionTimeout: 15 * time.Second, MaxListAge: 30 * time.Second, Store: s,
 	}
 	o.Board.Peers.SetSelf(jwpeer.Peer{Name: "n1", Region: "north", State: jwpeer.Serving}, start)
 	return o, s
--- a/io/jwoperate/catalogue.go
+++ b/io/jwoperate/catalogue.go
@@ -151,7 +151,7 @@
 
 // awaitAccepted polls until the revision is accepted, the wait is over or ctx
 // ends, and returns the last status.
-func (o *Operators) awaitAccepted(ctx context.Context, revision uint64, wait time.Duration) Standing {
+func (o *Operators) awaitAccepted(ctx context.Context, revision uint64, wait time.Duration) RevisionStatus {
 	end := time.Now().Add(wait)
 	for {
 		s, err := o.revisionStatus(ctx, revision)
@@ -167,9 +167,9 @@
 	}
 }
 
-func (o *Operators) revisionStatus(ctx context.Context, revision uint64) (Standing, error) {
+func (o *Operators) revisionStatus(ctx context.Context, revision uint64) (RevisionStatus, error) {
 	accepted, missing, err := o.Acceptance.Status(ctx, revision)
-	return Standing{Revision: revision, Accepted: accepted && err == nil, Missing: missing}, err
+	return RevisionStatus{Revision: revision, Accepted: accepted && err == nil, Missing: missing}, err
 }
 
 func (o *Operators) status(w http.ResponseWriter, r *http.Request) {
--- a/io/jwoperate/message.go
+++ b/io/jwoperate/message.go
@@ -44,8 +44,8 @@
 	Node   string `json:"node"`
 }
 
-// Standing tells whether a revision is in force at all nodes.
-type Standing struct {
+// RevisionStatus tells whether a revision is in force at all nodes.
+type RevisionStatus struct {
 	Revision uint64   `json:"revision"`
 	Accepted bool     `json:"accepted"`          // in force at every node that may serve
 	Missing  []string `json:"missing,omitempty"` // nodes that have not confirmed it
--- a/io/jwoperate/operators_test.go
+++ b/io/jwoperate/operators_test.go
@@ -140,7 +140,7 @@
 	w := n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200, w.Body.String())
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
-	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Accepted: true})
+	assert.DeepEqual(t, decode[RevisionStatus](t, w), RevisionStatus{Revision: 1, Accepted: true})
 
 	w = n.call("GET", path, "")
 	assert.Equal(t, w.Header().Get("ETag"), `"1"`)
@@ -180,13 +180,13 @@
 	n.acceptance.missing = []string{"aqaba-a-n1"}
 	w := n.call("PUT", path+"?wait=0s", editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 202)
-	assert.DeepEqual(t, decode[Standing](t, w), Standing{Revision: 1, Missing: []string{"aqaba-a-n1"}})
-	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
+	assert.DeepEqual(t, decode[RevisionStatus](t, w), RevisionStatus{Revision: 1, Missing: []string{"aqaba-a-n1"}})
+	assert.Equal(t, decode[RevisionStatus](t, n.call("GET", "/v1/catalogue/status?revision=1", "")).Accepted, false)
 
 	n.acceptance.missing = nil
 	w = n.call("PUT", path, editBody(t, "e1", "desk"), "If-None-Match", "*")
 	assert.Equal(t, w.Code, 200) // the same edit, sent again
-	assert.Equal(t, decode[Standing](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
+	assert.Equal(t, decode[RevisionStatus](t, n.call("GET", "/v1/catalogue/status", "")).Accepted, true)
 }
 
 func TestEditRejected(t *testing.T) {
--- a/io/jwsettings/gateway.go
+++ b/io/jwsettings/gateway.go
@@ -14,7 +14,7 @@
 	DataCentres map[string]string // region by data centre
 	Seeds       []netip.AddrPort  // addresses of some nodes' ports for nodes; they may be out of date
 	Bounds      Bounds
-	Memory      int64   // bytes that the process may use; 0 means no limit
+	MemoryBytes int64   // bytes that the process may use; 0 means no limit
 	Cores       float64 // processor cores of the host; 0 means unknown
 	LinkMbps    float64 // bandwidth of the host's network link; 0 means unknown
 }
@@ -117,7 +117,7 @@
 	}
 	megabytes := int64(0)
 	o.integer("memoryMB", &megabytes, 0, 1<<30)
-	g.Memory = megabytes << 20
+	g.MemoryBytes = megabytes << 20
 	o.number("cores", &g.Cores, 0, 1e6)
 	o.number("linkMbps", &g.LinkMbps, 0, 1e9)
 	o.child("bounds", g.Bounds.read)
--- a/io/jwsettings/gateway_test.go
+++ b/io/jwsettings/gateway_test.go
@@ -32,7 +32,7 @@
 	assert.DeepEqual(t, *s.Gateway, Gateway{
 		Listen: GatewayAddresses{Callers: at("10.0.0.1:80"), Ready: at("10.0.0.1:81"), Directory: at("10.0.0.1:82"), Nodes: at("10.0.0.1:83")},
 		Store:  GatewayStore{Address: at("10.9.0.1:90"), LeaseMin: time.Second}, DataCentres: map[string]string{"north-a": "north"},
-		Seeds: []netip.AddrPort{at("10.0.0.2:83")}, Memory: 284 << 20,
+		Seeds: []netip.AddrPort{at("10.0.0.2:83")}, MemoryBytes: 284 << 20,
 		Bounds: Bounds{Grace: 8 * time.Second, RetryRatio: 0.2, RetrySlack: 58, RetryWindow: 10 * time.Second, ColdRatio: 1.5, ColdSlack: 3, QuotaWindow: 8 * time.Second, QuotaRatio: 0.1, QuotaSlack: 110_000},
 	}, cmpopts.EquateComparable(netip.AddrPort{}))
 }
--- a/io/jwstand/doc.go
+++ b/io/jwstand/doc.go
@@ -2,7 +2,7 @@
 // the links between regions. Tests, demonstrations and measurements use them.
 // They implement only the parts of the protocols that nodes use.
 //
-// A Stand serves one Program on a service port, and accepts faults on a control
+// A StandIn serves one Program on a service port, and accepts faults on a control
 // port:
 //
 //	GET /faults   returns the faults that are set
@@ -19,7 +19,7 @@
 // Links relays TCP connections. Its control port has the endpoints
 //
 //	GET /links         returns the links with their weather and the bytes passed
-//	PUT /links         merges the JSON body into the weather of all links, see Weather
+//	PUT /links         merges the JSON body into the conditions of all links, see Conditions
 //	PUT /links/{name}  merges it into the weather of one link
 //
 // The stand-ins use net/http, for two reasons. Keys of the key-value service
--- a/io/jwstand/faults.go
+++ b/io/jwstand/faults.go
@@ -10,7 +10,7 @@
 	LoseReply int      `json:"loseReply"` // number of further calls, other than GET, that are handled but get no answer
 	Pause     bool     `json:"pause"`     // holds every byte in both directions until it is unset, as a stopped process does
 	CrashOn   string   `json:"crashOn"`   // a request body that contains this text ends the process
-	Leave     bool     `json:"leave"`     // running calls finish, new ones are rejected
+	Leaving   bool     `json:"leave"`     // running calls finish, new ones are rejected
 	Silent    bool     `json:"silent"`    // setting it silences the connections open now for the rest of their life; later ones work
 }
 
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -14,7 +14,7 @@
 )
 
 const (
-	defaultLossDelay = 200 * time.Millisecond // of a lost chunk if Weather.LossDelay is 0
+	defaultLossDelay = 200 * time.Millisecond // of a lost chunk if Conditions.LossDelay is 0
 	dialTimeout      = 5 * time.Second        // for a connection to Link.Dial
 )
 
@@ -27,9 +27,9 @@
 	Back    Direction = "back"    // from the dialled address to the caller
 )
 
-// Weather is the simulated condition of a link. The zero value is a perfect
+// Conditions is the simulated condition of a link. The zero value is a perfect
 // link. TCP retransmits lost segments, so a loss only delays bytes here.
-type Weather struct {
+type Conditions struct {
 	Delay     Duration  `json:"delay"`     // one way
 	Jitter    Duration  `json:"jitter"`    // maximum that is added to Delay, uniformly distributed
 	Loss      float64   `json:"loss"`      // share of the chunks that are delayed by LossDelay
@@ -49,7 +49,7 @@
 	Seed   uint64         // of the random numbers for Jitter and Loss
 
 	mu         sync.Mutex
-	weather    Weather
+	weather    Conditions
 	changed    chan struct{} // closed at the next change of weather
 	random     *rand.Rand
 	listener   net.Listener // nil while the link is cut
@@ -76,8 +76,8 @@
 	return nil
 }
 
-// Weather returns the present condition of the link.
-func (l *Link) Weather() Weather {
+// Conditions returns the present condition of the link.
+func (l *Link) Conditions() Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.weather
@@ -90,8 +90,8 @@
 	return l.passed[direction]
 }
 
-// SetWeather changes the condition of the link from now on.
-func (l *Link) SetWeather(weather Weather) {
+// SetConditions changes the condition of the link from now on.
+func (l *Link) SetConditions(weather Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.weather = weather
@@ -194,7 +194,7 @@
 	defer l.remove(r)
 	// The kernel has already accepted the caller's connection. A real handshake
 	// takes a full round trip before the first byte can be sent.
-	w := l.Weather()
+	w := l.Conditions()
 	if jwclock.Sleep(ctx, 2*time.Duration(w.Delay)) != nil {
 		r.reset()
 		return
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -36,10 +36,10 @@
 	return addressOf(listener)
 }
 
-func startLink(t *testing.T, weather Weather) *Link {
+func startLink(t *testing.T, weather Conditions) *Link {
 	t.Helper()
 	link := &Link{Name: "l", Listen: anyPort, Dial: startEcho(t), Seed: 1}
-	link.SetWeather(weather)
+	link.SetConditions(weather)
 	links := &Links{Control: anyPort, Links: []*Link{link}}
 	assert.NilError(t, links.Open())
 	ctx, cancel := context.WithCancel(context.Background())
@@ -78,7 +78,7 @@
 )
 
 func TestLinkDeliversInOrder(t *testing.T) {
-	link := startLink(t, Weather{
+	link := startLink(t, Conditions{
 		Delay:  Duration(2 * time.Millisecond),
 		Jitter: Duration(time.Millisecond),
 		Loss:   0.5, LossDelay: Duration(3 * time.Millisecond),
@@ -104,13 +104,13 @@
 	link := &Link{Listen: anyPort, Dial: anyPort}
 	assert.NilError(t, link.open())
 	defer link.close()
-	link.SetWeather(Weather{Rate: 1000, Delay: Duration(time.Hour)})
+	link.SetConditions(Conditions{Rate: 1000, Delay: Duration(time.Hour)})
 	first := link.deliveryTime(Forward, 1000, time.Time{})
 	second := link.deliveryTime(Forward, 1000, first)
 	assert.Equal(t, second.Sub(first), time.Second, "chunks share the rate")
 	back := link.deliveryTime(Back, 1, time.Time{})
 	assert.Check(t, back.Before(first), "each direction has its own rate")
-	link.SetWeather(Weather{})
+	link.SetConditions(Conditions{})
 	assert.Equal(t, link.deliveryTime(Forward, 1, second), second, "a chunk is never delivered before the one ahead of it")
 }
 
@@ -118,10 +118,10 @@
 // error and new ones are refused, so that both sides notice. After the cut, new
 // connections work again.
 func TestLinkCut(t *testing.T) {
-	link := startLink(t, Weather{})
+	link := startLink(t, Conditions{})
 	conn := dial(t, link.Listen)
 	assert.NilError(t, exchange(conn, "one", longTimeout))
-	link.SetWeather(Weather{Cut: true})
+	link.SetConditions(Conditions{Cut: true})
 	err := exchange(conn, "two", longTimeout)
 	assert.Check(t, err != nil && !os.IsTimeout(err), "%v", err)
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
@@ -132,7 +132,7 @@
 		_ = conn.Close()
 		return poll.Continue("still accepts")
 	})
-	link.SetWeather(Weather{})
+	link.SetConditions(Conditions{})
 	poll.WaitOn(t, func(poll.LogT) poll.Result {
 		conn, err := net.Dial("tcp", link.Listen.String())
 		if err != nil {
@@ -150,27 +150,27 @@
 // connection. Neither end gets an error: what is sent is never answered, while
 // a new connection works.
 func TestLinkSilent(t *testing.T) {
-	link := startLink(t, Weather{})
+	link := startLink(t, Conditions{})
 	old := dial(t, link.Listen)
 	assert.NilError(t, exchange(old, "one", longTimeout))
-	link.SetWeather(Weather{Silent: true})
+	link.SetConditions(Conditions{Silent: true})
 	assert.Check(t, os.IsTimeout(exchange(old, "two", shortTimeout)))
 	assert.NilError(t, exchange(dial(t, link.Listen), "three", longTimeout))
-	link.SetWeather(Weather{})
+	link.SetConditions(Conditions{})
 	assert.Check(t, os.IsTimeout(exchange(old, "four", shortTimeout)), "an old connection stays silent")
-	link.SetWeather(Weather{SilentNew: true})
+	link.SetConditions(Conditions{SilentNew: true})
 	assert.Check(t, os.IsTimeout(exchange(dial(t, link.Listen), "five", shortTimeout)))
 }
 
 // Bytes pass in one direction only. A caller's request arrives and is run, but
 // the caller gets no answer until the other direction works again.
 func TestLinkHoldsOneDirection(t *testing.T) {
-	link := startLink(t, Weather{Hold: Back})
+	link := startLink(t, Conditions{Hold: Back})
 	conn := dial(t, link.Listen)
 	assert.Check(t, os.IsTimeout(exchange(conn, "one", shortTimeout)))
 	assert.Equal(t, link.Passed(Forward), uint64(3))
 	assert.Equal(t, link.Passed(Back), uint64(0))
-	link.SetWeather(Weather{})
+	link.SetConditions(Conditions{})
 	assert.NilError(t, conn.SetDeadline(time.Now().Add(longTimeout)))
 	got := make([]byte, 3)
 	_, err := io.ReadFull(conn, got)
--- a/io/jwstand/links.go
+++ b/io/jwstand/links.go
@@ -75,7 +75,7 @@
 	Name    string               `json:"name"`
 	Listen  netip.AddrPort       `json:"listen"`
 	Dial    netip.AddrPort       `json:"dial"`
-	Weather Weather              `json:"weather"`
+	Weather Conditions           `json:"weather"`
 	Passed  map[Direction]uint64 `json:"passed"`
 }
 
@@ -83,7 +83,7 @@
 	states := make([]linkState, 0, len(ls.Links))
 	for _, l := range ls.Links {
 		passed := map[Direction]uint64{Forward: l.Passed(Forward), Back: l.Passed(Back)}
-		states = append(states, linkState{Name: l.Name, Listen: l.Listen, Dial: l.Dial, Weather: l.Weather(), Passed: passed})
+		states = append(states, linkState{Name: l.Name, Listen: l.Listen, Dial: l.Dial, Weather: l.Conditions(), Passed: passed})
 	}
 	writeJSON(w, http.StatusOK, states)
 }
@@ -101,12 +101,12 @@
 			continue
 		}
 		known = true
-		weather := l.Weather()
+		weather := l.Conditions()
 		weather.Silent = false
 		if !decodeJSON(w, body, &weather) {
 			return
 		}
-		l.SetWeather(weather)
+		l.SetConditions(weather)
 	}
 	if !known {
 		http.Error(w, "no such link", http.StatusNotFound)
--- a/io/jwstand/runner.go
+++ b/io/jwstand/runner.go
@@ -75,7 +75,7 @@
 // Handler implements Program.
 func (rn *Runner) Handler(faults func() Faults) http.Handler {
 	mux := http.NewServeMux()
-	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { rn.writeMetrics(w, faults().Leave) })
+	mux.HandleFunc("GET /metrics", func(w http.ResponseWriter, _ *http.Request) { rn.writeMetrics(w, faults().Leaving) })
 	mux.HandleFunc("POST /v1/completions", func(w http.ResponseWriter, r *http.Request) {
 		// Read the body to its end: only then does net/http detect that the caller
 		// closes the connection.
@@ -88,7 +88,7 @@
 			http.Error(w, err.Error(), http.StatusBadRequest)
 			return
 		}
-		if faults().Leave {
+		if faults().Leaving {
 			writeUnavailable(w, "leaving")
 			return
 		}
--- a/io/jwstand/service.go
+++ b/io/jwstand/service.go
@@ -32,7 +32,7 @@
 func (s *Service) Handler(faults func() Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Path == "/metrics" {
-			s.writeMetrics(w, faults().Leave)
+			s.writeMetrics(w, faults().Leaving)
 			return
 		}
 		if r.Method != http.MethodPost {
@@ -43,7 +43,7 @@
 		if err != nil {
 			return
 		}
-		if faults().Leave {
+		if faults().Leaving {
 			writeUnavailable(w, "leaving")
 			return
 		}
--- a/io/jwstand/stand.go
+++ b/io/jwstand/stand.go
@@ -32,9 +32,9 @@
 	Register(control *http.ServeMux)
 }
 
-// Stand serves one Program on a port of its own and accepts faults on a control
+// StandIn serves one Program on a port of its own and accepts faults on a control
 // port.
-type Stand struct {
+type StandIn struct {
 	Kind    string         // kind of stand-in, printed in the Ready line
 	Address netip.AddrPort // service port; if zero, or with port 0, Listen picks a free loopback port
 	Control netip.AddrPort // control port; chosen as Address is
@@ -59,7 +59,7 @@
 
 // Listen opens both ports and stores their actual addresses in Address and
 // Control.
-func (s *Stand) Listen() error {
+func (s *StandIn) Listen() error {
 	listener, err := listen(s.Address)
 	if err != nil {
 		return errors.Wrapf(err, "listen: %s", s.Address)
@@ -91,13 +91,13 @@
 }
 
 // Ready returns the addresses on which the stand-in listens.
-func (s *Stand) Ready() Ready {
+func (s *StandIn) Ready() Ready {
 	return Ready{Kind: s.Kind, Address: s.Address, Control: s.Control}
 }
 
 // Start listens and runs the stand-in in the background. The function stop ends
 // it and returns the result of Run.
-func (s *Stand) Start() (stop func() error, err error) {
+func (s *StandIn) Start() (stop func() error, err error) {
 	if err := s.Listen(); err != nil {
 		return nil, err
 	}
@@ -112,7 +112,7 @@
 
 // Run serves until the context ends. It calls Listen first if that was not
 // done.
-func (s *Stand) Run(ctx context.Context) error {
+func (s *StandIn) Run(ctx context.Context) error {
 	if s.control == nil {
 		if err := s.Listen(); err != nil {
 			return err
@@ -142,7 +142,7 @@
 
 // serve answers calls until the context ends. During an outage it waits, and
 // then opens the port again.
-func (s *Stand) serve(ctx context.Context, service *http.Server) {
+func (s *StandIn) serve(ctx context.Context, service *http.Server) {
 	for ctx.Err() == nil {
 		s.mu.Lock()
 		listener, changed := s.listener, s.changed
@@ -168,7 +168,7 @@
 
 // reopen listens again after an outage. If the port is still busy, it pauses
 // and returns, and the caller tries again.
-func (s *Stand) reopen(ctx context.Context) {
+func (s *StandIn) reopen(ctx context.Context) {
 	listener, err := listen(s.Address)
 	if err != nil {
 		_ = jwclock.Sleep(ctx, reopenRetryDelay)
@@ -184,14 +184,14 @@
 }
 
 // Faults returns the faults that are set.
-func (s *Stand) Faults() Faults {
+func (s *StandIn) Faults() Faults {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.faults
 }
 
 // SetFaults replaces the faults; they apply from now on.
-func (s *Stand) SetFaults(f Faults) {
+func (s *StandIn) SetFaults(f Faults) {
 	s.mu.Lock()
 	s.faults = f
 	if s.changed != nil {
@@ -212,11 +212,11 @@
 	}
 }
 
-func (s *Stand) getFaults(w http.ResponseWriter, _ *http.Request) {
+func (s *StandIn) getFaults(w http.ResponseWriter, _ *http.Request) {
 	writeJSON(w, http.StatusOK, s.Faults())
 }
 
-func (s *Stand) putFaults(w http.ResponseWriter, r *http.Request) {
+func (s *StandIn) putFaults(w http.ResponseWriter, r *http.Request) {
 	f := s.Faults()
 	f.Silent = false
 	if !readJSON(w, r, &f) {
@@ -228,7 +228,7 @@
 
 // withFaults applies the faults that affect whole calls: Slow, CrashOn and
 // LoseReply.
-func (s *Stand) withFaults(next http.Handler) http.Handler {
+func (s *StandIn) withFaults(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		f := s.Faults()
 		if err := jwclock.Sleep(r.Context(), time.Duration(f.Slow)); err != nil {
@@ -253,7 +253,7 @@
 
 // bodyContains reports whether the request body contains the marker. The body
 // can still be read afterwards.
-func (s *Stand) bodyContains(r *http.Request, marker string) bool {
+func (s *StandIn) bodyContains(r *http.Request, marker string) bool {
 	body, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
 	if err != nil {
 		return false
@@ -263,7 +263,7 @@
 }
 
 // crash ends the process, or calls Exit if it is set.
-func (s *Stand) crash() {
+func (s *StandIn) crash() {
 	if s.Exit != nil {
 		s.Exit(crashExitCode)
 		return
@@ -273,7 +273,7 @@
 
 // takeLostReply reports whether the reply to this call is to be lost, and
 // counts it.
-func (s *Stand) takeLostReply() bool {
+func (s *StandIn) takeLostReply() bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.faults.LoseReply == 0 {
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -21,16 +21,16 @@
 	"gotest.tools/v3/poll"
 )
 
-func startStand(t *testing.T, program Program) *Stand {
+func startStand(t *testing.T, program Program) *StandIn {
 	t.Helper()
-	stand := &Stand{Program: program}
+	stand := &StandIn{Program: program}
 	stop, err := stand.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, stop()) })
 	return stand
 }
 
-func newRequest(ctx context.Context, stand *Stand, path, body string) *http.Request {
+func newRequest(ctx context.Context, stand *StandIn, path, body string) *http.Request {
 	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+stand.Address.String()+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
@@ -295,7 +295,7 @@
 func TestLeaveAndLostReply(t *testing.T) {
 	service := &Service{}
 	stand := startStand(t, service)
-	stand.SetFaults(Faults{Leave: true})
+	stand.SetFaults(Faults{Leaving: true})
 	res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "x"))
 	assert.NilError(t, err)
 	_ = res.Body.Close()
@@ -331,7 +331,7 @@
 	hosts := &Hosts{}
 	mux := http.NewServeMux()
 	hosts.Register(mux)
-	stand := &Stand{Program: hosts}
+	stand := &StandIn{Program: hosts}
 	mux.HandleFunc("PUT /faults", stand.putFaults)
 	send := func(method, path, body string) int {
 		w := httptest.NewRecorder()
