--- a/cmd/jujubebench/main_test.go
+++ b/cmd/jujubebench/main_test.go
@@ -31,9 +31,9 @@
 // startStandIn runs a stand-in until the test ends.
 func startStandIn(t *testing.T, program jwstand.Program) *jwstand.StandIn {
 	t.Helper()
-	stand := &jwstand.StandIn{Program: program}
-	stop, err := stand.Start()
+	standIn := &jwstand.StandIn{Program: program}
+	stop, err := standIn.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, stop()) })
-	return stand
+	return standIn
 }
--- a/cmd/jujubestand/main.go
+++ b/cmd/jujubestand/main.go
@@ -42,14 +42,14 @@
 
 // run serves a stand-in until ctx ends; it prints its addresses once it listens.
 func (p ports) run(ctx context.Context, kind string, program jwstand.Program) error {
-	stand := &jwstand.StandIn{Kind: kind, Address: p.Address, Control: p.Control, Program: program}
-	if err := stand.Listen(); err != nil {
+	standIn := &jwstand.StandIn{Kind: kind, Address: p.Address, Control: p.Control, Program: program}
+	if err := standIn.Listen(); err != nil {
 		return err
 	}
-	if err := json.NewEncoder(os.Stdout).Encode(stand.Ready()); err != nil {
+	if err := json.NewEncoder(os.Stdout).Encode(standIn.Ready()); err != nil {
 		return errors.Wrap(err, "print addresses")
 	}
-	return stand.Run(ctx)
+	return standIn.Run(ctx)
 }
 
 type kvCommand struct {
@@ -144,7 +144,7 @@
 
 // Run relays between the given addresses.
 func (c *linkCommand) Run(ctx context.Context) error {
-	weather := jwstand.Conditions{
+	conditions := jwstand.Conditions{
 		Delay:  jwstand.Duration(c.Delay),
 		Jitter: jwstand.Duration(c.Jitter),
 		Loss:   c.Loss,
@@ -157,7 +157,7 @@
 			return err
 		}
 		link.Seed = c.Seed + uint64(i)
-		link.SetConditions(weather)
+		link.SetConditions(conditions)
 		links.Links = append(links.Links, link)
 	}
 	if err := links.Open(); err != nil {
--- a/io/jwcert/credentials.go
+++ b/io/jwcert/credentials.go
@@ -12,7 +12,7 @@
 // Credentials implements mutual TLS for gRPC connections between nodes, on the client and
 // on the server.
 type Credentials struct {
-	Keeper *CertificateReloader
+	Reloader *CertificateReloader
 	// Identify returns which node should be at an address. If ok is false, no node
 	// is known at the address and ClientHandshake fails.
 	Identify func(address netip.AddrPort) (want Identity, ok bool)
@@ -30,17 +30,17 @@
 	if !ok {
 		return nil, nil, errors.Errorf("verify node: no node is known at %s", address)
 	}
-	return credentials.NewTLS(c.Keeper.NodeClientConfig(want)).ClientHandshake(ctx, authority, conn)
+	return credentials.NewTLS(c.Reloader.NodeClientConfig(want)).ClientHandshake(ctx, authority, conn)
 }
 
 // ServerHandshake implements credentials.TransportCredentials.
 func (c *Credentials) ServerHandshake(conn net.Conn) (net.Conn, credentials.AuthInfo, error) {
-	return credentials.NewTLS(c.Keeper.NodeServerConfig()).ServerHandshake(conn)
+	return credentials.NewTLS(c.Reloader.NodeServerConfig()).ServerHandshake(conn)
 }
 
 // Info implements credentials.TransportCredentials.
 func (c *Credentials) Info() credentials.ProtocolInfo {
-	return credentials.NewTLS(c.Keeper.NodeServerConfig()).Info()
+	return credentials.NewTLS(c.Reloader.NodeServerConfig()).Info()
 }
 
 // Clone implements credentials.TransportCredentials. It returns c itself, because c does
--- a/io/jwcert/reloader_test.go
+++ b/io/jwcert/reloader_test.go
@@ -77,7 +77,7 @@
 			return
 		}
 		defer conn.Close()
-		secure, _, err := (&jwcert.Credentials{Keeper: server}).ServerHandshake(conn)
+		secure, _, err := (&jwcert.Credentials{Reloader: server}).ServerHandshake(conn)
 		if err == nil {
 			_, _ = secure.Write([]byte("!"))
 		}
@@ -85,7 +85,7 @@
 	conn, err := net.Dial("tcp", l.Addr().String())
 	assert.NilError(t, err)
 	defer conn.Close()
-	c := &jwcert.Credentials{Keeper: client, Identify: func(a netip.AddrPort) (jwcert.Identity, bool) {
+	c := &jwcert.Credentials{Reloader: client, Identify: func(a netip.AddrPort) (jwcert.Identity, bool) {
 		return want, want != jwcert.Identity{} && a.String() == l.Addr().String()
 	}}
 	ctx, cancel := context.WithTimeout(t.Context(), 10*time.Second)
--- a/io/jwcommand/explain.go
+++ b/io/jwcommand/explain.go
@@ -105,9 +105,9 @@
 
 // revisionReport is what explain revision prints.
 type revisionReport struct {
-	Change   *jwcatalogue.Change      `json:"change,omitempty"` // nil when the node no longer has it
-	Standing jwoperate.RevisionStatus `json:"standing"`
-	Records  []jwaudit.Record         `json:"records"`
+	Change         *jwcatalogue.Change      `json:"change,omitempty"` // nil when the node no longer has it
+	RevisionStatus jwoperate.RevisionStatus `json:"standing"`
+	Records        []jwaudit.Record         `json:"records"`
 }
 
 // Run fetches the change, its status and the audit records about it.
@@ -117,7 +117,7 @@
 		return err
 	}
 	var report revisionReport
-	if err := api.get(ctx, "/v1/catalogue/status?revision="+formatUint(c.Revision), &report.Standing); err != nil {
+	if err := api.get(ctx, "/v1/catalogue/status?revision="+formatUint(c.Revision), &report.RevisionStatus); err != nil {
 		return err
 	}
 	if report.Change, err = c.change(ctx, api); err != nil {
@@ -173,7 +173,7 @@
 	} else if err := printChanges(p, []jwcatalogue.Change{*s.Change}); err != nil {
 		return err
 	}
-	fmt.Fprintln(p.Stdout, revisionText(s.Standing))
+	fmt.Fprintln(p.Stdout, revisionText(s.RevisionStatus))
 	for _, r := range s.Records {
 		fmt.Fprintf(p.Stdout, "%s  %s %s at %s", r.Time.Format(time.RFC3339Nano), r.Kind, r.Subject, r.Node)
 		if r.Detail != "" {
--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -150,22 +150,22 @@
 	}
 	r.Header.Set("Authorization", "Bearer "+operatorsToken)
 	r.Header.Set("If-None-Match", "*")
-	var standing jwoperate.RevisionStatus
-	_, err = c.readJSON(r, &standing)
-	return standing, err
+	var status jwoperate.RevisionStatus
+	_, err = c.readJSON(r, &status)
+	return status, err
 }
 
 // status returns whether the latest change of the catalogue is in force at every
 // node, and which nodes have not confirmed it.
 func (c *caller) status(ctx context.Context, at netip.AddrPort) (jwoperate.RevisionStatus, error) {
-	var standing jwoperate.RevisionStatus
+	var status jwoperate.RevisionStatus
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+at.String()+"/v1/catalogue/status", nil)
 	if err != nil {
-		return standing, err
+		return status, err
 	}
 	r.Header.Set("Authorization", "Bearer "+operatorsToken)
-	_, err = c.readJSON(r, &standing)
-	return standing, err
+	_, err = c.readJSON(r, &status)
+	return status, err
 }
 
 // readJSON sends a request and decodes the JSON of its answer into value. A
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -227,19 +227,19 @@
 	d.check(lookedUp.served() && confirmed.served(), "%s went on serving its own callers", isolated)
 
 	at := d.nodes[regions[0]].OperatorsAddr()
-	standing, err := d.putEntry(ctx, at, edit("demo-question", questionEntry()), 500*time.Millisecond)
+	status, err := d.putEntry(ctx, at, edit("demo-question", questionEntry()), 500*time.Millisecond)
 	if err != nil {
 		return err
 	}
 	d.printLine("   an edit in %s: written as change %d, accepted: %t, missing: %v",
-		regions[0], standing.Revision, standing.Accepted, standing.Missing)
-	d.check(!standing.Accepted, "the edit was not reported as accepted during the cut")
+		regions[0], status.Revision, status.Accepted, status.Missing)
+	d.check(!status.Accepted, "the edit was not reported as accepted during the cut")
 
 	d.reconnect(isolated)
 	began := time.Now()
 	err = d.waitFor(recoveryTimeout, "the edit accepted after the cut", func() bool {
 		s, err := d.status(ctx, at)
-		return err == nil && s.Accepted && s.Revision == standing.Revision
+		return err == nil && s.Accepted && s.Revision == status.Revision
 	})
 	d.printLine("   links restored: the edit is in force everywhere after %s", formatElapsed(began))
 	d.check(err == nil, "the edit was accepted after the cut")
--- a/io/jwdemo/system.go
+++ b/io/jwdemo/system.go
@@ -128,21 +128,21 @@
 		runner := &jwstand.Runner{Engine: jwstand.Engine{
 			Slots: 8, Token: 5 * time.Millisecond, Prefill: 50 * time.Microsecond,
 		}}
-		stand, err := s.startStandIn("runner", runner)
+		standIn, err := s.startStandIn("runner", runner)
 		if err != nil {
 			return nil, err
 		}
-		stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
-		s.runners[region] = append(s.runners[region], stand)
-		groups = append(groups, target(stand.Address, modelService, region))
+		standIn.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
+		s.runners[region] = append(s.runners[region], standIn)
+		groups = append(groups, target(standIn.Address, modelService, region))
 	}
 	desk := &jwstand.Service{Work: 20 * time.Millisecond}
-	stand, err := s.startStandIn("service", desk)
+	standIn, err := s.startStandIn("service", desk)
 	if err != nil {
 		return nil, err
 	}
 	s.desks[region] = desk
-	return append(groups, target(stand.Address, plainService, region)), nil
+	return append(groups, target(standIn.Address, plainService, region)), nil
 }
 
 func target(address netip.AddrPort, service, region string) jwstand.HostGroup {
@@ -222,15 +222,15 @@
 
 // startStandIn starts a stand-in on free ports.
 func (s *system) startStandIn(kind string, p jwstand.Program) (*jwstand.StandIn, error) {
-	stand := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
+	standIn := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
 	// All stand-ins share this process, so that a crash must not end it: the
 	// stand-in goes down until restartRunners.
-	stand.Exit = func(int) { stand.SetFaults(jwstand.Faults{Down: true}) }
-	if err := stand.Listen(); err != nil {
+	standIn.Exit = func(int) { standIn.SetFaults(jwstand.Faults{Down: true}) }
+	if err := standIn.Listen(); err != nil {
 		return nil, err
 	}
-	s.runPart(stand.Run)
-	return stand, nil
+	s.runPart(standIn.Run)
+	return standIn, nil
 }
 
 // runPart runs a part of the system until close and keeps its error for close.
@@ -267,9 +267,9 @@
 
 func (s *system) setCut(region string, cut bool) {
 	for _, l := range slices.Concat(s.nodeLinks, s.platformLinks[region]) {
-		weather := l.Conditions()
-		weather.Cut = cut
-		l.SetConditions(weather)
+		conditions := l.Conditions()
+		conditions.Cut = cut
+		l.SetConditions(conditions)
 	}
 }
 
@@ -302,18 +302,18 @@
 
 // stopRunners stops all model runners of a region.
 func (s *system) stopRunners(region string) {
-	for _, stand := range s.runners[region] {
-		stand.SetFaults(jwstand.Faults{Down: true})
+	for _, standIn := range s.runners[region] {
+		standIn.SetFaults(jwstand.Faults{Down: true})
 	}
 }
 
 // restartRunners restarts the runners of a region that are down and returns how
 // many there were.
 func (s *system) restartRunners(region string) (crashed int) {
-	for _, stand := range s.runners[region] {
-		if stand.Faults().Down {
+	for _, standIn := range s.runners[region] {
+		if standIn.Faults().Down {
 			crashed++
-			stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
+			standIn.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
 		}
 	}
 	return crashed
--- a/io/jwfleet/fleet.go
+++ b/io/jwfleet/fleet.go
@@ -33,16 +33,16 @@
 // runner is a simulated model runner and the stand-in that serves it.
 type runner struct {
 	*jwstand.Runner
-	stand *jwstand.StandIn
+	standIn *jwstand.StandIn
 }
 
 // down makes the runner unreachable.
-func (r *runner) down() { r.stand.SetFaults(jwstand.Faults{Down: true}) }
+func (r *runner) down() { r.standIn.SetFaults(jwstand.Faults{Down: true}) }
 
 // up makes the runner reachable again, with an empty cache.
 func (r *runner) up() {
 	r.Engine.ClearCache()
-	r.stand.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
+	r.standIn.SetFaults(jwstand.Faults{CrashOn: crashPrompt})
 }
 
 // fleet is the whole system of a deployment.
@@ -80,15 +80,15 @@
 // startAll starts the platform, the targets, the links and the nodes.
 func (f *fleet) startAll() error {
 	var err error
-	if f.keyValue, err = f.startStand("kv", &jwstand.KeyValue{}); err != nil {
+	if f.keyValue, err = f.startStandIn("kv", &jwstand.KeyValue{}); err != nil {
 		return err
 	}
 	hostList := &jwstand.Hosts{}
-	hosts, err := f.startStand("hosts", hostList)
+	hosts, err := f.startStandIn("hosts", hostList)
 	if err != nil {
 		return err
 	}
-	clients, err := f.startStand("clients", f.directory())
+	clients, err := f.startStandIn("clients", f.directory())
 	if err != nil {
 		return err
 	}
@@ -144,13 +144,13 @@
 		r := &runner{Runner: &jwstand.Runner{Engine: jwstand.Engine{
 			Slots: runnerSlots, Token: tokenTime, Growth: batchGrowth, Prefill: prefill, CacheTokens: cacheTokens, Lag: reportLag,
 		}}}
-		stand, err := f.startStand("runner", r.Runner)
+		standIn, err := f.startStandIn("runner", r.Runner)
 		if err != nil {
 			return nil, err
 		}
-		r.stand = stand
+		r.standIn = standIn
 		// A crash ends no process here; it makes the runner unreachable for a while.
-		stand.Exit = func(int) {
+		standIn.Exit = func(int) {
 			r.down()
 			f.startPart("restart", func(ctx context.Context) error {
 				err := jwclock.Sleep(ctx, restartDelay)
@@ -160,15 +160,15 @@
 		}
 		r.up()
 		f.runners[region] = append(f.runners[region], r)
-		f.journals[region] = append(f.journals[region], stand.Control)
-		groups = append(groups, targetGroup(stand.Address, f.Model, region))
+		f.journals[region] = append(f.journals[region], standIn.Control)
+		groups = append(groups, targetGroup(standIn.Address, f.Model, region))
 	}
-	stand, err := f.startStand("service", &jwstand.Service{Work: serviceWork})
+	standIn, err := f.startStandIn("service", &jwstand.Service{Work: serviceWork})
 	if err != nil {
 		return nil, err
 	}
-	f.journals[region] = append(f.journals[region], stand.Control)
-	return append(groups, targetGroup(stand.Address, f.Plain, region)), nil
+	f.journals[region] = append(f.journals[region], standIn.Control)
+	return append(groups, targetGroup(standIn.Address, f.Plain, region)), nil
 }
 
 // targetGroup returns the group of the host list for one target.
@@ -246,14 +246,14 @@
 	return jwsettings.Parse(text)
 }
 
-// startStand starts a stand-in on free ports.
-func (f *fleet) startStand(kind string, p jwstand.Program) (*jwstand.StandIn, error) {
-	stand := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
-	if err := stand.Listen(); err != nil {
+// startStandIn starts a stand-in on free ports.
+func (f *fleet) startStandIn(kind string, p jwstand.Program) (*jwstand.StandIn, error) {
+	standIn := &jwstand.StandIn{Kind: kind, Program: p, Address: loopback, Control: loopback}
+	if err := standIn.Listen(); err != nil {
 		return nil, err
 	}
-	f.startPart(kind, stand.Run)
-	return stand, nil
+	f.startPart(kind, standIn.Run)
+	return standIn, nil
 }
 
 // startPart runs a part until close and records the error if it fails earlier.
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -61,7 +61,7 @@
 // for sending requests directly to the target and through the node.
 func startInstantTarget(b *testing.B) (direct, node string) {
 	s := newSystem(b, "east")
-	target := s.stand("runner", instantTarget{})
+	target := s.standIn("runner", instantTarget{})
 	s.addHost(target.Address, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, draft())
--- a/io/jwnode/keys.go
+++ b/io/jwnode/keys.go
@@ -13,7 +13,7 @@
 	"jujubewheel/io/jwsettings"
 )
 
-// keys holds the certificates of the ports. A port whose keeper is nil doesn't
+// keys holds the certificates of the ports. A port whose reloader is nil doesn't
 // use TLS.
 type keys struct {
 	callers, operators, nodes *jwcert.CertificateReloader
@@ -34,11 +34,11 @@
 		if !k.files.Set() {
 			continue
 		}
-		keeper := &jwcert.CertificateReloader{Port: k.port, Files: k.files, Audit: n.Audit, Meter: n.Meter}
-		if err := keeper.Load(); err != nil {
+		reloader := &jwcert.CertificateReloader{Port: k.port, Files: k.files, Audit: n.Audit, Meter: n.Meter}
+		if err := reloader.Load(); err != nil {
 			return err
 		}
-		*k.dst = keeper
+		*k.dst = reloader
 	}
 	return nil
 }
@@ -46,9 +46,9 @@
 // run reloads the certificates when their files change, until ctx ends.
 func (k *keys) run(ctx context.Context) error {
 	g, ctx := errgroup.WithContext(ctx)
-	for _, keeper := range []*jwcert.CertificateReloader{k.callers, k.operators, k.nodes} {
-		if keeper != nil {
-			g.Go(func() error { return keeper.Run(ctx) })
+	for _, reloader := range []*jwcert.CertificateReloader{k.callers, k.operators, k.nodes} {
+		if reloader != nil {
+			g.Go(func() error { return reloader.Run(ctx) })
 		}
 	}
 	return g.Wait()
@@ -70,7 +70,7 @@
 	if n.keys.nodes == nil {
 		return nil
 	}
-	return &jwcert.Credentials{Keeper: n.keys.nodes, Identify: n.identify}
+	return &jwcert.Credentials{Reloader: n.keys.nodes, Identify: n.identify}
 }
 
 // identify returns the node that is expected at an address; ok is false if none
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -269,15 +269,15 @@
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
 	var journals []*jwstand.Journal
-	var stands []*jwstand.StandIn
+	var standIns []*jwstand.StandIn
 	for range 3 {
 		r, targetStand := s.runner("east")
-		journals, stands = append(journals, &r.Journal), append(stands, targetStand)
+		journals, standIns = append(journals, &r.Journal), append(standIns, targetStand)
 	}
 	for range 3 {
 		p, targetStand := s.service("east")
 		p.Work = 2 * time.Millisecond
-		journals, stands = append(journals, &p.Journal), append(stands, targetStand)
+		journals, standIns = append(journals, &p.Journal), append(standIns, targetStand)
 	}
 	a := s.node("e1", "east")
 	s.edit(a, draft())
@@ -289,10 +289,10 @@
 	var faults sync.WaitGroup
 	faults.Go(func() {
 		for i := 0; ; i++ {
-			stand := stands[3*(i%2)] // one runner and one service; the others go on
-			stand.SetFaults(jwstand.Faults{Down: true})
+			standIn := standIns[3*(i%2)] // one runner and one service; the others go on
+			standIn.SetFaults(jwstand.Faults{Down: true})
 			time.Sleep(20 * time.Millisecond)
-			stand.SetFaults(jwstand.Faults{})
+			standIn.SetFaults(jwstand.Faults{})
 			select {
 			case <-stop:
 				return
@@ -370,8 +370,8 @@
 func TestWaitingRepeatRefused(t *testing.T) {
 	s := newSystem(t, "east")
 	program := &slowRefuser{decide: make(chan struct{})}
-	refuserStand := s.stand("refuser", program)
-	s.addHost(refuserStand.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
+	refuserStandIn := s.standIn("refuser", program)
+	s.addHost(refuserStandIn.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
 	s.awaitRevision(1)
@@ -390,7 +390,7 @@
 		assert.Check(t, r.outcome == "notRun", "%+v", r)
 	}
 	desk, _ := s.service("east")
-	refuserStand.SetFaults(jwstand.Faults{Down: true})
+	refuserStandIn.SetFaults(jwstand.Faults{Down: true})
 	s.await("the third call runs", func() bool {
 		return s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k"}).outcome == "served"
 	})
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -24,11 +24,11 @@
 // target and never be answered. Every node must stop sending to it, and the
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
-	tests := map[string]func(s *system, stand *jwstand.StandIn){
-		"reported by the host list": func(s *system, stand *jwstand.StandIn) {
+	tests := map[string]func(s *system, standIn *jwstand.StandIn){
+		"reported by the host list": func(s *system, standIn *jwstand.StandIn) {
 			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
-				if g.Targets[0] == stand.Address.String() {
+				if g.Targets[0] == standIn.Address.String() {
 					groups[i].Labels = maps.Clone(g.Labels)
 					groups[i].Labels["state"] = "leaving"
 				}
@@ -36,7 +36,7 @@
 			s.groups = groups
 			s.hosts.Set(groups)
 		},
-		"reported by the target": func(_ *system, stand *jwstand.StandIn) { stand.SetFaults(jwstand.Faults{Leaving: true}) },
+		"reported by the target": func(_ *system, standIn *jwstand.StandIn) { standIn.SetFaults(jwstand.Faults{Leaving: true}) },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -107,13 +107,13 @@
 	var mu sync.Mutex
 	crashes := map[netip.AddrPort]int{}
 	for range 5 {
-		_, stand := s.runner("east")
-		stand.Exit = func(int) {
+		_, standIn := s.runner("east")
+		standIn.Exit = func(int) {
 			mu.Lock()
 			defer mu.Unlock()
-			crashes[stand.Address]++
+			crashes[standIn.Address]++
 		}
-		stand.SetFaults(jwstand.Faults{CrashOn: "poison"})
+		standIn.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	}
 	var nodes []*runningNode
 	for i := range 3 {
@@ -180,7 +180,7 @@
 	s := newSystem(t, "east")
 	program := &refuser{}
 	for range 4 {
-		addr := s.stand("refuser", program).Address
+		addr := s.standIn("refuser", program).Address
 		s.addHost(addr, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	}
 	n := s.node("e1", "east")
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -21,7 +21,7 @@
 func TestSilentTarget(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
-	r, stand := s.runner("east")
+	r, standIn := s.runner("east")
 	r.Engine.Token = 5 * time.Millisecond
 	n := s.node("e1", "east")
 	e := draft()
@@ -41,7 +41,7 @@
 	second.Engine.Token = 5 * time.Millisecond
 	s.await("another target", func() bool { return len(n.board.Targets.Polled()) == 2 })
 	began := time.Now()
-	stand.SetFaults(jwstand.Faults{Silent: true})
+	standIn.SetFaults(jwstand.Faults{Silent: true})
 	for range running {
 		a := <-answers
 		assert.Check(t, strings.Contains(a.body, "event: done") && strings.Count(a.body, "id: ") == 300, "%s %v", tail(a.body), a.err)
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -29,7 +29,7 @@
 type system struct {
 	t                   testing.TB
 	kv                  *jwstand.KeyValue
-	kvStand             *jwstand.StandIn
+	kvStandIn           *jwstand.StandIn
 	hosts               *jwstand.Hosts
 	clients             *jwstand.Clients
 	hostsAddr           netip.AddrPort
@@ -59,10 +59,10 @@
 func newSystem(t testing.TB, regions ...string) *system {
 	t.Helper()
 	s := &system{t: t, kv: &jwstand.KeyValue{}, hosts: &jwstand.Hosts{}, clients: &jwstand.Clients{}, nodes: map[string]*runningNode{}, regions: regions, log: logr.Discard()}
-	s.kvStand = s.stand("kv", s.kv)
-	hosts, clients := s.stand("hosts", s.hosts), s.stand("clients", s.clients)
+	s.kvStandIn = s.standIn("kv", s.kv)
+	hosts, clients := s.standIn("hosts", s.hosts), s.standIn("clients", s.clients)
 	s.hostsAddr, s.clientsAddr = hosts.Address, clients.Address
-	s.platform = []*jwstand.StandIn{s.kvStand, hosts, clients}
+	s.platform = []*jwstand.StandIn{s.kvStandIn, hosts, clients}
 	var list []jwstand.Client
 	for _, r := range regions {
 		list = append(list,
@@ -73,41 +73,41 @@
 	return s
 }
 
-// stand starts a stand-in program on a port of its own until the test ends.
-func (s *system) stand(kind string, p jwstand.Program) *jwstand.StandIn {
+// standIn starts a stand-in program on a port of its own until the test ends.
+func (s *system) standIn(kind string, p jwstand.Program) *jwstand.StandIn {
 	s.t.Helper()
-	stand := &jwstand.StandIn{
+	standIn := &jwstand.StandIn{
 		Kind: kind, Program: p, Exit: func(int) {},
 		Address: netip.MustParseAddrPort("127.0.0.1:0"), Control: netip.MustParseAddrPort("127.0.0.1:0"),
 	}
-	assert.NilError(s.t, stand.Listen())
+	assert.NilError(s.t, standIn.Listen())
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = stand.Run(ctx)
+		_ = standIn.Run(ctx)
 	}()
 	s.t.Cleanup(func() {
 		cancel()
 		<-done
 	})
-	return stand
+	return standIn
 }
 
 // runner starts a model engine as a target and adds it to the host list.
 func (s *system) runner(region string) (*jwstand.Runner, *jwstand.StandIn) {
 	r := &jwstand.Runner{Engine: jwstand.Engine{Slots: 8, Token: time.Millisecond, Prefill: 10 * time.Microsecond}}
-	stand := s.stand("runner", r)
-	s.addHost(stand.Address, map[string]string{"role": "target", "service": "writer", "region": region, "dataCentre": region + "-1"})
-	return r, stand
+	standIn := s.standIn("runner", r)
+	s.addHost(standIn.Address, map[string]string{"role": "target", "service": "writer", "region": region, "dataCentre": region + "-1"})
+	return r, standIn
 }
 
 // service starts a plain service as a target and adds it to the host list.
 func (s *system) service(region string) (*jwstand.Service, *jwstand.StandIn) {
 	p := &jwstand.Service{}
-	stand := s.stand("service", p)
-	s.addHost(stand.Address, map[string]string{"role": "target", "service": "desk", "region": region, "dataCentre": region + "-1"})
-	return p, stand
+	standIn := s.standIn("service", p)
+	s.addHost(standIn.Address, map[string]string{"role": "target", "service": "desk", "region": region, "dataCentre": region + "-1"})
+	return p, standIn
 }
 
 // addHost adds a host to the platform's host list.
@@ -128,7 +128,7 @@
 		"periods": {"exchange": %q, "hostsPoll": %q, "loadPoll": "100ms"},
 		"regions": [%s]}`,
 		name, region, region+"-1", relays.advertise(),
-		relays.platform(s.kvStand.Address), relays.platform(s.hostsAddr), relays.platform(s.clientsAddr),
+		relays.platform(s.kvStandIn.Address), relays.platform(s.hostsAddr), relays.platform(s.clientsAddr),
 		cmp.Or(s.exchange, "100ms"), cmp.Or(s.hostsPoll, "100ms"), s.regionList())
 	settings, err := jwsettings.Parse([]byte(settingsJSON))
 	assert.NilError(s.t, err)
--- a/io/jwstand/doc.go
+++ b/io/jwstand/doc.go
@@ -18,9 +18,9 @@
 //
 // Links relays TCP connections. Its control port has the endpoints
 //
-//	GET /links         returns the links with their weather and the bytes passed
+//	GET /links         returns the links with their conditions and the bytes passed
 //	PUT /links         merges the JSON body into the conditions of all links, see Conditions
-//	PUT /links/{name}  merges it into the weather of one link
+//	PUT /links/{name}  merges it into the conditions of one link
 //
 // The stand-ins use net/http, for two reasons. Keys of the key-value service
 // contain slashes, which the router of go-zero's rest package does not accept.
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -49,8 +49,8 @@
 	Seed   uint64         // of the random numbers for Jitter and Loss
 
 	mu         sync.Mutex
-	weather    Conditions
-	changed    chan struct{} // closed at the next change of weather
+	conditions Conditions
+	changed    chan struct{} // closed at the next change of conditions
 	random     *rand.Rand
 	listener   net.Listener // nil while the link is cut
 	relays     map[*relay]struct{}
@@ -80,7 +80,7 @@
 func (l *Link) Conditions() Conditions {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.weather
+	return l.conditions
 }
 
 // Passed returns the number of bytes delivered in a direction.
@@ -91,21 +91,21 @@
 }
 
 // SetConditions changes the condition of the link from now on.
-func (l *Link) SetConditions(weather Conditions) {
+func (l *Link) SetConditions(conditions Conditions) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.weather = weather
+	l.conditions = conditions
 	if l.changed == nil {
 		return // not open yet
 	}
 	close(l.changed)
 	l.changed = make(chan struct{})
-	if weather.Silent {
+	if conditions.Silent {
 		for r := range l.relays {
 			r.silence()
 		}
 	}
-	if !weather.Cut {
+	if !conditions.Cut {
 		return
 	}
 	if l.listener != nil {
@@ -124,7 +124,7 @@
 	defer stop()
 	for ctx.Err() == nil {
 		l.mu.Lock()
-		listener, changed, cut := l.listener, l.changed, l.weather.Cut
+		listener, changed, cut := l.listener, l.changed, l.conditions.Cut
 		l.mu.Unlock()
 		if listener != nil {
 			l.accept(ctx, listener, &wg)
@@ -165,7 +165,7 @@
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.weather.Cut || ctx.Err() != nil {
+	if l.conditions.Cut || ctx.Err() != nil {
 		_ = listener.Close()
 		return
 	}
@@ -219,11 +219,11 @@
 func (l *Link) add(ctx context.Context, r *relay) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	if l.weather.Cut || ctx.Err() != nil {
+	if l.conditions.Cut || ctx.Err() != nil {
 		return false
 	}
 	l.relays[r] = struct{}{}
-	if l.weather.SilentNew {
+	if l.conditions.SilentNew {
 		r.silence()
 	}
 	return true
@@ -241,7 +241,7 @@
 func (l *Link) deliveryTime(direction Direction, size int, previous time.Time) time.Time {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	w := l.weather
+	w := l.conditions
 	delivery := time.Now()
 	if w.Rate > 0 {
 		delivery = laterOf(delivery, l.rateFreeAt[direction]).Add(time.Duration(float64(size) / float64(w.Rate) * float64(time.Second)))
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -36,10 +36,10 @@
 	return addressOf(listener)
 }
 
-func startLink(t *testing.T, weather Conditions) *Link {
+func startLink(t *testing.T, conditions Conditions) *Link {
 	t.Helper()
 	link := &Link{Name: "l", Listen: anyPort, Dial: startEcho(t), Seed: 1}
-	link.SetConditions(weather)
+	link.SetConditions(conditions)
 	links := &Links{Control: anyPort, Links: []*Link{link}}
 	assert.NilError(t, links.Open())
 	ctx, cancel := context.WithCancel(context.Background())
--- a/io/jwstand/links.go
+++ b/io/jwstand/links.go
@@ -72,23 +72,23 @@
 
 // linkState is the state of one link in an answer of the control port.
 type linkState struct {
-	Name    string               `json:"name"`
-	Listen  netip.AddrPort       `json:"listen"`
-	Dial    netip.AddrPort       `json:"dial"`
-	Weather Conditions           `json:"weather"`
-	Passed  map[Direction]uint64 `json:"passed"`
+	Name       string               `json:"name"`
+	Listen     netip.AddrPort       `json:"listen"`
+	Dial       netip.AddrPort       `json:"dial"`
+	Conditions Conditions           `json:"weather"`
+	Passed     map[Direction]uint64 `json:"passed"`
 }
 
 func (ls *Links) getLinks(w http.ResponseWriter, _ *http.Request) {
 	states := make([]linkState, 0, len(ls.Links))
 	for _, l := range ls.Links {
 		passed := map[Direction]uint64{Forward: l.Passed(Forward), Back: l.Passed(Back)}
-		states = append(states, linkState{Name: l.Name, Listen: l.Listen, Dial: l.Dial, Weather: l.Conditions(), Passed: passed})
+		states = append(states, linkState{Name: l.Name, Listen: l.Listen, Dial: l.Dial, Conditions: l.Conditions(), Passed: passed})
 	}
 	writeJSON(w, http.StatusOK, states)
 }
 
-// putLinks merges the body into the weather of the named link, or of all links
+// putLinks merges the body into the conditions of the named link, or of all links
 // if the path has no name.
 func (ls *Links) putLinks(w http.ResponseWriter, r *http.Request) {
 	body, err := io.ReadAll(io.LimitReader(r.Body, chunkSize))
@@ -101,12 +101,12 @@
 			continue
 		}
 		known = true
-		weather := l.Conditions()
-		weather.Silent = false
-		if !decodeJSON(w, body, &weather) {
+		conditions := l.Conditions()
+		conditions.Silent = false
+		if !decodeJSON(w, body, &conditions) {
 			return
 		}
-		l.SetConditions(weather)
+		l.SetConditions(conditions)
 	}
 	if !known {
 		http.Error(w, "no such link", http.StatusNotFound)
--- a/io/jwstand/relay.go
+++ b/io/jwstand/relay.go
@@ -140,7 +140,7 @@
 			return false
 		}
 		r.link.mu.Lock()
-		held, changed := r.link.weather.Hold == direction, r.link.changed
+		held, changed := r.link.conditions.Hold == direction, r.link.changed
 		r.link.mu.Unlock()
 		if !held {
 			return true
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -21,17 +21,17 @@
 	"gotest.tools/v3/poll"
 )
 
-func startStand(t *testing.T, program Program) *StandIn {
+func startStandIn(t *testing.T, program Program) *StandIn {
 	t.Helper()
-	stand := &StandIn{Program: program}
-	stop, err := stand.Start()
+	standIn := &StandIn{Program: program}
+	stop, err := standIn.Start()
 	assert.NilError(t, err)
 	t.Cleanup(func() { assert.Check(t, stop()) })
-	return stand
+	return standIn
 }
 
-func newRequest(ctx context.Context, stand *StandIn, path, body string) *http.Request {
-	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+stand.Address.String()+path, strings.NewReader(body))
+func newRequest(ctx context.Context, standIn *StandIn, path, body string) *http.Request {
+	r, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+standIn.Address.String()+path, strings.NewReader(body))
 	if err != nil {
 		panic(err)
 	}
@@ -72,7 +72,7 @@
 
 func TestRunner(t *testing.T) {
 	runner := &Runner{}
-	stand := startStand(t, runner)
+	standIn := startStandIn(t, runner)
 	tests := map[string]struct {
 		stream bool
 		after  string
@@ -85,7 +85,7 @@
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
-			r := newRequest(t.Context(), stand, "/v1/completions", completion("p", 5, test.stream))
+			r := newRequest(t.Context(), standIn, "/v1/completions", completion("p", 5, test.stream))
 			r.Header.Set("Jujube-Request-Id", name)
 			r.Header.Set("Last-Event-ID", test.after)
 			res, err := http.DefaultClient.Do(r)
@@ -112,12 +112,12 @@
 	for _, stream := range []bool{false, true} {
 		t.Run(fmt.Sprintf("stream %t", stream), func(t *testing.T) {
 			runner := &Runner{Engine: Engine{Token: time.Hour}}
-			stand := startStand(t, runner)
+			standIn := startStandIn(t, runner)
 			ctx, cancel := context.WithCancel(t.Context())
 			done := make(chan struct{})
 			go func() {
 				defer close(done)
-				res, err := http.DefaultClient.Do(newRequest(ctx, stand, "/v1/completions", completion("p", 5, stream)))
+				res, err := http.DefaultClient.Do(newRequest(ctx, standIn, "/v1/completions", completion("p", 5, stream)))
 				if err == nil {
 					_, _ = io.Copy(io.Discard, res.Body)
 					_ = res.Body.Close()
@@ -257,9 +257,9 @@
 
 func TestService(t *testing.T) {
 	service := &Service{}
-	stand := startStand(t, service)
+	standIn := startStandIn(t, service)
 	for range 2 {
-		r := newRequest(t.Context(), stand, "/orders", "deposit")
+		r := newRequest(t.Context(), standIn, "/orders", "deposit")
 		r.Header.Set("Idempotency-Key", "k")
 		res, err := http.DefaultClient.Do(r)
 		assert.NilError(t, err)
@@ -277,13 +277,13 @@
 func TestCrash(t *testing.T) {
 	service := &Service{}
 	crashed := make(chan int, 1)
-	stand := startStand(t, service)
-	stand.Exit = func(code int) { crashed <- code }
-	stand.SetFaults(Faults{CrashOn: "poison"})
-	res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "fine"))
+	standIn := startStandIn(t, service)
+	standIn.Exit = func(code int) { crashed <- code }
+	standIn.SetFaults(Faults{CrashOn: "poison"})
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), standIn, "/orders", "fine"))
 	assert.NilError(t, err)
 	_ = res.Body.Close()
-	_, err = http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "a poison b"))
+	_, err = http.DefaultClient.Do(newRequest(t.Context(), standIn, "/orders", "a poison b"))
 	assert.Check(t, err != nil)
 	assert.Equal(t, <-crashed, crashExitCode)
 	assert.Equal(t, len(service.Journal.Runs()), 1)
@@ -294,36 +294,36 @@
 // not be sent again.
 func TestLeaveAndLostReply(t *testing.T) {
 	service := &Service{}
-	stand := startStand(t, service)
-	stand.SetFaults(Faults{Leaving: true})
-	res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "x"))
+	standIn := startStandIn(t, service)
+	standIn.SetFaults(Faults{Leaving: true})
+	res, err := http.DefaultClient.Do(newRequest(t.Context(), standIn, "/orders", "x"))
 	assert.NilError(t, err)
 	_ = res.Body.Close()
 	assert.Equal(t, res.StatusCode, http.StatusServiceUnavailable)
 	assert.Equal(t, len(service.Journal.Runs()), 0)
-	stand.SetFaults(Faults{LoseReply: 1})
-	_, err = http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "x"))
+	standIn.SetFaults(Faults{LoseReply: 1})
+	_, err = http.DefaultClient.Do(newRequest(t.Context(), standIn, "/orders", "x"))
 	assert.Check(t, err != nil)
 	assert.Equal(t, len(service.Journal.Runs()), 1)
 }
 
 // A stopped process keeps its connections open and answers once it continues.
 func TestPause(t *testing.T) {
-	stand := startStand(t, &Service{})
-	stand.SetFaults(Faults{Pause: true})
+	standIn := startStandIn(t, &Service{})
+	standIn.SetFaults(Faults{Pause: true})
 	ctx, cancel := context.WithTimeout(t.Context(), shortTimeout)
 	defer cancel()
-	_, err := http.DefaultClient.Do(newRequest(ctx, stand, "/orders", "x"))
+	_, err := http.DefaultClient.Do(newRequest(ctx, standIn, "/orders", "x"))
 	assert.Check(t, err != nil)
 	answered := make(chan error, 1)
 	go func() {
-		res, err := http.DefaultClient.Do(newRequest(t.Context(), stand, "/orders", "y"))
+		res, err := http.DefaultClient.Do(newRequest(t.Context(), standIn, "/orders", "y"))
 		if err == nil {
 			err = res.Body.Close()
 		}
 		answered <- err
 	}()
-	stand.SetFaults(Faults{})
+	standIn.SetFaults(Faults{})
 	assert.NilError(t, <-answered)
 }
 
@@ -331,8 +331,8 @@
 	hosts := &Hosts{}
 	mux := http.NewServeMux()
 	hosts.Register(mux)
-	stand := &StandIn{Program: hosts}
-	mux.HandleFunc("PUT /faults", stand.putFaults)
+	standIn := &StandIn{Program: hosts}
+	mux.HandleFunc("PUT /faults", standIn.putFaults)
 	send := func(method, path, body string) int {
 		w := httptest.NewRecorder()
 		mux.ServeHTTP(w, httptest.NewRequest(method, path, bytes.NewReader([]byte(body))))
@@ -340,7 +340,7 @@
 	}
 	assert.Equal(t, send("PUT", "/faults", `{"slow":"10ms","silent":true}`), http.StatusOK)
 	assert.Equal(t, send("PUT", "/faults", `{"loseReply":2}`), http.StatusOK)
-	assert.Equal(t, stand.Faults(), Faults{Slow: Duration(10 * time.Millisecond), LoseReply: 2})
+	assert.Equal(t, standIn.Faults(), Faults{Slow: Duration(10 * time.Millisecond), LoseReply: 2})
 	assert.Equal(t, send("PUT", "/faults", `{"slwo":"10ms"}`), http.StatusBadRequest)
 
 	assert.Equal(t, send("PUT", "/hosts", `[{"targets":["127.0.0.1:1","127.0.0.1:2"],"labels":{"region":"r"}}]`), http.StatusOK)
