--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -53,7 +53,7 @@
 		b.StopTimer()
 		ticket, _ := k.Mint()
 		b.StartTimer()
-		d, err := k.Begin(b.Context(), newAsk(ticket, "deposit"))
+		d, err := k.Begin(b.Context(), newKeyedCall(ticket, "deposit"))
 		if err != nil || d.Verdict != Run || d.Call.MarkDispatched() != nil {
 			b.Fatal(d.Verdict, err)
 		}
@@ -64,11 +64,11 @@
 func BenchmarkTicketReplay(b *testing.B) {
 	k := startBenchKeeper(b)
 	ticket, _ := k.Mint()
-	d, _ := k.Begin(b.Context(), newAsk(ticket, "deposit"))
+	d, _ := k.Begin(b.Context(), newKeyedCall(ticket, "deposit"))
 	d.Call.Finish(servedAnswer("paid"))
 	b.ReportAllocs()
 	for b.Loop() {
-		if d, _ := k.Begin(b.Context(), newAsk(ticket, "deposit")); d.Verdict != Replay {
+		if d, _ := k.Begin(b.Context(), newKeyedCall(ticket, "deposit")); d.Verdict != Replay {
 			b.Fatal(d.Verdict)
 		}
 	}
@@ -142,7 +142,7 @@
 	var calls sync.WaitGroup
 	r := rand.New(rand.NewSource(1))
 	for i := range l.rate * seconds {
-		a := newAsk(fmt.Sprint("k", i), "x")
+		a := newKeyedCall(fmt.Sprint("k", i), "x")
 		n := testNodes[r.Intn(len(testNodes))]
 		if want := n.Preferred(a); l.preferred {
 			for _, m := range testNodes {
--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -54,10 +54,10 @@
 	case resultFree:
 		return k.notRunDecision()
 	case resultUnread:
-		return k.unreadDecision()
+		return k.unreadableDecision()
 	}
 	it.waiters--
-	return k.unreadDecision()
+	return k.unreadableDecision()
 }
 
 // decideByClaim returns the decision on a key that another claim holds; k.mu is
@@ -96,7 +96,7 @@
 	return Decision{Verdict: NotRun, RetryAfter: k.RetryAfter}
 }
 
-func (k *Keeper) unreadDecision() Decision {
+func (k *Keeper) unreadableDecision() Decision {
 	k.counts.UnreadableClaims++
 	return Decision{Verdict: ClaimsUnreadable, RetryAfter: k.RetryAfter}
 }
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -61,7 +61,7 @@
 	f.stopping, f.b, f.c = startTestNode(f.store, "a", nil), startTestNode(f.store, "b", nil), startTestNode(f.store, "c", nil)
 	f.used, f.unused = mint(t, f.stopping), mint(t, f.stopping)
 	for _, key := range []string{f.used, "k"} {
-		c := mustRun(t, f.stopping, newAsk(key, "deposit"))
+		c := mustRun(t, f.stopping, newKeyedCall(key, "deposit"))
 		assert.NilError(t, c.MarkDispatched())
 		c.Finish(servedAnswer("paid"))
 	}
@@ -104,16 +104,16 @@
 					assert.Assert(t, f.stopping.Handover(context.Background(), tc.first) != nil)
 				}
 				assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
-				assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, tc.atStopping)
-				assert.Equal(t, begin(t, f.b, newAsk(f.used, "deposit")).Verdict, tc.used)
-				assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, tc.unused)
-				assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
+				assert.Equal(t, begin(t, f.stopping, newKeyedCall(f.unused, "deposit")).Verdict, tc.atStopping)
+				assert.Equal(t, begin(t, f.b, newKeyedCall(f.used, "deposit")).Verdict, tc.used)
+				assert.Equal(t, begin(t, f.b, newKeyedCall(f.unused, "deposit")).Verdict, tc.unused)
+				assert.Equal(t, begin(t, f.b, newKeyedCall("k", "deposit")).Verdict, Replay)
 				for _, m := range f.b.Moves() {
 					f.c.AddMove(m)
 				}
 				if tc.first == nil {
-					assert.Equal(t, begin(t, f.c, newAsk(f.unused, "deposit")).Holder, f.b.self())
-					assert.Equal(t, begin(t, f.c, newAsk("k", "deposit")).Holder, f.b.self())
+					assert.Equal(t, begin(t, f.c, newKeyedCall(f.unused, "deposit")).Holder, f.b.self())
+					assert.Equal(t, begin(t, f.c, newKeyedCall("k", "deposit")).Holder, f.b.self())
 				}
 			})
 		})
@@ -129,8 +129,8 @@
 		defer f.end()
 		go func() { _ = f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}) }()
 		synctest.Wait()
-		assert.Equal(t, begin(t, f.stopping, newAsk(f.used, "deposit")).Verdict, Replay)
-		assert.Equal(t, begin(t, f.stopping, newAsk(f.unused, "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, f.stopping, newKeyedCall(f.used, "deposit")).Verdict, Replay)
+		assert.Equal(t, begin(t, f.stopping, newKeyedCall(f.unused, "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -142,8 +142,8 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
-		sent := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall(mint(t, a), "deposit"))
+		sent := mustRun(t, a, newKeyedCall("k", "deposit"))
 		assert.NilError(t, sent.MarkDispatched())
 		assert.ErrorIs(t, a.Handover(context.Background(), &faultySuccessor{to: b}), ErrBusy)
 		a.Close()
@@ -151,8 +151,8 @@
 		assert.Equal(t, a.SettleAll(), 1)
 		assert.ErrorIs(t, c.MarkDispatched(), ErrSettled)
 		assert.NilError(t, a.Handover(context.Background(), &faultySuccessor{to: b}))
-		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, Unknown)
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Unknown)
+		assert.Equal(t, begin(t, b, newKeyedCall("k", "deposit")).Verdict, Unknown)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, Unknown)
 	})
 }
 
@@ -164,11 +164,11 @@
 		defer f.end()
 		lostReply := &faultySuccessor{to: f.b, replyErr: errors.New("no reply")}
 		assert.Assert(t, f.stopping.Handover(context.Background(), lostReply) != nil)
-		c := mustRun(t, f.b, newAsk(f.unused, "deposit"))
+		c := mustRun(t, f.b, newKeyedCall(f.unused, "deposit"))
 		assert.NilError(t, c.MarkDispatched())
 		c.MarkLost()
 		assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
-		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, Unknown)
+		assert.Equal(t, begin(t, f.b, newKeyedCall(f.unused, "deposit")).Verdict, Unknown)
 	})
 }
 
@@ -180,18 +180,18 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		mustRun(t, a, newAsk("warm", "up")).Release()
+		mustRun(t, a, newKeyedCall("warm", "up")).Release()
 		time.Sleep(time.Second)
 		gate := a.link.freeze()
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- begin(t, a, newAsk("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, a, newKeyedCall("k", "deposit")).Verdict }()
 		synctest.Wait()
 		a.Close()
 		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, <-verdict, NotRun)
 		assert.NilError(t, a.Flush(context.Background()))
-		mustRun(t, b, newAsk("k", "deposit"))
+		mustRun(t, b, newKeyedCall("k", "deposit"))
 	})
 }
 
@@ -206,7 +206,7 @@
 			_ = yield(rs[0], nil) && yield(Record{}, errors.New("connection reset"))
 		})
 		assert.ErrorIs(t, err, ErrNotAdopted)
-		assert.Equal(t, begin(t, f.b, newAsk(f.unused, "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, f.b, newKeyedCall(f.unused, "deposit")).Verdict, AskHolder)
 		assert.Equal(t, len(f.b.Moves()), 0)
 	})
 }
@@ -221,13 +221,13 @@
 		defer f.end()
 		gate := f.b.link.freeze()
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- begin(t, f.b, newAsk("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, f.b, newKeyedCall("k", "deposit")).Verdict }()
 		synctest.Wait()
 		assert.NilError(t, f.stopping.Handover(context.Background(), &faultySuccessor{to: f.b}))
 		f.b.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, <-verdict, Replay)
-		assert.Equal(t, begin(t, f.b, newAsk("k", "deposit")).Verdict, Replay)
+		assert.Equal(t, begin(t, f.b, newKeyedCall("k", "deposit")).Verdict, Replay)
 		assert.Equal(t, f.b.Counts().Calls, uint64(0))
 		assert.DeepEqual(t, f.stopping.Moves(), []HolderMove{{Incarnation: "a-1", To: f.b.self()}})
 	})
@@ -243,13 +243,13 @@
 		a, b := startTestNode(s, "a", oneSlot), startTestNode(s, "b", func(n *testNode) { n.SlotsPerRegion, n.GroupWindow = 1, time.Second })
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
 		time.Sleep(time.Second)
 		// The view that b reads here holds the claim. The next group of b comes
 		// after the handover.
-		mustRun(t, b, newAsk("other", "x"))
+		mustRun(t, b, newKeyedCall("other", "x"))
 		verdict := make(chan Verdict, 1)
-		go func() { verdict <- begin(t, b, newAsk("k", "deposit")).Verdict }()
+		go func() { verdict <- begin(t, b, newKeyedCall("k", "deposit")).Verdict }()
 		synctest.Wait()
 		b.mu.Lock()
 		slotB := b.slots[slotPrefix("irbid-a", 0)]
--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -83,7 +83,7 @@
 	for range 30 {
 		in := claimInput{key: fmt.Sprint("k", r.Intn(3)), node: n.Node}
 		from := h.clock.Add(1)
-		d, err := n.Begin(context.Background(), newAsk(in.key, "x"))
+		d, err := n.Begin(context.Background(), newKeyedCall(in.key, "x"))
 		if err != nil {
 			return
 		}
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -255,7 +255,7 @@
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	if !k.running {
-		return nil, k.unreadDecision()
+		return nil, k.unreadableDecision()
 	}
 	now := k.now()
 	c := k.calls[ref]
@@ -272,7 +272,7 @@
 	}
 	s := k.slotForKey(a.Region, ref.key)
 	if s.rejecting(now) {
-		d := k.unreadDecision()
+		d := k.unreadableDecision()
 		d.RetryAfter = max(d.RetryAfter, s.retryAt.Sub(now))
 		return nil, d
 	}
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -47,7 +47,7 @@
 	n.done.Wait()
 }
 
-func newAsk(key, body string) KeyedCall {
+func newKeyedCall(key, body string) KeyedCall {
 	return KeyedCall{Workspace: "hall", Region: "irbid-a", Key: key, Body: sha256.Sum256([]byte(body))}
 }
 
@@ -75,16 +75,16 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Call, c)
-		assert.Equal(t, begin(t, a, newAsk("k", "other")).Verdict, Mismatch)
-		assert.Equal(t, begin(t, b, newAsk("k", "other")).Verdict, Mismatch)
-		d := begin(t, b, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Call, c)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "other")).Verdict, Mismatch)
+		assert.Equal(t, begin(t, b, newKeyedCall("k", "other")).Verdict, Mismatch)
+		d := begin(t, b, newKeyedCall("k", "deposit"))
 		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
 		assert.NilError(t, c.MarkDispatched())
 		c.Finish(servedAnswer("paid"))
-		d = begin(t, a, newAsk("k", "deposit"))
+		d = begin(t, a, newKeyedCall("k", "deposit"))
 		assert.Equal(t, d.Verdict, Replay)
 		assert.DeepEqual(t, d.Answer, servedAnswer("paid"))
 	})
@@ -96,11 +96,11 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
 		c.Release()
 		time.Sleep(time.Second)
-		mustRun(t, b, newAsk("k", "deposit"))
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
+		mustRun(t, b, newKeyedCall("k", "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 		assert.ErrorIs(t, c.MarkDispatched(), ErrSettled)
 	})
 }
@@ -113,13 +113,13 @@
 		defer b.crash()
 		ticket, err := a.Mint()
 		assert.NilError(t, err)
-		d := begin(t, b, newAsk(ticket, "deposit"))
+		d := begin(t, b, newKeyedCall(ticket, "deposit"))
 		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
-		c := mustRun(t, a, newAsk(ticket, "deposit"))
-		assert.Equal(t, begin(t, a, newAsk(ticket, "deposit")).Verdict, Join)
+		c := mustRun(t, a, newKeyedCall(ticket, "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall(ticket, "deposit")).Verdict, Join)
 		c.Finish(servedAnswer("paid"))
-		assert.Equal(t, begin(t, a, newAsk(ticket, "deposit")).Verdict, Replay)
+		assert.Equal(t, begin(t, a, newKeyedCall(ticket, "deposit")).Verdict, Replay)
 		assert.Equal(t, s.writes, 0)
 	})
 }
@@ -140,11 +140,11 @@
 			"not handed out": signTicket(a.ticketSecret, Ticket{Holder: a.self(), Serial: 2}),
 			"no serial":      signTicket(a.ticketSecret, Ticket{Holder: a.self()}),
 		} {
-			assert.Equal(t, begin(t, a, newAsk(forged, "deposit")).Verdict, Refused, name)
+			assert.Equal(t, begin(t, a, newKeyedCall(forged, "deposit")).Verdict, Refused, name)
 		}
-		other := newAsk(ticket, "deposit")
+		other := newKeyedCall(ticket, "deposit")
 		other.Workspace = "other"
-		mustRun(t, a, newAsk(ticket, "deposit")).Finish(servedAnswer("paid"))
+		mustRun(t, a, newKeyedCall(ticket, "deposit")).Finish(servedAnswer("paid"))
 		assert.Equal(t, begin(t, a, other).Verdict, Mismatch)
 	})
 }
@@ -191,10 +191,10 @@
 // must not run, and must not be answered as not run.
 func TestBeforeRun(t *testing.T) {
 	k := &Keeper{Store: &storeLink{store: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
-	d, err := k.Begin(t.Context(), newAsk("k", "deposit"))
+	d, err := k.Begin(t.Context(), newKeyedCall("k", "deposit"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Verdict, ClaimsUnreadable)
-	d, err = k.Begin(t.Context(), newAsk(signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: 1}), "deposit"))
+	d, err = k.Begin(t.Context(), newKeyedCall(signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: 1}), "deposit"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Verdict, Unknown)
 	_, err = k.Mint()
--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -30,24 +30,24 @@
 				defer a.crash()
 				defer b.crash()
 				a.link.set(fault)
-				c := mustRun(t, a, newAsk("k", "deposit"))
-				assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, AskHolder)
+				c := mustRun(t, a, newKeyedCall("k", "deposit"))
+				assert.Equal(t, begin(t, b, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 				c.Release()
 				time.Sleep(10 * time.Second)
-				c = mustRun(t, b, newAsk("k", "deposit"))
+				c = mustRun(t, b, newKeyedCall("k", "deposit"))
 				c.Release()
 				time.Sleep(10 * time.Second)
 
-				mustRun(t, a, newAsk("warm", "up")).Release()
+				mustRun(t, a, newKeyedCall("warm", "up")).Release()
 				time.Sleep(time.Second)
 				a.link.set(fault)
 				ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 				defer cancel()
-				d, err := a.Begin(ctx, newAsk("gone", "deposit"))
+				d, err := a.Begin(ctx, newKeyedCall("gone", "deposit"))
 				assert.NilError(t, err)
 				assert.Equal(t, d.Verdict, ClaimsUnreadable)
 				time.Sleep(10 * time.Second)
-				mustRun(t, b, newAsk("gone", "deposit"))
+				mustRun(t, b, newKeyedCall("gone", "deposit"))
 			})
 		})
 	}
@@ -64,20 +64,20 @@
 		a.link.set(func(l *storeLink) { l.down = true })
 		begun := time.Now()
 		for range 50 {
-			d := begin(t, a, newAsk("k", "deposit"))
+			d := begin(t, a, newKeyedCall("k", "deposit"))
 			assert.Equal(t, d.Verdict, ClaimsUnreadable)
 			assert.Assert(t, d.RetryAfter > 0)
 		}
 		assert.Assert(t, time.Since(begun) < 500*time.Millisecond, "%v", time.Since(begun))
-		c := mustRun(t, a, newAsk(mint(t, a), "deposit"))
+		c := mustRun(t, a, newKeyedCall(mint(t, a), "deposit"))
 		c.Finish(servedAnswer("paid"))
 		a.link.set(func(l *storeLink) { l.down = false })
 		time.Sleep(5 * time.Second)
-		mustRun(t, a, newAsk("k", "deposit"))
+		mustRun(t, a, newKeyedCall("k", "deposit"))
 
 		gate := a.link.freeze()
 		begun = time.Now()
-		assert.Equal(t, begin(t, a, newAsk("slow", "deposit")).Verdict, ClaimsUnreadable)
+		assert.Equal(t, begin(t, a, newKeyedCall("slow", "deposit")).Verdict, ClaimsUnreadable)
 		assert.Equal(t, time.Since(begun), a.ClaimTimeout)
 		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
@@ -98,30 +98,30 @@
 		a.ClaimTimeout = 2 * time.Hour
 		defer a.crash()
 		defer b.crash()
-		mustRun(t, b, newAsk("warm", "up"))
-		assert.Equal(t, begin(t, a, newAsk("warm", "up")).Verdict, AskHolder)
+		mustRun(t, b, newKeyedCall("warm", "up"))
+		assert.Equal(t, begin(t, a, newKeyedCall("warm", "up")).Verdict, AskHolder)
 		gate := a.link.freeze()
 		got := make(chan Decision, 1)
 		go func() {
-			long := newAsk("k", "deposit")
+			long := newKeyedCall("k", "deposit")
 			long.KeyMemory = 5 * time.Hour
 			d, _ := a.Begin(context.Background(), long)
 			got <- d
 		}()
 		synctest.Wait()
 		for i := range 30 {
-			mustRun(t, b, newAsk(fmt.Sprint("k", i), "x"))
+			mustRun(t, b, newKeyedCall(fmt.Sprint("k", i), "x"))
 			time.Sleep(time.Minute)
 		}
-		mustRun(t, b, newAsk("k", "deposit"))
+		mustRun(t, b, newKeyedCall("k", "deposit"))
 		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Assert(t, (<-got).Verdict != Run)
 		time.Sleep(10 * time.Second)
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 		c := startTestNode(s, "c", smallSlot)
 		defer c.crash()
-		assert.Equal(t, begin(t, c, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, c, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -133,13 +133,13 @@
 		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows, n.KeyMemory = 1, 2, time.Minute })
 		defer a.crash()
 		for i := range 40 {
-			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
+			mustRun(t, a, newKeyedCall(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
 			time.Sleep(time.Second)
 		}
 		assert.Assert(t, len(s.list(slotsPrefix)) >= 20)
 		time.Sleep(time.Hour)
 		assert.Assert(t, len(s.list(slotsPrefix)) <= 2)
-		mustRun(t, a, newAsk("k0", "x"))
+		mustRun(t, a, newKeyedCall("k0", "x"))
 	})
 }
 
@@ -161,7 +161,7 @@
 				defer a.crash()
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 1), []byte(value), 0)
 				s.swap(segmentKey(slotPrefix("irbid-a", 0), 3), []byte(later), 0)
-				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, ClaimsUnreadable)
+				assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, ClaimsUnreadable)
 			})
 		})
 	}
@@ -177,13 +177,13 @@
 		defer b.crash()
 		first := []string{"k", mint(t, a)}
 		for _, key := range append(first, "k2", "k3", "k4") {
-			c := mustRun(t, a, newAsk(key, "deposit"))
+			c := mustRun(t, a, newKeyedCall(key, "deposit"))
 			assert.NilError(t, c.MarkDispatched())
 			c.Finish(servedAnswer("paid"))
 		}
 		for _, key := range first {
-			assert.Equal(t, begin(t, a, newAsk(key, "deposit")).Verdict, Unknown)
-			assert.Equal(t, begin(t, b, newAsk(key, "deposit")).Verdict, AskHolder)
+			assert.Equal(t, begin(t, a, newKeyedCall(key, "deposit")).Verdict, Unknown)
+			assert.Equal(t, begin(t, b, newKeyedCall(key, "deposit")).Verdict, AskHolder)
 		}
 		assert.Assert(t, a.Counts().AnswerBytes <= 2*callOverhead)
 	})
@@ -199,9 +199,9 @@
 		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
 		time.Sleep(time.Hour)
-		mustRun(t, b, newAsk("k", "deposit"))
+		mustRun(t, b, newKeyedCall("k", "deposit"))
 		assert.ErrorIs(t, c.MarkDispatched(), ErrStale)
 	})
 }
@@ -215,12 +215,12 @@
 		a, b := startTestNode(s, "a", shortMemory), startTestNode(s, "b", shortMemory)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
 		time.Sleep(2 * time.Minute)
-		mustRun(t, b, newAsk("k", "deposit"))
+		mustRun(t, b, newKeyedCall("k", "deposit"))
 		c.Release()
 		time.Sleep(time.Second)
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 
 		// The same holds for a release that a successor writes for a process
 		// that is gone.
@@ -232,7 +232,7 @@
 		})
 		assert.NilError(t, err)
 		time.Sleep(time.Second)
-		assert.Equal(t, begin(t, successor, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, successor, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 	})
 }
 
@@ -244,11 +244,11 @@
 		a := startTestNode(s, "a", func(n *testNode) { n.SlotsPerRegion, n.MaxSegmentRows = 1, 2 })
 		defer a.crash()
 		for i := range 5 {
-			mustRun(t, a, newAsk(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
+			mustRun(t, a, newKeyedCall(fmt.Sprint("k", i), "x")).Finish(servedAnswer("paid"))
 			time.Sleep(20 * time.Minute)
 		}
 		assert.Equal(t, s.lists, 1)
-		assert.Equal(t, begin(t, a, newAsk("k4", "x")).Verdict, Replay)
+		assert.Equal(t, begin(t, a, newKeyedCall("k4", "x")).Verdict, Replay)
 	})
 }
 
@@ -268,20 +268,20 @@
 				a, b := startTestNode(s, "a", func(n *testNode) { smallSlot(n); n.SweepInterval = 100 * time.Hour }), startTestNode(s, "b", smallSlot)
 				defer a.crash()
 				defer b.crash()
-				mustRun(t, a, newAsk("warm", "up"))
+				mustRun(t, a, newKeyedCall("warm", "up"))
 				at := a.slots[slotPrefix("irbid-a", 0)].view.lastNumber()
 				for i := range 30 {
-					mustRun(t, b, newAsk(fmt.Sprint("k", i), "x"))
+					mustRun(t, b, newKeyedCall(fmt.Sprint("k", i), "x"))
 					time.Sleep(time.Minute)
 				}
-				mustRun(t, b, newAsk("k", "deposit"))
+				mustRun(t, b, newKeyedCall("k", "deposit"))
 				stray := document{Until: time.Now().Unix() - 1000}
 				stray.Rows = []row{{ID: claimID{9}, Key: keyHash{9}, Holder: stray.holderIndex(Holder{Node: "z"}), Until: stray.Until}}
 				value, err := encodeDocument(stray)
 				assert.NilError(t, err)
 				_, swapped := s.swap(segmentKey(slotPrefix("irbid-a", 0), at), value, 0)
 				assert.Assert(t, swapped)
-				assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, AskHolder)
+				assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 			})
 		})
 	}
@@ -297,19 +297,19 @@
 		a, b := startTestNode(s, "a", oneSlot), startTestNode(s, "b", oneSlot)
 		defer a.crash()
 		defer b.crash()
-		mustRun(t, a, newAsk("warm", "up")).Finish(servedAnswer("paid"))
+		mustRun(t, a, newKeyedCall("warm", "up")).Finish(servedAnswer("paid"))
 		gate := a.link.freeze()
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, ClaimsUnreadable)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, ClaimsUnreadable)
 		time.Sleep(59 * time.Minute)
 		got := make(chan Decision, 1)
-		go func() { got <- begin(t, a, newAsk("k", "deposit")) }()
+		go func() { got <- begin(t, a, newKeyedCall("k", "deposit")) }()
 		synctest.Wait()
 		a.link.set(func(l *storeLink) { l.gates = nil })
 		close(gate)
 		assert.Equal(t, (<-got).Verdict, NotRun)
 		time.Sleep(time.Second)
-		mustRun(t, a, newAsk("k", "deposit")).Finish(servedAnswer("paid"))
+		mustRun(t, a, newKeyedCall("k", "deposit")).Finish(servedAnswer("paid"))
 		time.Sleep(59 * time.Minute)
-		assert.Equal(t, begin(t, b, newAsk("k", "deposit")).Verdict, AskHolder)
+		assert.Equal(t, begin(t, b, newKeyedCall("k", "deposit")).Verdict, AskHolder)
 	})
 }
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -166,7 +166,7 @@
 // checks the decision that the caller gets.
 func (sim *simulation) beginAtHolder(ctx context.Context, n *simNode, key, body string, begunAt time.Time, ranBefore []runRecord) {
 	for range 3 {
-		d, err := n.Begin(ctx, newAsk(key, body))
+		d, err := n.Begin(ctx, newKeyedCall(key, body))
 		if err != nil {
 			sim.failf("begin: %v", err)
 			return
@@ -493,7 +493,7 @@
 		if n.closed {
 			continue
 		}
-		d, err := n.Begin(context.Background(), newAsk(fmt.Sprintf("fresh%d", i), "x"))
+		d, err := n.Begin(context.Background(), newKeyedCall(fmt.Sprintf("fresh%d", i), "x"))
 		if err != nil || d.Verdict != Run {
 			sim.failf("%s does not take a new key after the faults are removed: %v %v", n.Incarnation, d.Verdict, err)
 			continue
--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -30,8 +30,8 @@
 // slowFactor is the factor on the times of the runner under SlowRunner.
 const slowFactor = 5
 
-// poorWeather is the condition of the links under PoorLinks.
-var poorWeather = jwstand.Conditions{
+// poorConditions is the condition of the links under PoorLinks.
+var poorConditions = jwstand.Conditions{
 	Delay:  jwstand.Duration(80 * time.Millisecond),
 	Jitter: jwstand.Duration(60 * time.Millisecond),
 	Loss:   0.02,
@@ -64,7 +64,7 @@
 		return err
 	case PoorLinks:
 		for _, l := range f.regionLinks {
-			l.SetConditions(poorWeather)
+			l.SetConditions(poorConditions)
 		}
 	case SlowRunner:
 		f.runners[region][0].Engine.SetTimeFactor(slowFactor)
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -118,7 +118,7 @@
 			}
 			a, err := pool.Forward(t.Context(), to, r, jwdispatch.ForwardRegion)
 			if test.want.atCall != "" {
-				assertFate(t, err, test.want.atCall)
+				assertFailureKind(t, err, test.want.atCall)
 				return
 			}
 			assert.NilError(t, err)
@@ -130,12 +130,12 @@
 				assert.NilError(t, err)
 				return
 			}
-			assertFate(t, err, test.want.atEnd)
+			assertFailureKind(t, err, test.want.atEnd)
 		})
 	}
 }
 
-func assertFate(t *testing.T, err error, want jwdispatch.FailureKind) {
+func assertFailureKind(t *testing.T, err error, want jwdispatch.FailureKind) {
 	t.Helper()
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
@@ -150,5 +150,5 @@
 	pool := &Pool{}
 	defer pool.Close()
 	_, err := pool.Forward(t.Context(), to, testRequest(), jwdispatch.ForwardRegion)
-	assertFate(t, err, jwdispatch.Unsent)
+	assertFailureKind(t, err, jwdispatch.Unsent)
 }
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -97,7 +97,7 @@
 			in.ProgressTimeout = test.progress
 			a, err := c.Call(t.Context(), address(t, s), in)
 			if test.atCall != "" {
-				assertFate(t, err, test.atCall)
+				assertFailureKind(t, err, test.atCall)
 				return
 			}
 			assert.NilError(t, err)
@@ -107,12 +107,12 @@
 				assert.NilError(t, err)
 				return
 			}
-			assertFate(t, err, test.atEnd)
+			assertFailureKind(t, err, test.atEnd)
 		})
 	}
 }
 
-func assertFate(t *testing.T, err error, want jwdispatch.FailureKind) {
+func assertFailureKind(t *testing.T, err error, want jwdispatch.FailureKind) {
 	t.Helper()
 	var failed *jwdispatch.CallError
 	assert.Assert(t, errors.As(err, &failed), "%v", err)
@@ -127,7 +127,7 @@
 	addr := l.Addr().(*net.TCPAddr).AddrPort()
 	assert.NilError(t, l.Close())
 	_, err = (&Client{}).Call(t.Context(), addr, call("hello"))
-	assertFate(t, err, jwdispatch.Unsent)
+	assertFailureKind(t, err, jwdispatch.Unsent)
 }
 
 // A target accepts a confirmation on a reused connection, and its process dies
@@ -163,7 +163,7 @@
 				runs.Store(0)
 				order.Idempotent = idempotent
 				_, err = c.Call(t.Context(), address(t, s), order)
-				assertFate(t, err, jwdispatch.BrokenOff)
+				assertFailureKind(t, err, jwdispatch.BrokenOff)
 				assert.Equal(t, runs.Load(), int32(1))
 			}
 		})
