--- a/core/jwstore/memoryfeed.go
+++ b/core/jwstore/memoryfeed.go
@@ -50,20 +50,20 @@
 	m.notify()
 }
 
-// Snapshot is a snapshot of the contents of a MemoryFeed.
+// Snapshot holds the contents of a MemoryFeed at one time.
 type Snapshot struct {
 	revision Revision
 	items    map[string]memoryItem
 }
 
-// Snapshot returns a snapshot of the current contents.
+// Snapshot returns the current contents.
 func (m *MemoryFeed) Snapshot() Snapshot {
 	m.mu.Lock()
 	defer m.mu.Unlock()
 	return Snapshot{m.revision, maps.Clone(m.items)}
 }
 
-// Restore restores the store from a copy: all later changes and all leases with their keys
+// Restore restores the store from a snapshot: all later changes and all leases with their keys
 // are lost, and revision numbers are assigned again in the next era.
 func (m *MemoryFeed) Restore(c Snapshot) {
 	m.mu.Lock()
--- a/io/jwlogtrace/timeline.go
+++ b/io/jwlogtrace/timeline.go
@@ -33,7 +33,7 @@
 	first, last := l.span()
 	d := &Timeline{Start: first.Truncate(time.Second)}
 	n := int(min(last.Sub(d.Start), maxPeriod)/time.Second) + 1
-	outcomes, refusals := map[string][]float64{}, map[string][]float64{}
+	outcomes, rejections := map[string][]float64{}, map[string][]float64{}
 	d.StoreLostSeconds = Series{"longest", make([]float64, n)}
 	for _, name := range slices.Sorted(maps.Keys(l.Nodes)) {
 		events := l.Nodes[name]
@@ -42,7 +42,7 @@
 			if outcome, reason := e.ending(); outcome != "" {
 				d.count(outcomes, outcome, e.Time, n)
 				if reason != "" {
-					d.count(refusals, reason, e.Time, n)
+					d.count(rejections, reason, e.Time, n)
 				}
 			}
 		}
@@ -55,7 +55,7 @@
 			d.StoreLostSeconds.Counts[i] = max(d.StoreLostSeconds.Counts[i], age)
 		}
 	}
-	d.Outcomes, d.Rejections = seriesOf(outcomes), seriesOf(refusals)
+	d.Outcomes, d.Rejections = seriesOf(outcomes), seriesOf(rejections)
 	return d
 }
 
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -91,7 +91,7 @@
 	return encodeChanges(changes, cp)
 }
 
-// EndSponsorship stops confirming revisions for a node that AdoptRecords was called
+// EndSponsorship stops confirming revisions for a node that StartSponsorship was called
 // for.
 func (s *sponsorServer) EndSponsorship(node, region, incarnation string) {
 	s.sponsoredNodes.Release(jwcatalogue.Member{Name: node, Region: region, Incarnation: incarnation})
--- a/io/jwstand/stand_test.go
+++ b/io/jwstand/stand_test.go
@@ -292,7 +292,7 @@
 // A target that is leaving rejects a call without running it, so the call may
 // be sent elsewhere. A target that loses its reply has run the call, so it must
 // not be sent again.
-func TestLeaveAndLostReply(t *testing.T) {
+func TestLeavingAndLostReply(t *testing.T) {
 	service := &Service{}
 	standIn := startStandIn(t, service)
 	standIn.SetFaults(Faults{Leaving: true})
