--- a/core/jwclaim/history_test.go
+++ b/core/jwclaim/history_test.go
@@ -49,12 +49,12 @@
 		case NotRun:
 			// The call may be released here while other nodes still read its claim.
 			return holder == "" || holder == in.node, holder
-		case Unread:
+		case ClaimsUnreadable:
 			// No caller of this test gives up waiting, so its claim was never sent.
 			return true, holder
 		case Join:
 			return holder == in.node, holder
-		case Elsewhere:
+		case AskHolder:
 			return holder != "" && holder != in.node, holder
 		}
 		return false, holder
@@ -83,7 +83,7 @@
 	for range 30 {
 		in := claimInput{key: fmt.Sprint("k", r.Intn(3)), node: n.Node}
 		from := h.clock.Add(1)
-		d, err := n.Begin(context.Background(), newAsk(in.key, "x"))
+		d, err := n.Begin(context.Background(), newKeyedCall(in.key, "x"))
 		if err != nil {
 			return
 		}
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -47,18 +47,18 @@
 	n.done.Wait()
 }
 
-func newAsk(key, body string) Ask {
-	return Ask{Workspace: "hall", Region: "irbid-a", Key: key, Body: sha256.Sum256([]byte(body))}
+func newKeyedCall(key, body string) KeyedCall {
+	return KeyedCall{Workspace: "hall", Region: "irbid-a", Key: key, Body: sha256.Sum256([]byte(body))}
 }
 
-func begin(t *testing.T, n *testNode, a Ask) Decision {
+func begin(t *testing.T, n *testNode, a KeyedCall) Decision {
 	t.Helper()
 	d, err := n.Begin(context.Background(), a)
 	assert.NilError(t, err)
 	return d
 }
 
-func mustRun(t *testing.T, n *testNode, a Ask) *Call {
+func mustRun(t *testing.T, n *testNode, a KeyedCall) *Call {
 	t.Helper()
 	d := begin(t, n, a)
 	assert.Equal(t, d.Verdict, Run)
@@ -75,16 +75,16 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Call, c)
-		assert.Equal(t, begin(t, a, newAsk("k", "other")).Verdict, Mismatch)
-		assert.Equal(t, begin(t, b, newAsk("k", "other")).Verdict, Mismatch)
-		d := begin(t, b, newAsk("k", "deposit"))
-		assert.Equal(t, d.Verdict, Elsewhere)
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Call, c)
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "other")).Verdict, Mismatch)
+		assert.Equal(t, begin(t, b, newKeyedCall("k", "other")).Verdict, Mismatch)
+		d := begin(t, b, newKeyedCall("k", "deposit"))
+		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
-		assert.NilError(t, c.Dispatched())
+		assert.NilError(t, c.MarkDispatched())
 		c.Finish(servedAnswer("paid"))
-		d = begin(t, a, newAsk("k", "deposit"))
+		d = begin(t, a, newKeyedCall("k", "deposit"))
 		assert.Equal(t, d.Verdict, Replay)
 		assert.DeepEqual(t, d.Answer, servedAnswer("paid"))
 	})
@@ -96,12 +96,12 @@
 		a, b := startTestNode(s, "a", nil), startTestNode(s, "b", nil)
 		defer a.crash()
 		defer b.crash()
-		c := mustRun(t, a, newAsk("k", "deposit"))
+		c := mustRun(t, a, newKeyedCall("k", "deposit"))
 		c.Release()
 		time.Sleep(time.Second)
-		mustRun(t, b, newAsk("k", "deposit"))
-		assert.Equal(t, begin(t, a, newAsk("k", "deposit")).Verdict, Elsewhere)
-		assert.ErrorIs(t, c.Dispatched(), ErrSettled)
+		mustRun(t, b, newKeyedCall("k", "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall("k", "deposit")).Verdict, AskHolder)
+		assert.ErrorIs(t, c.MarkDispatched(), ErrSettled)
 	})
 }
 
@@ -113,13 +113,13 @@
 		defer b.crash()
 		ticket, err := a.Mint()
 		assert.NilError(t, err)
-		d := begin(t, b, newAsk(ticket, "deposit"))
-		assert.Equal(t, d.Verdict, Elsewhere)
+		d := begin(t, b, newKeyedCall(ticket, "deposit"))
+		assert.Equal(t, d.Verdict, AskHolder)
 		assert.Equal(t, d.Holder, a.self())
-		c := mustRun(t, a, newAsk(ticket, "deposit"))
-		assert.Equal(t, begin(t, a, newAsk(ticket, "deposit")).Verdict, Join)
+		c := mustRun(t, a, newKeyedCall(ticket, "deposit"))
+		assert.Equal(t, begin(t, a, newKeyedCall(ticket, "deposit")).Verdict, Join)
 		c.Finish(servedAnswer("paid"))
-		assert.Equal(t, begin(t, a, newAsk(ticket, "deposit")).Verdict, Replay)
+		assert.Equal(t, begin(t, a, newKeyedCall(ticket, "deposit")).Verdict, Replay)
 		assert.Equal(t, s.writes, 0)
 	})
 }
@@ -140,30 +140,30 @@
 			"not handed out": signTicket(a.ticketSecret, Ticket{Holder: a.self(), Serial: 2}),
 			"no serial":      signTicket(a.ticketSecret, Ticket{Holder: a.self()}),
 		} {
-			assert.Equal(t, begin(t, a, newAsk(forged, "deposit")).Verdict, Refused, name)
+			assert.Equal(t, begin(t, a, newKeyedCall(forged, "deposit")).Verdict, Refused, name)
 		}
-		other := newAsk(ticket, "deposit")
+		other := newKeyedCall(ticket, "deposit")
 		other.Workspace = "other"
-		mustRun(t, a, newAsk(ticket, "deposit")).Finish(servedAnswer("paid"))
+		mustRun(t, a, newKeyedCall(ticket, "deposit")).Finish(servedAnswer("paid"))
 		assert.Equal(t, begin(t, a, other).Verdict, Mismatch)
 	})
 }
 
-// An invalid Ask is rejected with the matching error before anything is
+// An invalid KeyedCall is rejected with the matching error before anything is
 // written.
-func TestAskErrors(t *testing.T) {
+func TestKeyedCallErrors(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		a := startTestNode(newFakeStore(), "a", nil)
 		defer a.crash()
 		for name, tc := range map[string]struct {
-			ask Ask
-			err error
+			keyedCall KeyedCall
+			err       error
 		}{
-			"no key":    {Ask{Region: "irbid-a"}, ErrKey},
-			"long key":  {Ask{Region: "irbid-a", Key: strings.Repeat("k", maxKeyLength+1)}, ErrKey},
-			"no region": {Ask{Key: "k"}, ErrRegion},
+			"no key":    {KeyedCall{Region: "irbid-a"}, ErrKey},
+			"long key":  {KeyedCall{Region: "irbid-a", Key: strings.Repeat("k", maxKeyLength+1)}, ErrKey},
+			"no region": {KeyedCall{Key: "k"}, ErrRegion},
 		} {
-			_, err := a.Begin(t.Context(), tc.ask)
+			_, err := a.Begin(t.Context(), tc.keyedCall)
 			assert.ErrorIs(t, err, tc.err, name)
 		}
 	})
@@ -191,10 +191,10 @@
 // must not run, and must not be answered as not run.
 func TestBeforeRun(t *testing.T) {
 	k := &Keeper{Store: &storeLink{store: newFakeStore()}, Node: "a", Region: "irbid-a", Incarnation: "a-1", Salt: []byte("salt")}
-	d, err := k.Begin(t.Context(), newAsk("k", "deposit"))
+	d, err := k.Begin(t.Context(), newKeyedCall("k", "deposit"))
 	assert.NilError(t, err)
-	assert.Equal(t, d.Verdict, Unread)
-	d, err = k.Begin(t.Context(), newAsk(signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: 1}), "deposit"))
+	assert.Equal(t, d.Verdict, ClaimsUnreadable)
+	d, err = k.Begin(t.Context(), newKeyedCall(signTicket(k.ticketSecret, Ticket{Holder: k.self(), Serial: 1}), "deposit"))
 	assert.NilError(t, err)
 	assert.Equal(t, d.Verdict, Unknown)
 	_, err = k.Mint()
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -122,7 +122,7 @@
 		nd.MaxSegmentRows = 4
 		nd.GroupWindow = 50 * time.Millisecond
 		nd.MaxAnswerBytes = sim.answerBytes
-		nd.Memory = simKeyMemory
+		nd.KeyMemory = simKeyMemory
 		nd.MaxClockSkew = simClockSkew
 		nd.Peers = sim
 		nd.Now = func() time.Time { return time.Now().Add(skew) }
@@ -166,12 +166,12 @@
 // checks the decision that the caller gets.
 func (sim *simulation) beginAtHolder(ctx context.Context, n *simNode, key, body string, begunAt time.Time, ranBefore []runRecord) {
 	for range 3 {
-		d, err := n.Begin(ctx, newAsk(key, body))
+		d, err := n.Begin(ctx, newKeyedCall(key, body))
 		if err != nil {
 			sim.failf("begin: %v", err)
 			return
 		}
-		if d.Verdict != Elsewhere {
+		if d.Verdict != AskHolder {
 			sim.checkDecision(n, d, key, body, begunAt, ranBefore)
 			return
 		}
@@ -198,7 +198,7 @@
 	sim.mu.Lock()
 	defer sim.mu.Unlock()
 	sim.verdicts[d.Verdict]++
-	if sim.noFaults && (d.Verdict == Unknown || d.Verdict == Unread) {
+	if sim.noFaults && (d.Verdict == Unknown || d.Verdict == ClaimsUnreadable) {
 		sim.fail("%s: %s without any fault, holder %s", key, d.Verdict, d.Holder.Incarnation)
 	}
 	switch d.Verdict {
@@ -257,7 +257,7 @@
 }
 
 func (sim *simulation) dispatchCall(c *grantedCall) {
-	if err := c.call.Dispatched(); err != nil {
+	if err := c.call.MarkDispatched(); err != nil {
 		sim.remove(c)
 		return
 	}
@@ -431,7 +431,7 @@
 	for _, a := range sim.nodes {
 		for _, b := range sim.nodes {
 			for _, m := range a.Moves() {
-				b.Learn(m)
+				b.AddMove(m)
 			}
 		}
 	}
@@ -493,7 +493,7 @@
 		if n.closed {
 			continue
 		}
-		d, err := n.Begin(context.Background(), newAsk(fmt.Sprintf("fresh%d", i), "x"))
+		d, err := n.Begin(context.Background(), newKeyedCall(fmt.Sprintf("fresh%d", i), "x"))
 		if err != nil || d.Verdict != Run {
 			sim.failf("%s does not take a new key after the faults are removed: %v %v", n.Incarnation, d.Verdict, err)
 			continue
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -23,9 +23,9 @@
 // Ledger holds a node's units of all quotas. Set its fields before use. Its mutex is
 // held while Quota is called; no other lock is acquired while it is held.
 type Ledger struct {
-	Quota  func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
-	Bounds func() Bounds
-	Lacks  func() // called when a request here or at a child waits for units, so that they are claimed at once; may be nil
+	Quota      func(workspace string) jwworkspace.Quota // returns the quota in the configuration in force
+	Bounds     func() Bounds
+	OnShortage func() // called when a request here or at a child waits for units, so that they are claimed at once; may be nil
 
 	mu           sync.Mutex
 	topology     Topology
@@ -35,12 +35,12 @@
 
 // Topology is a node's position among the nodes that share the quotas.
 type Topology struct {
-	FleetSize int                         // maximum number of nodes that may be running
-	Counted   bool                        // the other nodes include this one in their fleet size
-	Fresh     bool                        // no earlier process of the node started within a window before this one
-	LiveNodes int                         // live nodes
-	GroupSize int                         // live nodes of its data centre, which claim through it; 0 if it is no relay
-	IsRoot    func(workspace string) bool // whether the node gathers a workspace's units; nil if it gathers none
+	FleetSize           int                         // maximum number of nodes that may be running
+	Counted             bool                        // the other nodes include this one in their fleet size
+	NoRecentPredecessor bool                        // no earlier process of the node started within a window before this one
+	LiveNodes           int                         // live nodes
+	GroupSize           int                         // live nodes of its data centre, which claim through it; 0 if it is no relay
+	IsRoot              func(workspace string) bool // whether the node gathers a workspace's units; nil if it gathers none
 }
 
 // Waiter is a request that waits for units.
@@ -115,9 +115,9 @@
 	return d
 }
 
-// Leave ends the wait of a request. The outcome is Taken if the request has received its
+// CancelWait ends the wait of a request. The outcome is Taken if the request has received its
 // units by now, and otherwise Refused with a Retry-After.
-func (l *Ledger) Leave(now time.Time, w *Waiter) Decision {
+func (l *Ledger) CancelWait(now time.Time, w *Waiter) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if w.granted {
@@ -129,8 +129,8 @@
 	return Decision{Outcome: Refused, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
 }
 
-// Return gives back the units of a request that no target has run or will run.
-func (l *Ledger) Return(now time.Time, workspace string, cost float64) {
+// Refund gives back the units of a request that no target has run or will run.
+func (l *Ledger) Refund(now time.Time, workspace string, cost float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	a, q := l.account(now, workspace)
@@ -177,7 +177,7 @@
 			// This node has spent nothing of the workspace's quota since: accounts are
 			// removed only after idleTTL without requests.
 			a.refilledAt = latest(l.countedSince, now.Add(-idleTTL))
-			if l.topology.Fresh && now.Sub(l.countedSince) < idleTTL {
+			if l.topology.NoRecentPredecessor && now.Sub(l.countedSince) < idleTTL {
 				q, b := l.Quota(workspace), l.Bounds()
 				a.level = initialShare * b.maxUnspent(q) / float64(max(l.topology.FleetSize, 1))
 			}
@@ -194,8 +194,8 @@
 }
 
 func (l *Ledger) notifyShortage() {
-	if l.Lacks != nil {
-		l.Lacks()
+	if l.OnShortage != nil {
+		l.OnShortage()
 	}
 }
 
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -34,16 +34,16 @@
 			Regions: rapid.SliceOf(rapid.SampledFrom([]string{"a", "b", "c", "*"})).Draw(t, "allowed"),
 			Weights: jwcatalogue.Weights{
 				Cost:     rapid.Float64Range(0, 10).Draw(t, "cost"),
-				Tail:     rapid.Float64Range(0, 10).Draw(t, "tail"),
+				Wait:     rapid.Float64Range(0, 10).Draw(t, "tail"),
 				SentAway: rapid.Float64Range(0, 10).Draw(t, "sentAway"),
 			},
 		}
 		q := &Query{
-			Entry: entry,
-			Home:  rapid.SampledFrom(regions).Draw(t, "home"),
-			Bound: rapid.Bool().Draw(t, "bound"),
-			Work:  time.Second,
-			Now:   start,
+			Entry:    entry,
+			Home:     rapid.SampledFrom(regions).Draw(t, "home"),
+			Bound:    rapid.Bool().Draw(t, "bound"),
+			CallTime: time.Second,
+			Now:      start,
 		}
 		at := rapid.SampledFrom(regions).Draw(t, "entryRegion")
 		path := []string{at}
--- a/io/jwconsul/scale_test.go
+++ b/io/jwconsul/scale_test.go
@@ -22,10 +22,10 @@
 )
 
 // serve runs a stand-in for a platform service until the benchmark ends.
-func serve(b *testing.B, program jwstand.Program) *jwstand.Stand {
+func serve(b *testing.B, program jwstand.Program) *jwstand.StandIn {
 	b.Helper()
 	logx.Disable()
-	stand := &jwstand.Stand{Program: program}
+	stand := &jwstand.StandIn{Program: program}
 	stop, err := stand.Start()
 	assert.NilError(b, err)
 	b.Cleanup(func() { assert.Check(b, stop()) })
@@ -114,13 +114,13 @@
 func BenchmarkKeyValue(b *testing.B) {
 	ctx := context.Background()
 	kv := &jwconsul.KeyValue{Address: serve(b, &jwstand.KeyValue{}).Address}
-	version, _, err := kv.Swap(ctx, "k", make([]byte, 2048), 0)
+	version, _, err := kv.CompareAndSwap(ctx, "k", make([]byte, 2048), 0)
 	assert.NilError(b, err)
 	calls := map[string]func() error{
 		"get":  func() error { _, _, err := kv.Get(ctx, "k"); return err },
 		"wait": func() error { _, _, err := kv.Wait(ctx, "none", 0, time.Millisecond); return err },
 		"swap": func() (err error) {
-			version, _, err = kv.Swap(ctx, "k", make([]byte, 2048), version)
+			version, _, err = kv.CompareAndSwap(ctx, "k", make([]byte, 2048), version)
 			return err
 		},
 	}
--- a/io/jwfleet/trial_test.go
+++ b/io/jwfleet/trial_test.go
@@ -14,7 +14,7 @@
 // correct outcome, nothing that must run once or in its home region runs twice
 // or elsewhere, and the retries of the nodes stay within their budget.
 func TestTrial(t *testing.T) {
-	trial := &Trial{Deployment: Deployments["zaitoun"], Load: 0.7, Fault: Loss, Length: 1500 * time.Millisecond, Seed: 1}
+	trial := &Trial{Deployment: Deployments["zaitoun"], Load: 0.7, Fault: Loss, Duration: 1500 * time.Millisecond, Seed: 1}
 	result, err := trial.Run(t.Context())
 	assert.NilError(t, err)
 
@@ -35,6 +35,6 @@
 	assert.Equal(t, audit.FalseServed, 0)
 	assert.Equal(t, audit.OutsideRegion, 0)
 
-	saved := float64(jwlimit.DefaultRetrySaved * result.Nodes * entries)
+	saved := float64(jwlimit.DefaultMaxSavedRetries * result.Nodes * entries)
 	assert.Assert(t, result.Retries <= jwlimit.DefaultRetryShare*result.Tries+saved)
 }
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -50,16 +50,16 @@
 	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // limits that targets announce, sent within the region only
 	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that announced leaving, with the start of their incarnation; sent within the region only
 	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight when targets crashed
-	Placed      *jwinstance.Places                `json:"placed,omitempty"`
+	Placed      *jwinstance.PlacementColumns      `json:"placed,omitempty"`
 	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen recently, sent to other regions only
-	Loads       *jwinstance.Loads                 `json:"loads,omitempty"`     // sent within the region only
+	Loads       *jwinstance.LoadColumns           `json:"loads,omitempty"`     // sent within the region only
 	RelayReport *relayReport                      `json:"through,omitempty"`   // set if state is exchanged through relays
 }
 
 // state returns the state to be reported to a node of a region.
 func (g *Gateway) state(now time.Time, region string) state {
 	s := state{
-		Member: g.members.Me(), Version: g.entries.Version(), Waits: map[string]int64{}, Gaps: map[string]int64{},
+		Member: g.members.Local(), Version: g.entries.Version(), Waits: map[string]int64{}, Gaps: map[string]int64{},
 		InSync: !g.store.stale(now), Revision: g.store.revision.Load(),
 	}
 	if c := g.entries.Current(); c != nil && region != g.Settings.Region {
@@ -72,13 +72,13 @@
 	}
 	if region == g.Settings.Region {
 		loads, placed := g.targets.Report(now)
-		s.Loads, s.Placed = jwinstance.Columns(loads), jwinstance.PlaceColumns(placed)
+		s.Loads, s.Placed = jwinstance.NewLoadColumns(loads), jwinstance.NewPlacementColumns(placed)
 		s.Cold = g.targets.ReportCold(now)
 		s.Limits = g.targets.ReportLimits(now, false)
 		s.Leaving = g.targets.ReportLeaving()
 		s.Suspects = g.suspectNotices(now, region, localReportAge)
 	} else {
-		s.Placed = jwinstance.PlaceColumns(g.targets.ReportRemote(now))
+		s.Placed = jwinstance.NewPlacementColumns(g.targets.ReportRemote(now))
 		s.LocalSeen = g.members.LocalSeen(now)
 		s.Suspects = g.suspectNotices(now, region, remoteReportAge)
 	}
@@ -135,7 +135,7 @@
 // other, the one whose name sorts first starts the exchange.
 func (g *Gateway) exchangeWith(ctx context.Context, peers []jwmember.Member, fits func(jwmember.Member) bool) {
 	now := time.Now()
-	me := g.members.Me()
+	me := g.members.Local()
 	for _, m := range peers {
 		// A peer that was not seen recently may have restarted without knowing any other node.
 		if m.Name < me.Name && me.Serving && g.members.RecentlySeen(now, m.Name) || !fits(m) {
@@ -175,8 +175,8 @@
 	start := time.Now()
 	answer, err := g.nodeCall(ctx, m, http.MethodPost, statePath, body)
 	if err != nil {
-		g.members.Failed(time.Now(), m.Name)
-		g.Nodes.Drop(m.Nodes)
+		g.members.MarkUnreachable(time.Now(), m.Name)
+		g.Nodes.CloseIdle(m.Nodes)
 		return
 	}
 	var s state
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -34,9 +34,9 @@
 	n := g.targetNeed(q)
 	var here *jwplacement.Option
 	if q.forwarded || q.homes.Allows(g.Settings.Region) {
-		if c, ok := g.targets.Look(now, n); ok {
+		if c, ok := g.targets.Peek(now, n); ok {
 			here = &jwplacement.Option{
-				Region: g.Settings.Region, Known: true, Expected: c.Expected, Own: c.Own, Later: c.Cost - c.Expected, Miss: c.Miss,
+				Region: g.Settings.Region, Known: true, Expected: c.Expected, OwnReadTime: c.OwnReadTime, LaterCost: c.Cost - c.Expected, MissTokens: c.MissTokens,
 			}
 		}
 	}
@@ -58,13 +58,13 @@
 	o := jwplacement.Option{Region: region, Known: known, Expected: g.regions.roundTrip(region) + w.wait}
 	if n.Prompt.Tokens > 0 {
 		miss, targets := g.targets.MissIn(now, region, n)
-		o.Miss = miss
+		o.MissTokens = miss
 		// The other nodes of this region see the same state and send prompts there too.
 		unreported := g.regions.unreportedTokens(region, n.Service) * max(len(g.members.Live(now, g.Settings.Region)), 1)
-		o.Own = g.targets.Read(n.Service, 0, miss)
-		o.Expected += g.targets.Read(n.Service, unreported/max(targets, 1), miss)
+		o.OwnReadTime = g.targets.ReadTime(n.Service, 0, miss)
+		o.Expected += g.targets.ReadTime(n.Service, unreported/max(targets, 1), miss)
 	}
-	o.Later = time.Duration(jwinstance.PaceWeight * float64(n.Events) * float64(w.eventGap))
+	o.LaterCost = time.Duration(jwinstance.LaterEventWeight * float64(n.Events) * float64(w.eventGap))
 	return o
 }
 
@@ -94,7 +94,7 @@
 // chooseNode returns the node of another region to forward a request to. It prefers nodes with an
 // open connection. fraction, in [0, 1), spreads the requests over the nodes.
 func (g *Gateway) chooseNode(nodes []jwmember.Member, fraction float64) jwmember.Member {
-	return jwplacement.Node(nodes, func(m jwmember.Member) bool { return g.Nodes.Kept(m.Nodes) > 0 }, fraction)
+	return jwplacement.PickNode(nodes, func(m jwmember.Member) bool { return g.Nodes.IdleCount(m.Nodes) > 0 }, fraction)
 }
 
 // anyUntried reports whether the request has not been sent to at least one of the nodes.
@@ -129,7 +129,7 @@
 	if q.workspace != "" {
 		h[headerWorkspace] = []string{q.workspace}
 	}
-	g.Dialect.Left(h, time.Until(q.deadline))
+	g.Dialect.SetTimeLeft(h, time.Until(q.deadline))
 	if id := q.lastEvent(); id != "" {
 		h["Last-Event-Id"] = []string{id}
 	}
@@ -185,13 +185,13 @@
 // classifyForwardError returns the verdict on a forward that failed before an answer arrived.
 func (g *Gateway) classifyForwardError(ctx context.Context, q *request, m jwmember.Member, err error) Verdict {
 	q.lastReason = err.Error()
-	var rest *jwconn.RestError
+	var rest *jwconn.BodyReadError
 	if ctx.Err() == nil && !errors.As(err, &rest) {
-		g.members.Failed(time.Now(), m.Name)
-		g.Nodes.Drop(m.Nodes)
+		g.members.MarkUnreachable(time.Now(), m.Name)
+		g.Nodes.CloseIdle(m.Nodes)
 	}
 	var ce *jwconn.CallError
-	if errors.As(err, &ce) && ce.Stage == jwconn.Dial {
+	if errors.As(err, &ce) && ce.Stage == jwconn.StageDial {
 		return notRun
 	}
 	q.attempts++
@@ -209,10 +209,10 @@
 	g.inFlight.Add(1)
 	defer g.inFlight.Add(-1)
 	q := &request{
-		Call: g.Dialect.Call(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
+		CallerHeaders: g.Dialect.ParseCallerHeaders(r.Header), method: r.Method, target: r.RequestURI, host: r.Host,
 		header: r.Header, arrived: time.Now(), forwarded: true, service: r.Header.Get(headerService),
 	}
-	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.Answer(h).Signed }}
+	q.w = &outcomeWriter{ResponseWriter: w, signed: func(h http.Header) bool { return g.Dialect.ParseAnswerHeaders(h).Signed }}
 	q.entry = parseKind(r.Header.Get(headerKind))
 	q.homes, q.priority, q.workspace = q.entry.Homes, q.entry.Priority, r.Header.Get(headerWorkspace)
 	if fingerprint, err := jwsuspect.ParseFingerprint(r.Header.Get(headerFingerprint)); err == nil {
@@ -222,7 +222,7 @@
 		delete(q.header, name)
 	}
 	q.deadline = q.arrived.Add(max(q.Deadline, time.Millisecond))
-	if !g.pauseDetector.Alive() {
+	if !g.pauseDetector.Valid() {
 		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -33,25 +33,25 @@
 
 // Gateway is one node. Set its exported fields, then call Run.
 type Gateway struct {
-	Settings       *jwsettings.Settings
-	Feed           jwstore.Feed
-	Records        Records
-	Dialect        Dialect
-	Targets        *jwconn.Pool                                   // connections to targets
-	Nodes          *jwconn.Pool                                   // connections to other nodes
-	Meter          *jwmeter.Meter                                 // counters and histograms; nil for none
-	LostLines      func() int64                                   // returns how many log lines were dropped so far; may be nil
-	Listening      func(callers, directory, nodes netip.AddrPort) // called once all ports are open; may be nil
-	Log            logr.Logger
-	Decisions      *jwlog.Decisions            // log of the decisions about requests; nil for none
-	Reload         <-chan *jwsettings.Settings // receives settings that changed while the node runs
-	Admission      jwadmission.Policy          // which requests are rejected
-	Placement      jwplacement.Policy          // which region serves a request
-	RelayThreshold int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
-	Boot           func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
+	Settings        *jwsettings.Settings
+	Feed            jwstore.Feed
+	Records         RecordDecoder
+	Dialect         Dialect
+	Targets         *jwconn.Pool                                   // connections to targets
+	Nodes           *jwconn.Pool                                   // connections to other nodes
+	Meter           *jwmeter.Meter                                 // counters and histograms; nil for none
+	DroppedLogLines func() int64                                   // returns how many log lines were dropped so far; may be nil
+	OnListening     func(callers, directory, nodes netip.AddrPort) // called once all ports are open; may be nil
+	Log             logr.Logger
+	Decisions       *jwlog.Decisions            // log of the decisions about requests; nil for none
+	Reload          <-chan *jwsettings.Settings // receives settings that changed while the node runs
+	Admission       jwadmission.Policy          // which requests are rejected
+	Placement       jwplacement.Policy          // which region serves a request
+	RelayThreshold  int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
+	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
 
 	viewCache           encodedViewCache
-	pauseDetector       jwclock.Pulse
+	pauseDetector       jwclock.PauseDetector
 	epoch               atomic.Pointer[epoch]
 	metrics             *metrics
 	store               storeState
@@ -64,7 +64,7 @@
 	entries             jwentry.Table
 	targets             jwinstance.Table
 	members             jwmember.Table
-	retryBudget         jwbudget.Retry
+	retryBudget         jwbudget.RetryBudget
 	quotas              jwquota.Ledger
 	quotaExchange       jwquotaexchange.Exchange // exchanges quota units with other nodes
 	regions             regionTable
@@ -97,15 +97,15 @@
 			return err
 		}
 	}
-	g.members.Locate(servers[callersServer].Addr(), servers[nodesServer].Addr())
-	if g.Listening != nil {
-		g.Listening(servers[callersServer].Addr(), servers[directoryServer].Addr(), servers[nodesServer].Addr())
+	g.members.SetAddresses(servers[callersServer].Addr(), servers[nodesServer].Addr())
+	if g.OnListening != nil {
+		g.OnListening(servers[callersServer].Addr(), servers[directoryServer].Addr(), servers[nodesServer].Addr())
 	}
 	for _, s := range servers {
 		group.Go(func() error { return s.Run(work) })
 	}
 	g.newEpoch(work)
-	g.pauseDetector.Begin()
+	g.pauseDetector.Reset()
 	group.Go(func() error { g.watchPauses(work); return nil })
 	group.Go(func() error { g.watchStore(work); return nil })
 	group.Go(func() error { g.bootstrapFromPeers(work); return nil })
@@ -131,11 +131,11 @@
 func (g *Gateway) prepare() {
 	s, o := g.Settings, g.Settings.Gateway
 	g.startTime = time.Now()
-	g.pauseDetector.Limit, g.pauseDetector.Boot = pauseLimit, g.Boot
+	g.pauseDetector.Limit, g.pauseDetector.TimeSinceBoot = pauseLimit, g.TimeSinceBoot
 	g.metrics = newMetrics(g.Meter)
 	g.storeWatcher = newStoreWatcher(g)
-	g.Targets.Share = g.maxIdleConns
-	g.Targets.Opened = func() { g.metrics.connectionsOpened.Inc(1) }
+	g.Targets.MaxIdlePerPeer = g.maxIdleConns
+	g.Targets.OnDial = func() { g.metrics.connectionsOpened.Inc(1) }
 	g.registrationChanged = make(chan struct{}, 1)
 	g.members.Self = jwmember.Member{
 		Name: s.Node, Region: s.Region, DataCentre: s.DataCentre,
@@ -146,8 +146,8 @@
 	g.targets.Node, g.targets.Region = s.Node, s.Region
 	g.suspects.Node, g.suspects.Region = s.Node, s.Region
 	g.targets.Warmup = g.warmup
-	g.targets.Share = g.coldRate
-	g.targets.LimitPart = g.limitPart
+	g.targets.ColdRate = g.coldRate
+	g.targets.LimitShare = g.limitShare
 	g.targets.Rand = rand.IntN
 	g.targets.Nodes = func() int { return g.members.Count(time.Now(), s.Region) }
 	g.bounds.Store(&o.Bounds)
@@ -160,7 +160,7 @@
 		b := g.bounds.Load()
 		return jwquota.Bounds{Window: b.QuotaWindow, Ratio: b.QuotaRatio, Slack: b.QuotaSlack}
 	}
-	g.quotas.Lacks = g.quotaExchange.Kick
+	g.quotas.OnShortage = g.quotaExchange.Wake
 	g.quotaExchange.Ledger, g.quotaExchange.Members, g.quotaExchange.Limited = &g.quotas, &g.members, g.hasQuotas
 	g.quotaExchange.Window = func() time.Duration { return g.bounds.Load().QuotaWindow }
 	g.quotaExchange.Call, g.quotaExchange.Log = g.nodeCall, g.Log
@@ -237,14 +237,14 @@
 	return jwbudget.ColdShare(l, g.members.Owns(now, target), g.members.Count(now, g.Settings.Region))
 }
 
-// limitPart returns this node's part of the limit that a target announces. mayOwn reports whether a
+// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether a
 // node may own the target.
-func (g *Gateway) limitPart(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitPart {
+func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitShare {
 	now := time.Now()
-	if g.members.ListedFor(now) < jwbudget.LimitSettle {
-		return jwbudget.LimitPart{}
+	if g.members.RegisteredFor(now) < jwbudget.LimitSettle {
+		return jwbudget.LimitShare{}
 	}
-	return jwbudget.PartOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
+	return jwbudget.LimitShareOf(rate, g.members.OwnsAmong(now, target, mayOwn), g.members.Count(now, g.Settings.Region))
 }
 
 // rejectsNewRequests reports whether the node has been stopping for so long that a new request
@@ -255,7 +255,7 @@
 
 // ready reports whether the node accepts callers' requests.
 func (g *Gateway) ready() bool {
-	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Alive()
+	return g.entries.Current() != nil && !g.stopping.Load() && g.pauseDetector.Valid()
 }
 
 // reload applies changed settings. Only the bounds can change while the node runs; a changed
@@ -289,8 +289,8 @@
 		g.metrics.limitedTargets.Update(float64(g.targets.LimitedTargets()))
 		g.metrics.setRetriesLeft(g.retryBudget.Left(now))
 		g.metrics.storeReadAge.Update((now.Sub(g.startTime) - time.Duration(g.storeReadAt.Load())).Seconds())
-		if g.LostLines != nil {
-			g.metrics.logLinesLost.Update(float64(g.LostLines()))
+		if g.DroppedLogLines != nil {
+			g.metrics.logLinesLost.Update(float64(g.DroppedLogLines()))
 		}
 		jwclock.Sleep(ctx, gaugePeriod)
 	}
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -7,7 +7,7 @@
 
 	"jujubewheel/core/jwadmission"
 	"jujubewheel/core/jwplacement"
-	"jujubewheel/core/jwrepeat"
+	"jujubewheel/core/jwretry"
 )
 
 // Verdict is the result of one send of a request.
@@ -82,20 +82,20 @@
 // mayRetry reports whether a request may be sent again after a verdict, and takes the retry from
 // the budget if it has not been taken yet.
 func (g *Gateway) mayRetry(q *request, v Verdict) bool {
-	reason := jwrepeat.Decide(jwrepeat.Request{
-		Final: v == rejected, Streamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
-		Attempts: q.attempts, Most: q.entry.Attempts(), Sends: q.sends, Paid: q.budgetTaken.Load(),
+	reason := jwretry.Decide(jwretry.Request{
+		Permanent: v == rejected, BodyStreamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
+		Attempts: q.attempts, MaxAttempts: q.entry.Attempts(), Sends: q.sends, BudgetTaken: q.budgetTaken.Load(),
 	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
-	case jwrepeat.NoBudget:
+	case jwretry.NoBudget:
 		g.metrics.retriesRefused.Inc(1)
-	case jwrepeat.Paid:
+	case jwretry.BudgetTaken:
 		q.budgetTaken.Store(false)
 		g.metrics.retries.Inc(1)
-	case jwrepeat.Again:
+	case jwretry.RetryTaken:
 		g.metrics.retries.Inc(1)
 	}
-	return reason.May()
+	return reason.Allowed()
 }
 
 // noTarget is the reason for rejecting a request that no target can take.
@@ -112,23 +112,23 @@
 		return q.reject(quarantined, quarantineRetryAfter)
 	}
 	p := g.chooseRegion(now, q)
-	if p.Reason == jwplacement.Nowhere && len(q.tried) > 0 && q.entry.Repeatable() {
+	if p.Reason == jwplacement.NoTarget && len(q.tried) > 0 && q.entry.Repeatable() {
 		// All remaining targets were tried; one of them may answer on a new connection.
 		clear(q.tried)
 		p = g.chooseRegion(now, q)
 	}
-	if p.Reason == jwplacement.Nowhere {
+	if p.Reason == jwplacement.NoTarget {
 		return g.rejectWithoutTarget(now, q)
 	}
 	d := g.Admission.Decide(jwadmission.Request{
-		Goal: q.entry.Goal, Left: q.deadline.Sub(now), Expected: p.Expected, Own: p.Own,
-		Engine: q.Prompt.Tokens > 0, Begun: q.forwarded || q.answerStarted || q.sends > 0,
+		Goal: q.entry.Goal, TimeLeft: q.deadline.Sub(now), Expected: p.Expected, OwnReadTime: p.OwnReadTime,
+		HasPrompt: q.Prompt.Tokens > 0, AlreadyAccepted: q.forwarded || q.answerStarted || q.sends > 0,
 	})
-	if !d.Taken() {
+	if !d.Accepted() {
 		return q.reject(string(d.Reason), d.RetryAfter)
 	}
 	if p.Region != g.Settings.Region {
-		return g.sendNode(ctx, q, p.Region, p.Miss)
+		return g.sendNode(ctx, q, p.Region, p.MissTokens)
 	}
 	need := g.targetNeed(q)
 	g.excludeSuspectTargets(now, q, &need)
@@ -144,7 +144,7 @@
 	if len(g.targets.Regions(q.service)) == 0 {
 		return q.reject(noTarget, jwadmission.MaxRetryAfter) // no target is registered, so an early retry would be useless
 	}
-	if d, ok := g.targets.RoomWait(now, q.service); ok {
+	if d, ok := g.targets.LimitWait(now, q.service); ok {
 		return q.reject(atLimit, min(max(d, jwadmission.MinRetryAfter), jwadmission.MaxRetryAfter))
 	}
 	return q.reject(noTarget, jwadmission.MinRetryAfter)
--- a/io/jwgateway/follow.go
+++ b/io/jwgateway/storewatcher.go
@@ -107,7 +107,7 @@
 
 // readsForOthers reports whether this node reads the store for the other nodes of its data centre.
 func (g *Gateway) readsForOthers(now time.Time) bool {
-	return g.members.IsRelay(now) && g.members.Large(now, g.members.Me().Region)
+	return g.members.IsRelay(now) && g.members.Large(now, g.members.Local().Region)
 }
 
 // watchPause returns the pause between two watches of the store.
@@ -255,7 +255,7 @@
 	}
 	in.Revision = e.Revision
 	change := g.targets.Put(now, in)
-	if change == jwinstance.Same {
+	if change == jwinstance.Unchanged {
 		return false
 	}
 	if !g.fullReadDone.Load() || !g.targets.Knows(id) {
@@ -267,7 +267,7 @@
 
 func (g *Gateway) logTarget(in jwinstance.Instance, change jwinstance.Change) {
 	g.Log.Info("target", "target", in.ID, "change", change, "service", in.Service, "dataCentre", in.DataCentre,
-		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.Left.Milliseconds())
+		"draining", in.Draining, "coldMs", in.Cold.Milliseconds(), "goneInMs", in.RemainingTime.Milliseconds())
 }
 
 // applyNode applies a change of a node's registration.
@@ -285,7 +285,7 @@
 		return
 	}
 	if name == g.Settings.Node {
-		g.members.Listed(now, m)
+		g.members.RegistrationRead(now, m)
 		g.members.Predecessor(m)
 		return
 	}
@@ -297,10 +297,10 @@
 // dropOldConnections drops the connections to the previous process of a node. If its host lost
 // power, nothing has closed them, and the next request on one would be lost.
 func (g *Gateway) dropOldConnections(m jwmember.Member) {
-	if g.Nodes.Kept(m.Nodes) > 0 {
+	if g.Nodes.IdleCount(m.Nodes) > 0 {
 		g.Log.Info("node began anew", "peer", m.Name)
 	}
-	g.Nodes.Drop(m.Nodes)
+	g.Nodes.CloseIdle(m.Nodes)
 }
 
 // endEvacuationsExcept ends the evacuations of all data centres but the given ones.
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -61,7 +61,7 @@
 		},
 		Feed: feed, Records: platform.Records{Regions: regions}, Dialect: platform.Headers{},
 		Targets: &jwconn.Pool{}, Nodes: &jwconn.Pool{}, Log: logr.Discard(),
-		Listening: func(callers, directory, nodes netip.AddrPort) {
+		OnListening: func(callers, directory, nodes netip.AddrPort) {
 			n.callers, n.directory, n.nodes = callers, directory, nodes
 			close(listening)
 		},
@@ -204,7 +204,7 @@
 func TestWithoutConfiguration(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	n := start(t, &feed, "n1", "north")
 	r, err := send(t, n, http.MethodGet, "/a/x", "one", nil, "")
 	assert.NilError(t, err)
@@ -491,7 +491,7 @@
 	configure(&feed, 7, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
 	sendUntil(t, first, "/a/x", served)
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	second := start(t, &feed, "n2", "north", first.nodes)
 	sendUntil(t, second, "/a/x", served)
 }
@@ -630,7 +630,7 @@
 	var paused atomic.Bool
 	var boot atomic.Int64
 	n := startWith(t, &feed, "n1", "north", func(g *jwgateway.Gateway) {
-		g.Boot = func() time.Duration {
+		g.TimeSinceBoot = func() time.Duration {
 			if paused.Load() {
 				boot.Add(int64(time.Hour)) // each reading of the clock shows another pause
 			}
@@ -638,7 +638,7 @@
 		}
 	})
 	sendUntil(t, n, "/a/x", served)
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	paused.Store(true)
 	for i := range 20 {
 		r, err := send(t, n, http.MethodGet, "/a/x", fmt.Sprint("p", i), nil, "")
@@ -651,7 +651,7 @@
 	paused.Store(true)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
-	feed.Down(nil)
+	feed.SetError(nil)
 	paused.Store(false)
 	r := sendUntil(t, n, "/a/x", func(r reply) bool { return r.status != http.StatusServiceUnavailable })
 	assert.Equal(t, r.status, http.StatusNotFound)
@@ -676,7 +676,7 @@
 		assert.NilError(t, err)
 		assert.Equal(t, r.status, http.StatusOK)
 	}
-	feed.Down(jwstore.ErrUnavailable)
+	feed.SetError(jwstore.ErrUnavailable)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 }
 
@@ -722,7 +722,7 @@
 
 // slowRecords decodes the registration of one target more slowly than the time between two probes.
 type slowRecords struct {
-	jwgateway.Records
+	jwgateway.RecordDecoder
 	slowID string
 	taken  func()
 }
@@ -732,7 +732,7 @@
 		time.Sleep(600 * time.Millisecond)
 		s.taken()
 	}
-	return s.Records.Target(id, value)
+	return s.RecordDecoder.Target(id, value)
 }
 
 // One node can't reach the store, another one can. The first must learn of a target that is
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -61,7 +61,7 @@
 // for sending requests directly to the target and through the node.
 func startInstantTarget(b *testing.B) (direct, node string) {
 	s := newSystem(b, "east")
-	target := s.stand("runner", instantTarget{})
+	target := s.standIn("runner", instantTarget{})
 	s.addHost(target.Address, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, draft())
@@ -70,7 +70,7 @@
 		return s.send(n.CallersAddr(), "draft", "free-east", "x", nil).status == http.StatusOK
 	})
 	s.await("the target's load is known", func() bool {
-		return n.board.Targets.Room("writer", time.Now()).Slots > 1
+		return n.board.Targets.Capacity("writer", time.Now()).Slots > 1
 	})
 	return httpURL(target.Address, "/v1/completions"), httpURL(n.CallersAddr(), "/v1/requests/draft")
 }
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -55,30 +55,30 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 
-	board        jwboard.Board
-	self         jwrequest.Hop
-	store        *jwconsul.KeyValue
-	pool         *jwforward.Pool
-	targets      *jwtargetclient.Client
-	keeper       *jwclaim.Keeper
-	drain        jwdrain.Drain
-	follower     *jwcatalogue.Follower
-	editor       *jwcatalogue.Editor
-	departures   *jwcatalogue.Departures
-	adoptions    *jwcatalogue.Adoptions
-	membership   *jwcatalogue.Membership
-	gatherer     *jwcatalogue.Gatherer
-	acceptance   *jwcatalogue.Acceptance
-	exchange     *jwpeer.Exchange
-	dispatcher   *jwdispatch.Dispatcher
-	callers      *jwrest.Server
-	nodeListener net.Listener
-	grpcServer   *grpc.Server
-	operators    *jwrest.Server
-	tracer       *jwexplain.Tracer
-	keys         keys
-	serving      atomic.Bool
-	pulse        jwclock.Pulse
+	board          jwboard.Board
+	self           jwrequest.Hop
+	store          *jwconsul.KeyValue
+	pool           *jwforward.Pool
+	targets        *jwtargetclient.Client
+	keeper         *jwclaim.Keeper
+	drain          jwdrain.Drain
+	follower       *jwcatalogue.Follower
+	editor         *jwcatalogue.Editor
+	hostRemovals   *jwcatalogue.HostRemovals
+	sponsoredNodes *jwcatalogue.SponsoredNodes
+	membership     *jwcatalogue.Membership
+	gatherer       *jwcatalogue.Gatherer
+	acceptance     *jwcatalogue.Acceptance
+	exchange       *jwpeer.Exchange
+	dispatcher     *jwdispatch.Dispatcher
+	callers        *jwrest.Server
+	nodeListener   net.Listener
+	grpcServer     *grpc.Server
+	operators      *jwrest.Server
+	tracer         *jwexplain.Tracer
+	keys           keys
+	serving        atomic.Bool
+	pauseDetector  jwclock.PauseDetector
 }
 
 // Run serves until ctx ends, then stops gracefully: the node accepts no new
@@ -115,7 +115,7 @@
 		return nil
 	}
 	s := n.Settings
-	n.pulse.Limit = max(s.Periods.HostsLag/2, minPauseLimit)
+	n.pauseDetector.Limit = max(s.Periods.HostsLag/2, minPauseLimit)
 	n.self = jwrequest.Hop{Node: s.Node, Region: s.Region, DataCentre: s.DataCentre}
 	nodeListener, err := net.Listen("tcp", s.Listen.Nodes.String())
 	if err != nil {
@@ -155,8 +155,8 @@
 func (n *Node) setAdvertisedAddresses() {
 	s := n.Settings
 	n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
-		p.Callers = advertisedAddress(s.Advertise.Callers, n.callers.Addr())
-		p.Nodes = advertisedAddress(s.Advertise.Nodes, n.NodesAddr())
+		p.CallerAddress = advertisedAddress(s.Advertise.Callers, n.callers.Addr())
+		p.NodeAddress = advertisedAddress(s.Advertise.Nodes, n.NodesAddr())
 	})
 }
 
@@ -199,7 +199,7 @@
 	}
 	poller := &jwtarget.Poller{
 		Table: &n.board.Targets, Source: n.targets, Period: s.Periods.LoadPoll, Timeout: loadTimeout,
-		Workers: s.Workers, Now: time.Now, Leaving: func(netip.AddrPort) { n.exchange.Nudge() },
+		Workers: s.Workers, Now: time.Now, Leaving: func(netip.AddrPort) { n.exchange.Trigger() },
 		Busy: n.isBusyRelay,
 	}
 	for _, run := range []func(context.Context) error{
@@ -215,11 +215,11 @@
 func (n *Node) reportRevision(ctx context.Context) error {
 	for {
 		changed := n.board.Catalogue.Changed()
-		revision := n.adoptions.Confirmed()
+		revision := n.sponsoredNodes.Confirmed()
 		if n.board.Peers.Self().Revision != revision {
 			n.board.Peers.Update(time.Now(), func(p *jwpeer.Peer) {
 				p.Revision = revision
-				p.Base = n.board.Catalogue.Base()
+				p.OldestChange = n.board.Catalogue.OldestChange()
 			})
 		}
 		select {
@@ -256,7 +256,7 @@
 func (n *Node) maintainTables(ctx context.Context) error {
 	for {
 		now := time.Now()
-		n.board.Peers.Forget(now.Add(-jwpeer.MostAge))
+		n.board.Peers.Forget(now.Add(-jwpeer.MaxAge))
 		n.board.Limiter.Forget(now)
 		var members []string
 		for _, p := range n.board.Peers.Fresh(now.Add(-peerTimeout)) {
@@ -266,7 +266,7 @@
 		}
 		n.board.Limiter.SetMembers(members)
 		n.board.Suspects.SetMembers(members)
-		n.board.Regions.SetNodes(len(members))
+		n.board.Regions.SetLocalNodes(len(members))
 		select {
 		case <-time.After(time.Second):
 		case <-ctx.Done():
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -29,7 +29,7 @@
 	home, away, leaving    *runningNode
 	runner                 *jwstand.Runner
 	desk                   *jwstand.Service
-	runnerStand, deskStand *jwstand.Stand
+	runnerStand, deskStand *jwstand.StandIn
 	directory              *jwdirectory.Snapshot
 }
 
@@ -50,7 +50,9 @@
 		s.edit(s.home, e)
 	}
 	s.awaitRevision(5)
-	s.await("targets", func() bool { return len(s.home.board.Targets.Used()) == 2 && len(s.leaving.board.Targets.Used()) == 2 })
+	s.await("targets", func() bool {
+		return len(s.home.board.Targets.Polled()) == 2 && len(s.leaving.board.Targets.Polled()) == 2
+	})
 	s.directory = s.home.board.Directory.Current()
 	return s
 }
@@ -132,11 +134,11 @@
 			s.sendFunc(addr, "confirm", "free-east", "poison", "Idempotency-Key", key("poison")), nil, 422, jwdispatch.ReasonQuarantine,
 		},
 		"draft refused by the target": {
-			func() { s.runnerStand.SetFaults(jwstand.Faults{Leave: true}) }, s.sendFunc(addr, "draft", "free-east", body),
+			func() { s.runnerStand.SetFaults(jwstand.Faults{Leaving: true}) }, s.sendFunc(addr, "draft", "free-east", body),
 			func() { s.runnerStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
 		"order refused by the target": {
-			func() { s.deskStand.SetFaults(jwstand.Faults{Leave: true}) },
+			func() { s.deskStand.SetFaults(jwstand.Faults{Leaving: true}) },
 			s.sendFunc(addr, "confirm", "free-east", deposit, "Idempotency-Key", key("refused")),
 			func() { s.deskStand.SetFaults(jwstand.Faults{}) }, 503, "",
 		},
@@ -184,7 +186,7 @@
 func (s *refusalSystem) keyOf(n *runningNode, name string) string {
 	for i := range 1000 {
 		key := fmt.Sprintf("%s-%d", name, i)
-		if n.keeper.Preferred(jwclaim.Ask{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
+		if n.keeper.Preferred(jwclaim.KeyedCall{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
 			return key
 		}
 	}
@@ -267,30 +269,30 @@
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
 	var journals []*jwstand.Journal
-	var stands []*jwstand.Stand
+	var standIns []*jwstand.StandIn
 	for range 3 {
 		r, targetStand := s.runner("east")
-		journals, stands = append(journals, &r.Journal), append(stands, targetStand)
+		journals, standIns = append(journals, &r.Journal), append(standIns, targetStand)
 	}
 	for range 3 {
 		p, targetStand := s.service("east")
 		p.Work = 2 * time.Millisecond
-		journals, stands = append(journals, &p.Journal), append(stands, targetStand)
+		journals, standIns = append(journals, &p.Journal), append(standIns, targetStand)
 	}
 	a := s.node("e1", "east")
 	s.edit(a, draft())
 	s.edit(a, confirmation())
 	s.awaitRevision(2)
-	s.await("targets", func() bool { return len(a.board.Targets.Used()) == 6 })
+	s.await("targets", func() bool { return len(a.board.Targets.Polled()) == 6 })
 
 	stop := make(chan struct{})
 	var faults sync.WaitGroup
 	faults.Go(func() {
 		for i := 0; ; i++ {
-			stand := stands[3*(i%2)] // one runner and one service; the others go on
-			stand.SetFaults(jwstand.Faults{Down: true})
+			standIn := standIns[3*(i%2)] // one runner and one service; the others go on
+			standIn.SetFaults(jwstand.Faults{Down: true})
 			time.Sleep(20 * time.Millisecond)
-			stand.SetFaults(jwstand.Faults{})
+			standIn.SetFaults(jwstand.Faults{})
 			select {
 			case <-stop:
 				return
@@ -368,12 +370,12 @@
 func TestWaitingRepeatRefused(t *testing.T) {
 	s := newSystem(t, "east")
 	program := &slowRefuser{decide: make(chan struct{})}
-	refuserStand := s.stand("refuser", program)
-	s.addHost(refuserStand.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
+	refuserStandIn := s.standIn("refuser", program)
+	s.addHost(refuserStandIn.Address, map[string]string{"role": "target", "service": "desk", "region": "east", "dataCentre": "east-1"})
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
 	s.awaitRevision(1)
-	s.await("target", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("target", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	answers := make(chan reply, 2)
 	sendConfirmation := func() {
 		answers <- s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k", "Jujube-Request-Id": "press"})
@@ -388,7 +390,7 @@
 		assert.Check(t, r.outcome == "notRun", "%+v", r)
 	}
 	desk, _ := s.service("east")
-	refuserStand.SetFaults(jwstand.Faults{Down: true})
+	refuserStandIn.SetFaults(jwstand.Faults{Down: true})
 	s.await("the third call runs", func() bool {
 		return s.send(n.CallersAddr(), "confirm", "free-east", "{}", header{"Idempotency-Key": "k"}).outcome == "served"
 	})
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -24,11 +24,11 @@
 // target and never be answered. Every node must stop sending to it, and the
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
-	tests := map[string]func(s *system, stand *jwstand.Stand){
-		"reported by the host list": func(s *system, stand *jwstand.Stand) {
+	tests := map[string]func(s *system, standIn *jwstand.StandIn){
+		"reported by the host list": func(s *system, standIn *jwstand.StandIn) {
 			groups := slices.Clone(s.groups) // the stand-in still reads the old slice
 			for i, g := range groups {
-				if g.Targets[0] == stand.Address.String() {
+				if g.Targets[0] == standIn.Address.String() {
 					groups[i].Labels = maps.Clone(g.Labels)
 					groups[i].Labels["state"] = "leaving"
 				}
@@ -36,7 +36,7 @@
 			s.groups = groups
 			s.hosts.Set(groups)
 		},
-		"reported by the target": func(_ *system, stand *jwstand.Stand) { stand.SetFaults(jwstand.Faults{Leave: true}) },
+		"reported by the target": func(_ *system, standIn *jwstand.StandIn) { standIn.SetFaults(jwstand.Faults{Leaving: true}) },
 	}
 	for name, leave := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -50,7 +50,7 @@
 			awaitTargets := func(want int) {
 				s.await("targets", func() bool {
 					for _, n := range nodes {
-						if len(n.board.Targets.Used()) != want {
+						if len(n.board.Targets.Polled()) != want {
 							return false
 						}
 					}
@@ -107,13 +107,13 @@
 	var mu sync.Mutex
 	crashes := map[netip.AddrPort]int{}
 	for range 5 {
-		_, stand := s.runner("east")
-		stand.Exit = func(int) {
+		_, standIn := s.runner("east")
+		standIn.Exit = func(int) {
 			mu.Lock()
 			defer mu.Unlock()
-			crashes[stand.Address]++
+			crashes[standIn.Address]++
 		}
-		stand.SetFaults(jwstand.Faults{CrashOn: "poison"})
+		standIn.SetFaults(jwstand.Faults{CrashOn: "poison"})
 	}
 	var nodes []*runningNode
 	for i := range 3 {
@@ -121,7 +121,7 @@
 	}
 	s.edit(nodes[0], draft())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(nodes[0].board.Targets.Used())+len(nodes[1].board.Targets.Used()) == 10 })
+	s.await("targets", func() bool { return len(nodes[0].board.Targets.Polled())+len(nodes[1].board.Targets.Polled()) == 10 })
 	poison := prompt("poison", 5, false)
 	quarantinedAt := map[*runningNode]bool{}
 	sent, innocent, wronglyQuarantined := 0, 0, 0
@@ -180,13 +180,13 @@
 	s := newSystem(t, "east")
 	program := &refuser{}
 	for range 4 {
-		addr := s.stand("refuser", program).Address
+		addr := s.standIn("refuser", program).Address
 		s.addHost(addr, map[string]string{"role": "target", "service": "writer", "region": "east", "dataCentre": "east-1"})
 	}
 	n := s.node("e1", "east")
 	s.edit(n, draft())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return n.board.Targets.Room("writer", time.Now()).Slots > 4*8 })
+	s.await("targets", func() bool { return n.board.Targets.Capacity("writer", time.Now()).Slots > 4*8 })
 	const callers = 200
 	var reached atomic.Int64
 	var wg sync.WaitGroup
@@ -209,5 +209,5 @@
 	retries := program.calls.Load() - reached.Load()
 	t.Logf("%d calls to targets for %d requests: %d retries", program.calls.Load(), reached.Load(), retries)
 	assert.Assert(t, reached.Load() >= callers/4, "only %d reached a target", reached.Load())
-	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultRetrySaved, "%d retries", retries)
+	assert.Assert(t, float64(retries) <= jwlimit.DefaultRetryShare*callers+jwlimit.DefaultMaxSavedRetries, "%d retries", retries)
 }
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -21,14 +21,14 @@
 func TestSilentTarget(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
-	r, stand := s.runner("east")
+	r, standIn := s.runner("east")
 	r.Engine.Token = 5 * time.Millisecond
 	n := s.node("e1", "east")
 	e := draft()
 	e.Progress = time.Second
 	s.edit(n, e)
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	const running = 6
 	answers := make(chan reply, running)
 	for i := range running {
@@ -39,9 +39,9 @@
 	s.await("all streams run on the target", func() bool { return len(r.Journal.Runs()) == running })
 	second, _ := s.runner("east")
 	second.Engine.Token = 5 * time.Millisecond
-	s.await("another target", func() bool { return len(n.board.Targets.Used()) == 2 })
+	s.await("another target", func() bool { return len(n.board.Targets.Polled()) == 2 })
 	began := time.Now()
-	stand.SetFaults(jwstand.Faults{Silent: true})
+	standIn.SetFaults(jwstand.Faults{Silent: true})
 	for range running {
 		a := <-answers
 		assert.Check(t, strings.Contains(a.body, "event: done") && strings.Count(a.body, "id: ") == 300, "%s %v", tail(a.body), a.err)
@@ -63,7 +63,7 @@
 	n := s.node("e1", "east")
 	s.edit(n, confirmation())
 	s.awaitRevision(1)
-	s.await("targets", func() bool { return len(n.board.Targets.Used()) == 1 })
+	s.await("targets", func() bool { return len(n.board.Targets.Polled()) == 1 })
 	assert.Equal(t, s.send(n.CallersAddr(), "confirm", "free-east", "deposit", header{"Idempotency-Key": "k"}).outcome, "served")
 	tests := map[string]struct{ key, outcome string }{
 		"second call": {"Idempotency-Key: k\r\n", "unknown"},
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -44,16 +44,16 @@
 	Meter    *jwmeter.Meter
 	Audit    *jwaudit.Trail
 	Interval time.Duration // between two observations, DefaultInterval if 0
-	// Silence is how long no message from another region may arrive before the
+	// RegionTimeout is how long no message from another region may arrive before the
 	// region counts as lost.
-	Silence time.Duration
-	// ListAge is how old the host list may be before the platform's service
+	RegionTimeout time.Duration
+	// MaxListAge is how old the host list may be before the platform's service
 	// counts as failing.
-	ListAge  time.Duration
-	Store    Store
-	Follower Follower
-	Claims   Claims
-	Drain    Drain
+	MaxListAge time.Duration
+	Store      Store
+	Follower   Follower
+	Claims     Claims
+	Drain      Drain
 
 	gauges   gauges
 	totals   totals
@@ -97,7 +97,7 @@
 // targetStates returns the state of each target that this node uses.
 func (o *Observer) targetStates(now time.Time) map[netip.AddrPort]jwtarget.State {
 	states := make(map[netip.AddrPort]jwtarget.State)
-	for _, t := range o.Board.Targets.Used() {
+	for _, t := range o.Board.Targets.Polled() {
 		if state, known := o.Board.Targets.State(t.Address, now); known {
 			states[t.Address] = state
 		}
--- a/io/jwoperate/catalogue.go
+++ b/io/jwoperate/catalogue.go
@@ -136,7 +136,7 @@
 			w.Header().Set("ETag", etag(conflict.Revision))
 		}
 		writeError(w, http.StatusPreconditionFailed, ErrorBody{
-			Error: err.Error(), Revision: conflict.Revision, Winner: conflict.Winner,
+			Error: err.Error(), Revision: conflict.Revision, Winner: conflict.ConflictingChange,
 		})
 	case errors.Is(err, jwstore.ErrUnavailable):
 		w.Header().Set("Retry-After", retryAfter)
@@ -151,7 +151,7 @@
 
 // awaitAccepted polls until the revision is accepted, the wait is over or ctx
 // ends, and returns the last status.
-func (o *Operators) awaitAccepted(ctx context.Context, revision uint64, wait time.Duration) Standing {
+func (o *Operators) awaitAccepted(ctx context.Context, revision uint64, wait time.Duration) RevisionStatus {
 	end := time.Now().Add(wait)
 	for {
 		s, err := o.revisionStatus(ctx, revision)
@@ -167,9 +167,9 @@
 	}
 }
 
-func (o *Operators) revisionStatus(ctx context.Context, revision uint64) (Standing, error) {
+func (o *Operators) revisionStatus(ctx context.Context, revision uint64) (RevisionStatus, error) {
 	accepted, missing, err := o.Acceptance.Status(ctx, revision)
-	return Standing{Revision: revision, Accepted: accepted && err == nil, Missing: missing}, err
+	return RevisionStatus{Revision: revision, Accepted: accepted && err == nil, Missing: missing}, err
 }
 
 func (o *Operators) status(w http.ResponseWriter, r *http.Request) {
@@ -196,7 +196,7 @@
 	if !ok {
 		return
 	}
-	list := History{Revision: o.Table.Current().Revision, Oldest: o.Table.Base(), Changes: []jwcatalogue.Change{}}
+	list := History{Revision: o.Table.Current().Revision, Oldest: o.Table.OldestChange(), Changes: []jwcatalogue.Change{}}
 	if list.Oldest > 0 {
 		after = max(after, list.Oldest-1)
 	}
