--- a/core/jwbudget/limit.go
+++ b/core/jwbudget/limit.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// All nodes together send a target that reports a limit fewer requests within any limitWindow
+// All nodes together send a target that announces a limit fewer requests within any limitWindow
 // than limitRatio times what the limit allows in that time, plus limitSlack.
 const (
 	limitWindow = 4 * time.Second
 	limitRatio  = 1.5
 	limitSlack  = 5
-	// LimitSettle is how long a node sends nothing to a target that reports a limit after the
-	// node started or became the owner of the target. Meanwhile the others learn of it.
+	// LimitSettle is how long a node sends nothing to a target that announces a limit after the
+	// node started or became the owner of the target. In that time the other nodes learn of it.
 	LimitSettle = limitWindow
-	// maxExclusiveGap is the maximum time between two calls of Allows for which the node counts as the
-	// owner throughout. After a longer gap, another node may have been the owner.
+	// maxExclusiveGap is the maximum time between two calls of Allows for which the node counts
+	// as the owner throughout. After a longer gap, another node may have been the owner.
 	maxExclusiveGap = 2 * time.Second
 	// limitReserve is the part of the slack, in requests, that stays unused, since requests can
 	// arrive closer together than they were sent.
@@ -47,7 +47,7 @@
 	return LimitShare{Rate: rate, Burst: burst, Exclusive: true}
 }
 
-// LimitBucket is a token bucket of the requests that a node may send to a target that reports
+// LimitBucket is a token bucket of the requests that a node may send to a target that announces
 // a limit. It is initially empty. It is not safe for concurrent use.
 type LimitBucket struct {
 	KnownSince time.Time // when the limit was first known
--- a/core/jwcatalogue/acceptance.go
+++ b/core/jwcatalogue/acceptance.go
@@ -119,7 +119,7 @@
 
 // Forget removes the record of a node after an operator has asserted that it
 // will not serve again. When the last node of a region has gone, this is the
-// only way to get later changes accepted: a region that is silent as a whole
+// only way to get later changes accepted: a region whose nodes are all silent
 // may still be serving behind a network partition.
 func (a *Acceptance) Forget(ctx context.Context, region, name string) error {
 	item, ok, err := a.Store.Get(ctx, MemberKey(region, name))
--- a/core/jwcatalogue/adoption.go
+++ b/core/jwcatalogue/adoption.go
@@ -38,7 +38,7 @@
 // Adopt makes this node the sponsor of another one and returns what the other
 // has to apply before it serves, given that it has applied revision after. A
 // second call by the same process reports the revision that it has by now. A
-// node that does not serve yet or is leaving returns ErrNotServing: its
+// node that does not serve yet or is stopping returns ErrNotServing: its
 // catalogue may be old, and it may stop at any moment.
 func (a *SponsoredNodes) Adopt(m Member, after uint64) ([]Change, *Checkpoint, error) {
 	if a.Serving != nil && !a.Serving() {
--- a/core/jwcatalogue/change.go
+++ b/core/jwcatalogue/change.go
@@ -28,7 +28,7 @@
 // into revision N.
 type Change struct {
 	N      uint64    `json:"n"`
-	EditID string    `json:"editId"` // chosen by whoever sends the edit
+	EditID string    `json:"editId"` // chosen by the sender of the edit
 	Author string    `json:"author"`
 	Time   time.Time `json:"time"`
 	Reason string    `json:"reason"`
--- a/core/jwcatalogue/departure.go
+++ b/core/jwcatalogue/departure.go
@@ -15,7 +15,7 @@
 // DefaultHostLag is how far the list may be behind the actual hosts.
 const DefaultHostLag = time.Minute
 
-// HostRemovals tells which nodes have been removed from the platform's host list.
+// HostRemovals reports which nodes have been removed from the platform's host list.
 type HostRemovals struct {
 	Hosts Hosts
 	Lag   time.Duration // how far the list may be behind, 0 for DefaultHostLag
@@ -27,8 +27,8 @@
 	absences      map[Member]absence
 }
 
-// absence tells how long a node has been missing. The times are those at which
-// the lists were taken.
+// absence records since when a node has been missing. The times are those at
+// which the lists were taken.
 type absence struct {
 	missingSince, lastAsked time.Time
 }
@@ -38,9 +38,9 @@
 // has just restarted under an old name may be missing from a list that is
 // behind.
 //
-// The nodes of a region that is missing from the list as a whole are not
-// gone: a network partition between the list and the region looks the same,
-// and the nodes behind it serve.
+// The nodes of a region that is entirely missing from the list are not gone:
+// a network partition between the list and the region looks the same, and the
+// nodes behind it serve.
 func (d *HostRemovals) Gone(m Member) bool {
 	d.mu.Lock()
 	defer d.mu.Unlock()
@@ -78,7 +78,7 @@
 		}
 	}
 	for m, a := range d.absences {
-		// A list that lacks the whole region of a node restarts its time.
+		// The time starts again when the list has no node of the region.
 		if d.listedNodes[m.Name] || !d.listedRegions[m.Region] || listTime.Sub(a.lastAsked) > 2*d.lag() {
 			delete(d.absences, m)
 		}
--- a/core/jwcatalogue/doc.go
+++ b/core/jwcatalogue/doc.go
@@ -11,8 +11,8 @@
 //     can't reach the store may join through a sponsor: a serving peer that adopts
 //     it and confirms revisions on its behalf (SponsoredNodes).
 //   - A Gatherer in each region writes a confirmation: the revision that all
-//     members of the region have applied. HostRemovals tells which members have been
-//     removed from the host list and are no longer waited for.
+//     members of the region have applied. HostRemovals reports which members have
+//     been removed from the host list and are no longer waited for.
 //   - An Acceptance reads the confirmations and reports whether a change is
 //     accepted: applied at every node that may be serving.
 //
--- a/core/jwcatalogue/editor.go
+++ b/core/jwcatalogue/editor.go
@@ -19,7 +19,7 @@
 
 // Edit is an operator's request to add, replace or remove an entry.
 type Edit struct {
-	EditID     string // the same whenever this edit is sent again
+	EditID     string // the same in every retry of this edit
 	Author     string
 	Reason     string
 	Entry      string
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -44,8 +44,8 @@
 }
 
 func TestPutLostReply(t *testing.T) {
-	// The store applies the write and its reply is lost. If the operator was told
-	// that the edit failed, sending it again would put it into the log twice.
+	// The store applies the write and its reply is lost. If the edit was
+	// reported as failed, a retry would put it into the log twice.
 	tests := map[string]struct{ lose, drop int }{
 		"took effect":      {lose: 1},
 		"took no effect":   {drop: 1},
@@ -68,8 +68,8 @@
 }
 
 func TestPutUnknownOutcome(t *testing.T) {
-	// All writes are dropped and reported as unknown. The operator must be told
-	// that the outcome is unknown, not that the edit failed.
+	// All writes are dropped and reported as unknown. The editor must
+	// report that the outcome is unknown, not that the edit failed.
 	s := &fakeStore{dropWrites: 100}
 	_, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 	assert.ErrorIs(t, err, jwstore.ErrUnknown)
--- a/core/jwcatalogue/entry.go
+++ b/core/jwcatalogue/entry.go
@@ -21,7 +21,7 @@
 	Path        string        // URL path at the target
 	Idempotent  bool          // may run again after a failure
 	Bound       bool          // its data must not leave the home region
-	Deadline    time.Duration // maximum time to the whole answer
+	Deadline    time.Duration // maximum time to the complete answer
 	FirstToken  time.Duration // maximum wait for the first byte of a stream, 0 for none
 	Progress    time.Duration // maximum silence of a running call before it is given up, 0 for none
 	Limits      Limits
--- a/core/jwcatalogue/follower.go
+++ b/core/jwcatalogue/follower.go
@@ -35,7 +35,7 @@
 // Follower keeps the table of a node at the head of the log. A watcher waits
 // on the store for the next change, every node polls its peers, and every node
 // also polls the store at a long interval, so that the failure of another node
-// never leaves one behind for good.
+// never leaves one behind permanently.
 type Follower struct {
 	Store        jwstore.Store
 	Table        *Table
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -7,7 +7,7 @@
 	"gotest.tools/v3/assert"
 )
 
-// Data from the store or from a peer may be cut short or from another version.
+// Data from the store or from a peer may be truncated or from another version.
 // The parsers must reject it, or it must mean the same after it is encoded again.
 
 func FuzzParseEntry(f *testing.F) {
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -138,7 +138,7 @@
 
 // compact writes a checkpoint when one is due and trims the changes before it.
 // Any node may call it at any time, also several at once: every write is a
-// compare-and-swap, and a node that loses one leaves the rest to the winner.
+// compare-and-swap, and a node that loses one leaves the remaining ones to the winner.
 func (l changeLog) compact(ctx context.Context, s *Snapshot) error {
 	state, version, err := l.readState(ctx)
 	if err != nil || s.Revision < state.Checkpoint+CheckpointEvery {
@@ -182,7 +182,7 @@
 
 // deleteTrimmed deletes the changes that an earlier log state declared trimmed.
 // If they were deleted without that, a paused editor could create one of them
-// again and take its edit for part of the log.
+// again and report its edit as part of the log.
 func (l changeLog) deleteTrimmed(ctx context.Context, after, upTo uint64) error {
 	for n := after + 1; n <= upTo; n = (n/blockSize + 1) * blockSize {
 		items, err := l.store.List(ctx, blockPrefix(n))
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -211,7 +211,7 @@
 }
 
 // verifyRecord registers this node again if its record was deleted by mistake,
-// because the host list lacked the node while it was serving.
+// because the host list did not contain the node while it was serving.
 func (m *Membership) verifyRecord(ctx context.Context) error {
 	item, ok, err := m.Store.Get(ctx, MemberKey(m.Region, m.Name))
 	if err != nil {
@@ -230,8 +230,7 @@
 	return nil
 }
 
-// releaseSponsors tells the sponsors that they need not confirm for this node
-// any longer. It must be called after the log was read to its head: otherwise a
+// releaseSponsors ends the confirmations by the sponsors of this node. It must be called after the log was read to its head: otherwise a
 // change could be accepted that this node does not have.
 func (m *Membership) releaseSponsors(ctx context.Context) error {
 	for sponsor := range m.sponsors {
--- a/core/jwcatalogue/store_test.go
+++ b/core/jwcatalogue/store_test.go
@@ -12,7 +12,7 @@
 
 // fakeStore is an in-memory key-value store with faults that tests set.
 type fakeStore struct {
-	Delay time.Duration // delay of each call, there and back
+	Delay time.Duration // round-trip delay of each call
 
 	// beforeCall is called before each call takes effect, so that a test can
 	// run something in between.
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -254,7 +254,7 @@
 	return nil
 }
 
-// drawIndex draws evenly from 0 to n-1. The ranges of rapid prefer the low end;
+// drawIndex draws uniformly from 0 to n-1. The ranges of rapid prefer the low end;
 // with them, the system would be down in most of the sequences.
 func drawIndex(t *rapid.T, label string, n int) int {
 	x := rapid.Uint64().Draw(t, label) * 0x9e3779b97f4a7c15
--- a/core/jwcatalogue/validate.go
+++ b/core/jwcatalogue/validate.go
@@ -108,8 +108,8 @@
 	if e.KeyMemory < 0 || e.KeyMemory > MaxKeyMemory {
 		f.add("keyMemory %s is not between 0 and %s", e.KeyMemory, MaxKeyMemory)
 	}
-	// If a key were forgotten while its call may still run, a request that
-	// is sent again could run twice.
+	// If a key were forgotten while its call may still run, a retry could run
+	// the request twice.
 	if !e.Idempotent && e.KeyMemory < e.Deadline {
 		f.add("keyMemory %s is shorter than the deadline %s of an entry that is not idempotent", e.KeyMemory, e.Deadline)
 	}
--- a/core/jwclaim/adopt.go
+++ b/core/jwclaim/adopt.go
@@ -178,8 +178,8 @@
 // elsewhereDecision refers the caller to the process that now answers for h;
 // k.mu is held.
 func (k *Keeper) elsewhereDecision(h Holder) Decision {
-	// The loop is bounded because the reports of two nodes could name each
-	// other.
+	// The loop is bounded because the reports of two nodes could refer to
+	// each other.
 	for range 8 {
 		m, ok := k.moved[h.Incarnation]
 		if !ok {
--- a/core/jwclaim/group.go
+++ b/core/jwclaim/group.go
@@ -172,7 +172,7 @@
 	s.k.releaseKey(c)
 }
 
-// convertToRelease turns a claim that nobody waits for into its own release.
+// convertToRelease turns a claim that no caller waits for into its own release.
 func (s *slot) convertToRelease(it *item) {
 	c := it.call
 	c.answer = notRunAnswer()
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -12,8 +12,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// faultySuccessor sends records to a node, with a fault on the way there or
-// back.
+// faultySuccessor sends records to a node, with a fault in the records or in
+// the reply.
 type faultySuccessor struct {
 	to            *testNode
 	changeRecords func(records []Record) []Record
@@ -120,7 +120,7 @@
 	}
 }
 
-// While the receipt is on its way, the successor may already run a ticket. A
+// While the receipt is in flight, the successor may already run a ticket. A
 // caller that retries at the stopping node at that moment must not be answered
 // that the ticket was not run: it would send the order again with another key.
 func TestRetryDuringHandover(t *testing.T) {
@@ -172,7 +172,7 @@
 	})
 }
 
-// The keeper is closed while a claim is on its way to the store. The call must
+// The keeper is closed while a claim is in flight to the store. The call must
 // not run, since it would run after the handover.
 func TestClaimWrittenAfterClose(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
@@ -211,8 +211,8 @@
 	})
 }
 
-// A caller retries at the successor during the handover, while its claim is on
-// the way to the store. The answer that is handed over must not be dropped
+// A caller retries at the successor during the handover, while its claim is in
+// flight to the store. The answer that is handed over must not be dropped
 // because of the pending claim, or the caller is answered as unknown from then
 // on.
 func TestRetryAtSuccessorDuringHandover(t *testing.T) {
--- a/core/jwclaim/keeper.go
+++ b/core/jwclaim/keeper.go
@@ -47,7 +47,7 @@
 	Releases          uint64 // calls released as not run
 	Unknowns          uint64 // verdicts and calls that ended as unknown
 	UnreadableClaims  uint64 // caller keys rejected because their claims could not be read
-	Evicted           uint64 // answers dropped to stay within MaxAnswerBytes
+	Evicted           uint64 // answers evicted to stay within MaxAnswerBytes
 	Writes            uint64 // swaps sent to the store
 	LostSwaps         uint64 // swaps lost to another node
 	StoreFailures     uint64 // failed cycles and failed deletions of stray segments
--- a/core/jwclaim/record.go
+++ b/core/jwclaim/record.go
@@ -19,7 +19,7 @@
 	EndRecord         RecordKind = "end"         // the last record, with the number of records before it
 )
 
-// Record is one part of what a stopping node hands to its successor.
+// Record is one of the records that a stopping node hands over to its successor.
 type Record struct {
 	Kind        RecordKind `json:"kind"`
 	Holder      Holder     `json:"holder,omitzero"` // the process that minted the tickets or made the claim
--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -125,7 +125,7 @@
 }
 
 // handleFailure rejects the items that are certainly not written and keeps the
-// rest for the next cycle. After a single failure of a reachable store it
+// others for the next cycle. After a single failure of a reachable store it
 // rejects none: the next write may well serve the items that were queued since.
 // k.mu is held.
 func (s *slot) handleFailure(err error) {
@@ -290,8 +290,8 @@
 }
 
 // removeStraySegment deletes a segment that this node created from too old a
-// view. The segment would leave a gap in the log, and every node would refuse
-// to read it. If the segment was in order after all, deleting it is safe
+// view. The segment would leave a gap in the log, and every node would reject
+// the log. If the segment was in order after all, deleting it is safe
 // because none of its claims has been relied on.
 func (s *slot) removeStraySegment(ctx context.Context, at position, version uint64) {
 	if _, err := s.k.Store.Delete(ctx, segmentKey(s.prefix, at.segment), version); err != nil {
--- a/core/jwclock/pausedetector.go
+++ b/core/jwclock/pausedetector.go
@@ -25,8 +25,8 @@
 // before it serves again.
 type PauseDetector struct {
 	Limit time.Duration // longest pause that is tolerated
-	// TimeSinceBoot returns the time since the host started, including suspended time. If it is nil,
-	// SinceBoot is used.
+	// TimeSinceBoot returns the time since the host started, including suspended time. If it
+	// is nil, SinceBoot is used.
 	TimeSinceBoot func() time.Duration
 
 	last atomic.Pointer[clockReading]
--- a/core/jwdirectory/directory.go
+++ b/core/jwdirectory/directory.go
@@ -13,7 +13,7 @@
 // Snapshot is one version of the whole directory. It must not be changed after
 // Table.Set.
 type Snapshot struct {
-	Version    string               // as the directory names it
+	Version    string               // as given by the directory
 	Workspaces map[string]Workspace // by name
 }
 
--- a/core/jwdrain/drain.go
+++ b/core/jwdrain/drain.go
@@ -60,7 +60,7 @@
 type Drain struct {
 	Keys Keys
 	// Successors returns the nodes of the same region that may take over, in
-	// order of preference, without those that are leaving. It is called once no
+	// order of preference, without those that are stopping. It is called once no
 	// call is in flight.
 	Successors func() []jwclaim.Successor
 	// InFlightTimeout is the longest wait for calls in flight; 0 means no limit.
@@ -102,7 +102,7 @@
 }
 
 // Enter registers one call. The caller calls done when the call has ended;
-// calling it again has no effect. Once the node is leaving, ok is false and the
+// calling it again has no effect. Once the stop has begun, ok is false and the
 // call must be rejected and sent to another host.
 func (d *Drain) Enter() (done func(), ok bool) {
 	d.mu.Lock()
--- a/core/jwentry/demand.go
+++ b/core/jwentry/demand.go
@@ -29,9 +29,9 @@
 	}
 }
 
-// ChooseStandIns returns the regions of candidates that may serve most of the requests counted so
-// far, several if they are equal. Callers should be sent there while their own region
-// has no node. Before the first counted request, each entry of host counts as one
+// ChooseStandIns returns the regions of candidates that may serve most of the requests
+// counted so far, several if they are equal. Callers should be sent there while their own
+// region has no node. Before the first counted request, each entry of host counts as one
 // request.
 func (d *Demand) ChooseStandIns(c *Config, host string, candidates []string) []string {
 	weights := make(map[string]int, len(candidates))
--- a/core/jwentry/entry.go
+++ b/core/jwentry/entry.go
@@ -49,7 +49,7 @@
 func (e *Entry) Attempts() int { return max(e.MaxAttempts, 1) }
 
 // Choose returns the service selected by point, a number in [0, 1): each service gets a
-// part of that interval in proportion to its weight. It returns "" without destinations.
+// share of that interval in proportion to its weight. It returns "" without destinations.
 func (e *Entry) Choose(point float64) string {
 	total := 0.0
 	for _, d := range e.Destinations {
--- a/core/jwexplain/trace.go
+++ b/core/jwexplain/trace.go
@@ -34,8 +34,8 @@
 	Detail      string `json:"detail,omitempty"`
 }
 
-// hashBytes is the length of a workspace hash, enough to tell 38,000 workspaces
-// apart.
+// hashBytes is the length of a workspace hash, enough to distinguish 38,000
+// workspaces.
 const hashBytes = 8
 
 // WorkspaceHash returns the short hash under which traces show a workspace.
--- a/core/jwexplain/tracer.go
+++ b/core/jwexplain/tracer.go
@@ -125,8 +125,8 @@
 	return trace
 }
 
-// Find returns the traces of a request id, oldest first; a request that was
-// sent again has several.
+// Find returns the traces of a request id, oldest first; a retried request
+// has several.
 func (t *Tracer) Find(id string) []Trace {
 	if t == nil {
 		return nil
--- a/core/jwhost/host.go
+++ b/core/jwhost/host.go
@@ -13,12 +13,12 @@
 
 // Host is one entry of the platform's host list.
 type Host struct {
-	Name        string // name of the node, for entry hosts
+	Name        string // name of the node, if Role is Node
 	Role        Role
 	Region      string
 	DataCentre  string
 	Service     string         // name of the service that a target runs
-	Address     netip.AddrPort // where an entry host listens for callers, or a target for calls
-	NodeAddress netip.AddrPort // where an entry host listens for other nodes
+	Address     netip.AddrPort // where a node listens for callers, or a target for calls
+	NodeAddress netip.AddrPort // where a node listens for other nodes
 	Leaving     bool           // the host is about to be removed
 }
--- a/core/jwhost/watcher.go
+++ b/core/jwhost/watcher.go
@@ -27,8 +27,8 @@
 }
 
 // reapplyInterval is the interval at which an unchanged list is applied again,
-// since its effect depends on the time: a target's own report that it is leaving
-// overrides a list that says otherwise, but only for a limited time.
+// since its effect depends on the time: a target's own announcement that it is
+// leaving overrides a list that says otherwise, but only for a limited time.
 const reapplyInterval = 30 * time.Second
 
 // Run polls the list until ctx ends and returns the error of ctx. While the list
@@ -64,7 +64,8 @@
 
 // askPeer applies the list of another node of the region, for a node that starts
 // while the platform can't be reached. The list is not stored in the table: a
-// node must not be considered gone because a list from another node lacks it.
+// node must not be considered gone because it is missing from the list of another
+// node.
 func (w *Watcher) askPeer(ctx context.Context) {
 	if w.Peer == nil || w.lastHosts != nil {
 		return
--- a/core/jwquota/account.go
+++ b/core/jwquota/account.go
@@ -50,7 +50,7 @@
 	shortageSince      time.Time // since when the root has lacked units
 	lastShortage       time.Time // when the root last lacked units
 	lastClaim          time.Time // when the node last claimed units
-	retriesBookedUntil time.Time // latest retry time that was given to a refused caller
+	retriesBookedUntil time.Time // latest retry time that was given to a rejected caller
 }
 
 // child is the last claim of a node that claims units from this one.
@@ -118,7 +118,7 @@
 // targetLevel returns the units that the node wants to hold for upcoming requests. All
 // nodes together want at most what the quota's rate adds in the prefetch time, however
 // high the demand is: units held for a flood of requests would be spent in addition to
-// those that the rate adds meanwhile.
+// those that the rate adds in the same time.
 func (a *account) targetLevel(now time.Time, q jwworkspace.Quota, b Bounds, topo Topology) float64 {
 	units := a.demand.current(now)
 	if topo.GroupSize > 0 {
@@ -163,7 +163,7 @@
 }
 
 // isScarce reports whether units are lacking: at the root whether more are pending than
-// it has, at other nodes whether a recent grant said so.
+// it has, at other nodes whether a recent grant reported it.
 func (a *account) isScarce(now time.Time) bool {
 	if a.root {
 		return a.pendingUnits(now) > a.level
@@ -186,9 +186,9 @@
 }
 
 // allocate returns the units to grant to a node. Requests and nodes that have waited
-// longer come first; from the rest it gets what all its waiting requests lack or, if that
-// is too much, what the first of them lacks. Units to prefetch come only from what
-// nobody waits for.
+// longer come first; from what remains it gets what all its waiting requests lack or, if that
+// is too much, what the first of them lacks. Units to prefetch come only from those that
+// no request waits for.
 func (a *account) allocate(now time.Time, node string, c Claim) float64 {
 	index, known := slices.BinarySearchFunc(a.children, node, func(c child, name string) int { return strings.Compare(c.name, name) })
 	if !known {
--- a/core/jwquota/bounds.go
+++ b/core/jwquota/bounds.go
@@ -36,19 +36,19 @@
 	// maxTransitTime and maxTransitShare bound the units in transit between two nodes.
 	maxTransitTime  = 250 * time.Millisecond
 	maxTransitShare = 0.15
-	// initialShare is the share of its part of maxUnspent that a node has when it starts:
+	// initialShare is the fraction of its equal share of maxUnspent that a node has when it starts:
 	// after all nodes start at once, callers retry before the rate has added any units.
 	initialShare = 0.12
 )
 
 // maxUnspent returns the units that all nodes together may keep unspent. In a window
-// these can be spent and also what is added meanwhile, the rate times the window.
+// these can be spent in addition to what the rate adds within it.
 func (b Bounds) maxUnspent(q jwworkspace.Quota) float64 {
 	return max(b.MaxUnits(q)-q.Rate*b.Window.Seconds(), 0)
 }
 
-// baseUnspent returns the rest of maxUnspent after subtracting the units that nodes
-// prefetch, the units in transit and the units that nodes start with.
+// baseUnspent returns maxUnspent minus the units that nodes prefetch, the units in
+// transit and the units that nodes start with.
 func (b Bounds) baseUnspent(q jwworkspace.Quota) float64 {
 	unspent := b.maxUnspent(q)
 	prefetched := 2 * b.prefetchTime(q).Seconds() * q.Rate
--- a/core/jwquota/claim.go
+++ b/core/jwquota/claim.go
@@ -11,7 +11,7 @@
 	maxClaims = 64
 	// claimInterval is the time between two claims for a workspace that lacks no units.
 	claimInterval = time.Second
-	// scarceTTL is how long a node prefetches fewer units after a grant said that other
+	// scarceTTL is how long a node prefetches fewer units after a grant reported that other
 	// nodes lack units, and scarceFactor is the factor by which it lowers its target level.
 	scarceTTL    = 600 * time.Millisecond
 	scarceFactor = 0.25
@@ -103,7 +103,7 @@
 }
 
 // Answer applies the claims of a node and returns its grants. With poll, the answer also
-// names the other workspaces whose units are wanted.
+// lists the other workspaces whose units are wanted.
 func (l *Ledger) Answer(now time.Time, node string, claims []Claim, poll bool) []Grant {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -161,8 +161,8 @@
 	return grants
 }
 
-// ApplyGrants adds the units of an answer to claims and takes over what it reports on
-// the workspaces.
+// ApplyGrants adds the units of an answer to claims and applies what it reports on the
+// workspaces.
 func (l *Ledger) ApplyGrants(now time.Time, grants []Grant) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -253,7 +253,7 @@
 }
 
 // requestDemandShare requests units at a node whose share of a quota follows its demand:
-// half of the quota is shared equally, the rest by the demands that the nodes reported.
+// half of the quota is shared equally, the other half by the demands that the nodes reported.
 func (f *fleet) requestDemandShare(n *simNode, workspace string, cost float64) {
 	if n.buckets == nil {
 		n.buckets, n.demands, n.reported = map[string]*bucket{}, map[string]*rate{}, map[string]float64{}
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -9,7 +9,7 @@
 )
 
 const (
-	// minRetryAfter and maxRetryAfter bound the Retry-After of a refused caller.
+	// minRetryAfter and maxRetryAfter bound the Retry-After of a rejected caller.
 	minRetryAfter = 200 * time.Millisecond
 	maxRetryAfter = 5 * time.Second
 	// idleTTL is how long the account of a workspace without requests is kept.
@@ -69,7 +69,7 @@
 type Decision struct {
 	Outcome    Outcome
 	Waiter     *Waiter       // set if the request waits
-	RetryAfter time.Duration // set if the request is refused
+	RetryAfter time.Duration // set if the request is rejected
 	Level      float64       // units that the node had for the workspace
 }
 
@@ -91,7 +91,7 @@
 }
 
 // Take requests the units that a request costs. If they are not available, it enqueues
-// the request and returns its Waiter, or refuses it.
+// the request and returns its Waiter, or rejects it.
 func (l *Ledger) Take(now time.Time, workspace string, cost float64) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -139,8 +139,8 @@
 	a.level = min(a.level, a.maxLevel(now, q, l.Bounds(), l.topology)+cost)
 }
 
-// bookRetry returns the Retry-After of a refused caller, after the retries of the callers
-// that were refused before it.
+// bookRetry returns the Retry-After of a rejected caller, after the retries of the callers
+// that were rejected before it.
 func (a *account) bookRetry(now time.Time, q jwworkspace.Quota, topo Topology, cost float64) time.Duration {
 	share := max(a.spendRate.current(now), q.Rate/float64(max(topo.FleetSize, 1)))
 	if a.retriesBookedUntil.Before(now) {
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -42,8 +42,8 @@
 	}
 }
 
-// Workspaces that stay within their quotas, including small ones, are refused almost
-// nothing while the peak load moves from region to region.
+// Almost no request of workspaces that stay within their quotas, including small ones, is
+// rejected while the peak load moves from region to region.
 func TestFewRefusalsWithinQuota(t *testing.T) {
 	for name, perSecond := range map[string]float64{"large": 800_000, "middle": 100_000, "small": 29_000} {
 		t.Run(name, func(t *testing.T) {
@@ -127,7 +127,7 @@
 }
 
 // TestCompareDistributions compares three ways to distribute a quota: in equal shares, in
-// shares that follow demand, and by the tree. It compares what is refused, how much of the
+// shares that follow demand, and by the tree. It compares what is rejected, how much of the
 // bound is used and how often nodes call each other; -v logs the results.
 func TestCompareDistributions(t *testing.T) {
 	sizes := []int{9, 58}
--- a/core/jwstore/recent_test.go
+++ b/core/jwstore/recent_test.go
@@ -10,7 +10,7 @@
 
 // A node that reads the store's changes through another node must end up with the contents
 // of the store, however far both fall behind or drop what they have. A skipped change would
-// be missed for good: for example, a target that has left would go on getting requests.
+// never be applied: for example, a target that has left would go on getting requests.
 func TestRecentOmitsNothing(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		var r Recent
--- a/core/jwsuspect/exclude.go
+++ b/core/jwsuspect/exclude.go
@@ -15,8 +15,8 @@
 	t.members = slices.Clone(nodes)
 }
 
-// ExcludedTargets returns those of the targets on which a suspected fingerprint must not run now.
-// If two suspects were on one target when it crashes, the harmless one would be
+// ExcludedTargets returns those of the targets on which a suspected fingerprint must not
+// run now. If two suspects were on one target when it crashes, the harmless one would be
 // quarantined with the other. So a suspect is kept away from targets
 //
 //   - that crashed with it in flight,
@@ -24,8 +24,8 @@
 //   - that another node uses for its suspects: rendezvous hashing assigns each target to
 //     one node of the region.
 //
-// If no target would be left, as in a service with one target, ExcludedTargets ignores the third
-// rule, and if that is not enough also the first, but never the second.
+// If no target would be left, as in a service with one target, ExcludedTargets ignores the
+// third rule, and if that is not enough also the first, but never the second.
 func (t *Table) ExcludedTargets(f Fingerprint, targets []netip.AddrPort, now time.Time) []netip.AddrPort {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwsuspect/table.go
+++ b/core/jwsuspect/table.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// State tells whether a fingerprint is suspected of crashing targets.
+// State says whether a fingerprint is suspected of crashing targets.
 type State string
 
 // The states of a fingerprint.
@@ -46,7 +46,7 @@
 // is held. Set its fields before use; the zero value uses the defaults.
 type Table struct {
 	Node            string        // name of this node
-	Region          string        // region of this node, named in notices of data that is bound to it
+	Region          string        // region of this node, sent in notices of data that is bound to it
 	Remember        time.Duration // how long one crash counts
 	Quarantine      time.Duration // how long the first quarantine of a fingerprint lasts
 	MaxFingerprints int           // maximum number of fingerprints remembered
@@ -78,7 +78,7 @@
 	at     time.Time
 }
 
-// Begin records a call in flight; bound tells that its data must not leave the region.
+// Begin records a call in flight; bound says that its data must not leave the region.
 // Each call of Begin needs a call of End.
 func (t *Table) Begin(f Fingerprint, target netip.AddrPort, bound bool) {
 	t.mu.Lock()
--- a/core/jwsuspect/table_test.go
+++ b/core/jwsuspect/table_test.go
@@ -109,7 +109,7 @@
 	assert.Equal(t, state, Clear)
 }
 
-// Peers repeat their notices. A crash that a node receives twice, or receives back after
+// Peers send their notices repeatedly. A crash that a node receives twice, or receives back after
 // it reported the crash itself, must not count as another one. Otherwise harmless
 // requests would be quarantined.
 func TestMergeRepeats(t *testing.T) {
