--- a/core/jwclaim/handover.go
+++ b/core/jwclaim/handover.go
@@ -119,7 +119,7 @@
 	count := uint64(len(records) - 1)
 	receipt, err := s.Handover(ctx, slices.Values(records))
 	if err == nil && receipt.Records != count {
-		err = errors.Errorf("successor kept %d of %d records", receipt.Records, count)
+		err = errors.Errorf("successor took over %d of %d records", receipt.Records, count)
 	}
 	k.endHandover(s, receipt, err)
 	return errors.Wrapf(err, "handover: %s", s.Holder().Node)
