--- a/core/jwdrain/keeper_test.go
+++ b/core/jwdrain/keeper_test.go
@@ -57,7 +57,7 @@
 }
 
 // A node stops while the store is down and a confirmation still runs. A caller
-// that got no answer sends the request again, to the successor. It must get the
+// that got no answer retries the request at the successor. It must get the
 // answer of the first run: the outcome must not be unknown, and the request must
 // not run twice.
 func TestStopWithStoreDown(t *testing.T) {
