--- a/core/jwcatalogue/departure_test.go
+++ b/core/jwcatalogue/departure_test.go
@@ -33,16 +33,16 @@
 		ask   string   // incarnation of n1 asked about after each list
 		want  bool     // whether n1 is gone after the last
 	}{
-		"listed":                       {[]string{"n0 n1", "n0 n1", "n0 n1"}, "aaa", false},
-		"missing longer than the lag":  {[]string{"n0 n1", "n0", "n0", "n0"}, "aaaa", true},
-		"missing shorter than the lag": {[]string{"n0 n1", "n0", "n0"}, "aaa", false},
-		"back in between":              {[]string{"n0", "n0", "n0 n1", "n0", "n0"}, "aaaaa", false},
-		"whole region":                 {[]string{"n0 n1 s0", "s0", "s0", "s0", "s0"}, "aaaaa", false},
-		"region comes back one by one": {[]string{"n0", "s0", "s0", "s0", "n0"}, "aaaaa", false},
-		"region is away for a moment":  {[]string{"n0", "s0", "s0", "n0"}, "aaaa", false},
-		"later still without it":       {[]string{"n0", "s0", "s0", "n0", "n0", "n0"}, "aaaaaa", true},
-		"restarted, list is behind":    {[]string{"n0", "n0", "n0", "n0"}, "aaab", false},
-		"list is not read":             {[]string{"n0", "", "", ""}, "aaaa", false},
+		"listed":                         {[]string{"n0 n1", "n0 n1", "n0 n1"}, "aaa", false},
+		"missing longer than the lag":    {[]string{"n0 n1", "n0", "n0", "n0"}, "aaaa", true},
+		"missing shorter than the lag":   {[]string{"n0 n1", "n0", "n0"}, "aaa", false},
+		"back in between":                {[]string{"n0", "n0", "n0 n1", "n0", "n0"}, "aaaaa", false},
+		"whole region":                   {[]string{"n0 n1 s0", "s0", "s0", "s0", "s0"}, "aaaaa", false},
+		"region comes back one by one":   {[]string{"n0", "s0", "s0", "s0", "n0"}, "aaaaa", false},
+		"region is missing for a moment": {[]string{"n0", "s0", "s0", "n0"}, "aaaa", false},
+		"later still without it":         {[]string{"n0", "s0", "s0", "n0", "n0", "n0"}, "aaaaaa", true},
+		"restarted, list is behind":      {[]string{"n0", "n0", "n0", "n0"}, "aaab", false},
+		"list is not read":               {[]string{"n0", "", "", ""}, "aaaa", false},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwcatalogue/entry_test.go
+++ b/core/jwcatalogue/entry_test.go
@@ -48,21 +48,21 @@
 		edit func(e *Entry)
 		want []string
 	}{
-		"good":           {func(*Entry) {}, nil},
-		"empty":          {func(e *Entry) { *e = Entry{} }, []string{"name is empty", "owner is empty", "service is empty", "path", "class", "deadline"}},
-		"long name":      {func(e *Entry) { e.Name = string(make([]byte, 64)) }, []string{"name is longer"}},
-		"slash in name":  {func(e *Entry) { e.Name = "a/b" }, []string{"other characters"}},
-		"deadline":       {func(e *Entry) { e.Deadline = time.Hour + 1 }, []string{"deadline"}},
-		"first token":    {func(e *Entry) { e.FirstToken = time.Minute }, []string{"firstToken"}},
-		"progress":       {func(e *Entry) { e.Progress = -1 }, []string{"progress"}},
-		"key memory":     {func(e *Entry) { e.Idempotent, e.KeyMemory = false, 7*time.Second }, []string{"keyMemory"}},
-		"negative":       {func(e *Entry) { e.Limits.Rate, e.Weights.Wait = -1, -1 }, []string{"limits.rate", "weights.tail"}},
-		"no burst":       {func(e *Entry) { e.Limits.Rate = 1 }, []string{"limits.burst"}},
-		"body":           {func(e *Entry) { e.MaxBodySize = 1 << 40 }, []string{"maxBodySize"}},
-		"bound away":     {func(e *Entry) { e.Bound, e.Regions = true, []string{"north"} }, []string{"bound"}},
-		"any and others": {func(e *Entry) { e.Regions = []string{"*", "north"} }, []string{"beside others"}},
-		"region twice":   {func(e *Entry) { e.Regions = []string{"north", "north"} }, []string{"twice"}},
-		"path":           {func(e *Entry) { e.Path = "/a b" }, []string{"path"}},
+		"good":               {func(*Entry) {}, nil},
+		"empty":              {func(e *Entry) { *e = Entry{} }, []string{"name is empty", "owner is empty", "service is empty", "path", "class", "deadline"}},
+		"long name":          {func(e *Entry) { e.Name = string(make([]byte, 64)) }, []string{"name is longer"}},
+		"slash in name":      {func(e *Entry) { e.Name = "a/b" }, []string{"other characters"}},
+		"deadline":           {func(e *Entry) { e.Deadline = time.Hour + 1 }, []string{"deadline"}},
+		"first token":        {func(e *Entry) { e.FirstToken = time.Minute }, []string{"firstToken"}},
+		"progress":           {func(e *Entry) { e.Progress = -1 }, []string{"progress"}},
+		"key memory":         {func(e *Entry) { e.Idempotent, e.KeyMemory = false, 7*time.Second }, []string{"keyMemory"}},
+		"negative":           {func(e *Entry) { e.Limits.Rate, e.Weights.Wait = -1, -1 }, []string{"limits.rate", "weights.tail"}},
+		"no burst":           {func(e *Entry) { e.Limits.Rate = 1 }, []string{"limits.burst"}},
+		"body":               {func(e *Entry) { e.MaxBodySize = 1 << 40 }, []string{"maxBodySize"}},
+		"bound with regions": {func(e *Entry) { e.Bound, e.Regions = true, []string{"north"} }, []string{"bound"}},
+		"any and others":     {func(e *Entry) { e.Regions = []string{"*", "north"} }, []string{"beside others"}},
+		"region twice":       {func(e *Entry) { e.Regions = []string{"north", "north"} }, []string{"twice"}},
+		"path":               {func(e *Entry) { e.Path = "/a b" }, []string{"path"}},
 	}
 	for name, tt := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -11,10 +11,10 @@
 // The parsers must reject it, or it must mean the same after it is encoded again.
 
 func FuzzParseEntry(f *testing.F) {
-	whole, err := json.Marshal(newEntry("status"))
+	complete, err := json.Marshal(newEntry("status"))
 	assert.NilError(f, err)
-	f.Add(whole)
-	f.Add(whole[:len(whole)/2])
+	f.Add(complete)
+	f.Add(complete[:len(complete)/2])
 	f.Add([]byte(`{"name":"a","deadline":"1h0.5s","regions":["*"],"limits":{"rate":1e-9}}`))
 	f.Add([]byte(`{"name":"a","deadline":-1}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -32,10 +32,10 @@
 }
 
 func FuzzParseChange(f *testing.F) {
-	whole, err := newChange(1, "a").Encode()
+	complete, err := newChange(1, "a").Encode()
 	assert.NilError(f, err)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-1])
+	f.Add(complete)
+	f.Add(complete[:len(complete)-1])
 	f.Add([]byte(`{"n":18446744073709551615,"editId":"a","entry":"a","before":{"name":"a"},"time":"2026-01-01T00:00:00Z"}`))
 	f.Add([]byte(`{"n":1,"editId":"a","entry":"a","after":{"name":"b"}}`))
 	f.Fuzz(func(t *testing.T, data []byte) {
@@ -59,10 +59,10 @@
 func FuzzParseCheckpoint(f *testing.F) {
 	table := new(Table)
 	assert.NilError(f, table.Apply(newChange(1, "a")))
-	whole, err := table.Current().checkpoint().Encode()
+	complete, err := table.Current().checkpoint().Encode()
 	assert.NilError(f, err)
-	f.Add(whole)
-	f.Add(whole[:len(whole)-2])
+	f.Add(complete)
+	f.Add(complete[:len(complete)-2])
 	f.Add([]byte(`{"revision":3,"entries":{"a":{"name":"a"}},"revisions":{"a":4}}`))
 	f.Add([]byte(`{"revision":3,"entries":{"a":{"name":"a"}},"revisions":{"b":2}}`))
 	f.Add([]byte(`{"revision":3,"entries":null,"revisions":null}`))
--- a/core/jwcatalogue/pace_test.go
+++ b/core/jwcatalogue/pace_test.go
@@ -220,12 +220,12 @@
 		callsWritten += float64(writesAfter - writes)
 	}
 	t.Logf("an edit: %.0f reads and %.1f writes more than when idle", callsRead/edits, callsWritten/edits)
-	for _, part := range []struct {
+	for _, stage := range []struct {
 		name      string
 		durations []time.Duration
 	}{{"written", written}, {"in force everywhere", inForce}, {"accepted", accepted}} {
-		slices.Sort(part.durations)
-		t.Logf("%s: median %v, longest %v", part.name, part.durations[edits/2], part.durations[edits-1])
+		slices.Sort(stage.durations)
+		t.Logf("%s: median %v, longest %v", stage.name, stage.durations[edits/2], stage.durations[edits-1])
 	}
 	cancel()
 	wg.Wait()
--- a/core/jwcatalogue/system_test.go
+++ b/core/jwcatalogue/system_test.go
@@ -19,20 +19,20 @@
 
 // system is a set of nodes in two regions, driven step by step.
 type system struct {
-	t             *rapid.T // nil where nothing is drawn
-	tb            failer
-	store         *fakeStore
-	oracle        oracle
-	now           time.Time
-	hostList      []jwhost.Host
-	listTime      time.Time
-	nodes         map[string]*node // running processes by name
-	cutRegions    map[string]bool  // regions cut off from the store and each other
-	starts        int
-	edits         int
-	seenRevisions [2]map[string]uint64 // the revision of each entry that each operator last saw
-	nestedCalls   int
-	busy          map[string]bool // nodes with a call in progress
+	t                  *rapid.T // nil where nothing is drawn
+	tb                 failer
+	store              *fakeStore
+	oracle             oracle
+	now                time.Time
+	hostList           []jwhost.Host
+	listTime           time.Time
+	nodes              map[string]*node // running processes by name
+	partitionedRegions map[string]bool  // regions cut off from the store and each other
+	starts             int
+	edits              int
+	seenRevisions      [2]map[string]uint64 // the revision of each entry that each operator last saw
+	nestedCalls        int
+	busy               map[string]bool // nodes with a call in progress
 }
 
 type failer interface {
@@ -106,7 +106,7 @@
 func newSystem(t *rapid.T, tb failer) *system {
 	s := &system{
 		t: t, tb: tb, store: new(fakeStore), now: time.Unix(1000, 0), nodes: make(map[string]*node),
-		cutRegions: make(map[string]bool), busy: make(map[string]bool), oracle: oracle{revisions: make(map[string]uint64)},
+		partitionedRegions: make(map[string]bool), busy: make(map[string]bool), oracle: oracle{revisions: make(map[string]uint64)},
 	}
 	s.seenRevisions[0], s.seenRevisions[1] = make(map[string]uint64), make(map[string]uint64)
 	s.store.onCreate = func(key string, value []byte) { s.oracle.recordChange(s.tb, key, value) }
@@ -126,7 +126,7 @@
 	s.now = s.now.Add(40 * time.Second)
 	s.listTime, s.hostList = s.now, nil
 	for _, name := range slices.Sorted(maps.Keys(s.nodes)) {
-		if n := s.nodes[name]; !s.cutRegions[n.peer.Region] {
+		if n := s.nodes[name]; !s.partitionedRegions[n.peer.Region] {
 			s.hostList = append(s.hostList, jwhost.Host{Name: name, Role: jwhost.Node, Region: n.peer.Region})
 		}
 	}
@@ -140,7 +140,7 @@
 	n *node
 }
 
-func (l nodeStore) reachable() bool { return !l.n.sys.cutRegions[l.n.peer.Region] }
+func (l nodeStore) reachable() bool { return !l.n.sys.partitionedRegions[l.n.peer.Region] }
 
 func (l nodeStore) Get(ctx context.Context, key string) (jwstore.Item, bool, error) {
 	if !l.reachable() {
@@ -230,7 +230,7 @@
 }
 
 func (s *system) connected(a, b *node) bool {
-	return a.peer.Region == b.peer.Region || !s.cutRegions[a.peer.Region] && !s.cutRegions[b.peer.Region]
+	return a.peer.Region == b.peer.Region || !s.partitionedRegions[a.peer.Region] && !s.partitionedRegions[b.peer.Region]
 }
 
 func (n *node) Adopt(_ context.Context, m Member, after uint64) (string, []Change, *Checkpoint, error) {
@@ -435,7 +435,7 @@
 		},
 		"round": s.runRound,
 		"heal": func() {
-			clear(s.cutRegions)
+			clear(s.partitionedRegions)
 			s.store.setDown(false)
 			for _, n := range s.nodes {
 				n.frozen = false
@@ -475,9 +475,9 @@
 		},
 		"cut": func() {
 			region := drawOne(s.t, "region", "north", "south")
-			s.cutRegions[region] = true
+			s.partitionedRegions[region] = true
 		},
-		"mend": func() { clear(s.cutRegions) },
+		"mend": func() { clear(s.partitionedRegions) },
 		"down": func() { s.store.setDown(true) },
 		"up":   func() { s.store.setDown(false) },
 	}
--- a/core/jwclaim/bench_test.go
+++ b/core/jwclaim/bench_test.go
@@ -152,11 +152,11 @@
 			}
 		}
 		calls.Go(func() {
-			began := time.Now()
+			startedAt := time.Now()
 			d, _ := n.Begin(context.Background(), a)
 			mu.Lock()
 			defer mu.Unlock()
-			latencies = append(latencies, time.Since(began))
+			latencies = append(latencies, time.Since(startedAt))
 			if d.Verdict != Run {
 				res.rejected++
 				return
--- a/core/jwclaim/handover_test.go
+++ b/core/jwclaim/handover_test.go
@@ -90,10 +90,10 @@
 		unused     Verdict
 		atStopping Verdict // verdict on the unused ticket at the stopping node
 	}{
-		"clean":                   {used: Replay, unused: Run, atStopping: AskHolder},
-		"first refuses":           {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
-		"reply of first lost":     {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
-		"records lost on the way": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
+		"clean":                  {used: Replay, unused: Run, atStopping: AskHolder},
+		"first rejects":          {first: &faultySuccessor{replyErr: ErrNotAdopted, changeRecords: drop(EndRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
+		"reply of first lost":    {first: &faultySuccessor{replyErr: errors.New("no reply")}, used: Replay, unused: Unknown, atStopping: Unknown},
+		"records lost in flight": {first: &faultySuccessor{changeRecords: drop(AnswerRecord)}, used: Replay, unused: Run, atStopping: AskHolder},
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -224,7 +224,7 @@
 			sim.fail("%s: mismatch without another body", key)
 		}
 	case Refused:
-		sim.fail("%s: refused", key)
+		sim.fail("%s: ticket rejected", key)
 	}
 }
 
@@ -286,7 +286,7 @@
 		c.call.Release()
 		return
 	}
-	if o == jwrequest.NotRun { // the target rejected it
+	if o == jwrequest.NotRun { // the target refused it
 		sim.mu.Lock()
 		rs := sim.oracle.runs[c.key]
 		sim.oracle.runs[c.key] = rs[:len(rs)-1]
@@ -416,11 +416,11 @@
 		}
 		h := &simSuccessor{to: other}
 		if !sim.noFaults {
-			h.fault = rapid.SampledFrom([]string{"", "", "refuse", "ack lost", "cut off"}).Draw(t, "handover")
+			h.fault = rapid.SampledFrom([]string{"", "", "reject", "reply lost", "truncate"}).Draw(t, "handover")
 		}
 		n.handedOver = n.Handover(context.Background(), h) == nil
 	}
-	if n.handedOver && (sim.noFaults || rapid.Bool().Draw(t, "tell")) {
+	if n.handedOver && (sim.noFaults || rapid.Bool().Draw(t, "shareMoves")) {
 		sim.shareMoves()
 	}
 }
@@ -447,13 +447,13 @@
 
 func (s *simSuccessor) Handover(_ context.Context, records iter.Seq[Record]) (Receipt, error) {
 	time.Sleep(5 * time.Millisecond)
-	if s.fault == "refuse" {
+	if s.fault == "reject" {
 		return Receipt{}, ErrNotAdopted
 	}
 	r, err := s.to.Adopt(func(yield func(Record, error) bool) {
 		for rec := range records {
-			if s.fault == "cut off" && rec.Kind == EndRecord {
-				yield(Record{}, errors.New("cut off"))
+			if s.fault == "truncate" && rec.Kind == EndRecord {
+				yield(Record{}, errors.New("truncated"))
 				return
 			}
 			if !yield(rec, nil) {
@@ -462,7 +462,7 @@
 		}
 	})
 	time.Sleep(5 * time.Millisecond)
-	if s.fault == "ack lost" {
+	if s.fault == "reply lost" {
 		return Receipt{}, errors.New("no reply")
 	}
 	return r, err
--- a/core/jwdrain/drain_test.go
+++ b/core/jwdrain/drain_test.go
@@ -47,7 +47,7 @@
 func TestStop(t *testing.T) {
 	refuse := errors.New("refused")
 	for name, tc := range map[string]struct {
-		limit   time.Duration
+		timeout time.Duration
 		call    time.Duration // duration of the call in flight, 0 for none
 		flush   error
 		results map[string]error
@@ -65,13 +65,13 @@
 			steps:  []string{"close", "flush", "hand to a"},
 			states: []State{Leaving, HandedOver, Gone},
 		},
-		"limit cuts the call before the handover": {
-			call:   time.Hour,
-			limit:  time.Minute,
-			steps:  []string{"close", "cut", "flush", "hand to a"},
-			states: []State{Leaving, HandedOver, Gone},
-			cut:    1,
-			failed: true,
+		"timeout cuts off the call before the handover": {
+			call:    time.Hour,
+			timeout: time.Minute,
+			steps:   []string{"close", "cut", "flush", "hand to a"},
+			states:  []State{Leaving, HandedOver, Gone},
+			cut:     1,
+			failed:  true,
 		},
 		"next successor": {
 			results: map[string]error{"a": refuse},
@@ -97,7 +97,7 @@
 				var states []State
 				d := &Drain{
 					Keys:            k,
-					InFlightTimeout: tc.limit,
+					InFlightTimeout: tc.timeout,
 					Successors:      func() []jwclaim.Successor { return []jwclaim.Successor{successor("a"), successor("b")} },
 					OnStateChange:   func(s State) { states = append(states, s) },
 				}
--- a/core/jwquota/account.go
+++ b/core/jwquota/account.go
@@ -199,9 +199,9 @@
 	if old.need > 0 && now.Sub(old.claimedAt) < reservationTTL {
 		fresh.needSince = old.needSince
 	}
-	free, rest := a.level, a.level
+	free, unreserved := a.level, a.level
 	for _, w := range a.waiting {
-		rest -= w.cost
+		unreserved -= w.cost
 		if w.since.Before(fresh.needSince) {
 			free -= w.cost
 		}
@@ -210,7 +210,7 @@
 		if x.name == node || x.need <= 0 || now.Sub(x.claimedAt) >= reservationTTL {
 			continue
 		}
-		rest -= x.need
+		unreserved -= x.need
 		if x.needSince.Before(fresh.needSince) {
 			free -= x.need
 		}
@@ -223,7 +223,7 @@
 		units = c.FirstNeed
 	}
 	fresh.need, fresh.firstNeed = max(c.Need-units, 0), c.FirstNeed
-	units += max(min(c.Prefetch, rest-c.Need), 0)
+	units += max(min(c.Prefetch, unreserved-c.Need), 0)
 	a.children[index] = fresh
 	return units
 }
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -25,16 +25,16 @@
 	calls          int // number of calls between nodes
 	entries        int // number of claims and grants in their messages
 	queue          []message
-	refusedUnits   map[string]float64 // by workspace
+	rejectedUnits  map[string]float64 // by workspace
 	requestedUnits map[string]float64
 	ideal          map[string]*bucket // one counter for all nodes, by workspace, for comparison
 }
 
 // bucket is a token bucket for the requests of one workspace.
 type bucket struct {
-	level   float64
-	at      time.Time
-	refused float64 // units
+	level    float64
+	at       time.Time
+	rejected float64 // units
 }
 
 func (b *bucket) take(now time.Time, q jwworkspace.Quota, cost float64) bool {
@@ -45,7 +45,7 @@
 	}
 	b.at = now
 	if b.level < cost {
-		b.refused += cost
+		b.rejected += cost
 		return false
 	}
 	b.level -= cost
@@ -91,7 +91,7 @@
 func newFleet(seed uint64, nodes, dcs, regions int, b Bounds, quotas map[string]jwworkspace.Quota) *fleet {
 	f := &fleet{
 		rand: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), bounds: b, quotas: quotas,
-		refusedUnits: map[string]float64{}, requestedUnits: map[string]float64{}, ideal: map[string]*bucket{},
+		rejectedUnits: map[string]float64{}, requestedUnits: map[string]float64{}, ideal: map[string]*bucket{},
 	}
 	for i := range nodes {
 		n := &simNode{name: fmt.Sprintf("n%03d", i), dc: i % dcs, region: i % dcs % regions, callTimeouts: map[int]time.Time{}}
@@ -248,7 +248,7 @@
 	case Waits:
 		n.waiters = append(n.waiters, simWaiter{d.Waiter, f.now.Add(patience)})
 	default:
-		f.refusedUnits[workspace] += cost
+		f.rejectedUnits[workspace] += cost
 	}
 }
 
@@ -275,7 +275,7 @@
 	if n.buckets[workspace].take(f.now, q, min(cost, q.Burst)) { // a request larger than the share takes all of it
 		f.spent = append(f.spent, spending{f.now, workspace, cost})
 	} else {
-		f.refusedUnits[workspace] += cost
+		f.rejectedUnits[workspace] += cost
 	}
 }
 
@@ -335,7 +335,7 @@
 		if granted {
 			f.spent = append(f.spent, spending{f.now, x.w.workspace, x.w.cost})
 		} else {
-			f.refusedUnits[x.w.workspace] += x.w.cost
+			f.rejectedUnits[x.w.workspace] += x.w.cost
 		}
 		return true
 	})
--- a/core/jwquota/ledger_test.go
+++ b/core/jwquota/ledger_test.go
@@ -54,9 +54,9 @@
 			f.run(36*time.Second, func() {
 				f.traffic("w", perSecond/1.8, int(f.now.Sub(start)/(12*time.Second)))
 			})
-			t.Logf("%.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["w"], f.requestedUnits["w"], f.ideal["w"].refused)
-			assert.Assert(t, f.refusedUnits["w"] < f.ideal["w"].refused+0.02*f.requestedUnits["w"],
-				"%.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["w"], f.requestedUnits["w"], f.ideal["w"].refused)
+			t.Logf("%.0f of %.0f rejected, one counter rejects %.0f", f.rejectedUnits["w"], f.requestedUnits["w"], f.ideal["w"].rejected)
+			assert.Assert(t, f.rejectedUnits["w"] < f.ideal["w"].rejected+0.02*f.requestedUnits["w"],
+				"%.0f of %.0f rejected, one counter rejects %.0f", f.rejectedUnits["w"], f.requestedUnits["w"], f.ideal["w"].rejected)
 			assert.Assert(t, f.maxSpent("w") <= tokenBounds.MaxUnits(quotas["w"]))
 		})
 	}
@@ -80,8 +80,8 @@
 	}
 	assert.Assert(t, f.maxSpent("hot1") <= tokenBounds.MaxUnits(quotas["hot1"]))
 	assert.Assert(t, spent > 0.9*20*200_000, "only %.0f were spent", spent)
-	t.Logf("calm: %.0f of %.0f refused, one counter refuses %.0f", f.refusedUnits["calm2"], f.requestedUnits["calm2"], f.ideal["calm2"].refused)
-	assert.Assert(t, f.refusedUnits["calm2"] < 0.02*f.requestedUnits["calm2"], "%.0f of %.0f refused", f.refusedUnits["calm2"], f.requestedUnits["calm2"])
+	t.Logf("calm: %.0f of %.0f rejected, one counter rejects %.0f", f.rejectedUnits["calm2"], f.requestedUnits["calm2"], f.ideal["calm2"].rejected)
+	assert.Assert(t, f.rejectedUnits["calm2"] < 0.02*f.requestedUnits["calm2"], "%.0f of %.0f rejected", f.rejectedUnits["calm2"], f.requestedUnits["calm2"])
 }
 
 // No sequence of restarts, network partitions and load changes lets all nodes together
@@ -120,13 +120,13 @@
 			}
 			f.run(time.Duration(rapid.IntRange(100, 3000).Draw(t, "ms"))*time.Millisecond, func() { f.traffic("w", load*q.Rate, peak) })
 		}
-		if most := b.MaxUnits(q); f.maxSpent("w") > most {
-			t.Fatalf("%.0f units in a window, allowed are %.0f", f.maxSpent("w"), most)
+		if limit := b.MaxUnits(q); f.maxSpent("w") > limit {
+			t.Fatalf("%.0f units in a window, allowed are %.0f", f.maxSpent("w"), limit)
 		}
 	})
 }
 
-// TestCompareDistributions compares three ways to distribute a quota: in equal shares, in
+// TestCompareDistributions compares three methods to distribute a quota: in equal shares, in
 // shares that follow demand, and by the tree. It compares what is rejected, how much of the
 // bound is used and how often nodes call each other; -v logs the results.
 func TestCompareDistributions(t *testing.T) {
@@ -135,11 +135,11 @@
 		sizes = append(sizes, 300)
 	}
 	for _, nodes := range sizes {
-		refused := make(map[string]float64)
-		for _, way := range []string{"even", "demand", "tree"} {
+		rejected := make(map[string]float64)
+		for _, method := range []string{"equal", "demand", "tree"} {
 			quotas := map[string]jwworkspace.Quota{"hot1": tokenQuota(300_000), "large2": tokenQuota(800_000), "small3": tokenQuota(60_000)}
 			f := newFleet(5, nodes, min(nodes, 6), 3, tokenBounds, quotas)
-			f.equalShares, f.demandShares = way == "even", way == "demand"
+			f.equalShares, f.demandShares = method == "equal", method == "demand"
 			for _, n := range f.nodes {
 				f.restart(n)
 			}
@@ -156,13 +156,13 @@
 				f.traffic("small3", 60_000/1.8, peak)
 			})
 			for w, q := range quotas {
-				assert.Assert(t, way == "demand" || f.maxSpent(w) <= tokenBounds.MaxUnits(q), "%s exceeds the bound", way)
-				refused[way] += (f.refusedUnits[w] - f.ideal[w].refused) / f.requestedUnits[w]
-				t.Logf("%3d nodes, %-6s %-6s refused %.3f, one counter %.3f, of the bound %.2f, calls a node and second %.1f", nodes, way, w,
-					f.refusedUnits[w]/f.requestedUnits[w], f.ideal[w].refused/f.requestedUnits[w], f.maxSpent(w)/tokenBounds.MaxUnits(q), float64(f.calls)/float64(nodes)/18)
+				assert.Assert(t, method == "demand" || f.maxSpent(w) <= tokenBounds.MaxUnits(q), "%s exceeds the bound", method)
+				rejected[method] += (f.rejectedUnits[w] - f.ideal[w].rejected) / f.requestedUnits[w]
+				t.Logf("%3d nodes, %-6s %-6s rejected %.3f, one counter %.3f, of the bound %.2f, calls a node and second %.1f", nodes, method, w,
+					f.rejectedUnits[w]/f.requestedUnits[w], f.ideal[w].rejected/f.requestedUnits[w], f.maxSpent(w)/tokenBounds.MaxUnits(q), float64(f.calls)/float64(nodes)/18)
 			}
 		}
-		assert.Assert(t, refused["tree"] < refused["even"] && refused["tree"] < refused["demand"], "%v", refused)
+		assert.Assert(t, rejected["tree"] < rejected["equal"] && rejected["tree"] < rejected["demand"], "%v", rejected)
 	}
 }
 
--- a/core/jwsuspect/table_test.go
+++ b/core/jwsuspect/table_test.go
@@ -100,18 +100,18 @@
 	a.Begin(testFingerprint(2), target(1), false)
 	a.Crashed(target(1), start)
 	assert.Equal(t, len(a.Notices("a", start)), 2)
-	away := a.Notices("b", start)
-	assert.Equal(t, len(away), 1)
-	assert.Equal(t, away[0].Fingerprint, testFingerprint(2))
+	inOtherRegion := a.Notices("b", start)
+	assert.Equal(t, len(inOtherRegion), 1)
+	assert.Equal(t, inOtherRegion[0].Fingerprint, testFingerprint(2))
 	b := &Table{Region: "b"}
 	b.Merge(a.Notices("a", start), start)
 	state, _ := b.Check(testFingerprint(1), start)
 	assert.Equal(t, state, Clear)
 }
 
-// Peers send their notices repeatedly. A crash that a node receives twice, or receives back after
-// it reported the crash itself, must not count as another one. Otherwise harmless
-// requests would be quarantined.
+// Peers send their notices repeatedly. A crash that a node receives twice, or receives
+// back after it reported the crash itself, must not count as another one. Otherwise
+// harmless requests would be quarantined.
 func TestMergeRepeats(t *testing.T) {
 	a, b := &Table{}, &Table{}
 	crashAt(a, testFingerprint(1), 1, start)
