--- a/core/jwbudget/cold.go
+++ b/core/jwbudget/cold.go
@@ -10,9 +10,9 @@
 
 // ColdShare returns how many requests per second a node may send to a cold target.
 // The node of the region that owns the target sends what the target can take, and the
-// others send nothing. Nodes that don't see each other may each act as the
-// owner, so none uses more than its equal share of the limit. nodes is the number of
-// nodes that may be running.
+// others send nothing. Nodes that don't see each other may each act as the owner, so
+// none uses more than its equal share of the limit. nodes is the number of nodes that
+// may be running.
 func ColdShare(l ColdLimits, owner bool, nodes int) float64 {
 	if !owner {
 		return 0
--- a/core/jwcatalogue/acceptance_test.go
+++ b/core/jwcatalogue/acceptance_test.go
@@ -195,9 +195,9 @@
 
 func TestJoinThroughPeer(t *testing.T) {
 	// The store is unavailable when a new node starts: it gets the log from a
-	// peer and serves. When the store is available again to the other nodes only, a change
-	// must not be accepted before the new node has it, even if only its sponsor
-	// knows the new node.
+	// peer and serves. When the store is available again to the other nodes only,
+	// a change must not be accepted before the new node has it, even if only its
+	// sponsor knows the new node.
 	s := newSystem(nil, t)
 	g, other := s.northNodes()
 	s.store.setDown(true)
--- a/core/jwcatalogue/follower_test.go
+++ b/core/jwcatalogue/follower_test.go
@@ -31,15 +31,16 @@
 
 func TestFollower(t *testing.T) {
 	// The store goes down while one node waits on it and another gets its changes
-	// from that node. Both must reach the head soon after the store is available again, and
-	// neither may fall behind while only the store is unavailable.
+	// from that node. Both must reach the head soon after the store is available
+	// again, and neither may fall behind while only the store is unavailable.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := &fakeStore{Delay: 10 * time.Millisecond}
 		d := newEditor(s)
 		watcher := &Follower{Store: s, Table: new(Table), WatchesStore: func() bool { return true }}
 		// It polls the store every 42 s, so that no poll falls into the moments
-		// after the store is available again; the changes would then count as from the store.
+		// after the store is available again; the changes would then count as
+		// from the store.
 		lateJitter := func() float64 { return 0.9 }
 		other := &Follower{Store: s, Table: new(Table), Source: peerTable{watcher.Table, 5 * time.Millisecond}, Rand: lateJitter}
 		done := make(chan error, 2)
--- a/core/jwcatalogue/log.go
+++ b/core/jwcatalogue/log.go
@@ -138,7 +138,8 @@
 
 // compact writes a checkpoint when one is due and trims the changes before it.
 // Any node may call it at any time, also several at once: every write is a
-// compare-and-swap, and a node that loses one leaves the remaining ones to the winner.
+// compare-and-swap, and a node that loses one leaves the remaining ones to the
+// winner.
 func (l changeLog) compact(ctx context.Context, s *Snapshot) error {
 	state, version, err := l.readState(ctx)
 	if err != nil || s.Revision < state.Checkpoint+CheckpointEvery {
--- a/core/jwcatalogue/member.go
+++ b/core/jwcatalogue/member.go
@@ -230,8 +230,9 @@
 	return nil
 }
 
-// releaseSponsors ends the confirmations by the sponsors of this node. It must be called after the log was read to its head: otherwise a
-// change could be accepted that this node does not have.
+// releaseSponsors makes the sponsors stop confirming on behalf of this node. It
+// must be called after the log was read to its head: otherwise a change could be
+// accepted that this node does not have.
 func (m *Membership) releaseSponsors(ctx context.Context) error {
 	for sponsor := range m.sponsors {
 		if err := m.Sponsors.Release(ctx, sponsor, m.Member); err != nil {
--- a/core/jwcatalogue/member_test.go
+++ b/core/jwcatalogue/member_test.go
@@ -19,9 +19,9 @@
 }
 
 func TestRejoinAfterRecordDeleted(t *testing.T) {
-	// The host list did not contain a node that serves, and its record was deleted. The
-	// node must register again by itself and get the changes that were accepted
-	// in that time.
+	// The host list did not contain a node that serves, and its record was
+	// deleted. The node must register again by itself and get the changes that
+	// were accepted in that time.
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
 		s := new(fakeStore)
--- a/core/jwclock/doc.go
+++ b/core/jwclock/doc.go
@@ -1,3 +1,3 @@
-// Package jwclock provides time functions that the standard library lacks: a sleep that
-// a context can end, and the detection of pauses of the process.
+// Package jwclock provides time functions that are not in the standard library: a sleep
+// that a context can end, and the detection of pauses of the process.
 package jwclock
--- a/core/jwquota/account.go
+++ b/core/jwquota/account.go
@@ -186,9 +186,9 @@
 }
 
 // allocate returns the units to grant to a node. Requests and nodes that have waited
-// longer come first; from what remains it gets what all its waiting requests lack or, if that
-// is too much, what the first of them lacks. Units to prefetch come only from those that
-// no request waits for.
+// longer come first; from what remains it gets what all its waiting requests lack or, if
+// that is too much, what the first of them lacks. Units to prefetch come only from those
+// that no request waits for.
 func (a *account) allocate(now time.Time, node string, c Claim) float64 {
 	index, known := slices.BinarySearchFunc(a.children, node, func(c child, name string) int { return strings.Compare(c.name, name) })
 	if !known {
