--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -16,11 +16,11 @@
 // every retry would be answered as unknown.
 func TestUncertainWrite(t *testing.T) {
 	for name, fault := range map[string]func(l *storeLink){
-		"reply lost":          func(l *storeLink) { l.loseReplies = 1 },
-		"two replies lost":    func(l *storeLink) { l.loseReplies = 2 },
-		"lands at once":       func(l *storeLink) { l.deferWrites = 1 },
-		"lands after a while": func(l *storeLink) { l.deferWrites, l.deferBy = 1, 30*time.Millisecond },
-		"lands much later":    func(l *storeLink) { l.deferWrites, l.deferBy = 1, 5*time.Second },
+		"reply lost":                 func(l *storeLink) { l.loseReplies = 1 },
+		"two replies lost":           func(l *storeLink) { l.loseReplies = 2 },
+		"takes effect at once":       func(l *storeLink) { l.deferWrites = 1 },
+		"takes effect after a while": func(l *storeLink) { l.deferWrites, l.deferBy = 1, 30*time.Millisecond },
+		"takes effect much later":    func(l *storeLink) { l.deferWrites, l.deferBy = 1, 5*time.Second },
 	} {
 		t.Run(name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
--- a/core/jwquota/fleet_test.go
+++ b/core/jwquota/fleet_test.go
@@ -226,9 +226,9 @@
 	f.queue = slices.Insert(f.queue, i, message{at, run})
 }
 
-// request sends a request that costs units to node i. It waits for its units for at most
-// patience.
-func (f *fleet) request(i int, workspace string, cost float64, patience time.Duration) {
+// request sends a request that costs units to node i. It waits at most maxWait for its
+// units.
+func (f *fleet) request(i int, workspace string, cost float64, maxWait time.Duration) {
 	n := f.nodes[i]
 	if f.demandShares {
 		defer f.requestDemandShare(n, workspace, cost)
@@ -246,7 +246,7 @@
 	case Taken:
 		f.spent = append(f.spent, spending{f.now, workspace, cost})
 	case Waits:
-		n.waiters = append(n.waiters, simWaiter{d.Waiter, f.now.Add(patience)})
+		n.waiters = append(n.waiters, simWaiter{d.Waiter, f.now.Add(maxWait)})
 	default:
 		f.rejectedUnits[workspace] += cost
 	}
