--- a/io/jwcert/config.go
+++ b/io/jwcert/config.go
@@ -9,26 +9,26 @@
 
 // ServerConfig returns the TLS configuration of a port for callers or operators. It does not
 // ask for client certificates.
-func (k *CertificateReloader) ServerConfig() *tls.Config {
+func (r *CertificateReloader) ServerConfig() *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS12,
 		GetCertificate: func(*tls.ClientHelloInfo) (*tls.Certificate, error) {
-			return k.certificate()
+			return r.certificate()
 		},
 	}
 }
 
 // NodeServerConfig returns the TLS configuration of the port for other nodes. It accepts the
 // certificate of any node; IdentityOf returns which node connected.
-func (k *CertificateReloader) NodeServerConfig() *tls.Config {
-	cfg := k.ServerConfig()
+func (r *CertificateReloader) NodeServerConfig() *tls.Config {
+	cfg := r.ServerConfig()
 	cfg.MinVersion = tls.VersionTLS13
 	// VerifyConnection verifies the certificate against the authority that is
 	// loaded now. crypto/tls would use the authority that was loaded when the
 	// listener started.
 	cfg.ClientAuth = tls.RequireAnyClientCert
 	cfg.VerifyConnection = func(state tls.ConnectionState) error {
-		_, err := k.verify(state, x509.ExtKeyUsageClientAuth)
+		_, err := r.verify(state, x509.ExtKeyUsageClientAuth)
 		return err
 	}
 	return cfg
@@ -37,18 +37,18 @@
 // NodeClientConfig returns the TLS configuration of a connection to the node want, which
 // rejects the certificates of all other nodes. The address may since have been given to
 // another host, possibly in another region, which must not receive bound data.
-func (k *CertificateReloader) NodeClientConfig(want Identity) *tls.Config {
+func (r *CertificateReloader) NodeClientConfig(want Identity) *tls.Config {
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
 		GetClientCertificate: func(*tls.CertificateRequestInfo) (*tls.Certificate, error) {
-			return k.certificate()
+			return r.certificate()
 		},
 		// Nodes are identified by the URI in their certificate, not by host name.
 		// VerifyConnection does the same checks as crypto/tls except that of the
 		// host name.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
-			got, err := k.verify(state, x509.ExtKeyUsageServerAuth)
+			got, err := r.verify(state, x509.ExtKeyUsageServerAuth)
 			if err != nil {
 				return err
 			}
@@ -62,20 +62,20 @@
 }
 
 // certificate returns the loaded certificate, or an error before the first Load.
-func (k *CertificateReloader) certificate() (*tls.Certificate, error) {
-	l := k.current.Load()
+func (r *CertificateReloader) certificate() (*tls.Certificate, error) {
+	l := r.current.Load()
 	if l == nil {
-		return nil, errors.Errorf("no certificate loaded: %s", k.Port)
+		return nil, errors.Errorf("no certificate loaded: %s", r.Port)
 	}
 	return &l.certificate, nil
 }
 
 // verify checks the peer's certificate chain against the loaded authority and returns
 // the peer's identity.
-func (k *CertificateReloader) verify(state tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
-	l := k.current.Load()
+func (r *CertificateReloader) verify(state tls.ConnectionState, use x509.ExtKeyUsage) (Identity, error) {
+	l := r.current.Load()
 	if l == nil || l.authority == nil {
-		return Identity{}, errors.Errorf("verify node: no authority loaded: %s", k.Port)
+		return Identity{}, errors.Errorf("verify node: no authority loaded: %s", r.Port)
 	}
 	if len(state.PeerCertificates) == 0 {
 		return Identity{}, errors.New("verify node: the peer sent no certificate")
--- a/io/jwcert/reloader.go
+++ b/io/jwcert/reloader.go
@@ -20,8 +20,8 @@
 // CertificateReloader.CheckInterval is 0.
 const DefaultCheckInterval = 10 * time.Second
 
-// CertificateReloader holds the certificate of one port and reloads it when its files change. Set the
-// exported fields, then call Load and Run.
+// CertificateReloader holds the certificate of one port and reloads it when its files
+// change. Set the exported fields, then call Load and Run.
 type CertificateReloader struct {
 	Port          string // "callers", "operators" or "nodes"; used in errors, audit records and metrics
 	Files         jwsettings.KeyFiles
@@ -41,19 +41,19 @@
 }
 
 // Load reads the files for the first time. It fails if they cannot be used.
-func (k *CertificateReloader) Load() error {
-	l, err := readFiles(k.Files)
+func (r *CertificateReloader) Load() error {
+	l, err := readFiles(r.Files)
 	if err != nil {
-		return errors.Wrapf(err, "load certificate: %s", k.Port)
+		return errors.Wrapf(err, "load certificate: %s", r.Port)
 	}
-	k.use(l)
+	r.use(l)
 	return nil
 }
 
 // Run reloads the files when they change, until ctx ends. While the files cannot be
 // used, the previous certificate stays in use.
-func (k *CertificateReloader) Run(ctx context.Context) error {
-	interval := k.CheckInterval
+func (r *CertificateReloader) Run(ctx context.Context) error {
+	interval := r.CheckInterval
 	if interval == 0 {
 		interval = DefaultCheckInterval
 	}
@@ -64,53 +64,53 @@
 		case <-ctx.Done():
 			return nil
 		case <-ticker.C:
-			k.refresh()
+			r.refresh()
 		}
 	}
 }
 
 // refresh reads the files and uses their content if it has changed.
-func (k *CertificateReloader) refresh() {
-	l, err := readFiles(k.Files)
+func (r *CertificateReloader) refresh() {
+	l, err := readFiles(r.Files)
 	if err != nil {
-		k.recordFailure(err)
+		r.recordFailure(err)
 		return
 	}
-	k.lastError = ""
-	if old := k.current.Load(); old != nil && old.equal(l) {
-		k.updateValidity(old)
+	r.lastError = ""
+	if old := r.current.Load(); old != nil && old.equal(l) {
+		r.updateValidity(old)
 		return
 	}
-	k.use(l)
+	r.use(l)
 }
 
 // recordFailure counts and records that the files cannot be used. The cause can be
 // temporary: while certificate and key are replaced one after the other, they do not match.
-func (k *CertificateReloader) recordFailure(err error) {
-	k.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": k.Port}).Inc(1)
-	if k.lastError == err.Error() {
+func (r *CertificateReloader) recordFailure(err error) {
+	r.Meter.Counter("certificate_failures_total", jwmeter.Tags{"port": r.Port}).Inc(1)
+	if r.lastError == err.Error() {
 		return
 	}
-	k.lastError = err.Error()
-	k.Audit.Add(jwaudit.Record{Kind: jwaudit.CertificateSet, Subject: k.Port, To: "refused", Detail: err.Error()})
+	r.lastError = err.Error()
+	r.Audit.Add(jwaudit.Record{Kind: jwaudit.CertificateSet, Subject: r.Port, To: "refused", Detail: err.Error()})
 }
 
 // use starts to use the content of the files and adds an audit record.
-func (k *CertificateReloader) use(l *loadedFiles) {
-	k.current.Store(l)
-	k.updateValidity(l)
+func (r *CertificateReloader) use(l *loadedFiles) {
+	r.current.Store(l)
+	r.updateValidity(l)
 	leaf := l.certificate.Leaf
-	k.Audit.Add(jwaudit.Record{
-		Kind: jwaudit.CertificateSet, Subject: k.Port, To: "loaded",
+	r.Audit.Add(jwaudit.Record{
+		Kind: jwaudit.CertificateSet, Subject: r.Port, To: "loaded",
 		Detail: "serial " + leaf.SerialNumber.String() + ", valid until " + leaf.NotAfter.UTC().Format(time.RFC3339),
 	})
 }
 
 // updateValidity updates the metric of the remaining validity. After the certificate
 // expires, new connections fail, which established connections can hide for some time.
-func (k *CertificateReloader) updateValidity(l *loadedFiles) {
+func (r *CertificateReloader) updateValidity(l *loadedFiles) {
 	left := time.Until(l.certificate.Leaf.NotAfter)
-	k.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": k.Port}).Update(left.Seconds())
+	r.Meter.Gauge("certificate_valid_seconds", jwmeter.Tags{"port": r.Port}).Update(left.Seconds())
 }
 
 // readFiles reads the files and checks that the key matches the certificate.
--- a/io/jwcert/reloader_test.go
+++ b/io/jwcert/reloader_test.go
@@ -19,7 +19,8 @@
 	"jujubewheel/io/jwcerttest"
 )
 
-// loadReloader returns a CertificateReloader with a loaded certificate that a issued for the identities.
+// loadReloader returns a CertificateReloader with a loaded certificate that the
+// authority a issued for the identities.
 func loadReloader(t *testing.T, a *jwcerttest.Authority, ids ...jwcert.Identity) *jwcert.CertificateReloader {
 	t.Helper()
 	k := &jwcert.CertificateReloader{Port: "nodes", Files: a.Issue(t.TempDir(), ids...)}
@@ -135,8 +136,8 @@
 			assert.NilError(t, err)
 			return c.Leaf.SerialNumber.Int64()
 		}
-		// Move half an interval away from the ticks, so that the CertificateReloader does not
-		// read the files while the test writes them.
+		// Move half an interval away from the ticks, so that Run does not read the
+		// files while the test writes them.
 		time.Sleep(jwcert.DefaultCheckInterval / 2)
 		assert.Equal(t, serial(), int64(2))
 
