--- a/io/jwconsul/directory.go
+++ b/io/jwconsul/directory.go
@@ -86,8 +86,8 @@
 	}
 }
 
-// fetchPage reads the fetchPage that begins at the 1-based index start, and returns it with
-// its ETag. The fetchPage is nil if the directory is still at version.
+// fetchPage reads the page that begins at the 1-based index start, and returns it with
+// its ETag. The page is nil if the directory is still at version.
 func (d *Directory) fetchPage(ctx context.Context, version string, start int) (*directoryPage, string, error) {
 	d.calls.Add(1)
 	ctx, cancel := withTimeout(ctx, d.Timeout)
--- a/io/jwconsul/keyvalue.go
+++ b/io/jwconsul/keyvalue.go
@@ -121,7 +121,7 @@
 		}
 		if nextIndex < index {
 			// The index went back because the service was restored from an older
-			// state. With the old index it would block until the index passes
+			// copy. With the old index it would block until the index passes
 			// that value again and miss the writes before that.
 			nextIndex = 0
 		}
@@ -143,8 +143,8 @@
 		return false, nil
 	}
 	// The service reports success when delete-cas finds no key. The check makes
-	// that a conflict, so that only one of two callers is told that it deleted
-	// the key.
+	// that a conflict, so that only one of two callers gets the result that it
+	// deleted the key.
 	check := operation{Verb: checkVerb, Key: key, Index: version}
 	_, deleted, err := kv.write(ctx, check, operation{Verb: deleteVerb, Key: key, Index: version})
 	return deleted, err
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -189,7 +189,7 @@
 }
 
 // A writer that gets no reply does not know whether its write took effect. An operator
-// who is told that it failed would make the same change twice. So the error must be
+// who gets a plain failure would make the same change twice. So the error must be
 // ErrUnknown, and a later read must show the outcome.
 func TestLostReply(t *testing.T) {
 	ctx := context.Background()
@@ -306,7 +306,7 @@
 }
 
 // If the service returns no index, every read of a Wait returns at once. Without a pause
-// between them, one node would use up the reads of the whole system.
+// between them, one node would use up the read capacity that all nodes share.
 func TestWaitWithoutIndex(t *testing.T) {
 	var calls atomic.Int32
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
--- a/io/jwconsul/linear_test.go
+++ b/io/jwconsul/linear_test.go
@@ -17,7 +17,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// A caller that is told that its write had no effect repeats the work. If the write did
+// A caller retries a write that is reported to have had no effect. If the write did
 // take effect, a deposit is taken twice. Many callers swap one key while replies are
 // lost, the service goes down or pauses and connections go silent. The results that they
 // get must be linearizable.
@@ -145,7 +145,9 @@
 	defer h.mu.Unlock()
 	id := caller
 	if out == unknown {
-		id = 1000 + len(h.operations) // a client of its own, because the caller sends more calls while this one is pending
+		// A separate client, because the caller sends more calls while this one is
+		// pending.
+		id = 1000 + len(h.operations)
 	}
 	h.operations = append(h.operations, porcupine.Operation{ClientId: id, Input: in, Call: call, Output: out, Return: end})
 }
