--- a/io/jwsettings/gateway.go
+++ b/io/jwsettings/gateway.go
@@ -31,7 +31,7 @@
 type GatewayAddresses struct {
 	Callers   netip.AddrPort
 	Ready     netip.AddrPort // reports whether the node is ready to serve
-	Directory netip.AddrPort // tells callers which nodes are live
+	Directory netip.AddrPort // lists the live nodes for callers
 	Nodes     netip.AddrPort
 	Metrics   netip.AddrPort // optional
 }
@@ -39,7 +39,7 @@
 // GatewayStore holds the address of the store and its limit on leases.
 type GatewayStore struct {
 	Address  netip.AddrPort
-	LeaseMin time.Duration // shortest lease that the store grants
+	LeaseMin time.Duration // minimum lease that the store grants
 }
 
 // Bounds are the limits that the operators of the platform set for a node.
--- a/io/jwsettings/settings_test.go
+++ b/io/jwsettings/settings_test.go
@@ -57,7 +57,7 @@
 	assert.Equal(t, s.Workers, 2)
 }
 
-// withKeys returns the minimal file withKeys more keys.
+// withKeys returns the minimal file with more keys.
 func withKeys(keys string) string { return strings.TrimSuffix(minimalFile, "}") + keys + "}" }
 
 // withReplaced returns the minimal file with the first from replaced by to.
