--- a/io/jwaudit/trail.go
+++ b/io/jwaudit/trail.go
@@ -7,7 +7,7 @@
 	"github.com/go-logr/logr"
 )
 
-// Kind tells what a record is about.
+// Kind is what a record is about.
 type Kind string
 
 // The kinds of records.
@@ -15,7 +15,7 @@
 	NodeState      Kind = "nodeState"      // this node started, serves, drains, ended
 	PeerState      Kind = "peerState"      // another node joined, left or was declared gone
 	TargetState    Kind = "targetState"    // a target appeared, leaves, failed or recovered
-	RegionState    Kind = "regionState"    // a region was lost or came back
+	RegionState    Kind = "regionState"    // a region was lost or is reachable again
 	PlatformState  Kind = "platformState"  // a platform service failed or answers again
 	Edit           Kind = "edit"           // an operator's catalogue edit on this node
 	Applied        Kind = "applied"        // a catalogue change came into force here
--- a/io/jwcommand/entries.go
+++ b/io/jwcommand/entries.go
@@ -71,7 +71,7 @@
 	return item, nil
 }
 
-// sameEntry tells whether two entries are the same JSON.
+// sameEntry reports whether two entries are the same JSON.
 func sameEntry(a, b jwcatalogue.Entry) bool {
 	x, errX := json.Marshal(a)
 	y, errY := json.Marshal(b)
--- a/io/jwoperate/catalogue.go
+++ b/io/jwoperate/catalogue.go
@@ -20,11 +20,11 @@
 )
 
 const (
-	// maxEditSize is the max size of an edit's body in bytes: that of a change, and
-	// as much again for the JSON around it.
+	// maxEditSize is the maximum size of an edit's body in bytes: twice that of a
+	// change, to allow for the JSON around it.
 	maxEditSize = 2 * jwcatalogue.MaxChangeSize
 	// defaultWait is how long an edit waits to be in force at all nodes before
-	// it is answered with those still missing. maxWait is the longest wait that
+	// the answer lists the nodes still missing. maxWait is the maximum wait that
 	// a call may ask for.
 	defaultWait  = 3 * time.Second
 	maxWait      = 30 * time.Second
--- a/io/jwoperate/message.go
+++ b/io/jwoperate/message.go
@@ -44,7 +44,7 @@
 	Node   string `json:"node"`
 }
 
-// RevisionStatus tells whether a revision is in force at all nodes.
+// RevisionStatus reports whether a revision is in force at all nodes.
 type RevisionStatus struct {
 	Revision uint64   `json:"revision"`
 	Accepted bool     `json:"accepted"`          // in force at every node that may serve
@@ -92,7 +92,7 @@
 	Incarnation string         `json:"incarnation"`
 	State       jwpeer.State   `json:"state"`
 	Revision    uint64         `json:"revision"`
-	Heard       time.Time      `json:"heard"` // when its last message came
+	Heard       time.Time      `json:"heard"` // when its last message arrived
 }
 
 // TargetList is the answer of GET /v1/targets: the targets this node uses.
--- a/io/jwoperate/operators.go
+++ b/io/jwoperate/operators.go
@@ -34,7 +34,7 @@
 	Put(ctx context.Context, e jwcatalogue.Edit) (jwcatalogue.EditResult, error)
 }
 
-// Acceptance tells at which nodes a revision is not yet in force.
+// Acceptance returns the nodes at which a revision is not yet in force.
 type Acceptance interface {
 	Status(ctx context.Context, revision uint64) (accepted bool, missing []string, err error)
 }
@@ -56,8 +56,8 @@
 	State(address netip.AddrPort, now time.Time) (state jwtarget.State, known bool)
 }
 
-// Members removes nodes that will not come back from the list of nodes that must
-// confirm changes.
+// Members removes permanently lost nodes from the list of nodes that must confirm
+// changes.
 type Members interface {
 	Forget(ctx context.Context, region, name string) error
 }
