--- a/io/jwlog/queue.go
+++ b/io/jwlog/queue.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// maxQueueBytes is the max size of the lines that wait in a Queue: about a thousand
+// maxQueueBytes is the maximum size of the lines that wait in a Queue: about a thousand
 // lines, which a busy node logs in a second.
 const maxQueueBytes = 256 << 10
 
--- a/io/jwlog/queue_test.go
+++ b/io/jwlog/queue_test.go
@@ -12,10 +12,10 @@
 	"gotest.tools/v3/assert"
 )
 
-// Nobody reads the standard output of a node. A request that waits until its log
+// The standard output of a node is not read. A request that waits until its log
 // line is written would wait forever.
 func TestUnreadLogNeverBlocks(t *testing.T) {
-	r, w := io.Pipe() // a write waits until somebody reads
+	r, w := io.Pipe() // a write waits until r is read
 	q := &Queue{W: w}
 	done := make(chan struct{})
 	ended := make(chan struct{})
@@ -30,7 +30,7 @@
 	minorLost := q.Lost()
 	assert.Assert(t, minorLost > 0)
 	d.Write(&Decision{Step: "answer", Request: "failed", Outcome: "unknown"})
-	assert.Equal(t, q.Lost(), minorLost, "there is room left for what failed")
+	assert.Equal(t, q.Lost(), minorLost, "the queue still accepts lines about failures")
 	read := make(chan string)
 	go func() {
 		all, _ := io.ReadAll(r)
--- a/io/jwlogtrace/trace.go
+++ b/io/jwlogtrace/trace.go
@@ -56,7 +56,7 @@
 	Time time.Time `json:"time"`
 }
 
-// maxLineSize is the max length in bytes of a log line that can be read.
+// maxLineSize is the maximum length in bytes of a log line that can be read.
 const maxLineSize = 1 << 20
 
 // Read adds the lines of one log. It ignores text before a line's first brace,
@@ -226,9 +226,9 @@
 // time.
 const minSilenceMS = 1000
 
-// shutdownLine returns the line of a node that ended the request at the end of its
-// planned shutdown, nil if none did.
-func (t *Trace) shutdownLine() *Line {
+// stopLine returns the line of a node that ended the request at the end of its
+// planned stop, nil if none did.
+func (t *Trace) stopLine() *Line {
 	for i := range t.Lines {
 		if l := &t.Lines[i]; l.Outcome == "cut" && strings.HasPrefix(l.Reason, "the node stopped") {
 			return l
@@ -262,7 +262,7 @@
 			return fmt.Sprintf("target %s answered with its own failure, %d", l.Target, l.Status)
 		}
 	}
-	if line := t.shutdownLine(); line != nil {
+	if line := t.stopLine(); line != nil {
 		return fmt.Sprintf("node %s: %s", line.Node, line.Reason)
 	}
 	if last != nil && last.SilentMS >= minSilenceMS {
--- a/io/jwlogtrace/view.go
+++ b/io/jwlogtrace/view.go
@@ -115,7 +115,7 @@
 	case "target":
 		state := e.Change
 		switch {
-		case v.Targets[e.Target].State == leaving && state != beganAnew:
+		case v.Targets[e.Target].State == leaving && state != restarted:
 			state = leaving
 		case e.Draining:
 			state = "draining"
@@ -133,10 +133,10 @@
 }
 
 // States of a target that need special treatment: registrations do not change
-// leaving, except for beganAnew, which ends it.
+// leaving, except for restarted, which ends it.
 const (
 	leaving   = "leaving" // the target announced it in an answer
-	beganAnew = "beganAnew"
+	restarted = "beganAnew"
 )
 
 // Write describes a view, as far as the lines could be read.
--- a/io/jwlogtrace/view_test.go
+++ b/io/jwlogtrace/view_test.go
@@ -66,10 +66,10 @@
 }
 
 // A target announced in an answer that it leaves. A renewed registration must not
-// undo that; a new start of the target does.
+// undo that; a restart of the target does.
 func TestViewOfLeavingTarget(t *testing.T) {
 	l := readLog(t, leavingLog)
-	for moment, want := range map[string]string{"03:00:01": "appeared", "03:00:02": leaving, "03:00:04": leaving, "03:00:06": beganAnew} {
+	for moment, want := range map[string]string{"03:00:01": "appeared", "03:00:02": leaving, "03:00:04": leaving, "03:00:06": restarted} {
 		assert.Equal(t, l.ViewAt("n1", at(moment)).Targets["t1"].State, want, moment)
 	}
 }
