--- a/io/jwobserver/changes.go
+++ b/io/jwobserver/changes.go
@@ -62,12 +62,12 @@
 }
 
 // recordRegions records when no messages from a region arrive any more, and when
-// they arrive again. A network partition and the loss of all its nodes can't be
-// told apart here.
+// they arrive again. A network partition and the loss of all its nodes look the
+// same here.
 func (o *Observer) recordRegions(now time.Time, peers []jwpeer.Peer) {
-	heard := make(map[string]bool)
+	reachableNow := make(map[string]bool)
 	for _, p := range o.Board.Peers.Fresh(now.Add(-o.RegionTimeout)) {
-		heard[p.Region] = true
+		reachableNow[p.Region] = true
 	}
 	known := make(map[string]bool)
 	for _, p := range peers {
@@ -76,7 +76,7 @@
 	for _, region := range o.Regions {
 		switch {
 		case region == o.Region:
-		case heard[region]:
+		case reachableNow[region]:
 			o.recordState(jwaudit.RegionState, region, reachable, "")
 		case known[region] || o.states[region] != "":
 			o.recordState(jwaudit.RegionState, region, lost, "nothing heard for "+o.RegionTimeout.String())
@@ -108,15 +108,15 @@
 }
 
 // recordState records a state that differs from the last one of the subject. If the
-// first state is a good one, it is not recorded.
+// first state is reachable or answering, it is not recorded.
 func (o *Observer) recordState(kind jwaudit.Kind, subject, state, detail string) {
 	if o.states == nil {
 		o.states = make(map[string]string)
 	}
 	before := o.states[subject]
 	o.states[subject] = state
-	good := state == reachable || state == answering
-	if before == state || before == "" && good {
+	healthy := state == reachable || state == answering
+	if before == state || before == "" && healthy {
 		return
 	}
 	o.Audit.Add(jwaudit.Record{Kind: kind, Subject: subject, From: before, To: state, Detail: detail})
--- a/io/jwobserver/observer.go
+++ b/io/jwobserver/observer.go
@@ -23,7 +23,7 @@
 // Store counts the calls of the key-value service.
 type Store interface{ Calls() jwstore.Calls }
 
-// Follower counts how the catalogue came to this node.
+// Follower counts the ways in which this node received the catalogue.
 type Follower interface {
 	Counts() jwcatalogue.FollowerCounts
 }
