--- a/io/jwstand/answer.go
+++ b/io/jwstand/answer.go
@@ -12,7 +12,7 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// writeJSON writes a value as the whole answer.
+// writeJSON writes a value as the complete answer.
 func writeJSON(w http.ResponseWriter, status int, value any) {
 	w.Header().Set("Content-Type", "application/json")
 	body, err := json.Marshal(value)
@@ -64,7 +64,7 @@
 }
 
 // withGzip returns a writer that compresses the answer, if the caller accepts
-// gzip. The answer must be written whole.
+// gzip. The answer must be written in one Write.
 func withGzip(w http.ResponseWriter, r *http.Request) http.ResponseWriter {
 	if !strings.Contains(r.Header.Get("Accept-Encoding"), "gzip") {
 		return w
--- a/io/jwstand/faults.go
+++ b/io/jwstand/faults.go
@@ -11,7 +11,7 @@
 	Pause     bool     `json:"pause"`     // holds every byte in both directions until it is unset, as a stopped process does
 	CrashOn   string   `json:"crashOn"`   // a request body that contains this text ends the process
 	Leaving   bool     `json:"leave"`     // running calls finish, new ones are rejected
-	Silent    bool     `json:"silent"`    // setting it silences the connections open now for the rest of their life; later ones work
+	Silent    bool     `json:"silent"`    // setting it silences the connections open now until they are closed; later ones work
 }
 
 // Duration is a time.Duration that is encoded in JSON as text, such as "250ms".
--- a/io/jwstand/link.go
+++ b/io/jwstand/link.go
@@ -37,7 +37,7 @@
 	Rate      int64     `json:"rate"`      // bytes per second in each direction, shared by all connections; 0 means no limit
 	Cut       bool      `json:"cut"`       // connections are refused; setting it resets the open ones
 	Hold      Direction `json:"hold"`      // bytes in this direction wait until it is unset
-	Silent    bool      `json:"silent"`    // setting it silences the connections open now for the rest of their life
+	Silent    bool      `json:"silent"`    // setting it silences the connections open now until they are closed
 	SilentNew bool      `json:"silentNew"` // while it is set, new connections are silenced too
 }
 
--- a/io/jwstand/link_test.go
+++ b/io/jwstand/link_test.go
@@ -115,8 +115,8 @@
 }
 
 // Two regions lose the connection to each other. Open connections fail with an
-// error and new ones are refused, so that both sides notice. After the cut, new
-// connections work again.
+// error and new ones are refused, so that both sides notice. Once the link is
+// restored, new connections work again.
 func TestLinkCut(t *testing.T) {
 	link := startLink(t, Conditions{})
 	conn := dial(t, link.Listen)
--- a/io/jwstand/runner.go
+++ b/io/jwstand/runner.go
@@ -33,7 +33,7 @@
 	Stream    bool   `json:"stream"`
 }
 
-// CompletionAnswer is a whole answer or one event of a stream.
+// CompletionAnswer is a complete answer or one event of a stream.
 type CompletionAnswer struct {
 	ID      string             `json:"id"`
 	Object  string             `json:"object"`
@@ -122,7 +122,7 @@
 		err = rn.writeStream(ctx, w, c, answer, max(from, 0))
 	} else {
 		rn.Engine.countRequested(c.MaxTokens)
-		err = rn.writeWhole(ctx, w, c, answer)
+		err = rn.writeComplete(ctx, w, c, answer)
 	}
 	if err != nil {
 		rn.Journal.finishRun(run, Cancelled)
@@ -131,8 +131,8 @@
 	rn.Journal.finishRun(run, Finished)
 }
 
-// writeWhole generates all tokens and then writes them as one answer.
-func (rn *Runner) writeWhole(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer) error {
+// writeComplete generates all tokens and then writes them as one answer.
+func (rn *Runner) writeComplete(ctx context.Context, w http.ResponseWriter, c Completion, answer CompletionAnswer) error {
 	tokens, cached, err := rn.Engine.PrefillPrompt(ctx, c.Prompt)
 	if err != nil {
 		return err
