--- a/io/jwload/answer.go
+++ b/io/jwload/answer.go
@@ -27,11 +27,11 @@
 	outcome    jwrequest.Outcome
 	complete   bool             // the end of the answer was received
 	correct    bool             // the content is the expected one for this request
-	firstAt    time.Time        // when the first token came, or the whole answer if it is no stream
+	firstAt    time.Time        // when the first token came, or the complete answer if it is no stream
 	gaps       []time.Duration  // times between tokens
 	retryAfter time.Duration    // from the Retry-After header; 0 without it
 	hosts      []netip.AddrPort // hosts to use instead, if the answer names any
-	region     string           // region that served the request; "" if the answer does not tell
+	region     string           // region that served the request; "" if the answer does not name it
 }
 
 // readAnswer reads a response to its end.
@@ -45,13 +45,13 @@
 	if strings.HasPrefix(res.Header.Get("Content-Type"), "text/event-stream") {
 		ans.readStream(res.Body, a, now)
 	} else {
-		ans.readWhole(res.Body, a, now)
+		ans.readBody(res.Body, a, now)
 	}
 	ans.setOutcome(a.Direct)
 	return ans
 }
 
-// setOutcome derives the outcome where no header or event tells it, and
+// setOutcome derives the outcome where no header or event gives it, and
 // replaces the outcome served if the answer is incomplete.
 func (ans *answer) setOutcome(direct bool) {
 	if ans.outcome != "" && ans.outcome != jwrequest.Served {
@@ -77,7 +77,7 @@
 	return time.Duration(seconds * float64(time.Second))
 }
 
-func (ans *answer) readWhole(body io.Reader, a Arrival, now func() time.Time) {
+func (ans *answer) readBody(body io.Reader, a Arrival, now func() time.Time) {
 	data, err := io.ReadAll(io.LimitReader(body, maxAnswer))
 	if err != nil {
 		return
@@ -173,8 +173,8 @@
 	}
 }
 
-// endStream records the last event of a stream; correct tells whether the text
-// was the expected one.
+// endStream records the last event of a stream; correct reports whether the
+// text was the expected one.
 func (ans *answer) endStream(e event, correct bool) {
 	var end endEventData
 	if json.Unmarshal([]byte(e.data), &end) == nil && end.Outcome != "" {
--- a/io/jwload/audit.go
+++ b/io/jwload/audit.go
@@ -14,7 +14,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// Audit compares the outcomes that callers were told with the runs in the
+// Audit compares the outcomes that callers received with the runs in the
 // journals of the targets.
 type Audit struct {
 	Runs          int `json:"runs"`        // runs of this load, without resumed streams
@@ -34,7 +34,7 @@
 	runs   int
 }
 
-// audit collects the outcomes that callers were told. The zero value is ready
+// audit collects the outcomes that callers received. The zero value is ready
 // to use.
 type audit struct {
 	mu       sync.Mutex
--- a/io/jwload/audit_test.go
+++ b/io/jwload/audit_test.go
@@ -30,7 +30,7 @@
 		"unknown never contradicts a run": {
 			plain, []jwrequest.Outcome{unknown}, map[string][]jwstand.Run{"r1": one}, Audit{Runs: 1},
 		},
-		"a repeat without a key is allowed": {
+		"a retry without a key is allowed": {
 			plain, []jwrequest.Outcome{served}, map[string][]jwstand.Run{"r1": one, "r2": one}, Audit{Runs: 2},
 		},
 		"a resumed stream is one run": {
--- a/io/jwload/load.go
+++ b/io/jwload/load.go
@@ -26,8 +26,8 @@
 	idleTimeout = time.Minute
 	maxTries    = 5 // per request
 	// lateGrace is how long after its deadline a call is still awaited, so that the
-	// report can tell a late answer from none. It is also the timeout for a new
-	// connection.
+	// report can distinguish a late answer from a missing one. It is also the
+	// timeout for a new connection.
 	lateGrace = 2 * time.Second
 	// resendDelay is how long after the first send a caller sends a duplicate.
 	resendDelay = 20 * time.Millisecond
--- a/io/jwload/load_test.go
+++ b/io/jwload/load_test.go
@@ -30,7 +30,7 @@
 // callerFunc answers calls in a test.
 type callerFunc func(r *http.Request) (*http.Response, error)
 
-// DoRequest implements caller.
+// DoRequest implements requestDoer.
 func (f callerFunc) DoRequest(r *http.Request) (*http.Response, error) { return f(r) }
 
 func respond(status int, header map[string]string, body string) *http.Response {
@@ -127,17 +127,17 @@
 func TestFollowRetries(t *testing.T) {
 	notRun := map[string]string{"Jujube-Outcome": "notRun", "Retry-After": "0.1"}
 	tests := map[string]struct {
-		answers    func(r *http.Request, call int) (*http.Response, error)
-		follow     bool
-		calls      int // of one request
-		served     bool
-		notRun     bool
-		unknown    bool
-		wrong      bool
-		wholeAfter float64 // milliseconds
+		answers       func(r *http.Request, call int) (*http.Response, error)
+		follow        bool
+		calls         int // of one request
+		served        bool
+		notRun        bool
+		unknown       bool
+		wrong         bool
+		completeAfter float64 // milliseconds
 	}{
 		"comes back after Retry-After": {
-			follow: true, calls: 3, served: true, wholeAfter: 200,
+			follow: true, calls: 3, served: true, completeAfter: 200,
 			answers: func(r *http.Request, call int) (*http.Response, error) {
 				if call < 3 {
 					return respond(http.StatusTooManyRequests, notRun, ""), nil
@@ -165,13 +165,13 @@
 				return respond(http.StatusServiceUnavailable, header, ""), nil
 			},
 		},
-		"counts the first answer when told so": {
+		"counts the first answer without FollowRetries": {
 			calls: 1, notRun: true,
 			answers: func(*http.Request, int) (*http.Response, error) {
 				return respond(http.StatusTooManyRequests, notRun, ""), nil
 			},
 		},
-		"never repeats what may have run": {
+		"never retries what may have run": {
 			follow: true, calls: 1, unknown: true,
 			answers: func(*http.Request, int) (*http.Response, error) {
 				return respond(http.StatusGatewayTimeout, map[string]string{"Jujube-Outcome": "unknown", "Retry-After": "0"}, ""), nil
@@ -203,7 +203,7 @@
 				assert.Equal(t, line.NotRun == 1, test.notRun)
 				assert.Equal(t, line.Unknown == 1, test.unknown)
 				assert.Equal(t, line.Wrong == 1, test.wrong)
-				assert.Check(t, line.Whole.P50 >= test.wholeAfter)
+				assert.Check(t, line.Whole.P50 >= test.completeAfter)
 			})
 		})
 	}
@@ -220,12 +220,12 @@
 		complete bool
 		correct  bool
 	}{
-		"whole through a node": {
+		"complete through a node": {
 			body:    tokens + "data: [DONE]\n\nevent: done\ndata: {\"outcome\":\"served\",\"length\":9}\n\n",
 			outcome: jwrequest.Served, complete: true, correct: true,
 		},
 		"the engine's end is not the node's": {body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Unknown},
-		"whole from a target":                {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, complete: true, correct: true},
+		"complete from a target":             {direct: true, body: tokens + "data: [DONE]\n\n", outcome: jwrequest.Served, complete: true, correct: true},
 		"cut off":                            {body: tokens, outcome: jwrequest.Unknown},
 		"cut off in its last event":          {body: tokens + "event: done\ndata: {}", outcome: jwrequest.Unknown},
 		"a node's error":                     {body: tokens + "event: error\ndata: {\"outcome\":\"unknown\"}\n\n", outcome: jwrequest.Unknown},
--- a/io/jwload/mix.go
+++ b/io/jwload/mix.go
@@ -31,7 +31,7 @@
 	Tokens     int              `json:"tokens"`     // tokens of the answer; runners only
 	Key        bool             `json:"key"`        // sends an idempotency key
 	FirstToken jwstand.Duration `json:"firstToken"` // maximum time to the first token for an answer in time; 0 means no limit
-	Deadline   jwstand.Duration `json:"deadline"`   // maximum time to the whole answer for an answer in time; also sent as the timeout
+	Deadline   jwstand.Duration `json:"deadline"`   // maximum time to the complete answer for an answer in time; also sent as the timeout
 }
 
 // Mix is a weighted set of request kinds.
--- a/io/jwload/report.go
+++ b/io/jwload/report.go
@@ -15,8 +15,10 @@
 )
 
 const (
-	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond) // maximum latency of a histogram, in microseconds; longer ones count as this
-	significantDigits = 3                                          // precision of a histogram
+	// maxLatencyMicros is the maximum latency of a histogram, in microseconds;
+	// longer ones count as this.
+	maxLatencyMicros  = int64(10 * time.Minute / time.Microsecond)
+	significantDigits = 3 // precision of a histogram
 )
 
 // Way is how a request reached its target.
@@ -45,8 +47,10 @@
 
 // groupStats holds the counts and latencies of one group.
 type groupStats struct {
-	line                                   Line
-	firstToken, betweenTokens, wholeAnswer *hdrhistogram.Histogram // time to the first token, between tokens, and to the whole answer, in microseconds
+	line Line
+	// Time to the first token, between tokens, and to the complete answer, in
+	// microseconds.
+	firstToken, betweenTokens, completeAnswer *hdrhistogram.Histogram
 }
 
 // results collects the results of requests. The zero value is ready to use.
@@ -77,10 +81,10 @@
 	t, found := rs.groups[g]
 	if !found {
 		t = &groupStats{
-			line:          Line{Way: g.way, Owner: g.owner, Entry: g.entry},
-			firstToken:    hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-			betweenTokens: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
-			wholeAnswer:   hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			line:           Line{Way: g.way, Owner: g.owner, Entry: g.entry},
+			firstToken:     hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			betweenTokens:  hdrhistogram.New(1, maxLatencyMicros, significantDigits),
+			completeAnswer: hdrhistogram.New(1, maxLatencyMicros, significantDigits),
 		}
 		rs.groups[g] = t
 	}
@@ -109,15 +113,15 @@
 		return
 	}
 	kind := o.arrival.Kind
-	whole, first := o.end.Sub(due), o.answer.firstAt.Sub(due)
-	record(t.wholeAnswer, whole)
+	total, first := o.end.Sub(due), o.answer.firstAt.Sub(due)
+	record(t.completeAnswer, total)
 	if kind.Stream {
 		record(t.firstToken, first)
 	}
 	for _, gap := range o.answer.gaps {
 		record(t.betweenTokens, gap)
 	}
-	late := whole > time.Duration(kind.Deadline)
+	late := total > time.Duration(kind.Deadline)
 	late = late || kind.Stream && kind.FirstToken > 0 && first > time.Duration(kind.FirstToken)
 	if !late {
 		t.line.InTime++
@@ -146,7 +150,7 @@
 	Goodput    float64     `json:"goodput"`       // InTime per second
 	FirstToken Percentiles `json:"firstToken"`    // times to the first token
 	Between    Percentiles `json:"betweenTokens"` // times between tokens
-	Whole      Percentiles `json:"whole"`         // times to the whole answer
+	Whole      Percentiles `json:"whole"`         // times to the complete answer
 }
 
 // Percentiles are latencies in milliseconds. All but times between tokens are
@@ -177,7 +181,7 @@
 		line.Goodput = float64(line.InTime) / d.Seconds()
 		line.FirstToken = percentiles(t.firstToken)
 		line.Between = percentiles(t.betweenTokens)
-		line.Whole = percentiles(t.wholeAnswer)
+		line.Whole = percentiles(t.completeAnswer)
 		r.Lines = append(r.Lines, line)
 	}
 	slices.SortFunc(r.Lines, func(a, b Line) int {
