--- a/io/jwfleet/faults.go
+++ b/io/jwfleet/faults.go
@@ -16,7 +16,7 @@
 // measured part.
 const (
 	None         Fault = "none"
-	Loss         Fault = "loss"         // three of four runners of the first region fail and return with empty caches
+	Loss         Fault = "loss"         // three of four runners of the first region fail and are restarted with empty caches
 	KeyValueDown Fault = "keyValueDown" // the key-value service is down for the whole trial
 	PoorLinks    Fault = "poorLinks"    // the links have more delay, jitter and packet loss
 	SlowRunner   Fault = "slowRunner"   // one runner takes five times as long and does not report it
--- a/io/jwfleet/operator.go
+++ b/io/jwfleet/operator.go
@@ -125,7 +125,7 @@
 	return res.StatusCode, err
 }
 
-// retryUntilReady repeats a step until it succeeds, or returns its error after
+// retryUntilReady retries a step until it succeeds, or returns its error after
 // readyTimeout.
 func retryUntilReady(ctx context.Context, what string, step func() error) error {
 	deadline := time.Now().Add(readyTimeout)
