--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -140,7 +140,7 @@
 }
 
 // serveReturned serves a request in its home region after another region had no
-// room for it.
+// capacity for it.
 func (n *node) serveReturned(q *request, release func()) {
 	release()
 	if q.finished {
@@ -235,8 +235,8 @@
 }
 
 // run submits a request to a runner after a delay and delivers its answer. The
-// answer takes delay for its way back, plus the delay between regions if the
-// runner is in another region.
+// answer takes delay to return, plus the delay between regions if the runner is
+// in another region.
 func (n *node) run(q *request, r *runner, delay time.Duration, done func(endReason)) {
 	returnDelay := delay
 	if q.away {
@@ -294,7 +294,7 @@
 	sim.after(pause, func() { sim.sendToNode(q) })
 }
 
-// complete counts a request whose whole answer has come.
+// complete counts a request whose complete answer has come.
 func (sim *simulation) complete(q *request, returnDelay time.Duration) {
 	if q.finished {
 		return
--- a/io/jwbench/policies.go
+++ b/io/jwbench/policies.go
@@ -33,7 +33,7 @@
 	if len(seeds) == 0 {
 		seeds = defaultSeeds
 	}
-	fmt.Fprintf(w, "seeds %v; a model with fake runners, no fleet\n", seeds)
+	fmt.Fprintf(w, "seeds %v; a model with simulated runners, no fleet\n", seeds)
 	tables := 0
 	for _, d := range deployments() {
 		for _, s := range scenarios() {
@@ -89,7 +89,7 @@
 	d := deployments()[1]
 	d.Regions = []Region{{Name: "large", Nodes: 75, WriterRunners: 250, DeskRunners: 60, Workspaces: 2900}}
 	s := Scenario{Name: "subsets", Load: constantLoad(0.9), MaxLoad: 0.9, WarmUp: 20 * time.Second, RunTime: 80 * time.Second}
-	fmt.Fprintf(w, "seeds %v; a model with fake runners, no fleet\n", seeds)
+	fmt.Fprintf(w, "seeds %v; a model with simulated runners, no fleet\n", seeds)
 	var policies []policy
 	for _, n := range []int{4, 8, 16, 32, 64, -1} {
 		policies = append(policies, policy{name: fmt.Sprintf("subset%d", n), subsetSize: n})
--- a/io/jwbench/policies_test.go
+++ b/io/jwbench/policies_test.go
@@ -47,7 +47,7 @@
 	}{
 		"prefixes kept together make answers cheaper": {"plainPeak", "noAffinity", (*Result).CostPerAnswer},
 		"slow runners are avoided":                    {"greyRunner", "noPace", func(r *Result) float64 { return float64(r.Late) }},
-		"what cannot be in time is refused":           {"offsetPeak2.0", "noDeadline", func(r *Result) float64 { return float64(r.Late) }},
+		"what cannot be in time is rejected":          {"offsetPeak2.0", "noDeadline", func(r *Result) float64 { return float64(r.Late) }},
 		"urgent classes get through":                  {"offsetPeak2.0", "noClasses", func(r *Result) float64 { return float64(r.NotRun) }},
 		"one owner does not take all":                 {"ownerBurst", "noOwners", func(r *Result) float64 { return float64(r.NotRun) }},
 		"a poison request is stopped":                 {"poison", "noSuspects", func(r *Result) float64 { return float64(r.Crashes) }},
--- a/io/jwbench/policy.go
+++ b/io/jwbench/policy.go
@@ -20,7 +20,7 @@
 	loadInterval      time.Duration // time between load reports; 0 for reportInterval
 	anyNode           bool          // callers use a random node of their region instead of the one of their workspace
 	noSuspects        bool          // suspected and quarantined requests are treated like all others
-	noSecondPlacement bool          // a request that this region has no room for is rejected, not placed in another region
+	noSecondPlacement bool          // a request that this region has no capacity for is rejected, not placed in another region
 	// choose returns the target of a request by a simple rule, false if there
 	// is none; nil for the project's own policy.
 	choose func(n *node, q *request) (netip.AddrPort, bool)
--- a/io/jwbench/result.go
+++ b/io/jwbench/result.go
@@ -9,7 +9,7 @@
 // Result counts what one policy did in one scenario, over all seeds.
 type Result struct {
 	Offered         int // requests that callers sent
-	InTime          int // requests whose whole answer came before the deadline
+	InTime          int // requests whose complete answer came before the deadline
 	Late            int // requests whose deadline passed while they waited or ran
 	NotRun          int // requests that were rejected at their last try
 	Away            int // requests served in another region
@@ -23,10 +23,10 @@
 	Cost float64 // busy runner-seconds and the price of links, in runner-seconds
 
 	// Histograms in microseconds. A request whose deadline passed counts with
-	// its whole deadline.
+	// its full deadline.
 	FirstTokenTimes *hdrhistogram.Histogram
-	DraftTimes      *hdrhistogram.Histogram // whole answers of drafts
-	ShortTimes      *hdrhistogram.Histogram // whole answers of questions, status checks and confirmations
+	DraftTimes      *hdrhistogram.Histogram // complete answers of drafts
+	ShortTimes      *hdrhistogram.Histogram // complete answers of questions, status checks and confirmations
 
 	owners    map[string]*ownerCount
 	linkPrice float64
@@ -146,13 +146,13 @@
 	r.DraftTimes.Merge(other.DraftTimes)
 	r.ShortTimes.Merge(other.ShortTimes)
 	for name, o := range other.owners {
-		mine := r.owners[name]
-		if mine == nil {
-			mine = &ownerCount{}
-			r.owners[name] = mine
+		total := r.owners[name]
+		if total == nil {
+			total = &ownerCount{}
+			r.owners[name] = total
 		}
-		mine.offered += o.offered
-		mine.inTime += o.inTime
+		total.offered += o.offered
+		total.inTime += o.inTime
 	}
 }
 
--- a/io/jwbench/runner.go
+++ b/io/jwbench/runner.go
@@ -41,7 +41,7 @@
 	baseTokenTime      = 20 * time.Millisecond // time between tokens of a call that is alone in the batch
 )
 
-// endReason tells how a job ended.
+// endReason is how a job ended.
 type endReason string
 
 const (
--- a/io/jwbench/simulation.go
+++ b/io/jwbench/simulation.go
@@ -251,10 +251,10 @@
 // region.
 func (n *node) sendLoad(other *node, delay time.Duration) {
 	for _, service := range []string{writer, desk} {
-		room := n.targets.Capacity(service, n.sim.now)
+		targetCapacity := n.targets.Capacity(service, n.sim.now)
 		load := jwrouter.Load{
-			Region: n.region, Service: service, Wait: room.Wait, CallTime: room.CallTime,
-			Free: room.Free(), Slots: room.Slots, Targets: room.Targets,
+			Region: n.region, Service: service, Wait: targetCapacity.Wait, CallTime: targetCapacity.CallTime,
+			Free: targetCapacity.Free(), Slots: targetCapacity.Slots, Targets: targetCapacity.Targets,
 		}
 		n.sim.after(delay, func() {
 			load.Taken = n.sim.now
