--- a/io/jwdemo/caller.go
+++ b/io/jwdemo/caller.go
@@ -63,7 +63,7 @@
 // concurrently.
 func (c *caller) record(answers ...answer) { c.answers = append(c.answers, answers...) }
 
-// send sends a request and reads its whole answer.
+// send sends a request and reads its complete answer.
 func (c *caller) send(ctx context.Context, in request) answer {
 	out := answer{entry: in.entry, home: strings.TrimPrefix(strings.TrimPrefix(in.workspace, "hall-"), "family-")}
 	began := time.Now()
@@ -118,7 +118,7 @@
 	}
 }
 
-// served reports whether the whole answer came.
+// served reports whether the complete answer came.
 func (a answer) served() bool {
 	return a.err == nil && a.status == http.StatusOK && a.outcome == "served"
 }
--- a/io/jwdemo/demo.go
+++ b/io/jwdemo/demo.go
@@ -129,7 +129,7 @@
 		d.record(a)
 		d.printLine("   %s: %d tokens, the first after %s, all after %s, served by %s",
 			region, a.events, formatMillis(a.firstByteAfter), formatMillis(a.completeAfter), a.servedBy)
-		d.check(a.served() && a.events == tokens, "the whole draft came (%s)", region)
+		d.check(a.served() && a.events == tokens, "the complete draft came (%s)", region)
 	}
 	return nil
 }
@@ -147,7 +147,7 @@
 	})
 	d.printLine("   the same question at a node of another region: %d %s", misdirected.status, misdirected.outcome)
 	d.check(misdirected.status == http.StatusMisdirectedRequest && misdirected.outcome == "notRun",
-		"data bound to %s was refused in %s", regions[0], regions[1])
+		"data bound to %s was rejected in %s", regions[0], regions[1])
 	return nil
 }
 
@@ -173,7 +173,7 @@
 	d.record(both...)
 	runs := d.countRuns(key)
 	d.printLine("   both calls answered after %s and %s; the desk ran it %d time(s)", formatMillis(both[0].completeAfter), formatMillis(both[1].completeAfter), runs)
-	d.check(both[0].served() && both[1].served() && both[0].body == both[1].body, "both calls got the same whole answer")
+	d.check(both[0].served() && both[1].served() && both[0].body == both[1].body, "both calls got the same complete answer")
 	d.check(runs == 1, "the deposit was taken once")
 	return nil
 }
@@ -206,9 +206,9 @@
 	return nil
 }
 
-// partition cuts all links between regions, and those of one region to the
+// partition disconnects the regions from each other, and one region from the
 // platform. That region must go on serving its own callers, and an edit made
-// meanwhile must not be accepted before the links are back.
+// during the partition must not be accepted before the links are back.
 func (d *demoRun) partition(ctx context.Context) error {
 	isolated := regions[2]
 	d.disconnect(isolated)
@@ -233,16 +233,16 @@
 	}
 	d.printLine("   an edit in %s: written as change %d, accepted: %t, missing: %v",
 		regions[0], status.Revision, status.Accepted, status.Missing)
-	d.check(!status.Accepted, "the edit was not reported as accepted during the cut")
+	d.check(!status.Accepted, "the edit was not reported as accepted during the partition")
 
 	d.reconnect(isolated)
 	began := time.Now()
-	err = d.waitFor(recoveryTimeout, "the edit accepted after the cut", func() bool {
+	err = d.waitFor(recoveryTimeout, "the edit accepted after the partition", func() bool {
 		s, err := d.status(ctx, at)
 		return err == nil && s.Accepted && s.Revision == status.Revision
 	})
 	d.printLine("   links restored: the edit is in force everywhere after %s", formatElapsed(began))
-	d.check(err == nil, "the edit was accepted after the cut")
+	d.check(err == nil, "the edit was accepted after the partition")
 	return nil
 }
 
@@ -266,10 +266,10 @@
 	d.record(good)
 	crashed := d.restartRunners(region)
 	d.printLine("   sent %d time(s), crashed %d of %d runners, then answered %d %s", tries, crashed, runnersPerRegion, last.status, last.outcome)
-	d.printLine("   another draft in %s meanwhile: %s after %s", region, good.outcome, formatMillis(good.completeAfter))
+	d.printLine("   another draft in %s at that time: %s after %s", region, good.outcome, formatMillis(good.completeAfter))
 	d.check(last.status == http.StatusUnprocessableEntity, "the request was quarantined")
 	d.check(crashed <= 2, "it crashed no more than two runners")
-	d.check(good.served(), "other drafts were served meanwhile")
+	d.check(good.served(), "other drafts were still served")
 	return nil
 }
 
--- a/io/jwdemo/demo_test.go
+++ b/io/jwdemo/demo_test.go
@@ -19,8 +19,8 @@
 }
 
 func TestFigures(t *testing.T) {
-	served := func(home, region string, whole time.Duration) answer {
-		return answer{home: home, servedBy: region, status: 200, outcome: "served", completeAfter: whole}
+	served := func(home, region string, complete time.Duration) answer {
+		return answer{home: home, servedBy: region, status: 200, outcome: "served", completeAfter: complete}
 	}
 	tests := map[string]struct {
 		answers []answer
@@ -31,7 +31,7 @@
 			[]answer{served("a", "a", time.Second), served("a", "b", time.Minute), served("a", "a", time.Millisecond)},
 			"3\t3\t0\t0\t1\t1s\t1m0s",
 		},
-		"refused and broken off": {
+		"rejected and incomplete": {
 			[]answer{{status: 503, outcome: "notRun"}, {status: 200}, {status: 504, outcome: "unknown"}},
 			"3\t0\t1\t2\t0\t-\t-",
 		},
--- a/io/jwdemo/system.go
+++ b/io/jwdemo/system.go
@@ -258,11 +258,11 @@
 	return nil
 }
 
-// disconnect cuts all links between regions, and those of one region to the
-// platform.
+// disconnect takes down all links between regions, and those of one region to
+// the platform.
 func (s *system) disconnect(region string) { s.setCut(region, true) }
 
-// reconnect restores the links that disconnect has cut.
+// reconnect restores the links that disconnect has taken down.
 func (s *system) reconnect(region string) { s.setCut(region, false) }
 
 func (s *system) setCut(region string, cut bool) {
