--- a/io/jwchart/day.go
+++ b/io/jwchart/day.go
@@ -21,7 +21,7 @@
 
 // Day writes charts of a day to w as SVG, one below the other: requests by
 // outcome, rejected requests by reason, the longest time in seconds for which a
-// node had no answer of the store, and which nodes had lost the store or were
+// node had no answer from the store, and which nodes had lost the store or were
 // not running. The x axis is in seconds from the first line of the logs.
 func Day(w io.Writer, d *jwlogtrace.Timeline) error {
 	panels := []struct {
@@ -56,10 +56,10 @@
 	const step = 0.4
 	var list []jwlogtrace.Series
 	for i, lost := range d.StoreLost {
-		away := d.NodeDown[i].Counts
-		s := jwlogtrace.Series{Name: lost.Name, Counts: make([]float64, len(away))}
-		for second := range away {
-			s.Counts[second] = float64(i) + step*(lost.Counts[second]-away[second])
+		down := d.NodeDown[i].Counts
+		s := jwlogtrace.Series{Name: lost.Name, Counts: make([]float64, len(down))}
+		for second := range down {
+			s.Counts[second] = float64(i) + step*(lost.Counts[second]-down[second])
 		}
 		list = append(list, s)
 	}
