--- a/spec/catalogue/acceptance.pml
+++ b/spec/catalogue/acceptance.pml
@@ -2,18 +2,18 @@
  * Acceptance of catalogue changes: core/jwcatalogue, in small.
  *
  * One region with three nodes. Node 0 gathers the confirmations. Node 1 is a
- * member that may die and start anew under its name. Node 2 joins, by the
- * service or, behind a cut, through node 1, and may die. What node 0 hears of
- * the others may be old, and everything runs at its own pace.
+ * member that may die and restart under its name. Node 2 joins, by the service
+ * or, behind a network partition, with node 1 as its sponsor, and may die. What
+ * node 0 knows of the others may be old, and all steps interleave freely.
  *
  * Shown: a change is accepted only when every serving node has it in force, and
  * no revision falls.
  *
- * Left out, as docs/CATALOGUE.md says: a sponsor that dies before the node it
- * answers for has found another, and a host list that drops a serving node.
+ * Left out, as docs/CATALOGUE.md says: a sponsor that dies before the node that
+ * it sponsors has found another, and a host list that drops a serving node.
  *
  * Each of the macros HEAD_FIRST, MEMBERS_FIRST, SPONSOR_FORGETS, EARLY_RELEASE
- * and SILENCE takes one protection away. CHANGES is the number of changes.
+ * and SILENCE removes one protection. CHANGES is the number of changes.
  */
 
 #define NODES   3
@@ -35,11 +35,11 @@
 byte incarnation[NODES];
 byte revision[NODES];
 
-/* What node 1 promised node 2 to answer for. */
+/* What node 1 confirms as the sponsor of node 2. */
 bool adopted;
 byte adoptedRevision;
 
-/* What node 0 has heard of the others, perhaps a while ago. */
+/* What node 0 knows of the others, perhaps a while old. */
 byte heardIncarnation[NODES];
 byte heardRevision[NODES];
 bool heardServing[NODES];
@@ -116,14 +116,14 @@
 	   enter(2);
 	   adopted = false
 	fi;
-	/* It may die at last; the adoption ends when the host list says so. */
+	/* It may die at last; the sponsorship ends when the host list says so. */
 	if
 	:: atomic { serving[2] = false; alive[2] = false; adopted = false }
 	:: skip
 	fi
 }
 
-/* Exchange brings news to node 0; what it had before is as good as late news. */
+/* Exchange brings state to node 0; its earlier state stands for late messages. */
 proctype Exchange() {
 end:	do
 	:: atomic { alive[1] -> heardIncarnation[1] = incarnation[1]; heardRevision[1] = CONFIRMED1; heardServing[1] = serving[1] }
--- a/spec/catalogue/log.pml
+++ b/spec/catalogue/log.pml
@@ -3,10 +3,10 @@
  *
  * Three editors append a change each. Change n is a key that is created once;
  * the reply of a creation may be lost, and then the editor reads the key back.
- * Shown: an editor that is told a number has its change there, no change is
+ * Shown: an editor that gets a number as its result has its change there, no change is
  * in the log twice, and the numbers have no gap.
  *
- * NO_EDIT_ID takes away the comparison of the edit id.
+ * NO_EDIT_ID removes the comparison of the edit id.
  */
 
 #define EDITORS 3
--- a/spec/claim/claim.pml
+++ b/spec/claim/claim.pml
@@ -2,8 +2,8 @@
  * One key, two nodes and the claim log of one slot in the store.
  *
  * The store is one register with a version: its value names who holds the key
- * (0 for nobody, n + 1 for node n). A write travels as a message that the store
- * may take in at once, late, or never; its reply may be lost. A node may stop
+ * (0 for nobody, n + 1 for node n). A write is a message that the store may
+ * apply at once, late, or never; its reply may be lost. A node may stop
  * for any time between any two steps, since the steps of all processes
  * interleave freely, and it may crash for good.
  *
@@ -12,18 +12,18 @@
  * tickets and the handover, which the stateful fuzzing of core/jwclaim covers.
  *
  * Two seeded faults have to be caught. -DTRUST_UNKNOWN: a write whose reply was
- * lost is taken for written. -DLATE_RELEASE: a release goes through whatever
+ * lost counts as written. -DLATE_RELEASE: a release goes through whatever
  * was written since, as a delete without a version would.
  */
 #define NODES 2
-#define TRIES 2 /* presses of the key at each node */
+#define TRIES 2 /* calls with the key at each node */
 #define DRIFT 7 /* bound of the version */
 
 byte version = 0;
 byte owner = 0;
 byte runs = 0;
 
-/* writes on their way: at most two of each node, as a late one may be overtaken */
+/* writes in transit: at most two of each node, as a late one may be overtaken */
 typedef Write {
 	bit live;
 	byte value;
@@ -31,7 +31,7 @@
 };
 Write wire[4];
 
-/* the store takes in whatever write it likes, whenever it likes */
+/* the store applies any pending write at any time */
 active proctype store()
 {
 	byte i;
@@ -116,7 +116,7 @@
 		if
 		:: result == 1 -> held = 1
 		:: result == 0 || result == 2 ->
-			/* lost the swap, or in doubt: read back */
+			/* lost the swap, or uncertain: read back */
 			atomic {
 				if
 				:: owner == me + 1 -> held = 1; seen = version
--- a/spec/era/era.pml
+++ b/spec/era/era.pml
@@ -1,7 +1,8 @@
-/* A store that comes back from an older copy, and a node that reads it.
+/* A store that is restored from an older copy, and a node that reads it.
  *
- * A target registers as ready, renews that, and writes later that it drains. The store returns to the copy that it made before, up to RETURNS times: its
- * numbers go back and are given out again, its era rises. The target writes again that it
+ * A target registers as ready, renews that, and writes later that it drains. The store
+ * returns to the copy that it made before, up to RETURNS times: its numbers go back and
+ * are assigned again, its era rises. The target writes again that it
  * drains. The node reads over two connections, so that answers may come late and out of
  * order.
  *
--- a/spec/quota/quota.pml
+++ b/spec/quota/quota.pml
@@ -1,8 +1,8 @@
 /* Units of a quota that go from leaves up to a relay and back down.
  *
- * Each leaf mints its part, spends, gives units to the relay and claims some back.
- * Messages and answers are lost, arrive late, and leaves and the relay start anew with
- * nothing. What was spent must never be more than what was minted.
+ * Each leaf refills its share, spends, gives units to the relay and claims some back.
+ * Messages and answers are lost or arrive late, and leaves and the relay restart with
+ * nothing. What was spent must never be more than what was refilled.
  */
 
 #define LEAVES 2
--- a/spec/relay/relay.pml
+++ b/spec/relay/relay.pml
@@ -1,13 +1,13 @@
-/* A node that hears the changes of the store from a relay, in steps of time.
+/* A node that gets the changes of the store from a relay, in steps of time.
  *
  * The store changes now and then. The relay reads it, unless it is cut off from it,
- * and may be so at any time and for any time; it doesn't notice. The node hears the relay unless that has
- * died or is cut off, and reads the store itself, which it always reaches, when it
- * can't rely on the relay: its word is too old, or its reading was, or it names a
- * lower revision than the node has.
+ * which may happen at any time and last for any time; it doesn't notice. The node gets
+ * the relay's reports unless the relay has died or is cut off, and reads the store itself,
+ * which it always reaches, when it can't rely on the relay: the last report is too old, or
+ * the relay's read was, or the report has a lower revision than the node.
  *
- * The node must never be without a change for longer than the ages of the relay's
- * reading and of its word together, and one step for each of the two readings.
+ * The node must never lack a change for longer than the maximum ages of the relay's read
+ * and of its report together, and one step for each of the two reads.
  */
 
 #define AGE 2    /* oldest reading of the relay that is relied on */
--- a/spec/share/cold.pml
+++ b/spec/share/cold.pml
@@ -1,14 +1,14 @@
-/* Shares of what a cold target bears, while nodes start, the store answers late,
- * and any two nodes may be cut from each other.
+/* Shares of the rate that a cold target may get, while nodes start, the store answers
+ * late, and any two nodes may be cut off from each other.
  *
- * Either nodes 0 and 1 run, are registered and have heard each other, and node 2
+ * Either nodes 0 and 1 run, are registered and have seen each other, and node 2
  * starts; or all three start at once, as after the loss of a region. A node that
  * starts knows itself only. It registers in the store at any time, and reads the
- * store at any time and as often as it likes, or never. Two nodes may speak at
- * any time unless the link between them is cut, and links may be cut or mended at
- * any time. Who believes itself the owner is left open, as views differ: each may
- * use its share, once, and all fall into one window, but for what a node that
- * starts has waited for. Registrations don't lapse here; docs/PLATFORM.md bounds
+ * store at any time and any number of times, or never. Two nodes may exchange state at
+ * any time unless the link between them is cut, and links may be cut or restored at
+ * any time. Which node takes itself to be the owner is left open, as views differ: each
+ * may use its share, once, and all uses fall into one window, except those that a node
+ * that starts has waited out. Registrations don't expire here; docs/PLATFORM.md bounds
  * what two cuts in a row do.
  *
  * The bound is 6, so that halves and thirds are whole.
@@ -36,7 +36,7 @@
 	if :: has(known[n], 2) -> c++ :: else fi
 }
 
-/* Whether each node that n counts has spoken with it. */
+/* Whether each node that n counts has exchanged state with it. */
 #define spoken(n) ((known[n] & ~bit(n) & ~heard[n]) == 0)
 
 #ifdef NOT_LISTED
@@ -63,7 +63,7 @@
 		:: else
 		fi;
 		/* What was used before then leaves the window while it waits, anew for
-		 * each node that it meets. */
+		 * each node that it gets to know. */
 		atomic { old = spent; met = heard[me] };
 		skip;
 		atomic {
@@ -90,7 +90,7 @@
 	skip
 }
 
-/* Two nodes speak, once one knows the other: from then on each counts the other. */
+/* Two nodes exchange state, once one knows the other: from then on each counts the other. */
 inline speak(i, j) {
 	atomic {
 		!cut[i * N + j] && (has(known[i], j) || has(known[j], i)) ->
