--- a/io/jwgateway/body_test.go
+++ b/io/jwgateway/body_test.go
@@ -65,8 +65,8 @@
 	maxBody   = 1 << 20
 )
 
-// A large body is streamed to the target while the caller still sends it. If nodes buffered whole
-// bodies, a few large ones would exhaust a node's memory, and targets would start late.
+// A large body is streamed to the target while the caller still sends it. If nodes buffered
+// complete bodies, a few large ones would exhaust a node's memory, and targets would start late.
 func TestLargeBodies(t *testing.T) {
 	t.Parallel()
 	part := strings.Repeat("a", largePart)
@@ -115,7 +115,7 @@
 }
 
 // The caller disconnects within a large body. The target must see an incomplete body: otherwise it
-// would run a request that nobody sent.
+// would run a request that no caller sent.
 func TestLargeBodyBrokenOff(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// A node that is cut off from the store must not answer an unknown key with 401, because the key
+// A node that can't reach the store must not answer an unknown key with 401, because the key
 // may have been added in the meantime.
 func TestUnknownKeyWhileCutOff(t *testing.T) {
 	t.Parallel()
@@ -222,7 +222,7 @@
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-// A request that needs more units than its node's part of the quota gets units from the other node,
+// A request that needs more units than its node's share of the quota gets units from the other node,
 // which doesn't need them.
 func TestQuotaUnitsFromAnotherNode(t *testing.T) {
 	t.Parallel()
--- a/io/jwgateway/decide.go
+++ b/io/jwgateway/decide.go
@@ -61,8 +61,8 @@
 	g.Decisions.Write(&d)
 }
 
-// logStreamStart logs the first event of a stream. Streams last for seconds, and if the node is killed,
-// this is the only record of them.
+// logStreamStart logs the first event of a stream. Streams last for seconds, and if the node is
+// killed, this is the only record of them.
 func (g *Gateway) logStreamStart(q *request) {
 	d := q.newDecision(stepBegun)
 	d.Peer, d.Outcome, d.DropFirst = q.sentTo, outcomeBegun, true
--- a/io/jwgateway/dialect.go
+++ b/io/jwgateway/dialect.go
@@ -38,7 +38,7 @@
 	Target     string           // identifier of the target that answered, if given
 	ColdFor    time.Duration    // for how long the target stays cold
 	Limit      jwinstance.Limit // limit that the target announces
-	RetryAfter time.Duration    // for how long the target accepts no requests from this node, if it rejected one
+	RetryAfter time.Duration    // for how long the target accepts no requests from this node, if it refused one
 	Leaving    bool             // the target is leaving, whatever its registration says
 }
 
@@ -61,7 +61,8 @@
 	ID(h http.Header) string
 	// Refuse adds the identifier of the request to the headers of an error answer.
 	Refuse(h http.Header, id string)
-	// DirectoryQuery returns the host that a caller queries the directory for, and the caller's region.
+	// DirectoryQuery returns the host that a caller queries the directory for, and the caller's
+	// region.
 	DirectoryQuery(q url.Values) (host, region string)
 	// Directory returns the answer of the directory, which is encoded as JSON.
 	Directory(nodes []netip.AddrPort, ttl time.Duration) any
@@ -73,9 +74,11 @@
 	IsConfig(key string) bool
 	// Config decodes a configuration.
 	Config(value []byte) (*jwentry.Config, error)
-	// Evacuation returns the data centre whose evacuation a key stands for; ok is false for any other key.
+	// Evacuation returns the data centre whose evacuation a key stands for; ok is false for any
+	// other key.
 	Evacuation(key string) (dataCentre string, ok bool)
-	// TargetID returns the identifier of the target that registers under a key; false for any other key.
+	// TargetID returns the identifier of the target that registers under a key; false for any other
+	// key.
 	TargetID(key string) (string, bool)
 	// Target decodes the registration of a target.
 	Target(id string, value []byte) (jwinstance.Instance, error)
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -48,7 +48,7 @@
 	Admission       jwadmission.Policy          // which requests are rejected
 	Placement       jwplacement.Policy          // which region serves a request
 	RelayThreshold  int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
-	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
+	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's clock
 
 	viewCache           encodedViewCache
 	pauseDetector       jwclock.PauseDetector
@@ -237,8 +237,8 @@
 	return jwbudget.ColdShare(l, g.members.Owns(now, target), g.members.Count(now, g.Settings.Region))
 }
 
-// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether a
-// node may own the target.
+// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether
+// a node may own the target.
 func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitShare {
 	now := time.Now()
 	if g.members.RegisteredFor(now) < jwbudget.LimitSettle {
--- a/io/jwgateway/passanswer.go
+++ b/io/jwgateway/passanswer.go
@@ -73,8 +73,8 @@
 	}
 }
 
-// passStream passes complete events on as they arrive. If the stream breaks off within an event,
-// the incomplete event is dropped, so that another target can resume after the last complete one.
+// passStream passes complete events on as they arrive. If the stream fails within an event, the
+// incomplete event is dropped, so that another target can resume after the last complete one.
 func (g *Gateway) passStream(q *request, a *jwconn.Answer, onEvents func(events int)) Verdict {
 	var buffered []byte
 	resumed := q.answerStarted
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -52,7 +52,7 @@
 	return s.lastCallFailed.Load() || now.Sub(time.Unix(0, s.lastAnswer.Load())) > storeStaleAfter
 }
 
-// probeTargets asks targets how long they stay cold while no node of the region reaches the store,
+// probeTargets probes for how long targets stay cold while no node of the region reaches the store,
 // until ctx ends. A target may go cold at any time, and without probes all nodes would continue to
 // send it what a warm one can take.
 func (g *Gateway) probeTargets(ctx context.Context) {
--- a/io/jwgateway/region.go
+++ b/io/jwgateway/region.go
@@ -51,7 +51,7 @@
 		t.waits = make(map[string]map[string]regionWait)
 		t.sent = make(map[string][]sentPrompt)
 	}
-	// Requests that were still on their way when the node reported are not included in its report.
+	// Requests that were still in flight when the node reported are not included in its report.
 	reportedFrom := at.Add(-t.roundTripLocked(region))
 	t.sent[region] = slices.DeleteFunc(t.sent[region], func(w sentPrompt) bool { return w.at.Before(reportedFrom) })
 	services := t.waits[region]
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -38,7 +38,7 @@
 	table.merge(at(1000), report("p"))
 	assert.Equal(t, table.unreportedTokens("q", "s"), 3000, "another region reported")
 	table.merge(at(1000), report("q"))
-	assert.Equal(t, table.unreportedTokens("q", "s"), 2000, "sent while the report was on its way")
+	assert.Equal(t, table.unreportedTokens("q", "s"), 2000, "sent while the report was in flight")
 	table.merge(at(2000), report("q"))
 	assert.Equal(t, table.unreportedTokens("q", "s"), 0)
 }
--- a/io/jwgateway/relayexchange.go
+++ b/io/jwgateway/relayexchange.go
@@ -11,7 +11,7 @@
 
 // In a region of many nodes each node exchanges state only with the relay of its data centre, and
 // the relays exchange state with each other. A relay passes on what all nodes reported, and the
-// changes of the store, which it alone reads in its data centre. When the relay fails, is cut off
+// changes of the store, which it alone reads in its data centre. When the relay fails, is unreachable
 // or lags behind, the nodes read the store themselves and the next node becomes the relay.
 
 const (
@@ -229,8 +229,8 @@
 	return w.revision
 }
 
-// applyRelayed applies changes that a relay read. If the relay lacks them or its read is too old,
-// this node reads the store itself.
+// applyRelayed applies changes that a relay read. If the relay no longer has them or its read
+// is too old, this node reads the store itself.
 func (w *storeWatcher) applyRelayed(now time.Time, c *changes) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/io/jwgateway/relayexchange_test.go
+++ b/io/jwgateway/relayexchange_test.go
@@ -100,13 +100,13 @@
 	}
 }
 
-// The relay runs, but its connection to the store delivers nothing or it is cut off. The other
-// nodes must not rely on its view and have to read the store themselves.
+// The relay runs, but its connection to the store delivers nothing or is lost. The other nodes must
+// not rely on its view and have to read the store themselves.
 func TestRelayWithStaleStoreView(t *testing.T) {
 	t.Parallel()
-	cases := map[string]func(first *silentFeed, cut *disconnectableFeed){
-		"silent":  func(first *silentFeed, _ *disconnectableFeed) { first.silent.Store(true) },
-		"cut off": func(_ *silentFeed, cut *disconnectableFeed) { cut.disconnected.Store(true) },
+	cases := map[string]func(first *silentFeed, link *disconnectableFeed){
+		"silent":       func(first *silentFeed, _ *disconnectableFeed) { first.silent.Store(true) },
+		"disconnected": func(_ *silentFeed, link *disconnectableFeed) { link.disconnected.Store(true) },
 	}
 	for name, fail := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -114,10 +114,10 @@
 			var feed jwstore.MemoryFeed
 			x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 			configure(&feed, 1, route("/a/", "idempotent", ""))
-			cut := &disconnectableFeed{Feed: &feed}
-			first := &silentFeed{Feed: cut}
+			link := &disconnectableFeed{Feed: &feed}
+			first := &silentFeed{Feed: link}
 			nodes := startRelayed(t, first, &feed, &feed)
-			fail(first, cut)
+			fail(first, link)
 			startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 			register(&feed, "t1", "s", x.addr, "north-a", "draining")
 			for _, n := range nodes[1:] {
@@ -194,7 +194,8 @@
 }
 
 // A node that reports through a relay was paused and has seen no other node since, so that it
-// considers itself the relay. If neither node called the other, it would stay alone for good.
+// considers itself the relay. If neither node called the other, neither would ever learn
+// of the other again.
 func TestPausedNodeRejoinsItsRelay(t *testing.T) {
 	t.Parallel()
 	first, second, pause := startRelayedPair(t)
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -87,7 +87,7 @@
 }
 
 // hopHeaders are the hop-by-hop headers, which apply to one connection only, and the headers that
-// are set anew for each send.
+// are set for each send.
 var hopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
--- a/io/jwgateway/retryafter_test.go
+++ b/io/jwgateway/retryafter_test.go
@@ -11,7 +11,7 @@
 	"jujubewheel/core/jwstore"
 )
 
-// A target rejects a request with a Retry-After header. The node must not send it another request
+// A target refuses a request with a Retry-After header. The node must not send it another request
 // before that time has passed.
 func TestTargetRetryAfter(t *testing.T) {
 	t.Parallel()
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -19,7 +19,7 @@
 	notRun   Verdict = "notRun"   // no target has run the request or will run it
 	rejected Verdict = "rejected" // as notRun, and the request was not sent to any target
 	failed   Verdict = "failed"   // a target ran the request and reported a failure, or may have run it
-	broken   Verdict = "broken"   // a stream broke off; its complete events went to the caller
+	broken   Verdict = "broken"   // a stream ended incomplete; its complete events went to the caller
 )
 
 const (
@@ -51,7 +51,7 @@
 }
 
 // answerUnserved answers a request that was not served, or aborts its connection if an answer has
-// started or nobody waits for one. ran reports whether a target may have run the request.
+// started or the caller is gone. ran reports whether a target may have run the request.
 func (g *Gateway) answerUnserved(ctx, parent context.Context, q *request, ran bool) {
 	switch {
 	case parent.Err() != nil && g.graceOver.Load():
--- a/io/jwgateway/stop.go
+++ b/io/jwgateway/stop.go
@@ -23,8 +23,8 @@
 // linger returns for how long a stopping node accepts new requests.
 func (g *Gateway) linger() time.Duration { return min(jwresolver.Linger, g.grace()) }
 
-// stop carries out the planned stop: the node is no longer named to callers, serves requests that
-// still arrive for a while, and waits for the requests in flight.
+// stop carries out the planned stop: the node is no longer returned to callers, serves requests
+// that still arrive for a while, and waits for the requests in flight.
 func (g *Gateway) stop(servers []*jwrest.Server) {
 	start := time.Now()
 	g.stopStartedAt.Store(int64(start.Sub(g.startTime)))
@@ -48,8 +48,8 @@
 	g.Log.Info("stop complete", "inFlight", g.inFlight.Load(), "after", time.Since(start).String())
 }
 
-// stopPeers returns the nodes that are informed at once that this one stops: all nodes or, in a
-// large region, the relays, which inform the others.
+// stopPeers returns the nodes to which this one reports its stop at once: all nodes or, in a large
+// region, the relays, which report it to the others.
 func (g *Gateway) stopPeers(now time.Time) []jwmember.Member {
 	if !g.members.Large(now, g.Settings.Region) {
 		return g.members.Peers(now)
--- a/io/jwgateway/storewatcher.go
+++ b/io/jwgateway/storewatcher.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		if errors.Is(err, jwstore.ErrCompacted) {
-			g.Log.Info("store history gone, reading anew", "revision", w.currentRevision())
+			g.Log.Info("store history gone, reading all keys again", "revision", w.currentRevision())
 			w.resetRevision()
 			g.delayFullRead(epoch)
 			continue
@@ -127,8 +127,8 @@
 	return min(wait*time.Duration(max(nodes, scaleNodes))/scaleNodes, maxWait)
 }
 
-// retryWait returns the wait after a failed call of the store. The store at times rejects whole
-// parts of a fleet, and every call counts, rejected ones too.
+// retryWait returns the wait after a failed call of the store. The store at times rejects the
+// calls of a large share of the fleet, and every call counts, rejected ones too.
 func (g *Gateway) retryWait(wait time.Duration) time.Duration {
 	return scaleWait(wait, g.members.Count(time.Now(), ""), maxStoreRetry)
 }
@@ -211,7 +211,7 @@
 }
 
 // applyChange applies one change to the tables and reports whether it changed anything. Targets
-// register about once a second, and most registrations repeat the one before.
+// register about once a second, and most registrations equal the one before.
 func (w *storeWatcher) applyChange(now time.Time, e jwstore.Event) bool {
 	g := w.g
 	if g.Records.IsConfig(e.Key) {
@@ -298,7 +298,7 @@
 // power, nothing has closed them, and the next request on one would be lost.
 func (g *Gateway) dropOldConnections(m jwmember.Member) {
 	if g.Nodes.IdleCount(m.Nodes) > 0 {
-		g.Log.Info("node began anew", "peer", m.Name)
+		g.Log.Info("node restarted", "peer", m.Name)
 	}
 	g.Nodes.CloseIdle(m.Nodes)
 }
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// crashCheckTimeout limits the check whether a target that broke off a call has crashed. A
-	// crashed target on a running host refuses connections at once.
+	// crashCheckTimeout limits the check whether a target whose call failed has crashed. A crashed
+	// target on a running host refuses connections at once.
 	crashCheckTimeout = 50 * time.Millisecond
 	// quarantineRetryAfter is the Retry-After of a request that crashes its targets.
 	quarantineRetryAfter = 30 * time.Second
@@ -54,7 +54,7 @@
 	n.AvoidAddresses = g.suspects.ExcludedTargets(q.fingerprint, g.targets.Addresses(q.service), now)
 }
 
-// checkCrash checks whether a target that broke off a call has crashed, and if so counts the crash
+// checkCrash checks whether a target whose call failed has crashed, and if so counts the crash
 // against all requests in flight there. It must run before the request is sent again, because the
 // next target might crash too.
 func (g *Gateway) checkCrash(ctx context.Context, x *jwinstance.Target) {
@@ -71,7 +71,7 @@
 	now := time.Now()
 	g.targets.Unreached(now, x)
 	for _, f := range g.suspects.Crashed(x.Address, now) {
-		g.Log.Info("request barred", "fingerprint", f.String(), "target", x.ID)
+		g.Log.Info("request quarantined", "fingerprint", f.String(), "target", x.ID)
 	}
 }
 
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -178,8 +178,8 @@
 	return reply{res.StatusCode, res.Header, string(text), err}, nil
 }
 
-// sendUntil repeats a request until ok accepts the answer, which shows that the node has read
-// recent changes.
+// sendUntil sends a request repeatedly until ok accepts the answer, which shows that the node has
+// read recent changes.
 func sendUntil(t *testing.T, n node, path string, ok func(reply) bool) reply {
 	t.Helper()
 	for i := range 1000 {
@@ -282,21 +282,21 @@
 		want  int
 		runs  int // number of requests that reached the second target
 	}{
-		"not connected, may run once":      {"non_idempotent", nil, 200, 1},
-		"not connected, may be repeated":   {"idempotent", nil, 200, 1},
-		"refused, may run once":            {"non_idempotent", refuse, 200, 1},
-		"refused, may be repeated":         {"idempotent", refuse, 200, 1},
-		"reset, may run once":              {"non_idempotent", abort, 502, 0},
-		"reset, may be repeated":           {"idempotent", abort, 200, 1},
-		"its own failure, may run once":    {"non_idempotent", fail, 500, 0},
-		"its own failure, may be repeated": {"idempotent", fail, 200, 1},
-		"no signature, may run once":       {"non_idempotent", unsealed, 502, 0},
-		"no signature, may be repeated":    {"idempotent", unsealed, 200, 1},
+		"not connected, may run once":     {"non_idempotent", nil, 200, 1},
+		"not connected, may be retried":   {"idempotent", nil, 200, 1},
+		"refused, may run once":           {"non_idempotent", refuse, 200, 1},
+		"refused, may be retried":         {"idempotent", refuse, 200, 1},
+		"reset, may run once":             {"non_idempotent", abort, 502, 0},
+		"reset, may be retried":           {"idempotent", abort, 200, 1},
+		"its own failure, may run once":   {"non_idempotent", fail, 500, 0},
+		"its own failure, may be retried": {"idempotent", fail, 200, 1},
+		"no signature, may run once":      {"non_idempotent", unsealed, 502, 0},
+		"no signature, may be retried":    {"idempotent", unsealed, 200, 1},
 		// The right answer might still follow on the connection until the deadline.
 		"another's answer, may run once":    {"non_idempotent", foreign, 504, 0},
-		"another's answer, may be repeated": {"idempotent", foreign, 200, 1},
-		"broken off, may run once":          {"non_idempotent", short, 502, 0},
-		"broken off, may be repeated":       {"idempotent", short, 200, 1},
+		"another's answer, may be retried":  {"idempotent", foreign, 200, 1},
+		"incomplete answer, may run once":   {"non_idempotent", short, 502, 0},
+		"incomplete answer, may be retried": {"idempotent", short, 200, 1},
 		"encoded, may run once":             {"non_idempotent", encoded, 502, 0},
 	}
 	for name, c := range cases {
@@ -324,15 +324,15 @@
 	}
 }
 
-// events writes a stream of events from one number up to, but not including, another, and breaks
-// off within the next event unless whole is set.
-func events(from, until int, whole bool) http.HandlerFunc {
+// events writes a stream of events from one number up to, but not including, another, and fails
+// within the next event unless complete is set.
+func events(from, until int, complete bool) http.HandlerFunc {
 	return func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Type", "text/event-stream")
 		for i := from; i < until; i++ {
 			fmt.Fprintf(w, "id: %d\ndata: event %d\n\n", i, i)
 		}
-		if !whole {
+		if !complete {
 			_, _ = io.WriteString(w, "id: 9")
 			w.(http.Flusher).Flush()
 			panic(http.ErrAbortHandler)
@@ -349,12 +349,12 @@
 		first  http.HandlerFunc
 		second http.HandlerFunc
 		body   string
-		cut    bool   // whether the caller sees that the stream is incomplete
+		fails  bool   // whether the caller sees that the stream is incomplete
 		after  string // Last-Event-Id header that the second target received
 	}{
-		"whole":                {"", events(1, 4, true), nil, threeEvents, false, ""},
+		"complete":             {"", events(1, 4, true), nil, threeEvents, false, ""},
 		"broken, may run once": {"", events(1, 3, false), events(3, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, ""},
-		"broken, goes on":      {`,"Resumable":true`, events(1, 3, false), events(3, 4, true), threeEvents, false, "2"},
+		"broken, resumed":      {`,"Resumable":true`, events(1, 3, false), events(3, 4, true), threeEvents, false, "2"},
 		// Resumed there, the stream would contain one event twice.
 		"resumed at another event": {`,"Resumable":true`, events(1, 3, false), events(2, 4, true), "id: 1\ndata: event 1\n\nid: 2\ndata: event 2\n\n", true, "2"},
 		"broken twice":             {`,"Resumable":true`, events(1, 3, false), events(3, 4, false), threeEvents, true, "2"},
@@ -376,7 +376,7 @@
 			assert.Equal(t, r.status, http.StatusOK)
 			assert.Equal(t, r.header.Get("Jujubewheel-Server-Seal"), "seal-t1", "must be the signature of the first target")
 			assert.Equal(t, r.body, c.body)
-			assert.Equal(t, r.err != nil, c.cut)
+			assert.Equal(t, r.err != nil, c.fails)
 			if c.after != "" {
 				assert.Equal(t, x.requests()[0].header.Get("Last-Event-Id"), c.after)
 			}
@@ -447,7 +447,7 @@
 	t.Fatal("the condition did not become true in time")
 }
 
-// waitForDirectory waits until a node's directory names exactly the given nodes to callers of a
+// waitForDirectory waits until a node's directory returns exactly the given nodes to callers of a
 // region.
 func waitForDirectory(t *testing.T, at node, region string, all ...node) {
 	t.Helper()
@@ -471,7 +471,7 @@
 	north := start(t, &feed, "n1", "north")
 	south := start(t, &feed, "n2", "south")
 	// Each node must know the other: a node that stops within its first second, before it has read
-	// which other nodes exist, is named until its registration is removed.
+	// which other nodes exist, is returned until its registration is removed.
 	waitForDirectory(t, north, "south", south)
 	waitForDirectory(t, south, "north", north)
 	assert.DeepEqual(t, directory(t, north, "north"), []string{north.callers.String()})
@@ -520,8 +520,8 @@
 	return l.Feed.Range(ctx, prefix, after)
 }
 
-// A stream in flight when the node is told to stop continues to its end, and the node no longer
-// names itself to callers.
+// A stream in flight when the node's planned stop begins continues to its end, and the node no
+// longer returns itself to callers.
 func TestPlannedStop(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -560,8 +560,8 @@
 	<-ended
 }
 
-// A caller disconnects. Its request must be canceled at the target, which would otherwise work for
-// nobody.
+// A caller disconnects. Its request must be canceled at the target, which would otherwise
+// continue to run it in vain.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
@@ -647,7 +647,7 @@
 		assert.Assert(t, r.header.Get("Retry-After") != "")
 	}
 	paused.Store(false)
-	sendUntil(t, n, "/a/x", served) // a region cut off from the store continues to serve
+	sendUntil(t, n, "/a/x", served) // a region that can't reach the store continues to serve
 	paused.Store(true)
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.status == http.StatusServiceUnavailable })
 	configure(&feed, 2, route("/b/", "idempotent", ""))
@@ -743,11 +743,11 @@
 	x := startTarget(t, &feed, "t1", "s", "north-a", respondText("first"))
 	configure(&feed, 1, route("/a/", "idempotent", ""))
 	first := start(t, &feed, "n1", "north")
-	cut := &disconnectableFeed{Feed: &feed}
-	n := start(t, cut, "n2", "north")
+	link := &disconnectableFeed{Feed: &feed}
+	n := start(t, link, "n2", "north")
 	sendUntil(t, n, "/a/x", served)
 	waitForDirectory(t, n, "north", first, n)
-	cut.disconnected.Store(true)
+	link.disconnected.Store(true)
 	startTarget(t, &feed, "t2", "s", "north-a", respondText("second"))
 	register(&feed, "t1", "s", x.addr, "north-a", "draining")
 	sendUntil(t, n, "/a/x", func(r reply) bool { return r.body == "second" })
--- a/io/jwgateway/view.go
+++ b/io/jwgateway/view.go
@@ -25,7 +25,7 @@
 const viewRetryPause = 400 * time.Millisecond
 
 // view is what a node needs to serve while it can't reach the store: the part of another node's
-// state that it lacks.
+// state that it doesn't have.
 type view struct {
 	Config    []byte                `json:"config,omitempty"` // as stored
 	Revision  jwstore.Revision      `json:"revision"`         // store revision of the fields below; 0 if they are omitted
@@ -67,7 +67,7 @@
 
 // maxEncodedViewAge is how long an encoded view is reused for nodes that know nothing yet. All
 // nodes of a data centre that start at once request the same view. With thousands of targets,
-// encoding it for each of them took the relay longer than the nodes wait.
+// encoding it for each of them would take the relay longer than the nodes wait.
 const maxEncodedViewAge = 300 * time.Millisecond
 
 // encodedViewCache keeps the last view that was encoded for a node that knows nothing yet.
@@ -77,8 +77,8 @@
 	body      []byte
 }
 
-// encode returns the encoded view that since returns for a version and a revision. If both are 0, the
-// result is reused for maxEncodedViewAge unless it is empty.
+// encode returns the encoded view that since returns for a version and a revision. If both are 0,
+// the result is reused for maxEncodedViewAge unless it is empty.
 func (e *encodedViewCache) encode(now time.Time, version, revision uint64, since func(time.Time, uint64, uint64) view) ([]byte, error) {
 	if version > 0 || revision > 0 {
 		return encodeView(since(now, version, revision))
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -12,8 +12,8 @@
 	// before. It is about the interval at which the store is read.
 	pauseLimit = time.Second
 	// maxWakeWait is how long a node waits for the store after a pause. Then it serves with the
-	// state from before the pause and what other nodes have reported since; otherwise a region cut
-	// off from the store could not serve after a pause.
+	// state from before the pause and what other nodes have reported since; otherwise a region
+	// that can't reach the store could not serve after a pause.
 	maxWakeWait = 2 * time.Second
 	// wakeRetryAfter is the Retry-After of a node that has not read the store yet after a pause:
 	// about one round trip to the store.
@@ -49,7 +49,7 @@
 // maxWakeWait, until the store was read again.
 func (g *Gateway) resumeAfterPause(ctx context.Context) {
 	start := time.Now()
-	g.Log.Info("woke from a pause", "version", g.entries.Version())
+	g.Log.Info("resumed after a pause", "version", g.entries.Version())
 	g.members.Resumed(start)
 	g.targets.DiscardReports()
 	g.newEpoch(ctx)
