--- a/io/jwgateway/callers.go
+++ b/io/jwgateway/callers.go
@@ -38,10 +38,10 @@
 		// A node with an outdated configuration must not reject a key that was added in the
 		// meantime.
 		if g.store.stale(q.arrived) && q.arrived.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > configTrustPeriod {
-			g.refuseRequest(q, http.StatusServiceUnavailable, keyRetryAfter, unverifiedKey, nil)
+			g.rejectRequest(q, http.StatusServiceUnavailable, keyRetryAfter, unverifiedKey, nil)
 			return false
 		}
-		g.refuseRequest(q, http.StatusUnauthorized, 0, unknownKey, nil)
+		g.rejectRequest(q, http.StatusUnauthorized, 0, unknownKey, nil)
 		return false
 	}
 	if w == nil {
@@ -71,7 +71,7 @@
 	if d.Outcome == jwquota.Taken {
 		return true
 	}
-	g.refuseRequest(q, http.StatusTooManyRequests, d.RetryAfter, overQuota, &d)
+	g.rejectRequest(q, http.StatusTooManyRequests, d.RetryAfter, overQuota, &d)
 	return false
 }
 
@@ -95,8 +95,8 @@
 	}
 }
 
-// refuseRequest answers and logs a request that is rejected before its body is read.
-func (g *Gateway) refuseRequest(q *request, status int, retryAfter time.Duration, reason string, quota *jwquota.Decision) {
+// rejectRequest answers and logs a request that is rejected before its body is read.
+func (g *Gateway) rejectRequest(q *request, status int, retryAfter time.Duration, reason string, quota *jwquota.Decision) {
 	g.metrics.countRequest(string(q.entry.Kind), outcomeRefused, placeNone, time.Since(q.arrived))
 	d := q.newDecision(stepAnswer)
 	d.Outcome, d.Reason, d.Status = outcomeRefused, reason, status
@@ -104,7 +104,7 @@
 		d.Level = quota.Level
 	}
 	g.Decisions.Write(&d)
-	g.refuse(q.w, q.ID, status, retryAfter, reason)
+	g.answerError(q.w, q.ID, status, retryAfter, reason)
 }
 
 // hasQuotas reports whether any workspace of the configuration in force has a quota.
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -22,20 +22,20 @@
 )
 
 const (
-	// exchangePeriod is the time between two exchanges with the nodes of other regions.
-	exchangePeriod = time.Second
-	// localPeriod is the time between two exchanges with a node of the same region. It is short
+	// exchangeInterval is the time between two exchanges with the nodes of other regions.
+	exchangeInterval = time.Second
+	// localInterval is the time between two exchanges with a node of the same region. It is short
 	// because targets are chosen by the requests that these nodes have in flight.
-	localPeriod = 100 * time.Millisecond
-	// localPeriodNodes is the number of nodes in a region up to which localPeriod applies. With
-	// more nodes the period grows in proportion, so that the load of each node stays constant.
-	localPeriodNodes = 4
-	exchangeTimeout  = time.Second
-	maxStateSize     = 4 << 20
+	localInterval = 100 * time.Millisecond
+	// localIntervalNodes is the number of nodes in a region up to which localInterval applies. With
+	// more nodes the interval grows in proportion, so that the load of each node stays constant.
+	localIntervalNodes = 4
+	exchangeTimeout    = time.Second
+	maxStateSize       = 4 << 20
 	// localReportAge and remoteReportAge are how long an event is reported within the region and to
 	// other regions. They span several exchanges, because one may be lost.
-	localReportAge  = 4 * localPeriod
-	remoteReportAge = 2*exchangePeriod + exchangePeriod/2
+	localReportAge  = 4 * localInterval
+	remoteReportAge = 2*exchangeInterval + exchangeInterval/2
 )
 
 // state is what a node reports about itself to another one.
@@ -92,12 +92,12 @@
 	for ctx.Err() == nil {
 		now := time.Now()
 		if g.members.Large(now, g.Settings.Region) {
-			if now.Sub(far) >= exchangePeriod && g.members.IsRelay(now) {
+			if now.Sub(far) >= exchangeInterval && g.members.IsRelay(now) {
 				far = now
 				g.exchangeRemote(ctx, now)
 			}
 			g.exchangeViaRelay(ctx, now)
-			jwclock.Sleep(ctx, g.relayExchangePeriod(now))
+			jwclock.Sleep(ctx, g.relayExchangeInterval(now))
 			continue
 		}
 		peers := g.members.Peers(now)
@@ -108,11 +108,11 @@
 			}
 		}
 		g.exchangeWith(ctx, peers, func(m jwmember.Member) bool { return m.Region == g.Settings.Region })
-		if now.Sub(far) >= exchangePeriod {
+		if now.Sub(far) >= exchangeInterval {
 			far = now
 			g.exchangeRemote(ctx, now)
 		}
-		jwclock.Sleep(ctx, min(localPeriod*time.Duration(max(near, localPeriodNodes))/localPeriodNodes, exchangePeriod))
+		jwclock.Sleep(ctx, min(localInterval*time.Duration(max(near, localIntervalNodes))/localIntervalNodes, exchangeInterval))
 	}
 }
 
--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -223,11 +223,11 @@
 	}
 	q.deadline = q.arrived.Add(max(q.Deadline, time.Millisecond))
 	if !g.pauseDetector.Valid() {
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
+		g.answerError(q.w, q.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
 	if g.rejectsNewRequests() {
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
+		g.answerError(q.w, q.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
 		return
 	}
 	if !g.bufferBody(q, r) {
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -276,8 +276,8 @@
 	}
 }
 
-// gaugePeriod is the time between two updates of the gauges.
-const gaugePeriod = time.Second
+// gaugeInterval is the time between two updates of the gauges.
+const gaugeInterval = time.Second
 
 // updateGauges updates the gauges periodically until ctx ends.
 func (g *Gateway) updateGauges(ctx context.Context) {
@@ -292,6 +292,6 @@
 		if g.DroppedLogLines != nil {
 			g.metrics.logLinesLost.Update(float64(g.DroppedLogLines()))
 		}
-		jwclock.Sleep(ctx, gaugePeriod)
+		jwclock.Sleep(ctx, gaugeInterval)
 	}
 }
--- a/io/jwgateway/probe.go
+++ b/io/jwgateway/probe.go
@@ -20,13 +20,13 @@
 	storeStaleAfter = leaseTTL/renewalsPerLease + 800*time.Millisecond
 	// syncedPeerAge is how long a peer's report counts that the peer reaches the store.
 	syncedPeerAge = 500 * time.Millisecond
-	// probePeriod is the time between two probes of a target. At seven requests per second, a
+	// probeInterval is the time between two probes of a target. At seven requests per second, a
 	// target that goes cold has received three by the time that all nodes of the region know, which
 	// is half of its capacity.
-	probePeriod  = 250 * time.Millisecond
-	probeTimeout = 300 * time.Millisecond
-	// staleCheckPeriod is the time between two checks whether probes have become necessary.
-	staleCheckPeriod = 2 * probePeriod
+	probeInterval = 250 * time.Millisecond
+	probeTimeout  = 300 * time.Millisecond
+	// staleCheckInterval is the time between two checks whether probes have become necessary.
+	staleCheckInterval = 2 * probeInterval
 )
 
 // storeState holds how far the node has read the store and whether it still reaches it.
@@ -57,11 +57,11 @@
 // send it what a warm one can take.
 func (g *Gateway) probeTargets(ctx context.Context) {
 	for ctx.Err() == nil {
-		now, wait := time.Now(), staleCheckPeriod
+		now, wait := time.Now(), staleCheckInterval
 		if g.store.stale(now) {
-			wait = probePeriod
+			wait = probeInterval
 		}
-		if wait == probePeriod && now.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > syncedPeerAge {
+		if wait == probeInterval && now.Sub(time.Unix(0, g.store.syncedPeerSeen.Load())) > syncedPeerAge {
 			for _, x := range g.targets.Probes(now) {
 				if path := g.healthPath(x.Service); path != "" && g.members.Owns(now, x.ID) {
 					go g.probeTarget(ctx, x, path)
--- a/io/jwgateway/relayexchange.go
+++ b/io/jwgateway/relayexchange.go
@@ -15,15 +15,15 @@
 // or lags behind, the nodes read the store themselves and the next node becomes the relay.
 
 const (
-	// relayPeriod is the time between two exchanges through a relay, and maxRelayPeriod that in the
-	// largest regions. From relayPeriodNodes nodes on the period grows with the region, because a
+	// relayInterval is the time between two exchanges through a relay, and maxRelayInterval that in the
+	// largest regions. From relayIntervalNodes nodes on the interval grows with the region, because a
 	// relay serves more nodes.
-	relayPeriod      = 250 * time.Millisecond
-	maxRelayPeriod   = 500 * time.Millisecond
-	relayPeriodNodes = 40
-	// placementReportPeriods is how many periods a placement is reported through relays: until the
+	relayInterval      = 250 * time.Millisecond
+	maxRelayInterval   = 500 * time.Millisecond
+	relayIntervalNodes = 40
+	// placementReportIntervals is how many intervals a placement is reported through relays: until the
 	// next exchange has ended.
-	placementReportPeriods = 1.5
+	placementReportIntervals = 1.5
 	// relayWatchTimeout is how long a relay's watch of the store waits for a change, and
 	// relayWatchPause is the pause between two watches. They are shorter than those of other nodes
 	// because the nodes of the data centre learn of changes only through the relay.
@@ -73,10 +73,10 @@
 	Revision jwstore.Revision `json:"revision"`
 }
 
-// relayExchangePeriod returns the time between two exchanges through a relay.
-func (g *Gateway) relayExchangePeriod(now time.Time) time.Duration {
+// relayExchangeInterval returns the time between two exchanges through a relay.
+func (g *Gateway) relayExchangeInterval(now time.Time) time.Duration {
 	nodes := g.members.Count(now, g.Settings.Region)
-	return min(relayPeriod*time.Duration(max(nodes, relayPeriodNodes))/relayPeriodNodes, maxRelayPeriod)
+	return min(relayInterval*time.Duration(max(nodes, relayIntervalNodes))/relayIntervalNodes, maxRelayInterval)
 }
 
 // exchangeViaRelay exchanges state with the relay of this data centre or, if this node is the
@@ -100,11 +100,11 @@
 	g.exchangeWithUnseen(ctx, now)
 }
 
-// exchangeWithUnseen exchanges state, at most once per exchangePeriod, with nodes that this relay
+// exchangeWithUnseen exchanges state, at most once per exchangeInterval, with nodes that this relay
 // has not seen recently. Two nodes that don't see each other, for example after one was paused, may
 // each consider itself the relay and would otherwise call no other node of their data centre.
 func (g *Gateway) exchangeWithUnseen(ctx context.Context, now time.Time) {
-	if now.Sub(g.unseenCalledAt) < exchangePeriod {
+	if now.Sub(g.unseenCalledAt) < exchangeInterval {
 		return
 	}
 	g.unseenCalledAt = now
@@ -125,7 +125,7 @@
 
 // relayState returns the state to be exchanged through relays.
 func (g *Gateway) relayState(now time.Time, to string, report relayReport) state {
-	age := time.Duration(placementReportPeriods * float64(g.relayExchangePeriod(now)))
+	age := time.Duration(placementReportIntervals * float64(g.relayExchangeInterval(now)))
 	s := state{
 		Member: g.members.Local(), Version: g.entries.Version(), InSync: !g.store.stale(now),
 		Revision: g.store.revision.Load(), Cold: g.targets.ReportCold(now),
--- a/io/jwgateway/request.go
+++ b/io/jwgateway/request.go
@@ -115,15 +115,15 @@
 		// The longer the configuration has been missing, the longer the store is likely to stay
 		// unavailable.
 		retryAfter := min(max(time.Since(g.startTime), noConfigRetryAfter), jwadmission.MaxRetryAfter)
-		g.refuse(w, call.ID, http.StatusServiceUnavailable, retryAfter, "no configuration yet")
+		g.answerError(w, call.ID, http.StatusServiceUnavailable, retryAfter, "no configuration yet")
 		return
 	}
 	if !g.pauseDetector.Valid() {
-		g.refuse(w, call.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
+		g.answerError(w, call.ID, http.StatusServiceUnavailable, wakeRetryAfter, "the node was paused")
 		return
 	}
 	if g.rejectsNewRequests() {
-		g.refuse(w, call.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
+		g.answerError(w, call.ID, http.StatusServiceUnavailable, stopRetryAfter, "the node is stopping")
 		return
 	}
 	target, path := r.RequestURI, r.RequestURI
@@ -136,7 +136,7 @@
 	}
 	e := cfg.Match(host, path)
 	if e == nil {
-		g.refuse(w, call.ID, http.StatusNotFound, 0, "no such entry")
+		g.answerError(w, call.ID, http.StatusNotFound, 0, "no such entry")
 		return
 	}
 	q := &request{
@@ -210,9 +210,9 @@
 	case err == nil:
 		return true
 	case errors.Is(err, errBodyTooLarge):
-		g.refuse(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, err.Error())
+		g.answerError(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, err.Error())
 	default:
-		g.refuse(q.w, q.ID, http.StatusBadRequest, 0, "body broke off")
+		g.answerError(q.w, q.ID, http.StatusBadRequest, 0, "body broke off")
 	}
 	return false
 }
@@ -224,9 +224,9 @@
 	return float64(h.Sum32()) / (1 << 32)
 }
 
-// refuse answers a request with an error. retryAfter is the value of its Retry-After header; 0
+// answerError answers a request with an error. retryAfter is the value of its Retry-After header; 0
 // omits the header, for errors that a retry would not resolve.
-func (g *Gateway) refuse(w http.ResponseWriter, id string, status int, retryAfter time.Duration, reason string) {
+func (g *Gateway) answerError(w http.ResponseWriter, id string, status int, retryAfter time.Duration, reason string) {
 	h := w.Header()
 	g.Dialect.Refuse(h, id)
 	h["Content-Type"] = []string{"application/json"}
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -66,16 +66,16 @@
 		panic(http.ErrAbortHandler)
 	case q.body.tooLarge():
 		g.logAnswer(q, outcomeRefused, errBodyTooLarge.Error(), http.StatusRequestEntityTooLarge)
-		g.refuse(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
+		g.answerError(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
 	case !ran:
 		g.logAnswer(q, "notRun", q.lastReason, http.StatusServiceUnavailable)
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
+		g.answerError(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
 	case ctx.Err() != nil:
 		g.logAnswer(q, "unknown", q.lastReason, http.StatusGatewayTimeout)
-		g.refuse(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
+		g.answerError(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
 	default:
 		g.logAnswer(q, "unknown", q.lastReason, http.StatusBadGateway)
-		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
+		g.answerError(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
 	}
 }
 
