--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -12,9 +12,9 @@
 	// runningCallDelay is what each running request adds to the wait for the first event, as
 	// prompts are read between the decoding steps of the others.
 	runningCallDelay = 500 * time.Microsecond
-	// LaterEventWeight is the cost of a millisecond of delay in later events relative to a millisecond of
-	// delay until the first event. A caller who reads along does not wait for the last event, but
-	// an answer that exceeds its deadline is lost as a whole.
+	// LaterEventWeight is the cost of a millisecond of delay in later events relative to a
+	// millisecond of delay until the first event. A caller who reads along does not wait for the
+	// last event, but an answer that exceeds its deadline is lost entirely.
 	LaterEventWeight = 0.05
 	// InterferenceWeight is the relative cost of a millisecond by which another running request is
 	// delayed.
@@ -38,7 +38,8 @@
 	// but needs a round trip between the regions.
 	remoteFetchCostRatio = 0.5
 	// maxFetchCost is the extra cost of a fetch while all of the time until the goal is left. With
-	// 100 ms and with 800 ms the yield was lower over twelve days at each site.
+	// 100 ms and with 800 ms the yield is lower at every site: a lower cost moves prompts that
+	// could wait, a higher one makes requests wait that should fetch.
 	maxFetchCost = 300 * time.Millisecond
 	// minFetchTokens is the number of tokens from which a fetch is worth its setup.
 	minFetchTokens = 256
@@ -53,7 +54,7 @@
 	Events         int              // maximum number of events of the answer
 	Capacity       int              // memory of a target in tokens, 0 if not known
 	Homes          []string         // regions that may hold the prompt's data; all if empty
-	WarmOnly       bool             // leave out cold targets, and those that name a limit
+	WarmOnly       bool             // leave out cold targets, and those that announce a limit
 	Exclude        map[string]bool  // IDs of targets that the request was already sent to
 	AvoidAddresses []netip.AddrPort // addresses of targets that it must not run on now
 }
@@ -149,8 +150,8 @@
 	return shortest
 }
 
-// ReadTime returns how long a target of a service takes to read own prompt tokens of a request after
-// ahead tokens of others.
+// ReadTime returns how long a target of a service takes to read own prompt tokens of a request
+// after ahead tokens of others.
 func (t *Table) ReadTime(service string, ahead, own int) time.Duration {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -40,7 +40,7 @@
 		"it restarted and drained": {func(t *Table) {
 			t.Put(after(0), at(1, 9, func(in *Instance) { in.StartedAt, in.Draining = 11, true }))
 		}, at(2, 5, nil)},
-		"it said in an answer that it leaves": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
+		"it announced in an answer that it is leaving": {func(t *Table) { t.Leave(t.targets["a"]) }, at(2, 5, nil)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwinstance/instance.go
+++ b/core/jwinstance/instance.go
@@ -16,7 +16,7 @@
 	Region        string           `json:"region"`
 	Slots         int              `json:"slots"` // number of requests that it runs at once
 	Draining      bool             `json:"draining"`
-	Leaving       bool             `json:"leaving,omitempty"` // the target said in an answer that it leaves; no registration resets this
+	Leaving       bool             `json:"leaving,omitempty"` // the target announced in an answer that it is leaving; no registration resets this
 	Cold          time.Duration    `json:"cold"`              // how long it remains cold from the time of the registration
 	RemainingTime time.Duration    `json:"left"`              // time until the target is removed, 0 if not known
 	StartedAt     int64            `json:"born"`              // start of the incarnation in Unix milliseconds, 0 if not known
--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -2,9 +2,9 @@
 
 import "iter"
 
-// Leave records that a target said in an answer that it leaves, and reports whether that is new. It
-// holds until another incarnation registers; the store may be unavailable, or hold an earlier
-// registration of the target.
+// Leave records that a target announced in an answer that it is leaving, and reports whether that is
+// new. It holds until another incarnation registers; the store may be unavailable, or hold an
+// earlier registration of the target.
 func (t *Table) Leave(x *Target) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -21,8 +21,8 @@
 	return true
 }
 
-// markSelfReported records that a target said something about itself that is reported to other
-// nodes. Only few of the thousands of targets of a region do.
+// markSelfReported records that a target announced in an answer a limit or that it is leaving, which
+// is reported to other nodes. Only few of the thousands of targets of a region do.
 func (t *Table) markSelfReported(x *Target) {
 	if t.selfReported == nil {
 		t.selfReported = make(map[string]bool)
@@ -30,8 +30,8 @@
 	t.selfReported[x.ID] = true
 }
 
-// selfReporting returns the targets that said something about themselves, and forgets those that
-// are gone or restarted since.
+// selfReporting returns the targets that markSelfReported recorded, and forgets those that are gone
+// or have restarted since.
 func (t *Table) selfReporting() iter.Seq[*Target] {
 	return func(yield func(*Target) bool) {
 		for id := range t.selfReported {
@@ -47,8 +47,8 @@
 	}
 }
 
-// ReportLeaving returns the IDs of the region's targets that said they leave, each with the start
-// of the incarnation that said so, in Unix milliseconds.
+// ReportLeaving returns the IDs of the region's targets that announced that they are leaving, each
+// with the start of the incarnation that did, in Unix milliseconds.
 func (t *Table) ReportLeaving() map[string]int64 {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -66,7 +66,7 @@
 }
 
 // MergeLeaving merges another node's report of leaving targets, and returns the IDs of those that
-// this node did not know to leave.
+// this node did not know to be leaving.
 func (t *Table) MergeLeaving(leaving map[string]int64) []string {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -8,8 +8,8 @@
 	"pgregory.net/rapid"
 )
 
-// A target says in an answer that it leaves, but the store's registration of it is older or arrives
-// later. Nodes must not send to it again because of that.
+// A target announces in an answer that it is leaving, but the store's registration of it is older
+// or arrives later. Nodes must not send to it again because of that.
 func TestLeavingOutlivesRegistrations(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -27,12 +27,12 @@
 	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation does not leave")
 }
 
-// A node must not send to an incarnation that it knows to leave, whatever registrations, views and
+// A node must not send to an incarnation that it knows to be leaving, whatever registrations, views and
 // reports of other nodes arrive, and in whatever order.
 func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}, {Region: "r"}}
-		leaving := make([]map[int64]bool, len(tables)) // by node, the incarnations known to leave
+		leaving := make([]map[int64]bool, len(tables)) // by node, the incarnations known to be leaving
 		for i := range tables {
 			leaving[i] = make(map[int64]bool)
 		}
@@ -81,8 +81,8 @@
 	})
 }
 
-// A node that starts learns from another node's view that a target leaves, which no registration
-// says.
+// A node that starts learns from another node's view that a target is leaving, which no
+// registration shows.
 func TestLeavingIsReported(t *testing.T) {
 	a, b, c := &Table{Region: "r"}, &Table{Region: "r"}, &Table{Region: "r"}
 	a.Put(t0, instance("x"))
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -8,19 +8,19 @@
 )
 
 const (
-	// limitEndReportPeriod is how long nodes report that a target no longer names a limit.
+	// limitEndReportPeriod is how long nodes report that a target no longer announces a limit.
 	limitEndReportPeriod = 5 * time.Second
 	// limitReportTolerance is how much later than the last known answer the answer in another
 	// node's report must be to count. Reported ages do not include the transmission time between
 	// the nodes.
 	limitReportTolerance = 100 * time.Millisecond
-	// shareCacheDuration is how long this node's computed share in a limit is reused. Finding the
+	// shareCacheDuration is how long this node's computed share of a limit is reused. Finding the
 	// owner compares all nodes of the region, and each request needs the share for each target.
 	shareCacheDuration = 100 * time.Millisecond
 )
 
-// Limit is the rate that a target accepts from all nodes together, as named in its answers. The
-// zero value means that the target names no limit.
+// Limit is the rate that a target accepts from all nodes together, as announced in its answers.
+// The zero value means that the target announces no limit.
 type Limit struct {
 	Announced bool
 	Rate      float64 // requests a second
@@ -29,7 +29,7 @@
 // targetLimit is the known limit of a target and this node's use of it.
 type targetLimit struct {
 	Limit
-	answeredAt time.Time // time of the answer that named it, zero if none ever named a limit
+	answeredAt time.Time // time of the answer that announced it, zero if none ever announced a limit
 	direct     bool      // this node received that answer itself
 	bucket     jwbudget.LimitBucket
 	share      jwbudget.LimitShare // this node's share of the limit
@@ -40,11 +40,11 @@
 type LimitReport struct {
 	Named bool    `json:"named,omitempty"`
 	Rate  float64 `json:"rate,omitempty"` // requests a second
-	Age   int64   `json:"age"`            // milliseconds since the answer that named it
+	Age   int64   `json:"age"`            // milliseconds since the answer that announced it
 }
 
-// SetLimit records the limit that an answer of a target named, or that it named none, and reports
-// whether that is a change.
+// SetLimit records the limit that a target announced in an answer, or that it announced none, and
+// reports whether that is a change.
 func (t *Table) SetLimit(now time.Time, x *Target, l Limit) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -55,8 +55,8 @@
 	return x.limit.update(now, now, l, true)
 }
 
-// update applies what an answer at a given time said, and reports whether the limit changed. The
-// parameter direct says whether this node received that answer itself.
+// update applies the limit that an answer at a given time announced, and reports whether the limit
+// changed. The parameter direct says whether this node received that answer itself.
 func (lim *targetLimit) update(now, answeredAt time.Time, l Limit, direct bool) bool {
 	changed := lim.Limit != l
 	if l.Announced && !lim.Announced {
@@ -105,7 +105,7 @@
 	}
 }
 
-// LimitedTargets returns how many registered targets of the region name a limit.
+// LimitedTargets returns how many registered targets of the region announce a limit.
 func (t *Table) LimitedTargets() int {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -139,7 +139,7 @@
 	return shortest, shortest > 0
 }
 
-// limitAllows reports whether this node may send one more request to a target that names a limit.
+// limitAllows reports whether this node may send one more request to a target that announces a limit.
 func (t *Table) limitAllows(now time.Time, x *Target) bool {
 	return x.limit.bucket.Allows(now, t.limitShare(now, x))
 }
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -65,7 +65,7 @@
 	live          bool
 	sendsFrom     time.Time // does not send to targets with a limit before
 	learnsAt      time.Time // when it learns of the last change
-	mistakenUntil time.Time // takes the owner for dead and itself for the owner until then
+	mistakenUntil time.Time // considers the owner dead and itself the owner until then
 	nodes         int       // number of nodes in its view
 	owner         int       // index of the owner in its view
 }
@@ -177,7 +177,7 @@
 	assert.Equal(t, c.LimitedTargets(), 0)
 }
 
-// A limit applies only to the incarnation that named it.
+// A limit applies only to the incarnation that announced it.
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -194,7 +194,7 @@
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 }
 
-// Two of three targets name a limit. If small prompts could use it up, the third target would have
+// Two of three targets announce a limit. If small prompts could use it up, the third target would have
 // to read all large ones.
 func TestLargePromptsUseLimitedTargets(t *testing.T) {
 	table := &Table{Region: "r"}
@@ -226,8 +226,9 @@
 	assert.Assert(t, bestTargetID(table, after(23_000), small) != "", "no other target is left")
 }
 
-// BenchmarkBestOfLimitedTargets chooses among the targets of a large region that all name a limit,
-// so that each request determines for each of them whether this node owns it and has room.
+// BenchmarkBestOfLimitedTargets chooses among the targets of a large region that all announce a
+// limit, so that each request determines for each of them whether this node owns it and its share
+// allows one more.
 func BenchmarkBestOfLimitedTargets(b *testing.B) {
 	const targets, nodes = 250, 75
 	members := &jwmember.Table{Self: jwmember.Member{Name: "n00", Region: "r", Serving: true}}
--- a/core/jwinstance/outcome.go
+++ b/core/jwinstance/outcome.go
@@ -10,7 +10,7 @@
 	maxDialBackoff     = 2 * time.Second
 	// maxClosed limits how long a target is not used at its own request.
 	maxClosed = time.Hour
-	// refusedBackoff is how long a target is not used after it had no room.
+	// refusedBackoff is how long a target is not used after it refused a request.
 	refusedBackoff = 100 * time.Millisecond
 	// failurePenalty is what each consecutive failure, up to maxPenalizedFailures, adds to the cost
 	// of a target. Other targets are preferred, but if all of them fail one is still tried.
@@ -39,8 +39,8 @@
 	maxSlowdownSample = 6
 )
 
-// RecordFirstEvent records that a call received its first event, or the answer of a plain service, after the
-// wait d.
+// RecordFirstEvent records that a call received its first event, or the answer of a plain service,
+// after the wait d.
 func (t *Table) RecordFirstEvent(x *Target, c Choice, p Prompt, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -76,8 +76,8 @@
 	x.gapAt = now
 }
 
-// Done records the end of a call. The parameter first is the wait that was given to RecordFirstEvent, or 0
-// if RecordFirstEvent was not called.
+// Done records the end of a call. The parameter first is the wait that was given to
+// RecordFirstEvent, or 0 if RecordFirstEvent was not called.
 func (t *Table) Done(now time.Time, x *Target, c Choice, first time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -99,8 +99,8 @@
 	x.failures, x.dialFailures, x.backoffUntil = 0, 0, time.Time{}
 }
 
-// Unreached records that a connection to a target could not be made: it has crashed or its host is
-// cut off.
+// Unreached records that a connection to a target could not be made: it has crashed or its host
+// is unreachable.
 func (t *Table) Unreached(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -116,15 +116,15 @@
 	x.failures = min(x.failures+1, maxPenalizedFailures)
 }
 
-// Refused records that a target had no room.
+// Refused records that a target refused a request, as it had no capacity left.
 func (t *Table) Refused(now time.Time, x *Target) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
 	x.backoffUntil = laterTime(x.backoffUntil, now.Add(refusedBackoff))
 }
 
-// SetClosed records that a target asked this node not to send more requests for d, which is limited to
-// maxClosed. Answers to requests that were sent before do not end that period.
+// SetClosed records that a target asked this node not to send more requests for d, which is limited
+// to maxClosed. Answers to requests that were sent before do not end that period.
 func (t *Table) SetClosed(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/relay.go
+++ b/core/jwinstance/relay.go
@@ -81,10 +81,10 @@
 	return x.gap, x.gapAt
 }
 
-// PlacementsToRelay returns the placements of shared parts that are not older than age, of this node and
-// reported to it, the latest first. The last part of a prompt belongs to one caller and is useful
-// to few, so it is left out. A node that is not a relay gets only placements at targets that it
-// knows. Another relay doesn't get what relays reported, which would otherwise circulate between
+// PlacementsToRelay returns the placements of shared parts that are not older than age, of this node
+// and reported to it, the latest first. The last part of a prompt belongs to one caller and is
+// useful to few, so it is left out. A node that is not a relay gets only placements at targets that
+// it knows. Another relay doesn't get what relays reported, which would otherwise circulate between
 // them.
 func (t *Table) PlacementsToRelay(now time.Time, age time.Duration, node string, toRelay bool) []Placement {
 	t.mu.Lock()
@@ -140,8 +140,8 @@
 	return known
 }
 
-// LoadColumns is a list of NodeLoad in columns, which is the form that nodes exchange: it writes each
-// field name once instead of once for each target.
+// LoadColumns is a list of NodeLoad in columns, which is the form that nodes exchange: it writes
+// each field name once instead of once for each target.
 type LoadColumns struct {
 	Targets      []string           `json:"targets"`
 	Calls        []int              `json:"calls"`
@@ -178,8 +178,8 @@
 	return list
 }
 
-// PlacementColumns is a list of Placement in columns. At holds the index in Targets of each placement, and
-// Counts how many of IDs and Tokens belong to it.
+// PlacementColumns is a list of Placement in columns. At holds the index in Targets of each
+// placement, and Counts how many of IDs and Tokens belong to it.
 type PlacementColumns struct {
 	Targets []string `json:"targets"`
 	At      []int    `json:"at"`
--- a/core/jwinstance/sample.go
+++ b/core/jwinstance/sample.go
@@ -16,8 +16,8 @@
 }
 
 // selectCompared returns the indexes in list of the targets to compare: a random sample of those
-// that may take the request, the one that has cached most of the prompt, and those that name a
-// limit and have room for this node.
+// that may take the request, the one that has cached most of the prompt, and those that
+// announce a limit of which this node's share allows one more request.
 func (t *Table) selectCompared(now time.Time, n Need, list []*Target, allowGone bool) []int {
 	t.collectCandidates(now, n, list, allowGone)
 	limited := t.limitedCandidates
@@ -31,7 +31,7 @@
 }
 
 // collectCandidates stores the indexes of the targets that may take the request in t.candidates.
-// Those that name a limit go to t.limitedCandidates instead.
+// Those that announce a limit go to t.limitedCandidates instead.
 func (t *Table) collectCandidates(now time.Time, n Need, list []*Target, allowGone bool) {
 	t.candidates, t.limitedCandidates = t.candidates[:0], t.limitedCandidates[:0]
 	for i, x := range list {
--- a/core/jwinstance/share.go
+++ b/core/jwinstance/share.go
@@ -39,7 +39,7 @@
 	Calls        int              `json:"calls"`
 	Unread       tokensByPriority `json:"work"`           // prompt tokens of calls without a first event
 	MemoryTokens int              `json:"held,omitempty"` // memory in use, in tokens
-	Gap          int64            `json:"gap,omitempty"`  // milliseconds between two events, 0 if not measured lately
+	Gap          int64            `json:"gap,omitempty"`  // milliseconds between two events, 0 if not measured recently
 }
 
 // nodeReport is the last report of another node of the region.
@@ -85,7 +85,7 @@
 }
 
 // Report returns this node's report to the other nodes of the region: its load at each target, and
-// where it lately sent which prompts.
+// where it recently sent which prompts.
 func (t *Table) Report(now time.Time) ([]NodeLoad, []Placement) {
 	return t.ReportSince(now, placementMaxAge)
 }
@@ -116,7 +116,7 @@
 }
 
 // ReportRemote returns the report to nodes of other regions: where large parts that many prompts
-// share were lately sent. Targets there can fetch these parts instead of reading them.
+// share were recently sent. Targets there can fetch these parts instead of reading them.
 func (t *Table) ReportRemote(now time.Time) []Placement {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -186,7 +186,7 @@
 
 // coldReportTolerance is how much longer a target must stay cold by another node's report than by
 // this node's record for the report to count. A smaller difference is due to the transmission time
-// between the nodes, and nodes that took over each other's reports would keep a target cold
+// between the nodes, and nodes that adopted each other's reports would keep a target cold
 // forever.
 const coldReportTolerance = 50 * time.Millisecond
 
@@ -220,7 +220,7 @@
 }
 
 // Probes returns the usable targets of the region that are not known to be cold, so that they can
-// be asked whether they are. A probe counts as a request to a target that names a limit.
+// be asked whether they are. A probe counts as a request to a target that announces a limit.
 func (t *Table) Probes(now time.Time) []*Target {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/table.go
+++ b/core/jwinstance/table.go
@@ -13,8 +13,8 @@
 
 const (
 	// goneGracePeriod is how long a target whose registration vanished without notice may still be
-	// used if no other target is left. Registrations may expire by mistake while the store is away;
-	// they are back about two seconds later.
+	// used if no other target is left. Registrations may expire by mistake while the store is
+	// unavailable; they are back about two seconds later.
 	goneGracePeriod = 2 * time.Second
 	// recordRetention is how long the record of a target is kept after its registration is gone, so
 	// that its failures are still known if it comes back.
@@ -26,7 +26,7 @@
 	Node   string // name of this node, which determines its subsets of the targets
 	Region string // targets of other regions can't be reached from here and are only counted
 	// Warmup returns how long a starting target of a service is cold, and how many requests a
-	// second it can handle meanwhile.
+	// second it can handle during that time.
 	Warmup func(service string) (time.Duration, float64)
 	// Nodes returns how many nodes of the region choose among its targets; Rand returns a random
 	// number from 0 up to but not including n. If Nodes is nil, all usable targets are compared;
@@ -34,9 +34,9 @@
 	Nodes    func() int
 	Rand     func(n int) int
 	ColdRate func(service, target string) float64 // requests a second that this node may send to a cold target
-	// LimitShare returns this node's share of the rate limit that a target announces. The function knows
-	// reports whether a node has the target among those that it chooses from. If LimitShare is nil,
-	// this node is taken to be the only one.
+	// LimitShare returns this node's share of the rate limit that a target announces. The function
+	// knows reports whether a node has the target among those that it chooses from. If LimitShare
+	// is nil, this node is assumed to be the only one.
 	LimitShare func(rate float64, target string, knows func(node string) bool) jwbudget.LimitShare
 
 	mu                sync.Mutex
@@ -46,12 +46,12 @@
 	subsets           map[subsetKey]*subset
 	usableSlots       map[string]map[string]int // by service and region, nil after a change
 	evacuated         map[string]bool           // data centres that get no requests
-	selfReported      map[string]bool           // IDs of targets that said in an answer that they leave, or named a limit
+	selfReported      map[string]bool           // IDs of targets that announced in an answer a limit or that they are leaving
 	stats             map[string]*serviceStats  // by service
 	placements        []Placement               // recent ones, of this node and reported by others, the latest last
 	reports           map[string]nodeReport     // last report of each other node of the region, by node name
 	candidates        []int                     // buffer of collectCandidates: indexes of targets
-	limitedCandidates []int                     // the same for the targets that name a limit
+	limitedCandidates []int                     // the same for the targets that announce a limit
 	missingTokens     []int                     // buffer of best: prompt tokens that each known target has not cached
 }
 
@@ -67,7 +67,7 @@
 	staleRevision jwstore.Revision // of the last registration that came from an older copy of the store, 0 if none
 	coldUntil     time.Time        // when it stops being cold
 	recentSends   []time.Time      // times of this node's sends within the last second
-	backoffUntil  time.Time        // not used before, after a failed dial or a refusal
+	backoffUntil  time.Time        // not used before, after a failed dial or a refused request
 	closedUntil   time.Time        // not used before, as the target asked for
 	failures      int              // consecutive failures
 	dialFailures  int              // consecutive failed dials
@@ -200,8 +200,8 @@
 	x.Draining, x.Cold, x.RemainingTime = in.Draining, in.Cold, in.RemainingTime
 }
 
-// coldAfterRestart returns how long a target that restarted under its own name is taken to be cold:
-// it may not have reported that yet.
+// coldAfterRestart returns how long a target that restarted under its own name is assumed to be
+// cold: it may not have reported that yet.
 func (t *Table) coldAfterRestart(old *Target, in Instance) time.Duration {
 	if old == nil || t.Warmup == nil {
 		return 0
@@ -220,8 +220,8 @@
 	}
 }
 
-// RemoveExcept marks all targets as gone except those with the given IDs, which are all that the store held
-// at the revision. This covers removals that this node did not see.
+// RemoveExcept marks all targets as gone except those with the given IDs, which are all that the
+// store held at the revision. This covers removals that this node did not see.
 func (t *Table) RemoveExcept(now time.Time, ids map[string]bool, revision jwstore.Revision) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -252,7 +252,8 @@
 }
 
 // Evacuate sets whether a data centre is evacuated, that is, gets no requests. Its targets may come
-// back cold without reporting it at once, so they are taken to be cold from the time of the change.
+// back cold without reporting it at once, so they are assumed to be cold from the time of the
+// change.
 func (t *Table) Evacuate(now time.Time, dataCentre string, on bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -288,7 +289,7 @@
 	return names
 }
 
-// SetCold records that a target said in an answer that it remains cold for d.
+// SetCold records that a target reported in an answer that it remains cold for d.
 func (t *Table) SetCold(now time.Time, x *Target, d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -64,7 +64,7 @@
 		"a vanished while this node did not watch": {func(t *Table) { t.RemoveExcept(after(0), map[string]bool{"b": true}, 1) }, 100, "b"},
 		"a can't be dialed":                        {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 100, "b"},
 		"a could not be dialed, backoff over":      {func(t *Table) { t.Unreached(after(0), t.targets["a"]) }, 400, "a"},
-		"a had no room":                            {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
+		"a refused a request":                      {func(t *Table) { t.Refused(after(0), t.targets["a"]) }, 50, "b"},
 		"a closed for a second":                    {func(t *Table) { t.SetClosed(after(0), t.targets["a"], time.Second) }, 900, "b"},
 		"a closed, and an earlier request is answered": {func(t *Table) {
 			t.SetClosed(after(0), t.targets["a"], time.Second)
@@ -107,8 +107,8 @@
 	}
 }
 
-// While the store is away leases expire, and all registrations vanish although the targets are
-// alive. If vanished targets were not used at all, callers would be refused for two seconds.
+// While the store is unavailable leases expire, and all registrations vanish although the targets
+// are alive. If vanished targets were not used at all, callers would be rejected for two seconds.
 func TestVanishedTargetsAreUsedLast(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -122,7 +122,7 @@
 }
 
 // If failing targets were not used at all while all targets of a service fail, callers would be
-// refused although some requests succeed.
+// rejected although some requests succeed.
 func TestFailingTargetsAreStillTried(t *testing.T) {
 	table := &Table{Region: "r"}
 	table.Put(after(0), instance("a"))
@@ -172,7 +172,7 @@
 	assert.Equal(t, bestTargetID(table, after(13_001), Need{}), "a")
 }
 
-// If nodes of a region don't see each other, each takes itself for the owner of a cold target.
+// If nodes of a region don't see each other, each considers itself the owner of a cold target.
 // Together they must not send it more requests in a second than it can handle.
 func TestColdRateOfAllNodesStaysWithinBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
@@ -246,8 +246,8 @@
 		"another node sent the parts to b": {func(t *Table) {
 			t.Merge(t0, "n2", nil, []Placement{{Target: "b", Parts: prompt(1, 2).Parts}})
 		}, Need{Prompt: prompt(1, 2, 3)}, "b", ""},
-		// During a calm hour, half of the prompts were moved between targets to save some ten
-		// milliseconds each, at a cost of a twentieth of their value.
+		// Under low load, half of the prompts would otherwise be moved between targets to save some
+		// ten milliseconds each, at a cost of a twentieth of their value.
 		"b is busy but there is time to wait": {func(t *Table) {
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].unread = tokensByPriority{2000}
@@ -257,7 +257,7 @@
 			t.targets["b"].unread = tokensByPriority{2000}
 		}, Need{Prompt: prompt(1, 2, 3), FirstEventGoal: 100 * time.Millisecond}, "a", "b"},
 		// An engine evicts cached parts when its answers need the memory.
-		"a may have evicted the parts: b is named for fetching": {func(t *Table) {
+		"a may have evicted the parts: parts may be fetched from b": {func(t *Table) {
 			t.targets["a"].cache.markUsed(prompt(1, 2).Parts, 0)
 			t.targets["b"].cache.markUsed(prompt(1, 2).Parts, 0)
 		}, Need{Prompt: prompt(1, 2, 3)}, "a", "b"},
@@ -386,8 +386,8 @@
 	}
 }
 
-// When a region came back from an outage, all its targets were cold and looked idle. Other regions
-// sent requests there that had to be refused.
+// When a region recovers from an outage, all its targets are cold and look idle. If they counted,
+// other regions would send requests there that have to be rejected.
 func TestWaitIgnoresColdTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -411,7 +411,7 @@
 	assert.Assert(t, len(table.targets) < 40, "%d records", len(table.targets))
 }
 
-// While the store is away a warm target becomes cold, and only one node learns of it from an
+// While the store is unavailable a warm target becomes cold, and only one node learns of it from an
 // answer. Before and after the nodes report it to each other, the target must not get more requests
 // than a cold one can handle.
 func TestColdIsReportedBetweenNodes(t *testing.T) {
@@ -450,8 +450,8 @@
 	assert.Equal(t, len(b.ReportCold(after(1011))), 0)
 }
 
-// A prompt costs a region the tokens that its best target lacks, plus a fraction of the tokens that
-// others fetch from that target. That cost was once estimated at half of the prompt.
+// A prompt costs a region the tokens that its best target has not cached, plus a fraction of the
+// tokens that others fetch from that target. An estimate of half of the prompt is too high.
 func TestMissIn(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"far1", "far2", "gone"} {
@@ -489,7 +489,7 @@
 	assert.Equal(t, x.loadFor(1), load{})
 }
 
-// A target may register again while a request is on its way to it. The sender reads the target's ID
+// A target may register again while a request to it is in flight. The sender reads the target's ID
 // and address without the table's lock.
 func TestPutDuringCall(t *testing.T) {
 	table := &Table{Region: "r"}
