--- a/io/jwgateway/restored.go
+++ b/io/jwgateway/restored.go
@@ -27,7 +27,7 @@
 	}
 	w.g.fleetSizeMissing.Store(r.fleet == nil && w.g.members.FleetSize() > 0)
 	w.g.metrics.storeRestores.Inc(1)
-	w.g.Log.Info("store restored from an older copy", "eraBefore", oldEra, "era", newEra,
+	w.g.Log.Info("store came back from an older copy", "eraBefore", oldEra, "era", newEra,
 		"revisionBefore", jwstore.Number(w.lastRevision), "revision", jwstore.Number(r.revision),
 		"nodes", len(r.nodes), "targets", len(r.targets), "evacuationsHeld", len(w.heldEvacuations))
 }
--- a/io/jwgateway/storewatcher.go
+++ b/io/jwgateway/storewatcher.go
@@ -92,7 +92,7 @@
 			continue
 		}
 		if errors.Is(err, jwstore.ErrCompacted) {
-			g.Log.Info("store history gone, reading all keys again", "revision", w.currentRevision())
+			g.Log.Info("store history gone, reading anew", "revision", w.currentRevision())
 			w.resetRevision()
 			g.delayFullRead(epoch)
 			continue
@@ -298,7 +298,7 @@
 // power, nothing has closed them, and the next request on one would be lost.
 func (g *Gateway) dropOldConnections(m jwmember.Member) {
 	if g.Nodes.IdleCount(m.Nodes) > 0 {
-		g.Log.Info("node restarted", "peer", m.Name)
+		g.Log.Info("node began anew", "peer", m.Name)
 	}
 	g.Nodes.CloseIdle(m.Nodes)
 }
--- a/io/jwgateway/suspect.go
+++ b/io/jwgateway/suspect.go
@@ -71,7 +71,7 @@
 	now := time.Now()
 	g.targets.Unreached(now, x)
 	for _, f := range g.suspects.Crashed(x.Address, now) {
-		g.Log.Info("request quarantined", "fingerprint", f.String(), "target", x.ID)
+		g.Log.Info("request barred", "fingerprint", f.String(), "target", x.ID)
 	}
 }
 
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -49,7 +49,7 @@
 // maxWakeWait, until the store was read again.
 func (g *Gateway) resumeAfterPause(ctx context.Context) {
 	start := time.Now()
-	g.Log.Info("resumed after a pause", "version", g.entries.Version())
+	g.Log.Info("woke from a pause", "version", g.entries.Version())
 	g.members.Resumed(start)
 	g.targets.DiscardReports()
 	g.newEpoch(ctx)
