--- a/core/jwinstance/leaving.go
+++ b/core/jwinstance/leaving.go
@@ -2,8 +2,8 @@
 
 import "iter"
 
-// Leave records that a target announced in an answer that it is leaving, and reports whether that is
-// new. It holds until another incarnation registers; the store may be unavailable, or hold an
+// Leave records that a target announced in an answer that it is leaving, and reports whether that
+// is new. It holds until another incarnation registers; the store may be unavailable, or hold an
 // earlier registration of the target.
 func (t *Table) Leave(x *Target) bool {
 	t.mu.Lock()
@@ -21,8 +21,8 @@
 	return true
 }
 
-// markSelfReported records that a target announced in an answer a limit or that it is leaving, which
-// is reported to other nodes. Only few of the thousands of targets of a region do.
+// markSelfReported records that a target announced in an answer a limit or that it is leaving,
+// which is reported to other nodes. Only few of the thousands of targets of a region do.
 func (t *Table) markSelfReported(x *Target) {
 	if t.selfReported == nil {
 		t.selfReported = make(map[string]bool)
--- a/core/jwinstance/leaving_test.go
+++ b/core/jwinstance/leaving_test.go
@@ -27,8 +27,8 @@
 	assert.Equal(t, bestTargetID(table, after(6), Need{}), "a", "the next incarnation does not leave")
 }
 
-// A node must not send to an incarnation that it knows to be leaving, whatever registrations, views and
-// reports of other nodes arrive, and in whatever order.
+// A node must not send to an incarnation that it knows to be leaving, whatever registrations, views
+// and reports of other nodes arrive, and in whatever order.
 func TestLeavingIsNeverRevoked(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		tables := []*Table{{Region: "r"}, {Region: "r"}, {Region: "r"}}
--- a/core/jwinstance/limit.go
+++ b/core/jwinstance/limit.go
@@ -139,7 +139,8 @@
 	return shortest, shortest > 0
 }
 
-// limitAllows reports whether this node may send one more request to a target that announces a limit.
+// limitAllows reports whether this node may send one more request to a target that announces a
+// limit.
 func (t *Table) limitAllows(now time.Time, x *Target) bool {
 	return x.limit.bucket.Allows(now, t.limitShare(now, x))
 }
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -194,8 +194,8 @@
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 }
 
-// Two of three targets announce a limit. If small prompts could use it up, the third target would have
-// to read all large ones.
+// Two of three targets announce a limit. If small prompts could use it up, the third target would
+// have to read all large ones.
 func TestLargePromptsUseLimitedTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b", "c"} {
--- a/io/jwgateway/relayexchange.go
+++ b/io/jwgateway/relayexchange.go
@@ -11,8 +11,9 @@
 
 // In a region of many nodes each node exchanges state only with the relay of its data centre, and
 // the relays exchange state with each other. A relay passes on what all nodes reported, and the
-// changes of the store, which it alone reads in its data centre. When the relay fails, is unreachable
-// or lags behind, the nodes read the store themselves and the next node becomes the relay.
+// changes of the store, which it alone reads in its data centre. When the relay fails, is
+// unreachable or lags behind, the nodes read the store themselves and the next node becomes the
+// relay.
 
 const (
 	// relayInterval is the time between two exchanges through a relay, and maxRelayInterval that in the
