--- a/core/jwmember/fleet.go
+++ b/core/jwmember/fleet.go
@@ -30,7 +30,7 @@
 }
 
 // Fleet returns the maximum number of nodes that may be running in all regions, and whether
-// all others count this one. Equal parts of a limit shared by all nodes are computed from it.
+// all others count this one. Equal shares of a limit of all nodes are computed from it.
 func (t *Table) Fleet(now time.Time) (nodes int, counted bool) {
 	n := t.Count(now, "")
 	t.mu.Lock()
@@ -55,8 +55,8 @@
 	}
 }
 
-// NoRecentPredecessor reports whether this node has no known earlier process that started less than the
-// duration within before this one.
+// NoRecentPredecessor reports whether this node has no known earlier process that started less
+// than the duration within before this one.
 func (t *Table) NoRecentPredecessor(within time.Duration) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/fleet_test.go
+++ b/core/jwmember/fleet_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// When all nodes start at once, most registrations are missing, and each node would use the
-// whole of a shared limit; the recorded fleet size prevents this. A node that is new to the
+// When all nodes start at once, most registrations are missing, and each node would use a
+// shared limit alone; the recorded fleet size prevents this. A node that is new to the
 // fleet must wait until the others count it.
 func TestFleet(t *testing.T) {
 	now := time.Unix(1000, 0)
--- a/core/jwmember/relay.go
+++ b/core/jwmember/relay.go
@@ -12,7 +12,7 @@
 const (
 	// DefaultRelayThreshold is the number of nodes in a region at which they start to
 	// report through relays. If each node reports to each other one, the number of
-	// reports grows quadratically, and with a hundred nodes each does little else.
+	// reports grows quadratically, and a hundred nodes would each spend most of their time on them.
 	DefaultRelayThreshold = 12
 	// relaySuspectAfter is how long a node may stay unseen before the relay of its data
 	// centre reports it as unresponsive. Nodes report to their relay twice a second.
@@ -250,8 +250,8 @@
 	}
 }
 
-// RecentlyStopping returns the nodes whose planned stop this node learned of within the given age,
-// sorted by name, for MergeStopping at others.
+// RecentlyStopping returns the nodes whose planned stop this node learned of within the given
+// age, sorted by name, for MergeStopping at others.
 func (t *Table) RecentlyStopping(now time.Time, age time.Duration) []Member {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -173,10 +173,10 @@
 			count := table.Count(now, "r")
 			table.invalidateViews()
 			if want := namesOf(table.Live(now, "r")); !slices.Equal(got, want) {
-				t.Fatalf("Live returned %v from the cache, computed anew it is %v", got, want)
+				t.Fatalf("Live returned %v from the cache, computed without the cache %v", got, want)
 			}
 			if want := table.Count(now, "r"); count != want {
-				t.Fatalf("Count returned %d from the cache, computed anew it is %d", count, want)
+				t.Fatalf("Count returned %d from the cache, computed without the cache %d", count, want)
 			}
 		}
 	})
--- a/core/jwmember/start_test.go
+++ b/core/jwmember/start_test.go
@@ -11,8 +11,8 @@
 )
 
 // All nodes of a region start at once after an outage, and its targets are cold. If
-// the store is slow, each node may read it before any other has registered and take
-// itself for the only one. If each then sent as much as a single node may, the
+// the store is slow, each node may read it before any other has registered and
+// consider itself the only one. If each then sent as much as a single node may, the
 // targets would crash from overload and have to warm up a second time.
 func TestColdLimitWhileAllStartAndStoreIsSlow(t *testing.T) {
 	const rate, bound = 4.1, 9.1
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -148,7 +148,7 @@
 
 // Contact returns the node of another region that this one exchanges state with,
 // and false if none is known. Rendezvous hashing over the live nodes spreads the
-// contacts evenly; if no node is live, it chooses among all known ones.
+// contacts; if no node is live, it chooses among all known ones.
 func (t *Table) Contact(now time.Time, region string) (Member, bool) {
 	list := t.Live(now, region)
 	if len(list) == 0 {
@@ -189,7 +189,7 @@
 }
 
 // RegistrationRead records that this node read a registration under its own name in the
-// store. One of an earlier process is ignored: it says nothing about this process.
+// store. One of an earlier process is ignored: it does not show that this process is registered.
 func (t *Table) RegistrationRead(now time.Time, m Member) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -247,7 +247,7 @@
 	return r
 }
 
-// merge takes over m if it is not older than the known state: the store may still
+// merge adopts m if it is not older than the known state: the store may still
 // hold what a stopping process wrote before its stop, and callers must not be sent
 // there again. It reports whether m comes from a later process.
 func (r *record) merge(now time.Time, m Member) (restarted bool) {
--- a/core/jwmember/table_test.go
+++ b/core/jwmember/table_test.go
@@ -53,8 +53,8 @@
 			t.MarkUnreachable(at(2500), "b")
 			t.SeenByOther(at(2900), []string{"b"})
 		}, 3000, []string{"a"}},
-		// The store still held what a stopping node had written before its stop.
-		// Reading it again sent callers to a node that was about to exit.
+		// The store may still hold what a stopping node wrote before its stop. If it
+		// counted, callers would be sent to a node that is about to exit.
 		"the store has an older registration": {func(t *Table) { t.Seen(at(10), member("b", "r", 2)); t.Put(at(20), b) }, 30, []string{"a"}},
 		"a new process of the same name": {func(t *Table) {
 			t.Seen(at(10), member("b", "r", 2))
