--- a/io/jwquotaexchange/exchange.go
+++ b/io/jwquotaexchange/exchange.go
@@ -85,7 +85,7 @@
 	return x.wake
 }
 
-// Run claims the units that the node lacks and gives away its surplus, until ctx ends.
+// Run claims the units that the node needs and grants its surplus to others, until ctx ends.
 func (x *Exchange) Run(ctx context.Context) {
 	for ctx.Err() == nil {
 		wait := pollInterval
