--- a/core/jwresolver/resolver.go
+++ b/core/jwresolver/resolver.go
@@ -23,10 +23,10 @@
 	minTTL = 300 * time.Millisecond
 	// standInTTL is the TTL of an answer with nodes of other regions. In a rolling
 	// restart the caller's own region is back within a second or two. Until then,
-	// requests bound to regions without stand-ins take a long way.
+	// requests bound to regions without stand-ins take an additional round trip.
 	standInTTL = 300 * time.Millisecond
-	// maxNamed is the maximum number of nodes in an answer.
-	maxNamed = 64
+	// maxNodes is the maximum number of nodes in an answer.
+	maxNodes = 64
 )
 
 // Kind says which nodes an answer contains.
@@ -95,8 +95,8 @@
 	return nodes, ttl
 }
 
-// standIns returns the nodes of the regions that View.ChooseStandIns chooses to stand in for the
-// caller's own: those that may serve most of the requests bound to certain regions.
+// standIns returns the nodes of the regions that View.ChooseStandIns chooses to stand in
+// for the caller's own: those that may serve most of the requests bound to certain regions.
 func standIns(v View) []jwmember.Member {
 	var regions []string
 	for _, m := range v.All {
@@ -114,18 +114,18 @@
 	return nodes
 }
 
-// answer returns an answer with the nodes or, of more than maxNamed, those that score highest
+// answer returns an answer with the nodes or, of more than maxNodes, those that score highest
 // for the caller in rendezvous hashing. With the same selection for all callers the other
 // nodes would get no callers, and with a random one callers would drop their connections
 // at each answer.
 func (v View) answer(k Kind, nodes []jwmember.Member, ttl time.Duration) Answer {
-	if len(nodes) > maxNamed {
+	if len(nodes) > maxNodes {
 		caller := jwtarget.NameKey(v.Caller)
 		nodes = slices.Clone(nodes)
 		slices.SortFunc(nodes, func(a, b jwmember.Member) int {
 			return cmp.Compare(jwtarget.Mix(caller, jwtarget.NameKey(b.Name)), jwtarget.Mix(caller, jwtarget.NameKey(a.Name)))
 		})
-		nodes = nodes[:maxNamed]
+		nodes = nodes[:maxNodes]
 	}
 	return Answer{Kind: k, Nodes: nodes, TTL: ttl}
 }
--- a/core/jwresolver/resolver_test.go
+++ b/core/jwresolver/resolver_test.go
@@ -86,17 +86,17 @@
 // many nodes there are, callers must be sent to other regions only while there is no
 // node left that accepts requests long enough to be returned.
 func TestRollingRestart(t *testing.T) {
-	const away = time.Second // from the end of Linger until it serves again
+	const downtime = time.Second // from the end of Linger until it serves again
 	cases := map[string]struct {
 		nodes int
 		gap   time.Duration
-		most  time.Duration // maximum time for which callers are sent to other regions
+		limit time.Duration // maximum time for which callers are sent to other regions
 	}{
 		"two, seconds apart":       {2, 6 * time.Second, 0},
 		"two, one after the other": {2, 2 * time.Second, 0},
-		"two at once":              {2, 0, Linger + away - (Linger - OveruseFactor*minTTL)},
+		"two at once":              {2, 0, Linger + downtime - (Linger - OveruseFactor*minTTL)},
 		"four, a second apart":     {4, time.Second, 0},
-		"one alone":                {1, 0, Linger + away - (Linger - OveruseFactor*minTTL)},
+		"one alone":                {1, 0, Linger + downtime - (Linger - OveruseFactor*minTTL)},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -107,7 +107,7 @@
 				for i := range c.nodes {
 					since := now - time.Second - time.Duration(i)*c.gap
 					switch {
-					case since < 0 || since > Linger+away:
+					case since < 0 || since > Linger+downtime:
 						v.InRegion = append(v.InRegion, member(fmt.Sprint("s", i), "small"))
 					case since < Linger:
 						v.StoppingNodes = append(v.StoppingNodes, stopping(fmt.Sprint("s", i), since))
@@ -117,29 +117,29 @@
 					elsewhere += step
 				}
 			}
-			assert.Assert(t, elsewhere <= c.most+2*step, "sent elsewhere for %s, want at most %s", elsewhere, c.most)
+			assert.Assert(t, elsewhere <= c.limit+2*step, "sent elsewhere for %s, want at most %s", elsewhere, c.limit)
 		})
 	}
 }
 
-// Of a hundred nodes, all callers were given the first sixty-four by name, and the others
-// got no requests.
+// Of a hundred nodes, an answer contains at most maxNodes. If all callers got the first ones by
+// name, the others would get no requests.
 func TestManyNodes(t *testing.T) {
 	nodes := make([]jwmember.Member, 100)
 	for i := range nodes {
 		nodes[i] = member(fmt.Sprintf("n%03d", i), "big")
 	}
-	named := make(map[string]int)
+	counts := make(map[string]int)
 	for i := range 200 {
 		v := View{Caller: fmt.Sprintf("10.0.0.%d", i), InRegion: nodes}
 		before := Resolve(v)
-		assert.Equal(t, len(before.Nodes), maxNamed)
+		assert.Equal(t, len(before.Nodes), maxNodes)
 		for i, m := range Resolve(v).Nodes {
 			assert.Equal(t, m.Name, before.Nodes[i].Name, "a caller that asks again gets the same nodes")
 		}
 		kept := make(map[string]bool)
 		for _, m := range before.Nodes {
-			named[m.Name]++
+			counts[m.Name]++
 			kept[m.Name] = true
 		}
 		v.InRegion = nodes[1:] // one is gone
@@ -152,6 +152,6 @@
 		assert.Assert(t, others <= 1, "%d nodes were replaced", others)
 	}
 	for _, m := range nodes {
-		assert.Assert(t, named[m.Name] > 80, "%s is returned to %d of 200 callers", m.Name, named[m.Name])
+		assert.Assert(t, counts[m.Name] > 80, "%s is returned to %d of 200 callers", m.Name, counts[m.Name])
 	}
 }
