--- a/core/jwadmission/admission_test.go
+++ b/core/jwadmission/admission_test.go
@@ -11,9 +11,9 @@
 const ms = time.Millisecond
 
 // A draft has a goal of 1 s, a deadline of 12 s and a prompt of 50,000 tokens, which
-// takes 1.3 s to read. When the time to read its own prompt counted as queueing, it was
+// takes 1.3 s to read. If the time to read its own prompt counted as queueing, it would be
 // rejected, retried and rejected again: only a quarter of the longest tenth of the drafts
-// was served.
+// would be served.
 func TestDecide(t *testing.T) {
 	draft := Request{Goal: 1000 * ms, TimeLeft: 12_000 * ms, HasPrompt: true}
 	with := func(expected, own time.Duration) Request {
--- a/core/jwplacement/placement.go
+++ b/core/jwplacement/placement.go
@@ -23,7 +23,7 @@
 // Cost returns the cost by which options are compared.
 func (o Option) Cost() time.Duration { return o.Expected + o.LaterCost }
 
-// Reason tells why a region was chosen.
+// Reason is why a region was chosen.
 type Reason string
 
 // The possible reasons.
@@ -75,7 +75,7 @@
 
 // PickNode selects one of the nodes of a region by a point in [0, 1). It prefers nodes to
 // which a connection is open, because opening one takes as long as the answer of a fast
-// target, which made two of three such requests late.
+// target and would make two of three such requests late.
 func PickNode(nodes []jwmember.Member, isConnected func(jwmember.Member) bool, point float64) jwmember.Member {
 	var connected []jwmember.Member
 	for _, m := range nodes {
--- a/core/jwplacement/placement_test.go
+++ b/core/jwplacement/placement_test.go
@@ -29,8 +29,8 @@
 		want   string
 		reason Reason
 	}{
-		"nobody":                              {nil, nil, Policy{}, "", NoTarget},
-		"nobody else":                         {&here, nil, Policy{}, "here", Local},
+		"no region":                           {nil, nil, Policy{}, "", NoTarget},
+		"no other":                            {&here, nil, Policy{}, "here", Local},
 		"another a little cheaper":            {&here, []Option{option("a", 300*ms)}, Policy{}, "here", Local},
 		"another clearly cheaper":             {&here, []Option{option("a", 250*ms)}, Policy{}, "a", RemoteCheaper},
 		"the cheaper of two":                  {&here, []Option{option("a", 250*ms), option("b", 220*ms)}, Policy{}, "b", RemoteCheaper},
@@ -40,8 +40,8 @@
 		"none here":                           {nil, []Option{option("a", 9000*ms)}, Policy{}, "a", RemoteOnly},
 		"none here, the cheaper":              {nil, []Option{option("a", 900*ms), option("b", 300*ms)}, Policy{}, "b", RemoteOnly},
 		"none here, one has reported nothing": {nil, []Option{silent, option("b", 300*ms)}, Policy{}, "b", RemoteOnly},
-		"none here, all silent":               {nil, []Option{silent}, Policy{}, "silent", RemoteOnly},
-		"nothing is sent away":                {&here, []Option{option("a", 10*ms)}, Policy{PreferLocal: true}, "here", Local},
+		"none here, none has reported":        {nil, []Option{silent}, Policy{}, "silent", RemoteOnly},
+		"nothing leaves the region":           {&here, []Option{option("a", 10*ms)}, Policy{PreferLocal: true}, "here", Local},
 		"nothing here, none stays":            {nil, []Option{option("a", 10*ms)}, Policy{PreferLocal: true}, "a", RemoteOnly},
 	}
 	for name, c := range cases {
--- a/core/jwretry/retry_test.go
+++ b/core/jwretry/retry_test.go
@@ -21,16 +21,16 @@
 		budget  bool
 		want    Reason
 	}{
-		"failed once":                 {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), true, RetryTaken},
-		"failed once, nothing left":   {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), false, NoBudget},
-		"failed twice":                {with(func(r *Request) { r.Attempts, r.Sends = 2, 2 }), true, AttemptsExhausted},
-		"not run":                     {with(func(r *Request) { r.NotRun, r.Sends = true, 1 }), true, RetryTaken},
-		"not run, and nobody reached": {with(func(r *Request) { r.NotRun = true }), false, FirstSend},
-		"not run, runs once":          {Request{NotRun: true, Sends: 1}, true, RetryTaken},
-		"may have run, runs once":     {Request{Attempts: 1, Sends: 1, MaxAttempts: 1}, true, MayHaveRun},
-		"paid before":                 {with(func(r *Request) { r.Attempts, r.Sends, r.BudgetTaken = 1, 1, true }), false, BudgetTaken},
-		"its body is gone":            {with(func(r *Request) { r.NotRun, r.BodyStreamed = true, true }), true, BodyConsumed},
-		"refused everywhere":          {with(func(r *Request) { r.NotRun, r.Permanent = true, true }), true, SameOutcome},
+		"failed once":                {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), true, RetryTaken},
+		"failed once, nothing left":  {with(func(r *Request) { r.Attempts, r.Sends = 1, 1 }), false, NoBudget},
+		"failed twice":               {with(func(r *Request) { r.Attempts, r.Sends = 2, 2 }), true, AttemptsExhausted},
+		"not run":                    {with(func(r *Request) { r.NotRun, r.Sends = true, 1 }), true, RetryTaken},
+		"not run, no target reached": {with(func(r *Request) { r.NotRun = true }), false, FirstSend},
+		"not run, runs once":         {Request{NotRun: true, Sends: 1}, true, RetryTaken},
+		"may have run, runs once":    {Request{Attempts: 1, Sends: 1, MaxAttempts: 1}, true, MayHaveRun},
+		"paid before":                {with(func(r *Request) { r.Attempts, r.Sends, r.BudgetTaken = 1, 1, true }), false, BudgetTaken},
+		"its body is gone":           {with(func(r *Request) { r.NotRun, r.BodyStreamed = true, true }), true, BodyConsumed},
+		"refused everywhere":         {with(func(r *Request) { r.NotRun, r.Permanent = true, true }), true, SameOutcome},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
