--- a/cmd/jujubestand/main_test.go
+++ b/cmd/jujubestand/main_test.go
@@ -44,7 +44,7 @@
 }
 
 // call implements the script command "http METHOD ADDRESS/PATH BODY TEXT": it
-// repeats the call until the answer contains the text, or, with "!", until the
+// retries the call until the answer contains the text, or, with "!", until the
 // call fails.
 func call(ts *testscript.TestScript, neg bool, args []string) {
 	if len(args) != 4 {
--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -56,13 +56,13 @@
 	return n
 }
 
-// A network failure cuts one region off from the others and from the platform's
-// key-value service and directory. The region must go on serving its own
-// callers: drafts and confirmations by ticket, also at a node that is started
-// there meanwhile. An edit made in another region must not be reported as in
-// force everywhere, as the operator would rely on a limit that the cut-off
-// region does not apply. After the cut the edit must come into force there by
-// itself, and no node may ever return to an older revision.
+// A network partition separates one region from the others and from the
+// platform's key-value service and directory. The region must continue to serve
+// its own callers: drafts and confirmations by ticket, also at a node that is
+// started there during the partition. An edit made in another region must not be
+// reported as in force everywhere, as the operator would rely on a limit that the
+// separated region does not apply. After the partition the edit must come into
+// force there by itself, and no node may ever return to an older revision.
 func TestIsolatedRegion(t *testing.T) {
 	f := newFleet(t, "east", "west")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
@@ -85,7 +85,7 @@
 	})
 
 	checkRevisions := f.checkRevisionsNeverFall(w1, e1)
-	relay.setCut("west")
+	relay.setPartition("west")
 	f.putControl(links.Control, "/links", jwstand.Conditions{Cut: true})
 	path := f.write("edit.json", json.RawMessage(oneEntryCatalogue("sheet")))
 	out, err := f.runCommand(e1, "catalogue", "put", "--reason", "test", "--wait", "2s", path)
@@ -115,12 +115,12 @@
 	assert.Equal(t, len(f.readJournal(desk)), before+2)
 
 	out, err = f.runCommand(e1, "catalogue", "status", "--revision", "3")
-	assert.Assert(t, err != nil && strings.Contains(out, "w1"), "accepted during the cut: %v %s", err, out)
+	assert.Assert(t, err != nil && strings.Contains(out, "w1"), "accepted during the partition: %v %s", err, out)
 	assert.Equal(t, f.revision(w1), uint64(2))
 	assert.Equal(t, f.revision(w2), uint64(2))
 
 	f.putControl(links.Control, "/links", map[string]bool{"cut": false})
-	relay.setCut("")
+	relay.setPartition("")
 	f.waitFor("the change is accepted", func() bool {
 		_, err := f.runCommand(e1, "catalogue", "status", "--revision", "3")
 		return err == nil
--- a/cmd/jujubewheel/noderelay_test.go
+++ b/cmd/jujubewheel/noderelay_test.go
@@ -15,16 +15,16 @@
 	"gotest.tools/v3/assert"
 )
 
-// nodeRelay relays the connections between nodes and can cut a region off. A
-// node has a single address for all other nodes, so that the relay has to find
-// out which region a connection comes from: it looks up which node's process
-// has the other end of the connection.
+// nodeRelay relays the connections between nodes and can separate a region from
+// the others. A node has a single address for all other nodes, so that the relay
+// has to find out which region a connection comes from: it looks up which node's
+// process has the other end of the connection.
 type nodeRelay struct {
 	t *testing.T
 
 	mu          sync.Mutex
 	nodes       []*nodeProcess
-	cutRegion   string            // region cut off from the others, empty for none
+	separated   string            // region separated from the others, empty for none
 	crossRegion map[net.Conn]bool // open connections between regions
 }
 
@@ -53,12 +53,12 @@
 	}
 }
 
-// setCut cuts a region off from the others, or none if region is empty, and
-// closes the open connections between regions.
-func (r *nodeRelay) setCut(region string) {
+// setPartition separates a region from the others, or none if region is empty,
+// and closes the open connections between regions.
+func (r *nodeRelay) setPartition(region string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.cutRegion = region
+	r.separated = region
 	for conn := range r.crossRegion {
 		_ = conn.Close()
 	}
@@ -66,14 +66,14 @@
 }
 
 // allow reports whether a connection between two regions is relayed now, and
-// remembers it for setCut if the regions differ.
+// remembers it for setPartition if the regions differ.
 func (r *nodeRelay) allow(conn net.Conn, from, to string) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if from == to {
 		return true
 	}
-	if r.cutRegion != "" && (from == r.cutRegion || to == r.cutRegion || from == "") {
+	if r.separated != "" && (from == r.separated || to == r.separated || from == "") {
 		return false
 	}
 	if r.crossRegion == nil {
--- a/cmd/jujubewheel/pause_test.go
+++ b/cmd/jujubewheel/pause_test.go
@@ -25,7 +25,7 @@
 }
 
 // A host is paused for so long that the platform removes it from the host list.
-// An entry is removed meanwhile, and this edit is accepted without the host.
+// In that time an entry is removed, and this edit is accepted without the host.
 // When the host resumes, its node still has the old catalogue and has not
 // noticed the pause yet; requests that arrive at that moment must not be served
 // by the removed entry.
--- a/cmd/jujubewheel/process_test.go
+++ b/cmd/jujubewheel/process_test.go
@@ -161,7 +161,7 @@
 	}
 }
 
-// fleet is a whole system, each part of which runs as a process.
+// fleet is a complete system, each part of which runs as a process.
 type fleet struct {
 	t                  testing.TB
 	dir                string
@@ -327,10 +327,10 @@
 	servedBy string // region that served the request
 	body     string
 	hosts    []netip.AddrPort // hosts that a rejection names
-	err      error            // no answer came, or it broke off
+	err      error            // no answer came, or an incomplete one
 }
 
-// complete reports whether the whole answer came.
+// complete reports whether the answer came and is complete.
 func (r reply) complete() bool {
 	if r.err != nil || r.status != http.StatusOK || r.outcome != "served" {
 		return false
--- a/cmd/jujubewheel/recovery_test.go
+++ b/cmd/jujubewheel/recovery_test.go
@@ -22,7 +22,7 @@
 //
 // and are not part of CI, which makes no assertions about times.
 
-// served sends a draft of one token and reports whether the whole answer came.
+// served sends a draft of one token and reports whether a complete answer came.
 func served(at netip.AddrPort) bool {
 	return send(at, "draft", "free-east", prompt("menu", 1, false)).complete()
 }
--- a/cmd/jujubewheel/stop_test.go
+++ b/cmd/jujubewheel/stop_test.go
@@ -10,9 +10,9 @@
 )
 
 // A node gets SIGTERM twice while it streams a draft that takes nine seconds.
-// Neither the second signal nor go-zero's, which it sends by default after
-// 5.5 s, may cut the draft off: the whole draft must come, and the node must
-// then exit with code 0.
+// Neither the second signal nor the one that go-zero sends by default after 5.5 s
+// may interrupt the draft: it must be complete, and the node must then exit with
+// code 0.
 func TestLongStop(t *testing.T) {
 	f := newFleet(t, "east")
 	runner := f.startTarget("runner", "writer", "east", "--token", "100ms")
--- a/cmd/jujubewheel/system_test.go
+++ b/cmd/jujubewheel/system_test.go
@@ -17,9 +17,9 @@
 )
 
 // The usual path with each part as a process: an operator writes the catalogue,
-// a caller asks which hosts to use and gets the whole answer of a draft, plain
-// and streamed. A region without a target has drafts served by another region,
-// and a confirmation that is sent to three hosts runs once.
+// a caller asks which hosts to use and gets the complete answer of a draft,
+// plain and streamed. A region without a target has drafts served by another
+// region, and a confirmation that is sent to three hosts runs once.
 func TestProcesses(t *testing.T) {
 	f := newFleet(t, "east", "north", "west")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
@@ -41,9 +41,9 @@
 	plain := send(east.Callers, "draft", "free-east", prompt("menu", 5, false))
 	assert.Assert(t, strings.Contains(plain.body, jwstand.TextOf("menu", 5)), "%+v", plain)
 	f.waitFor("a draft is served by another region", func() bool { return send(north.Callers, "draft", "free-north", prompt("menu", 5, true)).complete() })
-	away := send(north.Callers, "draft", "free-north", prompt("menu", 50, true))
-	assert.Assert(t, away.complete(), "%+v", away)
-	assert.Equal(t, away.servedBy, "east")
+	remote := send(north.Callers, "draft", "free-north", prompt("menu", 50, true))
+	assert.Assert(t, remote.complete(), "%+v", remote)
+	assert.Equal(t, remote.servedBy, "east")
 
 	f.waitFor("a confirmation is served", func() bool {
 		return send(west.Callers, "confirm", "free-west", "{}", "Idempotency-Key", "warm-up").complete()
@@ -62,7 +62,7 @@
 }
 
 // Two nodes are replaced one after the other while callers read long streams and
-// open new ones. No stream may be cut off, and a request that a stopping node
+// open new ones. No stream may end incomplete, and a request that a stopping node
 // rejects must be served by the host that it names.
 func TestRollingStop(t *testing.T) {
 	f := newFleet(t, "east")
@@ -136,7 +136,7 @@
 }
 
 // The node that gathers the confirmations of its region is killed. The other
-// node must go on serving, callers must no longer be sent to the killed one once
+// node must continue to serve, callers must no longer be sent to the killed one once
 // the platform's host list has dropped it, and an edit must be accepted without
 // its confirmation.
 func TestNodeKilled(t *testing.T) {
