--- a/core/jwinstance/latencymodel_test.go
+++ b/core/jwinstance/latencymodel_test.go
@@ -10,8 +10,8 @@
 )
 
 // An engine takes 57 ms for a call plus 11 ms for each thousand tokens, and more for the later
-// tokens of a long prompt. With a single rate learned from short prompts, a long prompt was
-// predicted to take twice as long as it does, and was rejected because it would be too late.
+// tokens of a long prompt. With a single rate learned from short prompts, a long prompt would be
+// predicted to take twice as long as it does, and be rejected as too late.
 func TestLatencyModelFit(t *testing.T) {
 	cases := map[string]struct {
 		base, thousand, square float64
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -160,14 +160,14 @@
 		table.Put(t0, instance("x"))
 	}
 	limited := func(table *Table) Limit { return table.targets["x"].limit.Limit }
-	named := Limit{Announced: true, Rate: 2}
-	assert.Assert(t, a.SetLimit(after(0), a.targets["x"], named))
-	assert.Assert(t, !a.SetLimit(after(10), a.targets["x"], named))
+	announced := Limit{Announced: true, Rate: 2}
+	assert.Assert(t, a.SetLimit(after(0), a.targets["x"], announced))
+	assert.Assert(t, !a.SetLimit(after(10), a.targets["x"], announced))
 	b.MergeLimits(after(120), a.ReportLimits(after(110), false))
-	assert.Equal(t, limited(b), named)
+	assert.Equal(t, limited(b), announced)
 	assert.Equal(t, len(b.ReportLimits(after(130), false)), 0, "only the node that received the answer reports it")
 	c.MergeLimits(after(250), b.ReportLimits(after(240), true))
-	assert.Equal(t, limited(c), named, "a relay reports for others")
+	assert.Equal(t, limited(c), announced, "a relay reports for others")
 	assert.Assert(t, a.SetLimit(after(1000), a.targets["x"], Limit{}))
 	a.MergeLimits(after(1050), c.ReportLimits(after(1040), true))
 	assert.Equal(t, limited(a), Limit{}, "an older answer changes nothing")
@@ -256,7 +256,8 @@
 }
 
 // In a region of many nodes, each compares only a few of many targets. The owner of a target with a
-// limit is the only node that may use the limit, but hardly ever had that target in its sample.
+// limit is the only node that may use the limit, and would hardly ever have that target in a random
+// sample.
 func TestOwnerUsesTheLimit(t *testing.T) {
 	const rate, seconds = 2, 20
 	random := rand.New(rand.NewPCG(1, 2))
--- a/core/jwinstance/relay_test.go
+++ b/core/jwinstance/relay_test.go
@@ -56,7 +56,7 @@
 				}
 			}
 		}
-		for d := range dataCentres { // the next exchange reports the rest to the other nodes
+		for d := range dataCentres { // the next exchange reports the remaining calls to the other nodes
 			for n := 1; n < nodes; n++ {
 				table := tables[d][n]
 				table.MergeRelay(now, name(d, 0), tables[d][0].ReportTo(now, name(d, n)), nil)
--- a/core/jwinstance/subset_test.go
+++ b/core/jwinstance/subset_test.go
@@ -10,8 +10,8 @@
 	"pgregory.net/rapid"
 )
 
-// In a region of a thousand targets and a hundred nodes, the reports of a relay to each node grew
-// with both numbers and filled the relay's link.
+// If each node of a region of a thousand targets and a hundred nodes knew all targets, the reports
+// of a relay to each node would grow with both numbers and saturate the relay's link.
 func TestSubsetsOfManyTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	newTable := func(node string, targets int) *Table {
@@ -30,11 +30,11 @@
 			known[x.ID]++
 		}
 	}
-	most := 0
+	maxNodes := 0
 	for _, n := range known {
-		most = max(most, n)
+		maxNodes = max(maxNodes, n)
 	}
-	assert.Assert(t, most <= 20, "%d nodes know the same target", most)
+	assert.Assert(t, maxNodes <= 20, "%d nodes know the same target", maxNodes)
 	assert.Assert(t, len(known) > targets*99/100, "%d targets are used", len(known))
 
 	relay := newTable("relay", targets)
@@ -153,8 +153,8 @@
 }
 
 // BenchmarkPutUpdates puts the registrations of a thousand cold targets, whose remaining cold time
-// varies, and looks up each changed one as the log does. When the index was rebuilt for each, nodes
-// of a fleet of 300 spent a percent of a core on it.
+// varies, and looks up each changed one as the log does. Rebuilding the index for each would cost
+// each node of a fleet of 300 a percent of a core.
 func BenchmarkPutUpdates(b *testing.B) {
 	now := time.Unix(1000, 0)
 	table := &Table{Node: "n", Region: "r"}
@@ -172,8 +172,8 @@
 	}
 }
 
-// BenchmarkPutAll registers three thousand targets as a starting node does. When each was also
-// looked up in between, this took seconds of a small host's processor.
+// BenchmarkPutAll registers three thousand targets as a starting node does. If each were also looked
+// up in between, this would take seconds of a small host's processor.
 func BenchmarkPutAll(b *testing.B) {
 	now := time.Unix(1000, 0)
 	list := make([]Instance, 3000)
--- a/core/jwinstance/table_test.go
+++ b/core/jwinstance/table_test.go
@@ -531,8 +531,8 @@
 }
 
 // With few slots and long answers, all slots of a small region are taken, and each waiting call
-// waits for an answer to end. When that wait was assumed to be a fixed 40 ms, the queue looked
-// short, and callers waited for seconds while other regions were idle.
+// waits for an answer to end. If that wait were assumed to be a fixed 40 ms, the queue would look
+// short, and callers would wait for seconds while other regions are idle.
 func TestWaitForASlotIsLearned(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -575,11 +575,11 @@
 			assert.Assert(t, ok)
 			calls[c.Target.ID]++
 		}
-		most := 0
+		maxCalls := 0
 		for _, n := range calls {
-			most = max(most, n)
+			maxCalls = max(maxCalls, n)
 		}
-		return most
+		return maxCalls
 	}
 	assert.Equal(t, busiest(0), 40)
 	assert.Assert(t, busiest(40) <= 6, "%d of 40 nodes sent to the same target", busiest(40))
@@ -593,9 +593,9 @@
 }
 
 // Long prompts whose first parts a target has cached run there at the same time. These parts can't
-// be evicted while the requests run. When only the tokens to be read were counted, the requests
-// seemed to use half of the memory that they did, and the target got more of them than fit: the
-// newest was preempted and read again from its start.
+// be evicted while the requests run. If only the tokens to be read counted, the requests would seem
+// to use half of the memory that they do, and the target would get more of them than fit: the newest
+// would be preempted and read again from its start.
 func TestCachedPartsOfRunningRequestsUseMemory(t *testing.T) {
 	now := time.Unix(1000, 0)
 	table := &Table{Region: "r"}
--- a/io/jwgateway/callers_test.go
+++ b/io/jwgateway/callers_test.go
@@ -201,14 +201,14 @@
 		g.Settings.Gateway.Bounds.QuotaRatio = 0.1
 	})
 	sendUntil(t, n, "/w/x", served)
-	var refused atomic.Int64
+	var rejected atomic.Int64
 	var wg sync.WaitGroup
 	for i := range 40 {
 		wg.Go(func() {
 			r, err := send(t, n, http.MethodPost, "/a/x", fmt.Sprint("hot", i), key("k1"), "body")
 			assert.Check(t, err)
 			if r.status == http.StatusTooManyRequests {
-				refused.Add(1)
+				rejected.Add(1)
 				assert.Check(t, r.header.Get("Retry-After") != "")
 				return
 			}
@@ -216,14 +216,14 @@
 		})
 	}
 	wg.Wait()
-	assert.Assert(t, refused.Load() > 0)
+	assert.Assert(t, rejected.Load() > 0)
 	r, err := send(t, n, http.MethodPost, "/a/x", "calm", key("k2"), "body")
 	assert.NilError(t, err)
 	assert.Equal(t, r.status, http.StatusOK)
 }
 
-// A request that needs more units than its node's share of the quota gets units from the other node,
-// which doesn't need them.
+// A request that needs more units than its node's share of the quota gets units from the other
+// node, which doesn't need them.
 func TestQuotaUnitsFromAnotherNode(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
--- a/io/jwgateway/region_test.go
+++ b/io/jwgateway/region_test.go
@@ -18,8 +18,8 @@
 )
 
 // In a region at its peak each node forwards a third of its prompts, and other regions report their
-// waits once a second only. When nodes chose by these reports alone, all prompts of a second went
-// to the region that was free at its start, and every third of them was late.
+// waits once a second only. If nodes chose by these reports alone, all prompts of a second would
+// go to the region that was free at its start, and every third of them would be late.
 func TestPromptsSentSinceLastRegionReport(t *testing.T) {
 	t0 := time.Unix(1000, 0)
 	at := func(ms int) time.Time { return t0.Add(time.Duration(ms) * time.Millisecond) }
@@ -66,8 +66,8 @@
 	assert.DeepEqual(t, sent, map[string]int{"q": 10, "p": 10})
 }
 
-// Each node of the home region gets a few bound requests per second. When each of them was
-// forwarded to another node over a new connection, it took twice as long.
+// Each node of the home region gets a few bound requests per second. If each of them
+// were forwarded to another node over a new connection, it would take twice as long.
 func TestForwardPrefersOpenConnection(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
--- a/io/jwgateway/relayexchange_test.go
+++ b/io/jwgateway/relayexchange_test.go
@@ -194,8 +194,8 @@
 }
 
 // A node that reports through a relay was paused and has seen no other node since, so that it
-// considers itself the relay. If neither node called the other, neither would ever learn
-// of the other again.
+// considers itself the relay. If neither node called the other, neither would ever learn of the
+// other again.
 func TestPausedNodeRejoinsItsRelay(t *testing.T) {
 	t.Parallel()
 	first, second, pause := startRelayedPair(t)
--- a/io/jwgateway/storewatcher_test.go
+++ b/io/jwgateway/storewatcher_test.go
@@ -52,7 +52,7 @@
 }
 
 // A fleet of eighty nodes calls the store as often as one of forty, because the store charges for
-// each call and these calls were the highest cost of a day.
+// each call and these calls are the highest cost of a day.
 func TestWatchPauseGrowsWithFleet(t *testing.T) {
 	cases := map[string]struct {
 		nodes int
--- a/io/jwgateway/suspect_test.go
+++ b/io/jwgateway/suspect_test.go
@@ -51,10 +51,10 @@
 		if i == 0 {
 			// The other node learns of the crash with the next exchange.
 			sendUntil(t, nodes[1], "/a/x", served)
-			for refused := false; !refused; {
+			for rejected := false; !rejected; {
 				r, err := send(t, nodes[1], http.MethodPost, "/a/x", "again", nil, "the poison")
 				assert.NilError(t, err)
-				refused = r.status == http.StatusServiceUnavailable
+				rejected = r.status == http.StatusServiceUnavailable
 			}
 		}
 	}
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -266,7 +266,7 @@
 		w.WriteHeader(http.StatusServiceUnavailable)
 	}
 	fail := func(w http.ResponseWriter, _ *http.Request) { w.WriteHeader(http.StatusInternalServerError) }
-	unsealed := func(w http.ResponseWriter, _ *http.Request) { w.Header().Del("Jujubewheel-Server-Seal") }
+	unsigned := func(w http.ResponseWriter, _ *http.Request) { w.Header().Del("Jujubewheel-Server-Seal") }
 	foreign := func(w http.ResponseWriter, _ *http.Request) { w.Header().Set("Jujubewheel-Request-Id", "other") }
 	short := func(w http.ResponseWriter, _ *http.Request) {
 		w.Header().Set("Content-Length", "10")
@@ -290,8 +290,8 @@
 		"reset, may be retried":           {"idempotent", abort, 200, 1},
 		"its own failure, may run once":   {"non_idempotent", fail, 500, 0},
 		"its own failure, may be retried": {"idempotent", fail, 200, 1},
-		"no signature, may run once":      {"non_idempotent", unsealed, 502, 0},
-		"no signature, may be retried":    {"idempotent", unsealed, 200, 1},
+		"no signature, may run once":      {"non_idempotent", unsigned, 502, 0},
+		"no signature, may be retried":    {"idempotent", unsigned, 200, 1},
 		// The right answer might still follow on the connection until the deadline.
 		"another's answer, may run once":    {"non_idempotent", foreign, 504, 0},
 		"another's answer, may be retried":  {"idempotent", foreign, 200, 1},
--- a/io/jwgateway/upstream_test.go
+++ b/io/jwgateway/upstream_test.go
@@ -30,8 +30,9 @@
 	return p.Feed.Watch(ctx, prefix, after, maxWait)
 }
 
-// Three thousand targets are registered and three hundred nodes start at once. When each node read
-// all registrations from the store, they saturated its link, and no node served for half a minute.
+// Three thousand targets are registered and three hundred nodes start at once. If each node read
+// all registrations from the store, they would saturate its link, and no node would serve for half a
+// minute.
 func TestStartInLargeRegion(t *testing.T) {
 	t.Parallel()
 	feed := jwstore.MemoryFeed{PageSize: 20}
--- a/io/jwgateway/view_test.go
+++ b/io/jwgateway/view_test.go
@@ -7,8 +7,8 @@
 	"gotest.tools/v3/assert"
 )
 
-// All nodes of a data centre start at once and request everything that their relay knows. When the
-// relay encoded the view for each of them, it answered the last ones after they had given up.
+// All nodes of a data centre start at once and request everything that their relay knows. If the
+// relay encoded the view for each of them, it would answer the last ones after they have given up.
 func TestViewIsEncodedOnceForNewNodes(t *testing.T) {
 	var cache encodedViewCache
 	encoded := 0
