--- a/core/jwadmission/admission_test.go
+++ b/core/jwadmission/admission_test.go
@@ -58,8 +58,8 @@
 // which a short prompt would be accepted.
 func TestPromptSizeAloneNeverRejects(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := func(name string, most int) time.Duration {
-			return time.Duration(rapid.IntRange(0, most).Draw(t, name)) * ms
+		d := func(name string, limit int) time.Duration {
+			return time.Duration(rapid.IntRange(0, limit).Draw(t, name)) * ms
 		}
 		queue, own := d("queue", 5000), d("own", 20_000)
 		r := Request{Goal: d("goal", 3000) + 1, OwnReadTime: own, HasPrompt: true, Expected: queue + own}
--- a/core/jwmember/relay_test.go
+++ b/core/jwmember/relay_test.go
@@ -105,11 +105,11 @@
 			node.MergeLiveness(now, relay.Liveness(now))
 			live := namesOf(node.Live(now, "r"))
 			for _, other := range names {
-				named := slices.Contains(live, other)
-				if at := dead[other]; !at.IsZero() && named && now.Sub(at) > relaySuspectAfter+indirectAge+2*period {
+				listed := slices.Contains(live, other)
+				if at := dead[other]; !at.IsZero() && listed && now.Sub(at) > relaySuspectAfter+indirectAge+2*period {
 					t.Fatalf("%s is reported as live %s after it died", other, now.Sub(at))
 				}
-				if dead[other].IsZero() && !named {
+				if dead[other].IsZero() && !listed {
 					t.Fatalf("%s is running but not reported as live", other)
 				}
 			}
--- a/core/jwretry/retry_test.go
+++ b/core/jwretry/retry_test.go
@@ -28,9 +28,9 @@
 		"not run, no target reached": {with(func(r *Request) { r.NotRun = true }), false, FirstSend},
 		"not run, runs once":         {Request{NotRun: true, Sends: 1}, true, RetryTaken},
 		"may have run, runs once":    {Request{Attempts: 1, Sends: 1, MaxAttempts: 1}, true, MayHaveRun},
-		"paid before":                {with(func(r *Request) { r.Attempts, r.Sends, r.BudgetTaken = 1, 1, true }), false, BudgetTaken},
+		"budget taken before":        {with(func(r *Request) { r.Attempts, r.Sends, r.BudgetTaken = 1, 1, true }), false, BudgetTaken},
 		"its body is gone":           {with(func(r *Request) { r.NotRun, r.BodyStreamed = true, true }), true, BodyConsumed},
-		"refused everywhere":         {with(func(r *Request) { r.NotRun, r.Permanent = true, true }), true, SameOutcome},
+		"rejected everywhere":        {with(func(r *Request) { r.NotRun, r.Permanent = true, true }), true, SameOutcome},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
