--- a/cmd/jujubewheel/pause_test.go
+++ b/cmd/jujubewheel/pause_test.go
@@ -32,14 +32,14 @@
 func TestFrozenNodeWakes(t *testing.T) {
 	f := newFleet(t, "east")
 	f.startTarget("runner", "writer", "east", "--token", "1ms")
-	frozen, other := f.startNode("e1", "east"), f.startNode("e2", "east")
+	paused, other := f.startNode("e1", "east"), f.startNode("e2", "east")
 	f.loadCatalogue()
 	for _, n := range f.nodes {
 		f.waitFor("a draft is served", func() bool { return send(n.Callers, "draft", "free-east", prompt("menu", 1, false)).complete() })
 	}
-	frozen.signal(syscall.SIGSTOP)
+	paused.signal(syscall.SIGSTOP)
 	listed := f.hostGroups
-	f.hostGroups = slices.DeleteFunc(slices.Clone(listed), func(g jwstand.HostGroup) bool { return g.Labels["name"] == frozen.name })
+	f.hostGroups = slices.DeleteFunc(slices.Clone(listed), func(g jwstand.HostGroup) bool { return g.Labels["name"] == paused.name })
 	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
 	out, err := f.runCommand(other, "catalogue", "remove", "--reason", "no longer offered", "--wait", "30s", "--revision", f.lastChange(other, "draft"), "draft")
 	assert.NilError(t, err, "%s", out)
@@ -47,7 +47,7 @@
 	// The first requests wait in the paused host's accept queue.
 	replies := make(chan reply, 8)
 	for range cap(replies) {
-		go func() { replies <- send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false)) }()
+		go func() { replies <- send(paused.Callers, "draft", "free-east", prompt("menu", 1, false)) }()
 	}
 	f.waitFor("the edit is still accepted", func() bool {
 		out, err := f.runCommand(other, "catalogue", "status", "--json")
@@ -56,7 +56,7 @@
 		}
 		return err == nil && json.Unmarshal([]byte(out), &s) == nil && s.Accepted
 	})
-	frozen.signal(syscall.SIGCONT)
+	paused.signal(syscall.SIGCONT)
 	for range cap(replies) {
 		r := <-replies
 		assert.Assert(t, r.status != 200, "served by a removed entry: %+v", r)
@@ -65,7 +65,7 @@
 	f.hostGroups = listed
 	f.putControl(f.hosts.Control, "/hosts", f.hostGroups)
 	f.waitFor("the resumed node serves with the new catalogue", func() bool {
-		r := send(frozen.Callers, "draft", "free-east", prompt("menu", 1, false))
+		r := send(paused.Callers, "draft", "free-east", prompt("menu", 1, false))
 		return r.status == 404 && strings.Contains(r.body, "unknownEntry")
 	})
 }
--- a/cmd/jujubewheel/process_test.go
+++ b/cmd/jujubewheel/process_test.go
@@ -359,11 +359,11 @@
 	if out.outcome == "" {
 		out.outcome = resp.Trailer.Get("Jujube-Outcome")
 	}
-	var refusal struct {
+	var rejection struct {
 		Hosts []netip.AddrPort `json:"hosts"`
 	}
-	if json.Unmarshal(data, &refusal) == nil {
-		out.hosts = refusal.Hosts
+	if json.Unmarshal(data, &rejection) == nil {
+		out.hosts = rejection.Hosts
 	}
 	return out
 }
--- a/cmd/jujubewheel/recovery_test.go
+++ b/cmd/jujubewheel/recovery_test.go
@@ -48,7 +48,7 @@
 }
 
 // BenchmarkRecoveryNodeKill measures the time from the kill of a node until its
-// caller is served by another node, and until no node names the killed one to
+// caller is served by another node, and until no node returns the killed one to
 // callers.
 func BenchmarkRecoveryNodeKill(b *testing.B) {
 	var servedElsewhere, noLongerListed []time.Duration
@@ -88,7 +88,7 @@
 
 // BenchmarkRecoveryTargetLeaving measures the time from when the platform's host
 // list shows a target as leaving until the last new call that the target gets
-// from any of three nodes. The target itself goes on taking calls.
+// from any of three nodes. The target itself continues to accept calls.
 func BenchmarkRecoveryTargetLeaving(b *testing.B) {
 	var last []time.Duration
 	for range b.N {
