--- a/core/jwresolver/resolver.go
+++ b/core/jwresolver/resolver.go
@@ -67,7 +67,7 @@
 	if len(v.InRegion) > 0 {
 		return v.answer(Own, v.InRegion, TTL)
 	}
-	if nodes, ttl := leaving(v.StoppingNodes, v.Linger); len(nodes) > 0 {
+	if nodes, ttl := stoppingNodes(v.StoppingNodes, v.Linger); len(nodes) > 0 {
 		return v.answer(Stopping, nodes, ttl)
 	}
 	if !v.Ready {
@@ -79,10 +79,10 @@
 	return Answer{Kind: NoNodes}
 }
 
-// leaving returns the stopping nodes that still accept requests when the callers that
+// stoppingNodes returns the stopping nodes that still accept requests when the callers that
 // use the answer longest send theirs, and the TTL of the answer, which is set by the
 // node among them that ends first.
-func leaving(list []jwmember.StoppingNode, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
+func stoppingNodes(list []jwmember.StoppingNode, linger time.Duration) (nodes []jwmember.Member, ttl time.Duration) {
 	ttl = TTL
 	for _, l := range list {
 		d := min((linger-l.Since)/OveruseFactor, TTL)
