--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -80,7 +80,7 @@
 	startTime           time.Time
 	stopStartedAt       atomic.Int64  // when the planned stop began, nanoseconds since startTime
 	fleetSizeMissing    atomic.Bool   // the store was restored without the size of the fleet
-	registrationChanged chan struct{} // requests that the registration is written again
+	registrationChanged chan struct{} // signals that the registration must be written again
 	inFlight            atomic.Int64
 }
 
--- a/io/jwgateway/metrics.go
+++ b/io/jwgateway/metrics.go
@@ -33,7 +33,7 @@
 	eventPauses       tally.Histogram
 	directoryAnswers  map[jwresolver.Kind]tally.Counter
 	retries           tally.Counter
-	retriesRefused    tally.Counter
+	retriesRejected   tally.Counter
 	connectionsOpened tally.Counter
 	probes            tally.Counter
 	version           tally.Gauge
@@ -58,7 +58,7 @@
 		eventPauses:       m.Durations("event_pause_seconds", nil),
 		directoryAnswers:  make(map[jwresolver.Kind]tally.Counter),
 		retries:           m.Counter("repeats_total", nil),
-		retriesRefused:    m.Counter("repeats_refused_total", nil),
+		retriesRejected:   m.Counter("repeats_refused_total", nil),
 		connectionsOpened: m.Counter("target_connections_total", nil),
 		probes:            m.Counter("target_probes_total", nil),
 		version:           m.Gauge("configuration_version", nil),
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -88,7 +88,7 @@
 	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
 	case jwretry.NoBudget:
-		g.metrics.retriesRefused.Inc(1)
+		g.metrics.retriesRejected.Inc(1)
 	case jwretry.BudgetTaken:
 		q.budgetTaken.Store(false)
 		g.metrics.retries.Inc(1)
