--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -65,7 +65,7 @@
 	live          bool
 	sendsFrom     time.Time // does not send to targets with a limit before
 	learnsAt      time.Time // when it learns of the last change
-	mistakenUntil time.Time // takes the owner for dead and itself for the owner until then
+	mistakenUntil time.Time // considers the owner dead and itself the owner until then
 	nodes         int       // number of nodes in its view
 	owner         int       // index of the owner in its view
 }
@@ -160,14 +160,14 @@
 		table.Put(t0, instance("x"))
 	}
 	limited := func(table *Table) Limit { return table.targets["x"].limit.Limit }
-	named := Limit{Announced: true, Rate: 2}
-	assert.Assert(t, a.SetLimit(after(0), a.targets["x"], named))
-	assert.Assert(t, !a.SetLimit(after(10), a.targets["x"], named))
+	announced := Limit{Announced: true, Rate: 2}
+	assert.Assert(t, a.SetLimit(after(0), a.targets["x"], announced))
+	assert.Assert(t, !a.SetLimit(after(10), a.targets["x"], announced))
 	b.MergeLimits(after(120), a.ReportLimits(after(110), false))
-	assert.Equal(t, limited(b), named)
+	assert.Equal(t, limited(b), announced)
 	assert.Equal(t, len(b.ReportLimits(after(130), false)), 0, "only the node that received the answer reports it")
 	c.MergeLimits(after(250), b.ReportLimits(after(240), true))
-	assert.Equal(t, limited(c), named, "a relay reports for others")
+	assert.Equal(t, limited(c), announced, "a relay reports for others")
 	assert.Assert(t, a.SetLimit(after(1000), a.targets["x"], Limit{}))
 	a.MergeLimits(after(1050), c.ReportLimits(after(1040), true))
 	assert.Equal(t, limited(a), Limit{}, "an older answer changes nothing")
@@ -177,7 +177,7 @@
 	assert.Equal(t, c.LimitedTargets(), 0)
 }
 
-// A limit applies only to the incarnation that named it.
+// A limit applies only to the incarnation that announced it.
 func TestNewIncarnationHasNoLimit(t *testing.T) {
 	table := &Table{Region: "r"}
 	in := instance("a")
@@ -194,8 +194,8 @@
 	assert.Equal(t, bestTargetID(table, after(1002), Need{}), "a")
 }
 
-// Two of three targets name a limit. If small prompts could use it up, the third target would have
-// to read all large ones.
+// Two of three targets announce a limit. If small prompts could use it up, the third target would
+// have to read all large ones.
 func TestLargePromptsUseLimitedTargets(t *testing.T) {
 	table := &Table{Region: "r"}
 	for _, id := range []string{"a", "b", "c"} {
@@ -226,8 +226,9 @@
 	assert.Assert(t, bestTargetID(table, after(23_000), small) != "", "no other target is left")
 }
 
-// BenchmarkBestOfLimitedTargets chooses among the targets of a large region that all name a limit,
-// so that each request determines for each of them whether this node owns it and has room.
+// BenchmarkBestOfLimitedTargets chooses among the targets of a large region that all announce a
+// limit, so that each request determines for each of them whether this node owns it and its share
+// allows one more.
 func BenchmarkBestOfLimitedTargets(b *testing.B) {
 	const targets, nodes = 250, 75
 	members := &jwmember.Table{Self: jwmember.Member{Name: "n00", Region: "r", Serving: true}}
@@ -255,7 +256,8 @@
 }
 
 // In a region of many nodes, each compares only a few of many targets. The owner of a target with a
-// limit is the only node that may use the limit, but hardly ever had that target in its sample.
+// limit is the only node that may use the limit, and would hardly ever have that target in a random
+// sample.
 func TestOwnerUsesTheLimit(t *testing.T) {
 	const rate, seconds = 2, 20
 	random := rand.New(rand.NewPCG(1, 2))
--- a/io/jwgateway/gateway.go
+++ b/io/jwgateway/gateway.go
@@ -48,7 +48,7 @@
 	Admission       jwadmission.Policy          // which requests are rejected
 	Placement       jwplacement.Policy          // which region serves a request
 	RelayThreshold  int                         // number of nodes in a region from which on they exchange state through relays; 0 for the default
-	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's own clock
+	TimeSinceBoot   func() time.Duration        // returns the time since the host started, including time suspended; nil for the host's clock
 
 	viewCache           encodedViewCache
 	pauseDetector       jwclock.PauseDetector
@@ -80,7 +80,7 @@
 	startTime           time.Time
 	stopStartedAt       atomic.Int64  // when the planned stop began, nanoseconds since startTime
 	fleetSizeMissing    atomic.Bool   // the store was restored without the size of the fleet
-	registrationChanged chan struct{} // requests that the registration is written again
+	registrationChanged chan struct{} // signals that the registration must be written again
 	inFlight            atomic.Int64
 }
 
@@ -237,8 +237,8 @@
 	return jwbudget.ColdShare(l, g.members.Owns(now, target), g.members.Count(now, g.Settings.Region))
 }
 
-// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether a
-// node may own the target.
+// limitShare returns this node's share of the limit that a target announces. mayOwn reports whether
+// a node may own the target.
 func (g *Gateway) limitShare(rate float64, target string, mayOwn func(node string) bool) jwbudget.LimitShare {
 	now := time.Now()
 	if g.members.RegisteredFor(now) < jwbudget.LimitSettle {
@@ -276,8 +276,8 @@
 	}
 }
 
-// gaugePeriod is the time between two updates of the gauges.
-const gaugePeriod = time.Second
+// gaugeInterval is the time between two updates of the gauges.
+const gaugeInterval = time.Second
 
 // updateGauges updates the gauges periodically until ctx ends.
 func (g *Gateway) updateGauges(ctx context.Context) {
@@ -292,6 +292,6 @@
 		if g.DroppedLogLines != nil {
 			g.metrics.logLinesLost.Update(float64(g.DroppedLogLines()))
 		}
-		jwclock.Sleep(ctx, gaugePeriod)
+		jwclock.Sleep(ctx, gaugeInterval)
 	}
 }
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -19,7 +19,7 @@
 	notRun   Verdict = "notRun"   // no target has run the request or will run it
 	rejected Verdict = "rejected" // as notRun, and the request was not sent to any target
 	failed   Verdict = "failed"   // a target ran the request and reported a failure, or may have run it
-	broken   Verdict = "broken"   // a stream broke off; its complete events went to the caller
+	broken   Verdict = "broken"   // a stream ended incomplete; its complete events went to the caller
 )
 
 const (
@@ -51,7 +51,7 @@
 }
 
 // answerUnserved answers a request that was not served, or aborts its connection if an answer has
-// started or nobody waits for one. ran reports whether a target may have run the request.
+// started or the caller is gone. ran reports whether a target may have run the request.
 func (g *Gateway) answerUnserved(ctx, parent context.Context, q *request, ran bool) {
 	switch {
 	case parent.Err() != nil && g.graceOver.Load():
@@ -66,16 +66,16 @@
 		panic(http.ErrAbortHandler)
 	case q.body.tooLarge():
 		g.logAnswer(q, outcomeRefused, errBodyTooLarge.Error(), http.StatusRequestEntityTooLarge)
-		g.refuse(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
+		g.answerError(q.w, q.ID, http.StatusRequestEntityTooLarge, 0, errBodyTooLarge.Error())
 	case !ran:
 		g.logAnswer(q, "notRun", q.lastReason, http.StatusServiceUnavailable)
-		g.refuse(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
+		g.answerError(q.w, q.ID, http.StatusServiceUnavailable, max(q.retryAfter, jwadmission.MinRetryAfter), q.lastReason)
 	case ctx.Err() != nil:
 		g.logAnswer(q, "unknown", q.lastReason, http.StatusGatewayTimeout)
-		g.refuse(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
+		g.answerError(q.w, q.ID, http.StatusGatewayTimeout, 0, "not answered in time")
 	default:
 		g.logAnswer(q, "unknown", q.lastReason, http.StatusBadGateway)
-		g.refuse(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
+		g.answerError(q.w, q.ID, http.StatusBadGateway, 0, q.lastReason)
 	}
 }
 
@@ -88,7 +88,7 @@
 	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
 	case jwretry.NoBudget:
-		g.metrics.retriesRefused.Inc(1)
+		g.metrics.retriesRejected.Inc(1)
 	case jwretry.BudgetTaken:
 		q.budgetTaken.Store(false)
 		g.metrics.retries.Inc(1)
--- a/io/jwgateway/wake.go
+++ b/io/jwgateway/wake.go
@@ -12,8 +12,8 @@
 	// before. It is about the interval at which the store is read.
 	pauseLimit = time.Second
 	// maxWakeWait is how long a node waits for the store after a pause. Then it serves with the
-	// state from before the pause and what other nodes have reported since; otherwise a region cut
-	// off from the store could not serve after a pause.
+	// state from before the pause and what other nodes have reported since; otherwise a region
+	// that can't reach the store could not serve after a pause.
 	maxWakeWait = 2 * time.Second
 	// wakeRetryAfter is the Retry-After of a node that has not read the store yet after a pause:
 	// about one round trip to the store.
