--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -9,7 +9,7 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// Reason states why a request was refused or failed. It is meant for programs,
+// Reason states why a request was rejected or failed. It is meant for programs,
 // and Detail for people.
 type Reason string
 
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -69,27 +69,27 @@
 // job is the state of one request while this node handles it.
 type job struct {
 	*Dispatcher
-	request         *jwrequest.Request
-	entry           *jwcatalogue.Entry
-	workspace       jwdirectory.Workspace
-	forwarded       bool
-	sink            *trackedSink
-	prefix          uint64
-	fp              jwsuspect.Fingerprint // cached result of the method fingerprint
-	tries           int
-	mayHaveRun      bool // some try may have run the request
-	refusedByRegion bool // the last try was refused by another region
-	query           jwrouter.Query
-}
-
-// Serve runs a request and writes its answer to the sink. When ctx ends, nobody
-// waits for the answer any more.
+	request          *jwrequest.Request
+	entry            *jwcatalogue.Entry
+	workspace        jwdirectory.Workspace
+	forwarded        bool
+	sink             *trackedSink
+	prefix           uint64
+	fp               jwsuspect.Fingerprint // cached result of the method fingerprint
+	tries            int
+	mayHaveRun       bool // some try may have run the request
+	rejectedByRegion bool // the last try was rejected by another region
+	query            jwrouter.Query
+}
+
+// Serve runs a request and writes its answer to the sink. When ctx ends, the
+// caller no longer waits for the answer.
 func (d *Dispatcher) Serve(ctx context.Context, r *jwrequest.Request, sink Sink) {
 	j := &job{Dispatcher: d, request: r, forwarded: len(r.Hops) > 0}
 	j.sink = &trackedSink{Sink: sink, job: j, startedAt: d.Now()}
 	defer j.sink.recordAbandoned()
 	if refusal, refused := j.prepare(); refused {
-		j.sink.refuse(refusal)
+		j.sink.reject(refusal)
 		return
 	}
 	ctx, cancel := context.WithDeadline(ctx, r.Deadline)
@@ -112,7 +112,7 @@
 	return refusal, refused
 }
 
-// CheckTicket refuses a ticket for a workspace whose home is another region: a
+// CheckTicket rejects a ticket for a workspace whose home is another region: a
 // ticket is run by the node that minted it, and confirmations run in the home
 // region. An unknown workspace, such as an empty one, is treated as one of this
 // region.
@@ -213,7 +213,7 @@
 	return j.checkLoop()
 }
 
-// checkLoop refuses a request that has been at this node before or has changed
+// checkLoop rejects a request that has been at this node before or has changed
 // region twice, whatever else its record of hops says. Nodes with different
 // catalogue revisions or client directories could each take the other's region
 // for the right one and forward the request back and forth.
--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -15,10 +15,10 @@
 	if errors.Is(err, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
 		// Without a head, a caller that is still connected would see an empty
 		// answer with status 200, as when the server cancels its calls.
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonCaller, "caller gone"))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonCaller, "caller gone"))
 		return
 	}
-	j.sink.refuse(j.failure(ctx, err))
+	j.sink.reject(j.failure(ctx, err))
 }
 
 // failure converts the last error into the refusal that the caller gets.
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -40,7 +40,7 @@
 	j.initQuery()
 	place, release, refusal, admitted := j.placeAndAdmit()
 	if !admitted {
-		j.sink.refuse(refusal)
+		j.sink.reject(refusal)
 		return
 	}
 	defer func() { release() }()
@@ -59,7 +59,7 @@
 		if place.Region != j.Self.Region {
 			release()
 			if release, refusal, admitted = j.admitLocally(); !admitted {
-				j.sink.refuse(refusal)
+				j.sink.reject(refusal)
 				return
 			}
 		}
@@ -72,7 +72,7 @@
 // admitLocally admits in this region a request that another region did not
 // serve. It has only been admitted for the other region so far; if such
 // requests ran here without a check, they would lengthen the queue of a region
-// that has refused others.
+// that has rejected others.
 func (j *job) admitLocally() (release func(), refusal AnswerHead, admitted bool) {
 	j.query.RefusedLocally = false
 	release, refused, admitted := j.admit(false)
@@ -165,7 +165,7 @@
 	if err == nil {
 		if a.Head.Outcome == jwrequest.NotRun {
 			_ = a.Body.Close()
-			j.refusedByRegion = true
+			j.rejectedByRegion = true
 			err = &CallError{
 				Step: "forward to region " + region, Peer: to.NodeAddress, Kind: Refused,
 				RetryAfter: a.Head.RetryAfter, Err: errors.New(a.Head.Detail),
@@ -218,8 +218,8 @@
 	// A region without capacity ran nothing, so the request is tried in this
 	// region. That does not count against the retry budget, which is for
 	// failures.
-	if j.refusedByRegion {
-		j.refusedByRegion = false
+	if j.rejectedByRegion {
+		j.rejectedByRegion = false
 		return true
 	}
 	return j.tries < maxTries && j.Board.Budget.Retry(j.entry.Name)
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -45,7 +45,7 @@
 	defer cancel()
 	decision, err := j.Claims.Begin(ctx, keyedCall)
 	if err != nil {
-		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonKey, err.Error()))
+		j.sink.reject(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonKey, err.Error()))
 		return
 	}
 	j.trace("claim", string(decision.Verdict))
@@ -70,7 +70,7 @@
 	case jwclaim.Join:
 		a, err := d.Call.Wait(ctx)
 		if err != nil {
-			j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonDeadline, "an earlier try with this key still runs"))
+			j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonDeadline, "an earlier try with this key still runs"))
 			return
 		}
 		j.replay(a)
@@ -81,17 +81,17 @@
 	case jwclaim.Mismatch:
 		// This body did not run, but the key belongs to another request that
 		// did.
-		j.sink.refuse(Refusal(http.StatusConflict, jwrequest.NotRun, ReasonKeyMismatch, "the key came with another body before"))
+		j.sink.reject(Refusal(http.StatusConflict, jwrequest.NotRun, ReasonKeyMismatch, "the key came with another body before"))
 	case jwclaim.Refused:
-		j.sink.refuse(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
+		j.sink.reject(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
 	case jwclaim.NotRun:
-		j.sink.refuse(unavailable(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
+		j.sink.reject(unavailable(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
 	case jwclaim.ClaimsUnreadable:
 		h := unavailable(ReasonClaim, "this try ran nothing, but whether an earlier one with this key did can't be read now; send the same key again, or use a ticket for a new order", d.RetryAfter)
 		h.Outcome = jwrequest.Unknown
-		j.sink.refuse(h)
+		j.sink.reject(h)
 	default:
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, "an earlier try with this key may have run; it never runs again"))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, "an earlier try with this key may have run; it never runs again"))
 	}
 }
 
@@ -101,9 +101,9 @@
 	case jwrequest.Served:
 		j.sink.sendWhole(AnswerHead{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
 	case jwrequest.NotRun:
-		j.sink.refuse(unavailable(ReasonTarget, "the try that this one waited for was not run", defaultRetryAfter))
+		j.sink.reject(unavailable(ReasonTarget, "the try that this one waited for was not run", defaultRetryAfter))
 	default:
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonTarget, "the one run of this key broke off"))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonTarget, "the one run of this key broke off"))
 	}
 }
 
@@ -118,18 +118,18 @@
 		call.Release()
 		h := Refusal(http.StatusUnprocessableEntity, jwrequest.NotRun, ReasonQuarantine, "requests with this body crashed targets")
 		h.RetryAfter = left
-		j.sink.refuse(h)
+		j.sink.reject(h)
 		return
 	}
 	release, refused, admitted := j.admit(false)
 	if !admitted {
 		call.Release()
-		j.sink.refuse(unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter))
+		j.sink.reject(unavailable(ReasonLimit, string(refused.Reason), refused.RetryAfter))
 		return
 	}
 	defer release()
 	if err := call.MarkDispatched(); err != nil {
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, err.Error()))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, err.Error()))
 		return
 	}
 	j.initQuery()
@@ -148,12 +148,12 @@
 		if !notRun(err) {
 			call.MarkLost()
 			j.mayHaveRun = true
-			j.sink.refuse(j.failure(ctx, err))
+			j.sink.reject(j.failure(ctx, err))
 			return
 		}
 		if ctx.Err() != nil || isNoPlacement(err) || j.tries >= maxTries || !j.Board.Budget.Retry(j.entry.Name) {
 			call.Release()
-			j.sink.refuse(j.failure(ctx, err))
+			j.sink.reject(j.failure(ctx, err))
 			return
 		}
 	}
@@ -195,7 +195,7 @@
 // its keys are claimed.
 func (j *job) forwardToHome(ctx context.Context, keyedCall jwclaim.KeyedCall) {
 	if j.forwarded {
-		j.sink.refuse(j.keyUncheckedRefusal("the home region has changed on the way"))
+		j.sink.reject(j.keyUncheckedRefusal("the home region has changed on the way"))
 		return
 	}
 	peers := j.peersIn(j.workspace.Region, j.workspace.Name)
@@ -206,7 +206,7 @@
 			return
 		}
 	}
-	j.sink.refuse(j.keyUncheckedRefusal("no node of the home region can be reached"))
+	j.sink.reject(j.keyUncheckedRefusal("no node of the home region can be reached"))
 }
 
 // movePreferredToFront moves the node that writes the claims of the key to the
@@ -265,7 +265,7 @@
 func (j *job) forwardToHolder(ctx context.Context, holder jwclaim.Holder) {
 	p, known := j.Board.Peers.Get(holder.Node)
 	if !known || p.Incarnation != holder.Incarnation || p.State == jwpeer.Gone || len(j.request.Hops) >= MaxHops || holder.Region != j.Self.Region {
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, "the node that took this key is gone; it may have run"))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonClaim, "the node that took this key is gone; it may have run"))
 		return
 	}
 	holderHop := jwrequest.Hop{Node: p.Name, Region: p.Region, DataCentre: p.DataCentre}
@@ -274,13 +274,13 @@
 		// before. The caller can send it to that node directly.
 		h := Refusal(http.StatusServiceUnavailable, jwrequest.Unknown, ReasonClaim, "another host took this key; send it there")
 		h.RetryAfter, h.Hosts = defaultRetryAfter, []netip.AddrPort{p.CallerAddress}
-		j.sink.refuse(h)
+		j.sink.reject(h)
 		return
 	}
 	j.trace("forward", p.Name)
 	a, err := j.Peers.Forward(ctx, p, j.request, ForwardHolder)
 	if !j.relayAnswer(a, err) {
-		j.sink.refuse(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, "the node that took this key can't be reached; it may have run"))
+		j.sink.reject(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, "the node that took this key can't be reached; it may have run"))
 	}
 }
 
@@ -291,12 +291,12 @@
 		if notRun(err) {
 			return false
 		}
-		j.sink.refuse(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, err.Error()))
+		j.sink.reject(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, err.Error()))
 		return true
 	}
 	rl := &relay{sink: j.sink}
 	if err := rl.copy(a); err != nil && !errors.Is(err, errCallerGone) {
-		j.sink.refuse(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, err.Error()))
+		j.sink.reject(Refusal(http.StatusBadGateway, jwrequest.Unknown, ReasonPeer, err.Error()))
 	}
 	return true
 }
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -54,7 +54,7 @@
 func (rl *relay) copy(a *Answer) error {
 	defer func() { _ = a.Body.Close() }()
 	if a.Head.Outcome != "" && a.Head.Outcome != jwrequest.Served {
-		rl.sink.refuse(a.Head)
+		rl.sink.reject(a.Head)
 		return nil
 	}
 	if rl.sink.headSent || a.Head.Length > maxBufferedAnswer || a.Head.Length < 0 && isEventStream(a.Head) {
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -80,19 +80,19 @@
 		body   string
 		served bool // if false, the last try ends in an error
 	}{
-		"first try whole":                    {[]*Answer{letterStream(200, "abc", false)}, "abc", true},
-		"same text again":                    {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abcdef", false)}, "abcdef", true},
-		"cut three times":                    {[]*Answer{letterStream(200, "ab", true), letterStream(200, "a", true), letterStream(200, "abcd", true), letterStream(200, "abcdef", false)}, "abcdef", true},
-		"byte by byte":                       {[]*Answer{letterStream(200, "abc", true), byteByByte(letterStream(200, "abcdef", false))}, "abcdef", true},
-		"cut at the end":                     {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abc", false)}, "abc", true},
-		"another text":                       {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abxdef", false)}, "abc", false},
-		"shorter":                            {[]*Answer{letterStream(200, "abc", true), letterStream(200, "ab", false)}, "abc", false},
-		"error page after text":              {[]*Answer{letterStream(200, "abc", true), newAnswer(page, strings.NewReader("sorry"))}, "abc", false},
-		"error page before text":             {[]*Answer{letterStream(200, "", true), newAnswer(page, strings.NewReader("sorry"))}, "", false},
-		"plain text after a head":            {[]*Answer{letterStream(200, "", true), newAnswer(AnswerHead{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
-		"plain, cut, then whole":             {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
-		"plain of unknown length, cut":       {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
-		"refused by another node after text": {[]*Answer{letterStream(200, "abc", true), newAnswer(Refusal(504, jwrequest.Unknown, ReasonTarget, ""), strings.NewReader(""))}, "abc", false},
+		"first try complete":                  {[]*Answer{letterStream(200, "abc", false)}, "abc", true},
+		"same text again":                     {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abcdef", false)}, "abcdef", true},
+		"broken three times":                  {[]*Answer{letterStream(200, "ab", true), letterStream(200, "a", true), letterStream(200, "abcd", true), letterStream(200, "abcdef", false)}, "abcdef", true},
+		"byte by byte":                        {[]*Answer{letterStream(200, "abc", true), byteByByte(letterStream(200, "abcdef", false))}, "abcdef", true},
+		"broken at the end":                   {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abc", false)}, "abc", true},
+		"another text":                        {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abxdef", false)}, "abc", false},
+		"shorter":                             {[]*Answer{letterStream(200, "abc", true), letterStream(200, "ab", false)}, "abc", false},
+		"error page after text":               {[]*Answer{letterStream(200, "abc", true), newAnswer(page, strings.NewReader("sorry"))}, "abc", false},
+		"error page before text":              {[]*Answer{letterStream(200, "", true), newAnswer(page, strings.NewReader("sorry"))}, "", false},
+		"plain text after a head":             {[]*Answer{letterStream(200, "", true), newAnswer(AnswerHead{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
+		"plain, broken, then complete":        {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
+		"plain of unknown length, broken":     {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
+		"rejected by another node after text": {[]*Answer{letterStream(200, "abc", true), newAnswer(Refusal(504, jwrequest.Unknown, ReasonTarget, ""), strings.NewReader(""))}, "abc", false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwdispatch/sink.go
+++ b/core/jwdispatch/sink.go
@@ -72,9 +72,9 @@
 	})
 }
 
-// refuse ends the request with a refusal, even if part of the answer was
+// reject ends the request with a refusal, even if part of the answer was
 // already sent.
-func (e *trackedSink) refuse(h AnswerHead) {
+func (e *trackedSink) reject(h AnswerHead) {
 	if h.Outcome != jwrequest.Served {
 		e.job.trace("refused", h.Detail)
 	}
--- a/core/jwdispatch/sink_test.go
+++ b/core/jwdispatch/sink_test.go
@@ -94,4 +94,4 @@
 	e.sendWhole(AnswerHead{Status: 200, ServedBy: "east"}, []byte("hello"))
 }
 
-func sendRefusal(e *trackedSink) { e.refuse(unavailable(ReasonLimit, "", time.Second)) }
+func sendRefusal(e *trackedSink) { e.reject(unavailable(ReasonLimit, "", time.Second)) }
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -11,7 +11,7 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// quarantined refuses the request and returns true if requests like it crashed
+// quarantined rejects the request and returns true if requests like it crashed
 // targets.
 func (j *job) quarantined() bool {
 	state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now())
@@ -20,7 +20,7 @@
 	}
 	h := Refusal(http.StatusUnprocessableEntity, jwrequest.NotRun, ReasonQuarantine, "requests with this body crashed targets")
 	h.RetryAfter = left
-	j.sink.refuse(h)
+	j.sink.reject(h)
 	return true
 }
 
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -36,7 +36,7 @@
 
 // check makes the checks one after the other and returns the first refusal. The
 // refusals that cost the caller least come last: a request above a limit of the
-// entry is refused for that reason even when the service is full as well.
+// entry is rejected for that reason even when the service is full as well.
 func (a *admission) check() (Refusal, bool) {
 	if a.Capacity.Targets == 0 && !a.Away {
 		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
@@ -85,14 +85,14 @@
 	if a.mayTakeToken(&a.entryMeter.reservations, a.entryMeter.tokens, interval) {
 		return Refusal{}, false
 	}
-	return a.refuseWithReservation(EntryRate, &a.entryMeter.reservations, interval), true
+	return a.rejectWithReservation(EntryRate, &a.entryMeter.reservations, interval), true
 }
 
 // mayTakeToken reports whether a request may take one of the free tokens. A
 // caller that retries at its reserved time may take any of them; others may
 // take only tokens that are not reserved. Otherwise new callers would take the
-// tokens first, and callers that retry at the given time would be refused again
-// and again.
+// tokens first, and callers that retry at the given time would be rejected
+// again and again.
 func (a *admission) mayTakeToken(q *reservationQueue, free float64, interval time.Duration) bool {
 	if a.limiter.Policy.NoReservations {
 		return free >= 1
@@ -162,12 +162,12 @@
 
 // boundQueueFactor is how much longer the queue may be for requests that are
 // bound to this region. Other requests may run in other regions. If all had the
-// same limit, bound requests would be refused while the others fill the queue
+// same limit, bound requests would be rejected while the others fill the queue
 // that they need.
 const boundQueueFactor = 1.4
 
 // maxOutstandingPerSlot returns the number of outstanding requests per slot
-// from which the request is refused.
+// from which the request is rejected.
 func (a *admission) maxOutstandingPerSlot() float64 {
 	if a.Bound {
 		return boundQueueFactor * a.classLimit().outstanding
@@ -227,9 +227,9 @@
 	return a.Capacity.CallTime * time.Duration(nodes) / time.Duration(slots)
 }
 
-// refuseWithReservation refuses the request and reserves the next free place in
+// rejectWithReservation rejects the request and reserves the next free place in
 // a queue for its caller.
-func (a *admission) refuseWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Refusal {
+func (a *admission) rejectWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Refusal {
 	if a.limiter.Policy.NoReservations {
 		return Refusal{Reason: reason, RetryAfter: a.withJitter(interval)}
 	}
@@ -250,11 +250,11 @@
 // for callers that retry.
 const retryCapacityShare = 0.25
 
-// staggeredRetryAfter returns when a caller that was refused for lack of
+// staggeredRetryAfter returns when a caller that was rejected for lack of
 // capacity should retry: after the others that were given a time, at a rate
 // that leaves most of the capacity to new callers. If all retried soon, they
 // would return during the overload again and again, new callers would be
-// refused in their favour, and everyone would be served late, after several
+// rejected in their favour, and all callers would be served late, after several
 // tries.
 func (a *admission) staggeredRetryAfter(p *pool, minWait time.Duration) time.Duration {
 	pace := time.Duration(float64(a.slotInterval()) / retryCapacityShare)
@@ -269,7 +269,7 @@
 }
 
 // withJitter returns a random time between d and 2*d, so that callers that were
-// refused together do not retry together. It first limits d so that the result
+// rejected together do not retry together. It first limits d so that the result
 // is within the bounds of a Retry-After.
 func (a *admission) withJitter(d time.Duration) time.Duration {
 	d = min(max(d, minRetryAfter), maxRetryAfter/2)
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -8,7 +8,7 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// Reason states why a request was refused.
+// Reason states why a request was rejected.
 type Reason string
 
 // The reasons for a refusal.
@@ -22,7 +22,7 @@
 	NoTarget        Reason = "noTarget"        // no target may get the request
 )
 
-// LacksCapacity reports whether the request was refused for lack of capacity in this
+// LacksCapacity reports whether the request was rejected for lack of capacity in this
 // region, so that another region may still take it.
 func (r Reason) LacksCapacity() bool {
 	return r == OwnerShare || r == TooLate || r == QueueFull || r == NoTarget
@@ -77,7 +77,7 @@
 	NoDeadline     bool // requests that would miss their deadline are admitted too
 	NoClasses      bool // all classes have the limits and the expected wait of drafts
 	NoOwners       bool // owners have no shares and may displace each other
-	NoReservations bool // no places are reserved for refused callers
+	NoReservations bool // no places are reserved for rejected callers
 }
 
 // poolKey identifies the requests of one owner to one service.
@@ -90,10 +90,10 @@
 	lastRequest     time.Time // when the last request arrived
 	owners          int       // number of active owners as of ownersCountedAt; only for a pool of all owners
 	ownersCountedAt time.Time
-	lastRetryAt     time.Time // latest retry time given to a caller that was refused for lack of capacity
+	lastRetryAt     time.Time // latest retry time given to a caller that was rejected for lack of capacity
 }
 
-// Admit admits a request or refuses it. The Token of an admitted request must
+// Admit admits a request or rejects it. The Token of an admitted request must
 // be released.
 func (l *Limiter) Admit(q *Query) (t Token, refusal Refusal, admitted bool) {
 	l.mu.Lock()
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -91,7 +91,7 @@
 }
 
 // One owner sends far more than the service can run while others send little.
-// Without shares the others find all slots in use and are refused as long as
+// Without shares the others find all slots in use and are rejected as long as
 // the burst lasts.
 func TestBurstOfOneOwnerDoesNotDisplaceOthers(t *testing.T) {
 	served := func(p Policy) int {
@@ -123,20 +123,20 @@
 
 // Callers above an entry's rate are told when to retry. If new callers could
 // take their places in the meantime, callers that retry on time would be
-// refused again and again. If all were given the same time, they would retry
+// rejected again and again. If all were given the same time, they would retry
 // together.
 func TestCallersRetryingOnTimeAreAdmitted(t *testing.T) {
-	returned, refusedAgain, together := simulateRetries(Policy{})
+	returned, rejectedAgain, together := simulateRetries(Policy{})
 	assert.Assert(t, returned > 50, "%d callers retried", returned)
-	assert.Equal(t, refusedAgain, 0)
+	assert.Equal(t, rejectedAgain, 0)
 	assert.Assert(t, together <= 2, "%d callers retry at the same time", together)
-	_, refusedAgain, _ = simulateRetries(Policy{NoReservations: true})
-	assert.Assert(t, refusedAgain > 0)
+	_, rejectedAgain, _ = simulateRetries(Policy{NoReservations: true})
+	assert.Assert(t, rejectedAgain > 0)
 }
 
 // simulateRetries sends more requests than an entry's rate for ten seconds; the
-// refused callers retry when they were told to.
-func simulateRetries(p Policy) (returned, refusedAgain, together int) {
+// rejected callers retry at the time that they were given.
+func simulateRetries(p Policy) (returned, rejectedAgain, together int) {
 	l := &Limiter{Node: "n", Policy: p}
 	entry := &jwcatalogue.Entry{Name: "e", Class: jwcatalogue.Draft, Service: "s", Limits: jwcatalogue.Limits{Rate: 10, Burst: 1}}
 	due := make(map[int][]uint64) // callers by the millisecond at which they retry
@@ -147,7 +147,7 @@
 		for _, q.Caller = range due[ms] {
 			returned++
 			if _, _, ok := l.Admit(q); !ok {
-				refusedAgain++
+				rejectedAgain++
 			}
 		}
 		if ms%70 == 0 { // always more than the rate
@@ -162,7 +162,7 @@
 	for _, callers := range due {
 		together = max(together, len(callers))
 	}
-	return returned, refusedAgain, together
+	return returned, rejectedAgain, together
 }
 
 // The nodes of a region share an entry's limit without a message for each
@@ -284,9 +284,9 @@
 	}
 }
 
-// In a lasting overload, more callers are refused than can be served later. If
-// all were told to retry at once, they would return within a second, take the
-// places of new callers and be refused again, and every answer would be late.
+// In a lasting overload, more callers are rejected than can be served later. If
+// all were to retry at once, they would return within a second, take the places
+// of new callers and be rejected again, and every answer would be late.
 func TestCapacityRefusalsSpreadRetries(t *testing.T) {
 	l := &Limiter{}
 	var retryAfters []time.Duration
--- a/core/jwlimit/reservation.go
+++ b/core/jwlimit/reservation.go
@@ -9,7 +9,7 @@
 	earlyTolerance   = 100 * time.Millisecond // how much before its reserved time a caller may return
 )
 
-// reservationQueue reserves retry times for refused callers, one after the
+// reservationQueue reserves retry times for rejected callers, one after the
 // other. The zero value is empty; the lock of the Limiter guards it.
 type reservationQueue struct {
 	queue    []reservation // ordered by time
--- a/core/jwrouter/router.go
+++ b/core/jwrouter/router.go
@@ -28,7 +28,7 @@
 	Home           string           // home region of the workspace
 	Bound          bool             // the data of the workspace must not leave Home
 	Forwarded      bool             // the request came from another node, whatever Hops says
-	RefusedLocally bool             // this region has refused the request for lack of capacity
+	RefusedLocally bool             // this region has rejected the request for lack of capacity
 	Hops           jwrequest.Hops   // the nodes that the request passed before this one
 	Prefix         uint64           // result of PrefixOf, 0 if the prompt shares nothing with others
 	Prefill        time.Duration    // time that a cached prefix saves
--- a/io/jwforward/identity_test.go
+++ b/io/jwforward/identity_test.go
@@ -13,7 +13,7 @@
 
 // A compromised node has its own certificate but claims to be another node: it
 // confirms a change for that node, or claims that a request came from another
-// region. Such calls must be refused.
+// region. Such calls must be rejected.
 func TestCheckIdentity(t *testing.T) {
 	uri, err := url.Parse("spiffe://jujubewheel/region/east/node/e1")
 	assert.NilError(t, err)
@@ -24,21 +24,21 @@
 	tests := map[string]struct {
 		auth         credentials.AuthInfo
 		node, region string
-		refused      bool
+		rejected     bool
 	}{
 		"itself":                   {auth: nodeAuth, node: "e1", region: "east"},
 		"itself, region not given": {auth: nodeAuth, node: "e1"},
-		"another node":             {auth: nodeAuth, node: "e2", region: "east", refused: true},
-		"another region":           {auth: nodeAuth, node: "e1", region: "west", refused: true},
-		"no certificate":           {auth: tlsInfo(), node: "e1", refused: true},
-		"a certificate of no node": {auth: tlsInfo(&x509.Certificate{}), node: "e1", refused: true},
+		"another node":             {auth: nodeAuth, node: "e2", region: "east", rejected: true},
+		"another region":           {auth: nodeAuth, node: "e1", region: "west", rejected: true},
+		"no certificate":           {auth: tlsInfo(), node: "e1", rejected: true},
+		"a certificate of no node": {auth: tlsInfo(&x509.Certificate{}), node: "e1", rejected: true},
 		"any node without TLS":     {node: "e2", region: "west"},
 	}
 	for name, test := range tests {
 		t.Run(name, func(t *testing.T) {
 			ctx := peer.NewContext(t.Context(), &peer.Peer{AuthInfo: test.auth})
 			err := checkIdentity(ctx, test.node, test.region)
-			assert.Equal(t, err != nil, test.refused, "%v", err)
+			assert.Equal(t, err != nil, test.rejected, "%v", err)
 		})
 	}
 }
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -125,7 +125,7 @@
 	return r, head.GetReason(), nil
 }
 
-// checkLastHop refuses a request without a record of its hops, or whose last hop
+// checkLastHop rejects a request without a record of its hops, or whose last hop
 // is not the node that sent it. Without the record, the request would count as
 // one from a caller and could be forwarded to another region, and from there
 // again.
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -16,7 +16,7 @@
 
 // A request ran on a target that crashed for another reason, and was then served
 // by another target. If the notice that it is harmless is lost on the wire, the
-// other nodes go on refusing the request.
+// other nodes go on rejecting the request.
 func TestSuspectsOnTheWire(t *testing.T) {
 	target := netip.MustParseAddrPort("10.0.0.1:80")
 	fingerprint := []byte("0123456789abcdef")
--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -57,8 +57,8 @@
 	Mint() (string, error)
 }
 
-// Counter counts requests that this package refuses. The dispatcher counts those
-// that it refuses or serves.
+// Counter counts requests that this package rejects. The dispatcher counts those
+// that it rejects or serves.
 type Counter interface {
 	// RecordEnd counts one request. The entry is empty if its name has not been
 	// checked.
@@ -107,7 +107,7 @@
 func (c *Callers) ticket(w http.ResponseWriter, r *http.Request) {
 	workspace := r.Header.Get(headerWorkspace)
 	if len(r.Header.Values(headerWorkspace)) > 1 || !isShortPrintable(workspace, maxNameLength) {
-		c.refuseUnchecked(w, badHeader(headerWorkspace))
+		c.rejectUnchecked(w, badHeader(headerWorkspace))
 		return
 	}
 	if refusal, refused := c.Dispatcher.CheckTicket(workspace); refused {
@@ -136,7 +136,7 @@
 		w.Header().Set(headerRequestID, in.ID)
 	}
 	if refused {
-		c.refuseUnchecked(w, refusal.ForKey(in.Key))
+		c.rejectUnchecked(w, refusal.ForKey(in.Key))
 		return
 	}
 	done, ok := c.Gate.Enter()
@@ -144,7 +144,7 @@
 		if ok {
 			done()
 		}
-		c.refuseUnchecked(w, c.refusalWhenLeaving(in))
+		c.rejectUnchecked(w, c.refusalWhenNotReady(in))
 		return
 	}
 	defer done()
@@ -153,7 +153,7 @@
 		return
 	}
 	if refusal, refused := c.receiveBody(w, r, in); refused {
-		c.refuseBody(w, in, refusal.ForKey(in.Key))
+		c.rejectBody(w, in, refusal.ForKey(in.Key))
 		return
 	}
 	sink := &httpSink{w: w, control: http.NewResponseController(w)}
@@ -165,19 +165,19 @@
 	}
 }
 
-// refuseUnchecked refuses a request that the dispatcher has not checked. It
+// rejectUnchecked rejects a request that the dispatcher has not checked. It
 // records no trace: it is not known yet whether the data is bound to another
 // region, in which case no trace may be recorded here.
-func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.AnswerHead) {
+func (c *Callers) rejectUnchecked(w http.ResponseWriter, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
 		c.Counter.RecordEnd("", h.Outcome, h.Reason)
 	}
 	writeRefusal(w, h)
 }
 
-// refuseBody refuses a request because of its body, after the dispatcher has
+// rejectBody rejects a request because of its body, after the dispatcher has
 // checked everything else.
-func (c *Callers) refuseBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.AnswerHead) {
+func (c *Callers) rejectBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
 		c.Counter.RecordEnd(in.Entry, h.Outcome, h.Reason)
 	}
@@ -188,9 +188,9 @@
 	writeRefusal(w, h)
 }
 
-// refusalWhenLeaving returns the refusal that directs callers to other nodes
+// refusalWhenNotReady returns the refusal that directs callers to other nodes
 // while this one starts or stops.
-func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.AnswerHead {
+func (c *Callers) refusalWhenNotReady(in *jwrequest.Request) jwdispatch.AnswerHead {
 	h := jwdispatch.Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, jwdispatch.ReasonLeaving, "this node takes no requests now").ForKey(in.Key)
 	h.Hosts = c.Dispatcher.Hosts(in.Workspace)
 	h.RetryAfter = time.Second
@@ -198,7 +198,7 @@
 }
 
 // receiveBody reads the body into the request, or returns a refusal. A body whose
-// announced length is too long is refused without reading it.
+// announced length is too long is rejected without reading it.
 func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.AnswerHead, bool) {
 	limit := c.Dispatcher.MaxBody(in.Entry)
 	if r.ContentLength > limit {
--- a/io/jwlisten/header.go
+++ b/io/jwlisten/header.go
@@ -25,7 +25,7 @@
 )
 
 // parse reads a request's path and headers, or returns a refusal. The request is
-// returned in both cases, but its fields are not checked if it is refused.
+// returned in both cases, but its fields are not checked if it is rejected.
 func parse(r *http.Request) (*jwrequest.Request, jwdispatch.AnswerHead, bool) {
 	in := &jwrequest.Request{
 		ID:          r.Header.Get(headerRequestID),
@@ -39,7 +39,7 @@
 		in.ID = newRequestID()
 	}
 	if name, repeated := repeatedHeader(r.Header); repeated {
-		return in, refuseHeader("header given more than once: " + name), true
+		return in, headerRefusal("header given more than once: " + name), true
 	}
 	switch {
 	case !isShortPrintable(in.ID, maxNameLength):
@@ -88,10 +88,10 @@
 }
 
 func badHeader(name string) jwdispatch.AnswerHead {
-	return refuseHeader("missing or malformed header: " + name)
+	return headerRefusal("missing or malformed header: " + name)
 }
 
-func refuseHeader(detail string) jwdispatch.AnswerHead {
+func headerRefusal(detail string) jwdispatch.AnswerHead {
 	return jwdispatch.Refusal(http.StatusBadRequest, jwrequest.NotRun, jwdispatch.ReasonHeader, detail)
 }
 
--- a/io/jwlisten/header_test.go
+++ b/io/jwlisten/header_test.go
@@ -11,8 +11,8 @@
 )
 
 // FuzzParse checks that, whatever headers are sent, an accepted request holds
-// only short printable values and a deadline in the future, and a refused one
-// says why. Accepted values are passed on to targets, logs and other nodes: if
+// only short printable values and a deadline in the future, and a rejected one
+// states why. Accepted values are passed on to targets, logs and other nodes: if
 // one contained a line break, a caller could insert headers into the requests
 // that carry it.
 func FuzzParse(f *testing.F) {
@@ -36,7 +36,7 @@
 		in, refusal, refused := parse(r)
 		if refused {
 			if refusal.Status != http.StatusBadRequest || refusal.Outcome != jwrequest.NotRun || refusal.Detail == "" {
-				t.Fatalf("refused without status, outcome or detail: %+v", refusal)
+				t.Fatalf("rejected without status, outcome or detail: %+v", refusal)
 			}
 			return
 		}
--- a/io/jwlisten/unmatched.go
+++ b/io/jwlisten/unmatched.go
@@ -11,13 +11,13 @@
 // reasonPath is the reason in refusals of requests that match no route.
 const reasonPath jwdispatch.Reason = "path"
 
-// notFound refuses an unknown path. The refusal lets a caller that mistyped the
-// path tell this answer from a 404 of a target.
+// notFound rejects an unknown path. The refusal lets a caller that mistyped the
+// path distinguish this answer from a 404 of a target.
 func notFound(w http.ResponseWriter, _ *http.Request) {
 	writeRefusal(w, jwdispatch.Refusal(http.StatusNotFound, jwrequest.NotRun, reasonPath, "no such path"))
 }
 
-// notAllowed refuses a method that a path does not support.
+// notAllowed rejects a method that a path does not support.
 func notAllowed(w http.ResponseWriter, r *http.Request) {
 	allowed := http.MethodPost
 	if path.Clean(r.URL.Path) == hostsPath {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -23,7 +23,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// refusalSystem is a system in which requests can be refused for each reason.
+// refusalSystem is a system in which requests can be rejected for each reason.
 type refusalSystem struct {
 	*system
 	home, away, leaving    *runningNode
@@ -85,7 +85,7 @@
 
 // A caller that gets the outcome notRun sends the request again with a new key.
 // If the first one did run, the order is executed and paid twice. The test
-// refuses requests in each possible way and checks that no target has run them.
+// rejects requests in each possible way and checks that no target has run them.
 func TestNotRunIsTrue(t *testing.T) {
 	s := newRefusalSystem(t)
 	addr := s.home.CallersAddr()
--- a/io/jwrest/server.go
+++ b/io/jwrest/server.go
@@ -137,7 +137,7 @@
 		Handler:   s.closeWhenDraining(s.Handler),
 		TLSConfig: s.TLS,
 		// The limit of net/http is above MaxHeader, because its refusal has no
-		// outcome: handlers refuse headers larger than MaxHeader, and net/http
+		// outcome: handlers reject headers larger than MaxHeader, and net/http
 		// only those that are far larger.
 		MaxHeaderBytes:    maxHeaderFactor * intOr(s.MaxHeader, DefaultMaxHeader),
 		ReadHeaderTimeout: durationOr(s.HeaderTimeout, DefaultHeaderTimeout),
