--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -71,7 +71,7 @@
 }
 
 // Answer is the answer of a target or another node. Reading Body returns io.EOF
-// only when the answer is complete, and a *CallError when it broke off.
+// only when the answer is complete, and a *CallError when it is incomplete.
 type Answer struct {
 	Head AnswerHead
 	Body io.ReadCloser
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -99,7 +99,7 @@
 func (j *job) replay(a jwclaim.Answer) {
 	switch a.Outcome {
 	case jwrequest.Served:
-		j.sink.sendWhole(AnswerHead{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
+		j.sink.sendComplete(AnswerHead{Status: a.Status, ContentType: a.ContentType, Outcome: a.Outcome, ServedBy: a.Region}, a.Body)
 	case jwrequest.NotRun:
 		j.sink.reject(unavailable(ReasonTarget, "the try that this one waited for was not run", defaultRetryAfter))
 	default:
@@ -142,7 +142,7 @@
 				Status: head.Status, ContentType: head.ContentType, Body: body,
 				Outcome: jwrequest.Served, Region: j.Self.Region,
 			})
-			j.sink.sendWhole(head, body)
+			j.sink.sendComplete(head, body)
 			return
 		}
 		if !notRun(err) {
@@ -159,7 +159,7 @@
 	}
 }
 
-// callOnce makes one call of a target of this region and reads the whole
+// callOnce makes one call of a target of this region and reads the complete
 // answer.
 func (j *job) callOnce(ctx context.Context) (AnswerHead, []byte, error) {
 	j.query.Now = j.Now()
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -12,8 +12,8 @@
 )
 
 // maxBufferedAnswer is the maximum length in bytes of an answer that is read
-// whole before it is sent on. A longer one that is not a stream is sent as it
-// arrives.
+// completely before it is sent on. A longer one that is not a stream is sent as
+// it arrives.
 const maxBufferedAnswer = 4 << 20
 
 // Sizes in bytes of the buffer for reading from a target. A token takes about a
@@ -60,17 +60,17 @@
 	if rl.sink.headSent || a.Head.Length > maxBufferedAnswer || a.Head.Length < 0 && isEventStream(a.Head) {
 		return rl.copyAsReceived(a)
 	}
-	return rl.copyWhole(a)
+	return rl.copyComplete(a)
 }
 
 // isEventStream reports whether the answer is a text/event-stream.
 func isEventStream(h AnswerHead) bool { return strings.HasPrefix(h.ContentType, "text/event-stream") }
 
-// copyWhole reads the whole answer before it sends the first byte, so that the
-// caller does not notice when a broken answer is tried again. An answer longer
-// than maxBufferedAnswer is sent as it arrives.
-func (rl *relay) copyWhole(a *Answer) error {
-	body, err := readWhole(io.LimitReader(a.Body, maxBufferedAnswer+1), a.Head.Length)
+// copyComplete reads the complete answer before it sends the first byte, so that
+// the caller does not notice when a request whose answer is incomplete is
+// retried. An answer longer than maxBufferedAnswer is sent as it arrives.
+func (rl *relay) copyComplete(a *Answer) error {
+	body, err := readComplete(io.LimitReader(a.Body, maxBufferedAnswer+1), a.Head.Length)
 	if err != nil {
 		return err
 	}
@@ -78,14 +78,14 @@
 		a.Body = &prefixedBody{prefix: body, ReadCloser: a.Body}
 		return rl.copyAsReceived(a)
 	}
-	rl.sink.sendWhole(a.Head, body)
+	rl.sink.sendComplete(a.Head, body)
 	return nil
 }
 
-// readWhole reads to the end, into a buffer of the announced length if there is
-// one: growing a buffer step by step costs several times the memory. The
+// readComplete reads to the end, into a buffer of the announced length if there
+// is one: growing a buffer step by step costs several times the memory. The
 // announced length is used for nothing else, and may be wrong.
-func readWhole(r io.Reader, length int64) ([]byte, error) {
+func readComplete(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 || length > maxBufferedAnswer {
 		return io.ReadAll(r)
 	}
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -69,10 +69,10 @@
 
 func newAnswer(h AnswerHead, r io.Reader) *Answer { return &Answer{Head: h, Body: io.NopCloser(r)} }
 
-// A target fails while its answer is being sent, and the request is tried
-// again. The caller must get each byte once and the end of the same answer, or
-// be told that the answer broke off. Parts of two answers, or an error page in
-// place of the rest, would look to the caller like the draft it asked for.
+// A target fails while its answer is being sent, and the request is retried.
+// The caller must get each byte once and the end of the same answer, or an end
+// that marks the answer as incomplete. Parts of two answers, or an error page in
+// place of the remainder, would look to the caller like the draft it asked for.
 func TestRelayRetriesAnswer(t *testing.T) {
 	page := AnswerHead{Status: 500, ContentType: "text/plain", Length: 5}
 	tests := map[string]struct {
--- a/core/jwdispatch/relay_test.go
+++ b/core/jwdispatch/relay_test.go
@@ -69,9 +69,9 @@
 	}
 }
 
-// A stream breaks off inside an event and is tried again. The caller must get
-// each byte once and in order, or be told that the answer is not complete.
-// Otherwise halves of two different drafts could be sent to customers as one
+// A stream breaks inside an event and the request is retried. The caller must
+// get each byte once and in order, or learn that the answer is incomplete.
+// Otherwise parts of two different drafts could be sent to customers as one
 // price sheet.
 func TestRelayResumesStream(t *testing.T) {
 	broken := &CallError{Kind: BrokenOff, Err: errors.New("cut")}
@@ -81,7 +81,7 @@
 		want  string
 		err   error // expected of the last try
 	}{
-		"whole at once": {
+		"complete at once": {
 			tries: []*Answer{oneByteStream(numberedEvents(1, 5, "a")+done, nil)},
 			want:  numberedEvents(1, 5, "a") + done,
 		},
@@ -152,29 +152,29 @@
 func FuzzRelay(f *testing.F) {
 	f.Add(uint16(0), uint16(9), true, false)
 	f.Add(uint16(30), uint16(31), false, true)
-	whole := numberedEvents(1, 8, "text") + "data: [DONE]\n\n"
+	complete := numberedEvents(1, 8, "text") + "data: [DONE]\n\n"
 	broken := &CallError{Kind: BrokenOff, Err: errors.New("cut")}
 	f.Fuzz(func(t *testing.T, first, second uint16, resumeFirst, resumeSecond bool) {
 		rl, caller := newRelay()
 		next := func(resume bool) string {
 			if resume && rl.events.lastEventID() != "" {
-				return whole[rl.bytesSent:]
+				return complete[rl.bytesSent:]
 			}
-			return whole
+			return complete
 		}
-		rest := whole
-		for _, cut := range []struct {
+		rest := complete
+		for _, attempt := range []struct {
 			at     uint16
 			resume bool
 		}{{first, resumeFirst}, {second, resumeSecond}} {
-			at := int(cut.at) % len(whole)
+			at := int(attempt.at) % len(complete)
 			if at >= len(rest) {
 				continue
 			}
 			assert.ErrorIs(t, rl.copy(oneByteStream(rest[:at], broken)), broken)
-			rest = next(cut.resume)
+			rest = next(attempt.resume)
 		}
 		assert.NilError(t, rl.copy(oneByteStream(rest, nil)))
-		assert.Equal(t, caller.body.String(), whole)
+		assert.Equal(t, caller.body.String(), complete)
 	})
 }
--- a/core/jwdispatch/sink.go
+++ b/core/jwdispatch/sink.go
@@ -87,8 +87,8 @@
 	_ = e.End(AnswerEnd{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
 }
 
-// sendWhole sends an answer whose whole body is available.
-func (e *trackedSink) sendWhole(h AnswerHead, body []byte) {
+// sendComplete sends an answer whose complete body is available.
+func (e *trackedSink) sendComplete(h AnswerHead, body []byte) {
 	h.Length = int64(len(body))
 	if h.Outcome == "" {
 		h.Outcome = jwrequest.Served
--- a/core/jwdispatch/sink_test.go
+++ b/core/jwdispatch/sink_test.go
@@ -60,13 +60,13 @@
 		reason    Reason
 		seen      int
 	}{
-		"whole answer":             {failingSink{}, false, sendWhole, ReasonNone, 1},
-		"from another node":        {failingSink{}, true, sendWhole, ReasonNone, 0},
-		"disconnects at the head":  {failingSink{head: true}, false, sendWhole, ReasonCaller, 0},
-		"disconnects in the body":  {failingSink{body: true}, false, sendWhole, ReasonCaller, 0},
-		"refused":                  {failingSink{}, false, sendRefusal, ReasonLimit, 0},
-		"refused and disconnected": {failingSink{head: true}, false, sendRefusal, ReasonCaller, 0},
-		"no answer at all":         {failingSink{}, false, func(*trackedSink) {}, ReasonCaller, 0},
+		"complete answer":           {failingSink{}, false, sendComplete, ReasonNone, 1},
+		"from another node":         {failingSink{}, true, sendComplete, ReasonNone, 0},
+		"disconnects at the head":   {failingSink{head: true}, false, sendComplete, ReasonCaller, 0},
+		"disconnects in the body":   {failingSink{body: true}, false, sendComplete, ReasonCaller, 0},
+		"rejected":                  {failingSink{}, false, sendRefusal, ReasonLimit, 0},
+		"rejected and disconnected": {failingSink{head: true}, false, sendRefusal, ReasonCaller, 0},
+		"no answer at all":          {failingSink{}, false, func(*trackedSink) {}, ReasonCaller, 0},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
@@ -90,8 +90,8 @@
 	}
 }
 
-func sendWhole(e *trackedSink) {
-	e.sendWhole(AnswerHead{Status: 200, ServedBy: "east"}, []byte("hello"))
+func sendComplete(e *trackedSink) {
+	e.sendComplete(AnswerHead{Status: 200, ServedBy: "east"}, []byte("hello"))
 }
 
 func sendRefusal(e *trackedSink) { e.reject(unavailable(ReasonLimit, "", time.Second)) }
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -30,8 +30,8 @@
 }
 
 // maxForeignUse is the fraction of the slots in use up to which a region
-// accepts requests of other regions, so that the rest is free for its own
-// callers.
+// accepts requests of other regions, so that the remaining slots are free for
+// its own callers.
 const maxForeignUse = 0.9
 
 // check makes the checks one after the other and returns the first refusal. The
@@ -156,7 +156,7 @@
 }
 
 // ownerQueueShare is the fraction of a class's queue that an owner above its
-// share may use. The rest is kept for the other owners of the class, so that a
+// share may use. The remainder is kept for the other owners of the class, so that a
 // burst displaces neither them nor a more urgent class.
 const ownerQueueShare = 0.7
 
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -20,7 +20,7 @@
 	nodes       map[string]*Exchange
 	down        map[string]bool // nodes that can't be reached
 	loseAnswers map[string]int  // for each node, how many of its next answers are lost
-	fullStates  int             // whole states that were sent
+	fullStates  int             // complete states that were sent
 	updates     int             // updates that were sent
 }
 
--- a/core/jwpeer/stateupdate.go
+++ b/core/jwpeer/stateupdate.go
@@ -7,8 +7,8 @@
 )
 
 // StateUpdate is a short update of a peer's state for a receiver that already knows the
-// peer. Most updates only say that a node is alive or has a change in force, and a
-// StateUpdate is a tenth of the size of a whole Peer.
+// peer. Most updates only report that a node is alive or has a change in force, and a
+// StateUpdate is a tenth of the size of a complete Peer.
 type StateUpdate struct {
 	ID           uint64 // hash of the name and the incarnation of the peer
 	Sequence     uint64
--- a/core/jwrequest/request.go
+++ b/core/jwrequest/request.go
@@ -7,7 +7,7 @@
 
 // These are the outcomes of a request.
 const (
-	Served  Outcome = "served"  // the whole answer follows
+	Served  Outcome = "served"  // the complete answer follows
 	NotRun  Outcome = "notRun"  // the request was certainly not run
 	Unknown Outcome = "unknown" // the request may have run
 )
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -167,8 +167,8 @@
 
 // These are the results of a call.
 const (
-	Done     Result = "done"     // the whole answer was received
-	Refused  Result = "refused"  // the target is healthy but rejected the call
+	Done     Result = "done"     // the complete answer was received
+	Refused  Result = "refused"  // the target is healthy but refused the call
 	Canceled Result = "canceled" // given up by the caller or the node
 	Broken   Result = "broken"   // the connection failed or broke, or the target stopped sending
 )
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -192,7 +192,7 @@
 func (e *BodyReadError) Unwrap() error { return e.Err }
 
 // writeBody writes the body of a call. If the body is incomplete, it closes the
-// connection, so that the peer doesn't take the part that it has for the whole.
+// connection, so that the peer doesn't process it as a complete one.
 func writeBody(cn *conn, c *Call) error {
 	if c.Rest == nil {
 		_, err := cn.Write(c.Body)
@@ -453,9 +453,9 @@
 	a.conn.Close()
 }
 
-// bodyWritten reports whether the whole request has been sent. If the peer
-// answered early, it may not be; the peer would then take the next request on the
-// connection for the rest of the body.
+// bodyWritten reports whether the complete request has been sent. If the peer
+// answered early, it may not be; the peer would then read the next request on the
+// connection as the remainder of the body.
 func (a *Answer) bodyWritten() bool {
 	if a.bodyResult == nil {
 		return true
--- a/io/jwconn/pool_test.go
+++ b/io/jwconn/pool_test.go
@@ -124,8 +124,8 @@
 }
 
 // The peer answers before it has read a long body and keeps the connection. If
-// the next request were sent on it, the peer would take it for the rest of that
-// body.
+// the next request were sent on it, the peer would read it as the remainder of
+// that body.
 func TestEarlyAnswerEndsTheConnection(t *testing.T) {
 	conns := 0
 	a := startPeer(t, func(cn net.Conn, r *bufio.Reader) {
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -56,9 +56,9 @@
 	}
 }
 
-// A forwarded request fails at each step of the call. The caller may be told
-// that nothing ran only if the other node did not start the request, and an
-// answer counts as complete only if the other node reported that it is.
+// A forwarded request fails at each step of the call. The caller may get the
+// outcome notRun only if the other node did not start the request, and an answer
+// counts as complete only if the other node reported that it is.
 func TestForwardFailures(t *testing.T) {
 	type result struct {
 		atCall, atEnd jwdispatch.FailureKind // failure of Forward and of reading the body, empty for none
@@ -72,7 +72,7 @@
 		serve   dispatcher
 		want    result
 	}{
-		"whole": {open: true, serve: func(_ context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
+		"complete": {open: true, serve: func(_ context.Context, r *jwrequest.Request, sink jwdispatch.Sink) {
 			_ = sink.Head(jwdispatch.AnswerHead{Status: 200, Length: jwdispatch.UnknownLength})
 			_ = sink.Body(r.Body)
 			_ = sink.End(jwdispatch.AnswerEnd{Outcome: jwrequest.Served, Length: int64(len(r.Body))})
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -87,7 +87,7 @@
 	return sink.err
 }
 
-// receive reads the whole request, so that nothing is started before its last
+// receive reads the complete request, so that nothing is started before its last
 // byte has arrived.
 func (s *Server) receive(stream grpc.BidiStreamingServer[jwwire.ForwardFrame, jwwire.AnswerFrame]) (r *jwrequest.Request, reason string, err error) {
 	f, err := stream.Recv()
--- a/io/jwlisten/callers_test.go
+++ b/io/jwlisten/callers_test.go
@@ -202,7 +202,7 @@
 func TestIncompleteBodies(t *testing.T) {
 	// A body arrives too slowly, stops in the middle or does not match its
 	// headers. A request must not run with a partial body, and the node must not
-	// wait for the rest without limit, because that would occupy memory.
+	// wait for the remainder without limit, because that would occupy memory.
 	const head = "POST /v1/requests/menu HTTP/1.1\r\nHost: h\r\nJujube-Workspace: hall\r\nJujube-Request-Id: r1\r\n"
 	tests := map[string]struct {
 		text   string
--- a/io/jwnode/bench_test.go
+++ b/io/jwnode/bench_test.go
@@ -27,7 +27,7 @@
 	tokenEvent    = "data: {\"choices\":[{\"text\":\" hake\"}]}\n\n"
 )
 
-// Handler answers with one whole body, or streams one token for each byte of the
+// Handler answers with one complete body, or streams one token for each byte of the
 // request's body with tokenPause before each.
 func (instantTarget) Handler(func() jwstand.Faults) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -95,7 +95,7 @@
 
 // The link between two regions is cut while streams pass over it. Each caller has
 // part of its answer by then, and must not see a regular end, which would make
-// that part look like the whole answer.
+// that part look like the complete answer.
 func TestStreamCutBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, r := linked(t)
@@ -119,6 +119,6 @@
 			continue // it had not begun
 		}
 		assert.Check(t, strings.Contains(a.body, `event: error`) && strings.Contains(a.body, `"outcome":"unknown"`), "%+v", a)
-		assert.Check(t, a.err != nil, "the answer ended as if it were whole")
+		assert.Check(t, a.err != nil, "the answer ended as if it were complete")
 	}
 }
--- a/io/jwnode/node_test.go
+++ b/io/jwnode/node_test.go
@@ -12,7 +12,7 @@
 )
 
 // A caller asks a node which host to use, sends a draft there, once plain and
-// once streamed, and gets the whole answers. A region without a target has its
+// once streamed, and gets the complete answers. A region without a target has its
 // drafts served in another region.
 func TestWholePath(t *testing.T) {
 	s := newSystem(t, "east", "west")
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -264,7 +264,7 @@
 }
 
 // One target of each service keeps going down and coming back while callers send
-// requests. Each answer must be whole, each notRun must be true, and more drafts
+// requests. Each answer must be complete, each notRun must be true, and more drafts
 // must be served than end with an unknown outcome.
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
@@ -313,7 +313,7 @@
 					entry, body, h["Idempotency-Key"] = "confirm", id, id
 				}
 				r := s.send(a.CallersAddr(), entry, "free-east", body, h)
-				whole := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
+				complete := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
 				mu.Lock()
 				if r.outcome == "" {
 					r.outcome = "unknown" // the connection was cut off
@@ -321,7 +321,7 @@
 				outcomes[entry][r.outcome]++
 				reported[id] = r.outcome
 				if r.outcome == "served" {
-					assert.Check(t, whole, "%+v", r)
+					assert.Check(t, complete, "%+v", r)
 				}
 				mu.Unlock()
 			}
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -16,8 +16,8 @@
 
 // A device between a node and a target drops its connection state: open
 // connections lose every byte, while new ones work. A caller whose stream was on
-// such a connection must still get the rest of its answer after the part that it
-// has, and later requests must not be sent over the silent connections.
+// such a connection must still get the remainder of its answer after the part
+// that it has, and later requests must not be sent over the silent connections.
 func TestSilentTarget(t *testing.T) {
 	t.Parallel()
 	s := newSystem(t, "east")
@@ -46,7 +46,7 @@
 		a := <-answers
 		assert.Check(t, strings.Contains(a.body, "event: done") && strings.Count(a.body, "id: ") == 300, "%s %v", tail(a.body), a.err)
 	}
-	t.Logf("all streams whole %v after the connections went silent", time.Since(began))
+	t.Logf("all streams complete %v after the connections went silent", time.Since(began))
 	for range 10 {
 		assert.Check(t, s.send(n.CallersAddr(), "draft", "free-east", prompt("menu", 2, true), nil).outcome == "served")
 	}
@@ -54,8 +54,8 @@
 
 func tail(s string) string { return s[max(0, len(s)-200):] }
 
-// A key has run when a second call with it arrives whose body breaks off, as when
-// the network fails. The second call did not run, but the first one did, so the
+// A key has run when a second call with it arrives whose body is incomplete, as
+// when the network fails. The second call did not run, but the first one did, so the
 // outcome must be unknown rather than notRun.
 func TestBrokenBody(t *testing.T) {
 	s := newSystem(t, "east")
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -246,12 +246,12 @@
 	outcome string
 	server  string
 	body    string
-	err     error // no answer, or one that broke off
+	err     error // no answer, or an incomplete one
 }
 
 type header map[string]string
 
-// send sends a request to a node's port for callers and reads the whole answer.
+// send sends a request to a node's port for callers and reads the complete answer.
 func (s *system) send(to netip.AddrPort, entry, workspace, body string, h header) reply {
 	s.t.Helper()
 	r, err := http.NewRequestWithContext(s.t.Context(), http.MethodPost, "http://"+to.String()+"/v1/requests/"+entry, bytes.NewReader([]byte(body)))
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -45,10 +45,10 @@
 		atCall   jwdispatch.FailureKind // empty when the answer begins
 		atEnd    jwdispatch.FailureKind // empty when it is complete
 	}{
-		"whole plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
+		"complete plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			_, _ = io.WriteString(w, "fine")
 		}},
-		"whole stream": {handler: func(w http.ResponseWriter, _ *http.Request) {
+		"complete stream": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Type", "text/event-stream")
 			_, _ = io.WriteString(w, "data: a\n\ndata: [DONE]\n\n")
 		}},
@@ -58,7 +58,7 @@
 		"connection cut before the answer": {handler: func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}, atCall: jwdispatch.BrokenOff},
-		"plain answer cut short": {handler: func(w http.ResponseWriter, _ *http.Request) {
+		"incomplete plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.Header().Set("Content-Length", "100")
 			_, _ = io.WriteString(w, "half")
 			_ = http.NewResponseController(w).Flush()
