--- a/core/jwlimit/rapid_test.go
+++ b/core/jwlimit/rapid_test.go
@@ -70,9 +70,8 @@
 }
 
 // Requests arrive and end on any node, and reports between nodes are late or
-// lost. A node must never run more than the whole limit, and the region no more
-// than what the evenly split half allows on top of it while reports are
-// outdated.
+// lost. A node must never run more than the region's limit, and the region no more
+// than what the equal shares allow on top of it while reports are outdated.
 func TestLimiterHoldsConcurrentLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 5).Draw(t, "nodes")
@@ -92,7 +91,7 @@
 				r.nodes[i].Release(r.heldTokens[i][0])
 				r.heldTokens[i] = r.heldTokens[i][1:]
 			},
-			"tell": func(*rapid.T) { r.exchangeReports() },
+			"report": func(*rapid.T) { r.exchangeReports() },
 			"pass": func(t *rapid.T) {
 				r.now = r.now.Add(time.Duration(rapid.IntRange(1, 3000).Draw(t, "ms")) * time.Millisecond)
 			},
--- a/core/jwlimit/share.go
+++ b/core/jwlimit/share.go
@@ -11,10 +11,10 @@
 
 // Parameters for sharing an entry's limits between the nodes of a region.
 const (
-	evenFraction = 0.5                    // fraction of a limit that is split evenly; the rest is split by demand
-	maxReportAge = 5 * time.Second        // how long a node's report of its demand is used
-	shareTTL     = 200 * time.Millisecond // how long a computed share is used
-	rateWindow   = time.Second            // time over which demand is averaged
+	equalFraction = 0.5                    // fraction of a limit that is divided equally; the remainder is divided by demand
+	maxReportAge  = 5 * time.Second        // how long a node's report of its demand is used
+	shareTTL      = 200 * time.Millisecond // how long a computed share is used
+	rateWindow    = time.Second            // time over which demand is averaged
 )
 
 // Usage is what a node reports to the other nodes of its region about one
@@ -46,7 +46,7 @@
 	shareComputedAt time.Time // when share was computed
 }
 
-// share is this node's part of an entry's limits.
+// share is this node's share of an entry's limits.
 type share struct {
 	fraction   float64 // fraction of the rate and of the burst
 	concurrent int
@@ -132,11 +132,11 @@
 	return out
 }
 
-// share returns this node's part of an entry's limits. Every node computes the
+// share returns this node's share of an entry's limits. Every node computes the
 // shares of all nodes from the same reports. If all nodes have merged the same
-// reports, the shares add up to the limit, and no request needs a remote call
-// or write of its own. If they have not, the evenly split part limits how far a
-// node can exceed its share.
+// reports, the shares add up to the limit, and no single request needs a remote
+// call or write. If they have not, the fraction that is divided equally limits
+// how far a node can exceed its share.
 func (l *Limiter) share(name string, m *meter, concurrent int, now time.Time) share {
 	if !m.shareComputedAt.IsZero() && now.Sub(m.shareComputedAt) < shareTTL {
 		return m.share
@@ -146,15 +146,15 @@
 		m.share = share{fraction: 1, concurrent: concurrent}
 		return m.share
 	}
-	parts := make([]nodeShare, len(l.members))
+	shares := make([]nodeShare, len(l.members))
 	total := 0.0
 	for i, node := range l.members {
-		parts[i] = nodeShare{node: node, demand: l.demand(node, m, now)}
-		total += parts[i].demand
+		shares[i] = nodeShare{node: node, demand: l.demand(node, m, now)}
+		total += shares[i].demand
 	}
-	split(parts, total, name, concurrent)
+	split(shares, total, name, concurrent)
 	m.share = share{fraction: 1 / float64(len(l.members)), concurrent: concurrent / len(l.members)}
-	for _, p := range parts {
+	for _, p := range shares {
 		if p.node == l.Node {
 			m.share = share{fraction: p.fraction, concurrent: p.concurrent}
 		}
@@ -202,15 +202,15 @@
 }
 
 // split divides a limit among the nodes; the whole numbers add up to it.
-func split(parts []nodeShare, total float64, name string, concurrent int) {
-	even := 1 / float64(len(parts))
+func split(shares []nodeShare, total float64, name string, concurrent int) {
+	equal := 1 / float64(len(shares))
 	remaining := concurrent
 	entry := jwtarget.NameKey(name)
-	for i := range parts {
-		p := &parts[i]
-		p.fraction = even
+	for i := range shares {
+		p := &shares[i]
+		p.fraction = equal
 		if total > 0 {
-			p.fraction = evenFraction*even + (1-evenFraction)*p.demand/total
+			p.fraction = equalFraction*equal + (1-equalFraction)*p.demand/total
 		}
 		exact := p.fraction * float64(concurrent)
 		p.concurrent = int(exact)
@@ -218,9 +218,9 @@
 		p.tieBreak = jwtarget.Mix(entry, jwtarget.NameKey(p.node))
 		remaining -= p.concurrent
 	}
-	slices.SortFunc(parts, byRemainder)
+	slices.SortFunc(shares, byRemainder)
 	for i := 0; i < remaining; i++ {
-		parts[i%len(parts)].concurrent++
+		shares[i%len(shares)].concurrent++
 	}
 }
 
