--- a/core/jwpeer/region_test.go
+++ b/core/jwpeer/region_test.go
@@ -13,26 +13,27 @@
 	"gotest.tools/v3/assert"
 )
 
-// network connects the exchanges of many nodes; some of its links can be cut.
+// network connects the exchanges of many nodes; some of its links can be
+// partitioned.
 type network struct {
-	mu    sync.Mutex
-	nodes map[string]*Exchange
-	cut   func(from, to Peer) bool
+	mu          sync.Mutex
+	nodes       map[string]*Exchange
+	partitioned func(from, to Peer) bool
 }
 
-// setCut sets which links are cut, nil for none.
-func (n *network) setCut(cut func(from, to Peer) bool) {
+// setPartition sets which links are partitioned, nil for none.
+func (n *network) setPartition(partitioned func(from, to Peer) bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.cut = cut
+	n.partitioned = partitioned
 }
 
 // link returns the node at the other end, nil if there is none, and whether the link
-// to it is cut.
-func (n *network) link(from, to Peer) (peer *Exchange, cut bool) {
+// to it is partitioned.
+func (n *network) link(from, to Peer) (peer *Exchange, partitioned bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.nodes[to.Name], n.cut != nil && n.cut(from, to)
+	return n.nodes[to.Name], n.partitioned != nil && n.partitioned(from, to)
 }
 
 func (n *network) transport(from Peer) Transport { return &testTransport{network: n, from: from} }
@@ -45,8 +46,8 @@
 const testLinkDelay = 40 * time.Millisecond
 
 func (t *testTransport) Exchange(ctx context.Context, to Peer, digest Digest) (Digest, error) {
-	peer, cut := t.network.link(t.from, to)
-	if cut {
+	peer, partitioned := t.network.link(t.from, to)
+	if partitioned {
 		<-ctx.Done()
 		return Digest{}, ctx.Err()
 	}
@@ -94,9 +95,9 @@
 	}
 }
 
-// countLacking counts the nodes of a region that don't know the given revision, or a
+// countOutdated counts the nodes of a region that don't know the given revision, or a
 // later one, of a peer.
-func (n *network) countLacking(name, region string, revision uint64) int {
+func (n *network) countOutdated(name, region string, revision uint64) int {
 	count := 0
 	for _, x := range n.nodes {
 		p, known := x.Table.Get(name)
@@ -184,8 +185,8 @@
 	}
 }
 
-// The links between two regions are cut for an hour. Each region continues on its
-// own, and after the cut both exchange states again without intervention.
+// A network partition separates two regions for an hour. Each region continues on
+// its own, and after the partition both exchange states again without intervention.
 func TestRegionsReconnectAfterPartition(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
@@ -193,15 +194,15 @@
 		n := newNetwork(2, 2)
 		n.run(ctx)
 		time.Sleep(10 * time.Second)
-		n.setCut(func(from, to Peer) bool { return from.Region != to.Region })
+		n.setPartition(func(from, to Peer) bool { return from.Region != to.Region })
 		time.Sleep(20 * time.Second)
 		n.nodes["r0-c0-n0"].Table.Update(time.Now(), func(p *Peer) { p.Revision = 3 })
 		time.Sleep(50 * time.Minute)
-		assert.Equal(t, n.countLacking("r0-c0-n0", "r0", 3), 0)
-		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 4)
-		n.setCut(nil)
+		assert.Equal(t, n.countOutdated("r0-c0-n0", "r0", 3), 0)
+		assert.Equal(t, n.countOutdated("r0-c0-n0", "r1", 3), 4)
+		n.setPartition(nil)
 		time.Sleep(time.Minute)
-		assert.Equal(t, n.countLacking("r0-c0-n0", "r1", 3), 0)
+		assert.Equal(t, n.countOutdated("r0-c0-n0", "r1", 3), 0)
 		cancel()
 		time.Sleep(2 * time.Second)
 	})
@@ -284,7 +285,7 @@
 		all = append(all, p)
 	}
 	relays := make(map[string]bool)
-	most, mostRelay := 0, 0
+	maxPartners, maxRelayPartners := 0, 0
 	for _, p := range all {
 		for _, r := range Relays(all, p.DataCentre) {
 			relays[r.Name] = true
@@ -293,12 +294,12 @@
 	for _, p := range all {
 		partners := len(Partners(all, p))
 		if relays[p.Name] {
-			mostRelay = max(mostRelay, partners)
+			maxRelayPartners = max(maxRelayPartners, partners)
 			continue
 		}
-		most = max(most, partners)
+		maxPartners = max(maxPartners, partners)
 	}
 	assert.Equal(t, len(relays), 26*RelaysPerDataCentre)
-	assert.Equal(t, most, RelaysPerDataCentre)
-	assert.Assert(t, mostRelay <= 35+RelaysPerDataCentre+12*RelaysPerDataCentre, "%d", mostRelay)
+	assert.Equal(t, maxPartners, RelaysPerDataCentre)
+	assert.Assert(t, maxRelayPartners <= 35+RelaysPerDataCentre+12*RelaysPerDataCentre, "%d", maxRelayPartners)
 }
