--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -222,8 +222,8 @@
 	if len(hops) == 0 {
 		return AnswerHead{}, false
 	}
-	way := hops.With(j.Self)
-	if len(hops) >= MaxHops || hops.Visited(j.Self.Node) || way.RegionChanges() > 1 || way.RevisitsDataCentre() {
+	path := hops.With(j.Self)
+	if len(hops) >= MaxHops || hops.Visited(j.Self.Node) || path.RegionChanges() > 1 || path.RevisitsDataCentre() {
 		return Refusal(http.StatusLoopDetected, jwrequest.NotRun, ReasonLoop, "the request has passed too many nodes"), true
 	}
 	return AnswerHead{}, false
--- a/core/jwdispatch/events.go
+++ b/core/jwdispatch/events.go
@@ -21,9 +21,9 @@
 	doneEvent          = []byte("data: [DONE]")
 )
 
-// maxHeldBytes is how much of an incomplete event is held back at most, so that
-// a stream without event separators, or with very long events, is still passed
-// on.
+// maxHeldBytes is the maximum length of an incomplete event that is held back,
+// so that a stream without event separators, or with very long events, is still
+// passed on.
 const maxHeldBytes = 64 << 10
 
 // restart begins a new try and drops the incomplete event of the last one.
@@ -43,16 +43,16 @@
 		return p
 	}
 	all := append(e.partial, p...)
-	cut := len(all)
+	n := len(all)
 	if !end && len(all) <= maxHeldBytes {
-		cut = completeLength(all)
+		n = completeLength(all)
 	}
-	if cut == 0 {
+	if n == 0 {
 		e.partial = all
 		return nil
 	}
-	out := bytes.Clone(all[:cut])
-	e.partial = append(all[:0], all[cut:]...)
+	out := bytes.Clone(all[:n])
+	e.partial = append(all[:0], all[n:]...)
 	e.recordFirst(out)
 	return out
 }
@@ -61,9 +61,9 @@
 // p.
 func completeLength(p []byte) int {
 	end := 0
-	for _, mark := range [][]byte{eventSeparator, eventSeparatorCRLF} {
-		if i := bytes.LastIndex(p, mark); i >= 0 {
-			end = max(end, i+len(mark))
+	for _, separator := range [][]byte{eventSeparator, eventSeparatorCRLF} {
+		if i := bytes.LastIndex(p, separator); i >= 0 {
+			end = max(end, i+len(separator))
 		}
 	}
 	return end
--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -23,15 +23,15 @@
 
 // failure converts the last error into the refusal that the caller gets.
 func (j *job) failure(ctx context.Context, err error) AnswerHead {
-	var place *noPlacementError
+	var noPlacement *noPlacementError
 	var failed *CallError
 	outcome := jwrequest.NotRun
 	if j.mayHaveRun {
 		outcome = jwrequest.Unknown
 	}
 	switch {
-	case errors.As(err, &place):
-		h := unavailable(ReasonNoTarget, place.Error(), defaultRetryAfter)
+	case errors.As(err, &noPlacement):
+		h := unavailable(ReasonNoTarget, noPlacement.Error(), defaultRetryAfter)
 		h.Outcome = outcome
 		return h
 	case errors.As(err, &failed):
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -187,8 +187,8 @@
 
 // isNoPlacement reports whether an error is a noPlacementError.
 func isNoPlacement(err error) bool {
-	var place *noPlacementError
-	return errors.As(err, &place)
+	var noPlacement *noPlacementError
+	return errors.As(err, &noPlacement)
 }
 
 // forwardToHome forwards a request to the home region of its workspace, where
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -95,8 +95,8 @@
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
 	if state, _ := j.Board.Suspects.Check(fp, j.Now()); state == jwsuspect.Suspected {
-		apart := j.Board.Suspects.ExcludedTargets(fp, j.usableTargets(), j.Now())
-		j.query.Exclude = append(tried[:len(tried):len(tried)], apart...)
+		excluded := j.Board.Suspects.ExcludedTargets(fp, j.usableTargets(), j.Now())
+		j.query.Exclude = append(tried[:len(tried):len(tried)], excluded...)
 	}
 	return j.Router.Pick(&j.query)
 }
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -117,7 +117,7 @@
 	t.version++
 	e.anyVersion = t.version
 	switch {
-	case !equalExceptMark(e.Peer, p):
+	case !equalExceptUpdate(e.Peer, p):
 		e.fullVersion = t.version
 		t.reindex(e, p)
 		t.signalChange()
@@ -132,9 +132,9 @@
 	e.Age = 0
 }
 
-// equalExceptMark reports whether two states of a peer differ in nothing but the
+// equalExceptUpdate reports whether two states of a peer differ in nothing but the
 // fields that a StateUpdate carries.
-func equalExceptMark(a, b Peer) bool {
+func equalExceptUpdate(a, b Peer) bool {
 	a.Revision, a.OldestChange, a.Sequence, a.Age = b.Revision, b.OldestChange, b.Sequence, b.Age
 	return a == b
 }
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -171,12 +171,12 @@
 		}
 	}
 	assert.Equal(t, moved, 0)
-	most := 0
+	maxNodes := 0
 	for _, n := range count {
-		most = max(most, n)
+		maxNodes = max(maxNodes, n)
 	}
 	assert.Assert(t, len(count) >= targets*97/100, "%d of %d targets are in a subset", len(count), targets)
-	assert.Assert(t, most <= 15, "a target is in the subsets of %d nodes", most)
+	assert.Assert(t, maxNodes <= 15, "a target is in the subsets of %d nodes", maxNodes)
 }
 
 func TestCapacity(t *testing.T) {
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -310,8 +310,8 @@
 // parseKeepAlive returns how long the peer keeps an unused connection according
 // to its Keep-Alive header, 0 if unknown.
 func parseKeepAlive(h http.Header) time.Duration {
-	for _, word := range strings.Split(h.Get("Keep-Alive"), ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(word), "=")
+	for _, param := range strings.Split(h.Get("Keep-Alive"), ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(param), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -21,9 +21,9 @@
 	"jujubewheel/io/jwrest"
 )
 
-// hostListMaxAge is how long a caller may use a list of hosts before it has to
+// maxHostListAge is how long a caller may use a list of hosts before it has to
 // request it again.
-const hostListMaxAge = 5 * time.Second
+const maxHostListAge = 5 * time.Second
 
 // bodyTimeout limits the time in which a caller sends the body of a request, so
 // that slow callers don't occupy memory without limit.
@@ -96,7 +96,7 @@
 
 func (c *Callers) hosts(w http.ResponseWriter, r *http.Request) {
 	workspace := r.URL.Query().Get("workspace")
-	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: hostListMaxAge.Milliseconds()}
+	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: maxHostListAge.Milliseconds()}
 	writeJSON(w, http.StatusOK, list)
 }
 
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -74,10 +74,10 @@
 		n.setHomeRegion("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
 	}
 	// At one node the confirmation is idempotent, at the others it is not.
-	repeated := confirmation()
-	repeated.Idempotent, repeated.KeyMemory, repeated.Regions = true, 0, []string{"*"}
+	idempotent := confirmation()
+	idempotent.Idempotent, idempotent.KeyMemory, idempotent.Regions = true, 0, []string{"*"}
 	assert.NilError(t, nodes["north"].board.Catalogue.Apply(jwcatalogue.Change{
-		N: 3, EditID: "only-north", Author: "test", Reason: "test", Time: time.Now(), Entry: "confirm", Before: ptr(confirmation()), After: &repeated,
+		N: 3, EditID: "only-north", Author: "test", Reason: "test", Time: time.Now(), Entry: "confirm", Before: ptr(confirmation()), After: &idempotent,
 	}))
 	for _, workspace := range []string{"lost", "pair"} {
 		for _, entry := range []string{"draft", "confirm"} {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -42,11 +42,11 @@
 	s.away = s.node("w1", "west")
 	tight := draft()
 	tight.Name, tight.Limits = "tight", jwcatalogue.Limits{Rate: 0.0001, Burst: 1}
-	nobody := draft()
-	nobody.Name, nobody.Service = "nobody", "nobody"
+	noTarget := draft()
+	noTarget.Name, noTarget.Service = "nobody", "nobody"
 	bound := draft()
 	bound.Name, bound.Bound, bound.Regions = "kept", true, nil
-	for _, e := range []jwcatalogue.Entry{draft(), confirmation(), tight, nobody, bound} {
+	for _, e := range []jwcatalogue.Entry{draft(), confirmation(), tight, noTarget, bound} {
 		s.edit(s.home, e)
 	}
 	s.awaitRevision(5)
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -58,7 +58,7 @@
 // too.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	progress := newProgressTimer(call.ProgressTimeout, func() { cancel(errSilent) })
+	progress := newProgressTimer(call.ProgressTimeout, func() { cancel(errNoProgress) })
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -222,9 +222,9 @@
 	switch {
 	case !sent:
 		out.Kind = jwdispatch.Unsent
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errNoProgress):
 		out.Kind = jwdispatch.NoProgress
-		out.Err = errSilent
+		out.Err = errNoProgress
 		c.CloseIdle(addr)
 	case ctx.Err() == nil:
 		out.Crashed = crashed(err)
@@ -239,7 +239,7 @@
 }
 
 var (
-	errSilent      = errors.New("no progress")
+	errNoProgress  = errors.New("no progress")
 	errNoLength    = errors.New("answer has neither a length nor chunks, so its end is unknown")
 	errNoEndMarker = errors.New("stream ended without its end marker")
 )
