--- a/core/jwboard/reporter.go
+++ b/core/jwboard/reporter.go
@@ -25,7 +25,7 @@
 	sent map[string]*sent // by name of the partner
 }
 
-// HolderMoves knows which process answers for the tickets of a stopped process.
+// HolderMoves knows which process took over the tickets of a stopped process.
 type HolderMoves interface {
 	Moves() []jwclaim.HolderMove
 	AddMove(jwclaim.HolderMove)
--- a/core/jwdispatch/answer.go
+++ b/core/jwdispatch/answer.go
@@ -63,7 +63,7 @@
 }
 
 // Sink receives one answer for the caller: one Head, any number of Body calls,
-// one End. An error means that nobody waits for the answer any more.
+// one End. An error means that the caller no longer waits for the answer.
 type Sink interface {
 	Head(AnswerHead) error
 	Body([]byte) error
@@ -84,8 +84,8 @@
 }
 
 // ForKey adapts the refusal for a key that was not looked up. This try ran
-// nothing, but an earlier one with the same key may have; a caller that is told
-// otherwise would send the order again under another key.
+// nothing, but an earlier one with the same key may have; with the outcome
+// notRun, the caller would send the order again under another key.
 func (h AnswerHead) ForKey(key string) AnswerHead {
 	if key == "" || h.Outcome != jwrequest.NotRun {
 		return h
@@ -95,7 +95,7 @@
 	return h
 }
 
-// unavailable refuses a request that may be retried later.
+// unavailable returns the refusal of a request that may be retried later.
 func unavailable(reason Reason, detail string, after time.Duration) AnswerHead {
 	h := Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, reason, detail)
 	h.RetryAfter = after
--- a/core/jwdispatch/callerror.go
+++ b/core/jwdispatch/callerror.go
@@ -14,7 +14,7 @@
 const (
 	Unsent     FailureKind = "unsent"  // no byte of the request left this node
 	Refused    FailureKind = "refused" // the target reported that it did not run the request
-	BrokenOff  FailureKind = "broken"  // the call broke off, and the request may have run
+	BrokenOff  FailureKind = "broken"  // the call ended early, and the request may have run
 	NoProgress FailureKind = "silent"  // the request may have run, and its connection is open but made no progress
 )
 
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -130,7 +130,7 @@
 func (j *job) recordEnd(outcome jwrequest.Outcome, reason Reason, servedBy string) {
 	entry := j.request.Entry
 	if j.entry == nil {
-		entry = "" // a name that is not in the catalogue would create a counter of its own
+		entry = "" // a name that is not in the catalogue would create an additional counter
 	}
 	j.Counter.RecordEnd(entry, outcome, reason)
 	if j.Tracer != nil {
@@ -215,8 +215,8 @@
 
 // checkLoop rejects a request that has been at this node before or has changed
 // region twice, whatever else its record of hops says. Nodes with different
-// catalogue revisions or client directories could each take the other's region
-// for the right one and forward the request back and forth.
+// catalogue revisions or client directories could each consider the other's
+// region the right one and forward the request back and forth.
 func (j *job) checkLoop() (AnswerHead, bool) {
 	hops := j.request.Hops
 	if len(hops) == 0 {
--- a/core/jwdispatch/events.go
+++ b/core/jwdispatch/events.go
@@ -11,7 +11,7 @@
 	partial        []byte
 	lastSent       uint64 // id of the last event sent to the caller, 0 for none
 	firstOfTry     uint64 // id of the first event of this try, 0 before it arrives or if it has no number
-	startsWithDone bool   // this try began with the mark that ends a stream
+	startsWithDone bool   // this try began with the end marker of a stream
 }
 
 var (
@@ -79,7 +79,7 @@
 
 // resumed reports whether this try continues after the last event sent and did
 // not start from the beginning. A stream whose events have ids starts with an
-// event with an id, so a try that starts with the end mark had nothing else
+// event with an id, so a try that starts with the end marker had nothing else
 // left to send.
 func (e *eventTracker) resumed() bool {
 	return e.lastSent > 0 && (e.firstOfTry == e.lastSent+1 || e.startsWithDone)
--- a/core/jwdispatch/hosts.go
+++ b/core/jwdispatch/hosts.go
@@ -64,8 +64,8 @@
 const silenceThreshold = 12 * time.Second
 
 // servingPeers returns the serving nodes that accept selects, and separately
-// those that are silent: they may have died, or be cut off by a network
-// partition that callers do not notice.
+// those that are silent: they may have died, or be unreachable because of
+// a network partition that callers do not notice.
 //
 // Each workspace has its own order, by rendezvous hashing. Its requests then
 // reach the same few nodes, which use the same few targets, where its prompts
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -25,7 +25,7 @@
 }
 
 // serveOnce runs a request at most once for its key. It continues when its
-// caller disconnects: the answer is kept for the caller's next try.
+// caller disconnects: the answer is stored for the caller's next try.
 func (j *job) serveOnce(ctx context.Context) {
 	keyedCall := jwclaim.KeyedCall{
 		Workspace: j.request.Workspace,
@@ -95,7 +95,7 @@
 	}
 }
 
-// replay sends the kept answer of the one run of a key.
+// replay sends the stored answer of the one run of a key.
 func (j *job) replay(a jwclaim.Answer) {
 	switch a.Outcome {
 	case jwrequest.Served:
--- a/core/jwdispatch/relay.go
+++ b/core/jwdispatch/relay.go
@@ -25,11 +25,11 @@
 )
 
 var (
-	// errCallerGone reports that nobody waits for the answer any more.
+	// errCallerGone reports that the caller no longer waits for the answer.
 	errCallerGone = errors.New("caller gone")
-	// errDiverged reports that a repeated answer differs from the part already
-	// sent, so that the two can't be joined.
-	errDiverged = errors.New("repeated answer differs from what was sent")
+	// errDiverged reports that the answer of a retry differs from the part
+	// already sent, so that the two can't be joined.
+	errDiverged = errors.New("answer of a retry differs from what was sent")
 )
 
 // relay copies one answer to the caller, over several tries if needed.
@@ -187,7 +187,7 @@
 	return nil
 }
 
-// skipper skips the part of a repeated answer that was already sent and checks
+// skipper skips the part of a retry's answer that was already sent and checks
 // that it is equal to what was sent.
 type skipper struct {
 	remaining int64         // bytes still to be skipped
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -47,13 +47,13 @@
 
 var errBroken = &CallError{Step: "read answer", Kind: BrokenOff, Err: errors.New("cut")}
 
-// brokenReader returns a body that breaks off after the text.
+// brokenReader returns a body that fails with errBroken after the text.
 func brokenReader(text string) io.Reader {
 	return io.MultiReader(strings.NewReader(text), iotest.ErrReader(errBroken))
 }
 
 // letterStream returns a stream with one event for each letter; if broken is
-// set, it breaks off after them.
+// set, it fails with errBroken after them.
 func letterStream(status int, letters string, broken bool) *Answer {
 	var r io.Reader = strings.NewReader(lettersAsEvents(letters))
 	if broken {
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -25,7 +25,7 @@
 }
 
 // fingerprint returns the fingerprint of entry and body. It is equal for all
-// tries of one request, whoever sends them.
+// tries of one request, whichever node or caller sends them.
 func (j *job) fingerprint() jwsuspect.Fingerprint {
 	if j.fp == (jwsuspect.Fingerprint{}) {
 		j.fp = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -90,7 +90,7 @@
 }
 
 // pick chooses a target. A suspected request avoids the targets that jwsuspect
-// keeps it apart from.
+// excludes for it.
 func (j *job) pick(fp jwsuspect.Fingerprint) (jwrouter.Choice, bool) {
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
--- a/core/jwlimit/budget.go
+++ b/core/jwlimit/budget.go
@@ -10,7 +10,7 @@
 
 // Budget limits the retries of each entry to a fraction of its first tries. In
 // an outage every try fails, and unlimited retries would multiply the load just
-// when the least can be served. The zero value uses the defaults; one mutex
+// when the capacity is lowest. The zero value uses the defaults; one mutex
 // guards it.
 type Budget struct {
 	Share    float64 // retries allowed per first try
--- a/core/jwlimit/limiter_test.go
+++ b/core/jwlimit/limiter_test.go
@@ -121,7 +121,7 @@
 	assert.Equal(t, served(Policy{NoOwners: true}), 0)
 }
 
-// Callers above an entry's rate are told when to retry. If new callers could
+// Callers above an entry's rate get a retry time. If new callers could
 // take their places in the meantime, callers that retry on time would be
 // rejected again and again. If all were given the same time, they would retry
 // together.
--- a/core/jwpeer/exchange.go
+++ b/core/jwpeer/exchange.go
@@ -120,7 +120,7 @@
 // by a random part of up to 1/heartbeatJitterDivisor.
 const heartbeatJitterDivisor = 4
 
-// batchDelayDivisor sets the delay before changes are sent, as a part of the period,
+// batchDelayDivisor sets the delay before changes are sent, as a fraction of the period,
 // so that changes of all nodes of a data centre at the same time are sent together.
 const batchDelayDivisor = 5
 
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -111,7 +111,7 @@
 		for name, x := range n.nodes {
 			for other := range n.nodes {
 				p, _ := x.Table.Get(other)
-				assert.Equal(t, p.Incarnation, "1", "%s lacks the state of %s", name, other)
+				assert.Equal(t, p.Incarnation, "1", "%s does not have the state of %s", name, other)
 			}
 		}
 		n.mu.Lock()
--- a/core/jwpeer/news.go
+++ b/core/jwpeer/news.go
@@ -40,7 +40,7 @@
 	Service  string
 	Wait     time.Duration // expected wait of a new call for a slot
 	CallTime time.Duration // average duration of a call, without its wait for a slot
-	Free     float64       // share of slots that are free, 0 to 1
+	Free     float64       // fraction of the slots that are free, 0 to 1
 	Slots    int
 	Targets  int
 	Age      time.Duration
@@ -54,7 +54,7 @@
 	Running int
 }
 
-// HolderMove names the process that answers for the tickets of a stopped process.
+// HolderMove names the process that took over the tickets of a stopped process.
 type HolderMove struct {
 	Incarnation   string
 	ToNode        string
--- a/core/jwpeer/relay.go
+++ b/core/jwpeer/relay.go
@@ -53,5 +53,5 @@
 	return false
 }
 
-// isActive reports whether a node has not stopped, as far as its state tells.
+// isActive reports whether a node has not stopped, according to its state.
 func isActive(p Peer) bool { return p.State == Joining || p.State == Serving || p.State == Leaving }
--- a/core/jwpeer/table.go
+++ b/core/jwpeer/table.go
@@ -16,7 +16,7 @@
 	byMarkID      map[uint64]*entry
 	version       uint64        // rises with each stored state
 	urgentVersion uint64        // version of the last state that others should receive soon
-	changed       chan struct{} // closed at the next urgent state; nil if nobody waits for it
+	changed       chan struct{} // closed at the next urgent state; nil if no goroutine waits for it
 }
 
 // MaxAge is the max age of a peer's state. Received states that are older are
--- a/core/jwpeer/view.go
+++ b/core/jwpeer/view.go
@@ -19,7 +19,7 @@
 	fleetNodes      int    // number of fresh nodes
 }
 
-// A view is reused for a part of the period, and for longer if there are many
+// A view is reused for a fraction of the period, and for longer if there are many
 // nodes: sorting a thousand nodes four times a second would cost as much as a node
 // may spend on all its other control work.
 const (
@@ -137,7 +137,7 @@
 }
 
 // IsRelay reports whether this node currently exchanges state with other data
-// centres on behalf of its own.
+// centres on behalf of its own data centre.
 func (x *Exchange) IsRelay() bool { return x.currentView().relay }
 
 // Partners returns those of the fresh nodes that self sends changes to.
--- a/core/jwrequest/hops.go
+++ b/core/jwrequest/hops.go
@@ -21,8 +21,8 @@
 	return n
 }
 
-// RevisitsDataCentre reports whether the request has come back to a data centre that it had
-// left.
+// RevisitsDataCentre reports whether the request has returned to a data centre
+// that it had left.
 func (h Hops) RevisitsDataCentre() bool {
 	left := make(map[string]bool)
 	for i := 1; i < len(h); i++ {
--- a/core/jwrequest/request.go
+++ b/core/jwrequest/request.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// Outcome tells a caller whether its request was run.
+// Outcome states whether a request was run.
 type Outcome string
 
 // These are the outcomes of a request.
--- a/core/jwrouter/pick.go
+++ b/core/jwrouter/pick.go
@@ -72,7 +72,7 @@
 }
 
 // filterCandidates removes the targets that must not get the request. A target
-// that is probed after failures gets only calls that may be repeated, unless
+// that is probed after failures gets only calls that may be retried, unless
 // there is no other target.
 func filterCandidates(list []jwtarget.Candidate, q *Query) []jwtarget.Candidate {
 	kept := list[:0]
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -13,7 +13,7 @@
 	CheaperHere  PlaceReason = "cheaperHere"  // running here costs less than in any other region, including the wait
 	AlreadyMoved PlaceReason = "alreadyMoved" // another node forwarded it here, so it is not forwarded again
 	Bound        PlaceReason = "bound"        // its data must not leave this region
-	NotAllowed   PlaceReason = "notAllowed"   // the entry names no other region
+	NotAllowed   PlaceReason = "notAllowed"   // the entry or the policy allows no other region
 	Away         PlaceReason = "away"         // another region costs less
 	NoCapacity   PlaceReason = "noRoom"       // this region cannot run it, but another can
 	WrongRegion  PlaceReason = "wrongRegion"  // its data is bound to another region, so it is neither run nor forwarded here
--- a/core/jwrouter/rapid_test.go
+++ b/core/jwrouter/rapid_test.go
@@ -18,7 +18,7 @@
 func init() { _ = flag.Set("rapid.seed", cmp.Or(os.Getenv("JUJUBE_SEED"), "1")) }
 
 // Nodes have outdated load reports of each other, and a record of hops may be
-// lost or forged. If it were trusted, two regions that each take the other for
+// lost or forged. If it were trusted, two regions that each consider the other
 // idle would forward a request back and forth until its deadline. A request
 // bound to its home region must never be forwarded, nor run in another region.
 func TestPlaceNeverLoopsNorMovesBoundData(t *testing.T) {
@@ -80,7 +80,7 @@
 	r.Regions = &Regions{}
 	for _, other := range regions {
 		r.Regions.Merge(Load{
-			Region: other, Service: "s", Taken: start, Slots: 16, Targets: rapid.IntRange(0, 2).Draw(t, "told"),
+			Region: other, Service: "s", Taken: start, Slots: 16, Targets: rapid.IntRange(0, 2).Draw(t, "targets"),
 			Wait: time.Duration(rapid.IntRange(0, 5000).Draw(t, "wait")) * time.Millisecond,
 		})
 	}
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -154,7 +154,7 @@
 		region string
 		reason PlaceReason
 	}{
-		"home with room":          {newRouter(2, -1, idle), nil, "r", AtHome},
+		"home with capacity":      {newRouter(2, -1, idle), nil, "r", AtHome},
 		"home is busy":            {newRouter(2, -1, busy), nil, "o", Away},
 		"home has no target":      {newRouter(0, -1, idle), nil, "o", NoCapacity},
 		"no region has a target":  {newRouter(0, -1, idle), func(_ *Query, r *Router) { r.Regions = &Regions{} }, "", Nowhere},
--- a/core/jwtarget/candidate.go
+++ b/core/jwtarget/candidate.go
@@ -133,7 +133,7 @@
 	CallTime    time.Duration // average duration of a call, without its wait for a slot
 }
 
-// Free returns the share of slots that are free, from 0 to 1.
+// Free returns the fraction of the slots that are free, from 0 to 1.
 func (r Capacity) Free() float64 {
 	if r.Slots == 0 {
 		return 0
--- a/core/jwtarget/departure.go
+++ b/core/jwtarget/departure.go
@@ -14,10 +14,10 @@
 }
 
 // MarkLeaving records that a target has been leaving since the given time, as
-// reported by itself or by a peer. A report from before the platform's list
-// stopped showing the target is about an earlier target at the same address and
-// is ignored. Otherwise peers would keep passing it to each other, and the new
-// target at that address would get no work.
+// announced by the target or reported by a peer. A report from before the
+// platform's list stopped showing the target is about an earlier target at the
+// same address and is ignored. Otherwise peers would keep passing it to each
+// other, and the new target at that address would get no work.
 func (t *Table) MarkLeaving(addr netip.AddrPort, since, now time.Time) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
--- a/core/jwtarget/hash.go
+++ b/core/jwtarget/hash.go
@@ -6,8 +6,8 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Mix combines two hashes into one that is evenly distributed. It is the score
-// function of rendezvous hashing: the target whose key has the highest Mix with
+// Mix combines two hashes into one that is uniformly distributed. It is the
+// score function of rendezvous hashing: the target whose key has the highest Mix with
 // the key of a request is the first choice for it, and when a target disappears,
 // only its own requests move to others.
 func Mix(a, b uint64) uint64 {
--- a/core/jwtarget/poller.go
+++ b/core/jwtarget/poller.go
@@ -11,7 +11,7 @@
 // LoadSource fetches the load reports of targets.
 type LoadSource interface {
 	// Load requests the load report of a target. It returns leaving as true if
-	// the target reports that it wants no new work.
+	// the target announces that it is leaving.
 	Load(ctx context.Context, addr netip.AddrPort) (load Load, leaving bool, err error)
 }
 
@@ -24,7 +24,7 @@
 	Timeout time.Duration // for one request
 	Workers int
 	Now     func() time.Time
-	Leaving func(addr netip.AddrPort) // called when a target reports that it is leaving; may be nil
+	Leaving func(addr netip.AddrPort) // called when a target announces that it is leaving; may be nil
 	// Busy reports whether this node has a high load of other work, so that it
 	// polls less often; may be nil.
 	Busy func() bool
--- a/core/jwtarget/table.go
+++ b/core/jwtarget/table.go
@@ -162,7 +162,7 @@
 	probe        bool    // the only call allowed at a target that failed before, until its result is known
 }
 
-// Result tells how a call ended, as far as it matters for the health of the target.
+// Result states how a call ended, as far as it matters for the health of the target.
 type Result string
 
 // These are the results of a call.
@@ -269,7 +269,7 @@
 }
 
 // averageSlowdown moves a slowdown towards a new value. The average starts at 1,
-// because the first call alone does not tell whether the target is slow.
+// because the first call alone does not show whether the target is slow.
 func averageSlowdown(old, value float64) float64 {
 	if old == 0 {
 		old = 1
--- a/core/jwtarget/target.go
+++ b/core/jwtarget/target.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// State tells whether a target may get new work.
+// State is the state of a target, which determines whether it may get new work.
 type State string
 
 // These are the states of a target.
@@ -30,7 +30,7 @@
 	Running       int           // requests in the batch being processed
 	Waiting       int           // requests queued
 	Slots         int           // max requests in one batch; 0 if not known
-	CacheUse      float64       // share of its prefix cache in use, 0 to 1
+	CacheUse      float64       // fraction of its prefix cache in use, 0 to 1
 	TokenInterval time.Duration // time between tokens of one stream
 	RequestedAt   time.Time     // when the report was requested
 }
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -30,7 +30,7 @@
 	// for three consecutive packet losses.
 	userTimeout = 1500 * time.Millisecond
 	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package
-	// syscall lacks.
+	// syscall does not define.
 	tcpUserTimeout = 18
 	readBufferSize = 2 << 10 // small, because hundreds of streams of small events are open at once
 	restBufferSize = 16 << 10
@@ -102,7 +102,7 @@
 	Header http.Header
 	Body   []byte
 	// Rest, if set, is the part of the body after Body. It is read as fast as the
-	// peer reads it, and a call whose Rest was read in part can't be repeated.
+	// peer reads it, and a call whose Rest was read in part can't be retried.
 	// Length is the length of Body and Rest together, -1 if it isn't known; it is
 	// used only with Rest.
 	Rest   io.Reader
--- a/io/jwforward/adopt.go
+++ b/io/jwforward/adopt.go
@@ -13,14 +13,14 @@
 // can't reach the platform.
 type Sponsor interface {
 	// StartSponsorship makes this node the sponsor of another one and returns the
-	// catalogue changes that the other lacks after a revision, as JSON records.
+	// catalogue changes after a revision, as JSON records.
 	StartSponsorship(node, region, incarnation string, after uint64) (changes [][]byte, checkpoint []byte, err error)
 	// EndSponsorship ends the sponsorship that StartSponsorship began.
 	EndSponsorship(node, region, incarnation string)
 }
 
 // RequestSponsor asks a node to be the sponsor of this one and returns the catalogue
-// changes that this one lacks after the given revision.
+// changes after the given revision.
 func (p *Pool) RequestSponsor(ctx context.Context, sponsor, self jwpeer.Peer, after uint64) (changes [][]byte, checkpoint []byte, err error) {
 	client, _, err := p.client(sponsor.NodeAddress)
 	if err != nil {
--- a/io/jwforward/exchange.go
+++ b/io/jwforward/exchange.go
@@ -16,7 +16,8 @@
 
 // Exchanger merges the digests of other nodes into what this node knows.
 type Exchanger interface {
-	// Answer merges the digest of another node and returns what that node lacks.
+	// Answer merges the digest of another node and returns what that node has
+	// not been sent yet.
 	Answer(jwpeer.Digest) jwpeer.Digest
 }
 
@@ -38,7 +39,8 @@
 	return digestFromWire(answer), nil
 }
 
-// Exchange handles the digest of another node and returns what that node lacks.
+// Exchange handles the digest of another node and returns what that node has not
+// been sent yet.
 func (s *Server) Exchange(ctx context.Context, d *jwwire.Digest) (*jwwire.Digest, error) {
 	if err := checkIdentity(ctx, d.GetNode(), ""); err != nil {
 		return nil, err
--- a/io/jwforward/forward_test.go
+++ b/io/jwforward/forward_test.go
@@ -142,8 +142,8 @@
 	assert.Equal(t, failed.Kind, want, "%v", err)
 }
 
-// The other node is not running. Nothing was sent, so the caller must not be
-// told that its request may have run.
+// The other node is not running. Nothing was sent, so the caller must not get
+// the answer that its request may have run.
 func TestForwardToStoppedNode(t *testing.T) {
 	to, g := serve(t, &Server{Gate: gate(true)})
 	g.Stop()
--- a/io/jwforward/handover.go
+++ b/io/jwforward/handover.go
@@ -16,7 +16,7 @@
 	"jujubewheel/io/jwwire"
 )
 
-// HandoverReceiver takes over the tickets and answers of a node that stops.
+// HandoverReceiver takes over the tickets and answers of a stopping node.
 type HandoverReceiver interface {
 	// Adopt takes over all records or none. Its error is jwclaim.ErrNotAdopted
 	// if it certainly took over none.
@@ -68,7 +68,7 @@
 	return errors.Wrapf(jwclaim.ErrNotAdopted, "handover: %s: %v", s.Peer.Name, err)
 }
 
-// Handover takes over the records of another node that stops.
+// Handover takes over the records of another node that is stopping.
 func (s *Server) Handover(stream grpc.ClientStreamingServer[jwwire.HandoverRecord, jwwire.HandoverResult]) error {
 	receipt, err := s.HandoverReceiver.Adopt(receivedRecords(stream))
 	if errors.Is(err, jwclaim.ErrNotAdopted) {
--- a/io/jwforward/pool.go
+++ b/io/jwforward/pool.go
@@ -19,8 +19,8 @@
 const (
 	pingInterval = 10 * time.Second // the shortest that gRPC allows a client
 	pingTimeout  = 3 * time.Second
-	// maxBackoff is short, so that a peer that is back is reached within a
-	// second or two.
+	// maxBackoff is short, so that a connection is made within a second or two
+	// after a peer is reachable again.
 	maxBackoff  = 2 * time.Second
 	dialTimeout = 2 * time.Second
 	frameSize   = 32 << 10 // bytes of a request's body in one frame
--- a/io/jwforward/probe.go
+++ b/io/jwforward/probe.go
@@ -22,7 +22,7 @@
 
 // peerConn is the connection to one node and its state.
 //
-// A connection can stop responding for good, or carry bytes in one direction
+// A connection can stop responding permanently, or carry bytes in one direction
 // only. gRPC's own pings detect that after 13 s at the earliest; until then,
 // every forwarded request would wait that long, and so would all later ones. A
 // probe, which is a small call made every second while other calls wait, detects
@@ -95,7 +95,7 @@
 }
 
 // excludeUntilAnswer excludes a node until it answers a probe, but for
-// maxExclusion at most.
+// at most maxExclusion.
 func (p *Pool) excludeUntilAnswer(addr netip.AddrPort) {
 	until := time.Now().Add(maxExclusion)
 	p.mu.Lock()
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -23,7 +23,7 @@
 	Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
 }
 
-// Gate counts the requests in flight and admits none once the node stops.
+// Gate counts the requests in flight and admits none once the node is stopping.
 type Gate interface {
 	// Enter admits a request, and done ends it; ok is false once the node
 	// admits no more.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	// A node that stops still serves requests for the idempotency keys that it
+	// A stopping node still serves requests for the idempotency keys that it
 	// holds, as no other node can.
 	if reason != jwdispatch.ForwardHolder {
 		done, ok := s.Gate.Enter()
--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -44,7 +44,7 @@
 	Hosts(workspace string) []netip.AddrPort
 }
 
-// Gate counts the requests in flight and admits none once the node stops.
+// Gate counts the requests in flight and admits none once the node is stopping.
 type Gate interface {
 	// Enter admits a request, and done ends it; ok is false once the node
 	// admits no more.
--- a/io/jwlisten/callers_test.go
+++ b/io/jwlisten/callers_test.go
@@ -110,8 +110,8 @@
 }
 
 func TestBadRequests(t *testing.T) {
-	// A caller sends a malformed or malicious request. It must be told what is
-	// wrong, and no part of the request may reach a target.
+	// A caller sends a malformed or malicious request. The answer must state
+	// what is wrong, and no part of the request may reach a target.
 	long := strings.Repeat("a", maxKeyLength+1)
 	tests := map[string]struct {
 		method, path string // POST /v1/requests/menu if empty
@@ -241,7 +241,7 @@
 
 func TestUnavailableNode(t *testing.T) {
 	// A node is stopping or has not started yet. Its callers must be directed to
-	// other nodes, and be told that this try ran nothing.
+	// other nodes, and learn that this try ran nothing.
 	tests := map[string]func(c *Callers){
 		"stopping":  func(c *Callers) { c.Gate = gate{closed: true} },
 		"not ready": func(c *Callers) { c.Ready = func() bool { return false } },
--- a/io/jwnode/bound_test.go
+++ b/io/jwnode/bound_test.go
@@ -134,8 +134,8 @@
 	assert.Assert(t, bytes.Contains(s.taps.traffic()["west/w1"], fingerprint[:]) || bytes.Contains(s.taps.traffic()["west/w2"], fingerprint[:]) ||
 		bytes.Contains(s.taps.traffic()["east/e1"], fingerprint[:]), "the relays did not record the fingerprint")
 
-	// A node wrongly takes another region for the home of bound data and forwards a
-	// request there.
+	// A node has the wrong home region for bound data and forwards a request
+	// there.
 	for entry, key := range map[string]string{"draft": "", "confirm": "k2"} {
 		forged := &jwrequest.Request{
 			ID: "forged", Workspace: "bound-east", Entry: entry, Key: key, Body: []byte(body),
--- a/io/jwnode/life.go
+++ b/io/jwnode/life.go
@@ -91,12 +91,12 @@
 
 // leave carries out the planned stop: callers are sent to other hosts, requests
 // in flight are finished, a successor takes over the tickets, and the other
-// nodes are told that this one is gone.
+// nodes learn that this one is gone.
 func (n *Node) leave(ctx context.Context) {
 	n.serving.Store(false)
 	switch err := n.drain.Run(ctx); {
 	case errors.Is(err, jwdrain.ErrNoSuccessor):
-		// The last node of a region has nobody to hand over to.
+		// The last node of a region has no successor.
 		n.Log.Info("stopped without a successor: the outcome of requests with this node's tickets is unknown from now on", "reason", err.Error())
 	case err != nil:
 		n.Log.Error(err, "stop finished with errors")
@@ -129,8 +129,8 @@
 	}
 }
 
-// finalExchangeWait is how long a stopping node waits for its exchanges to tell the
-// other nodes that it is gone.
+// finalExchangeWait is how long a stopping node waits for its exchanges to send the
+// other nodes its last state.
 const finalExchangeWait = 500 * time.Millisecond
 
 // successors returns the other serving nodes of the region in random order.
--- a/io/jwnode/links_test.go
+++ b/io/jwnode/links_test.go
@@ -49,10 +49,10 @@
 	}
 }
 
-// A firewall between two regions drops its state: open connections go silent for
-// good, while new ones work. If a node kept using the silent ones, one caller
+// A firewall between two regions drops its state: open connections lose every
+// byte, while new ones work. If a node kept using the old ones, one caller
 // after another would wait until its deadline. The regions must also recover
-// after a link that was blocked in one direction, cut, or slow and lossy.
+// after a link that was blocked in one direction, lost, or slow and lossy.
 func TestLinksBetweenNodes(t *testing.T) {
 	t.Parallel()
 	s, near, _ := linked(t)
@@ -93,7 +93,7 @@
 	}
 }
 
-// The link between two regions is cut while streams pass over it. Each caller has
+// The link between two regions is lost while streams pass over it. Each caller has
 // part of its answer by then, and must not see a regular end, which would make
 // that part look like the complete answer.
 func TestStreamCutBetweenNodes(t *testing.T) {
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -46,10 +46,10 @@
 }
 
 // The client directory or a catalogue change reaches the nodes at different times
-// while a workspace moves to another region, so that each node takes another
-// region for the home of a request. If every node forwarded it, the request would
-// loop until its deadline and load the links for nothing. Each request may be
-// forwarded at most once.
+// while a workspace moves to another region, so that each node assumes another home
+// region for a request. If every node forwarded it, the request would loop until
+// its deadline and load the links for nothing. Each request may be forwarded at
+// most once.
 func TestNodesDisagree(t *testing.T) {
 	s := newSystem(t, "east", "north", "west")
 	runner, _ := s.runner("east")
--- a/io/jwnode/membership.go
+++ b/io/jwnode/membership.go
@@ -54,8 +54,8 @@
 	return peer.Name, changes, cp, err
 }
 
-// Release tells a peer that it need no longer confirm revisions for this node.
-// There is nothing to tell a peer that is gone.
+// Release ends a peer's sponsorship of this node. A peer that is gone is not
+// called.
 func (s *sponsorClient) Release(ctx context.Context, sponsor string, m jwcatalogue.Member) error {
 	peer, known := s.peers.Get(sponsor)
 	if !known || peer.State == jwpeer.Gone {
--- a/io/jwnode/node.go
+++ b/io/jwnode/node.go
@@ -39,7 +39,7 @@
 const (
 	stateReportInterval = 5 * time.Second        // shortest time between two reports of this node's own state while nothing changes
 	exchangeTimeout     = time.Second            // for one state exchange with a peer
-	peerTimeout         = 15 * time.Second       // without news of a peer, after which it is no relay and does not count as serving
+	peerTimeout         = 15 * time.Second       // age of a peer's newest state from which on it is no relay and does not count as serving
 	loadTimeout         = time.Second            // for one load report of a target
 	platformTimeout     = 2 * time.Second        // for one call to a platform service or to a peer that replaces it
 	confirmInterval     = 200 * time.Millisecond // between checks of the revision of the nodes that this one confirms for
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -316,7 +316,7 @@
 				complete := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
 				mu.Lock()
 				if r.outcome == "" {
-					r.outcome = "unknown" // the connection was cut off
+					r.outcome = "unknown" // the connection broke
 				}
 				outcomes[entry][r.outcome]++
 				reported[id] = r.outcome
--- a/io/jwnode/policy_test.go
+++ b/io/jwnode/policy_test.go
@@ -20,7 +20,7 @@
 )
 
 // A target is about to be replaced, as the platform's host list or its own load
-// report says. Requests sent there after that would be cut off together with the
+// report announces. Requests sent there after that would fail together with the
 // target and never be answered. Every node must stop sending to it, and the
 // requests that already run on it must finish.
 func TestLeavingTarget(t *testing.T) {
--- a/io/jwnode/pulse_test.go
+++ b/io/jwnode/pulse_test.go
@@ -13,7 +13,7 @@
 )
 
 // A node forwards a request to one that does not serve yet, or that was paused.
-// The answer must say that nothing ran, so that the first node can try a third.
+// The answer must state that nothing ran, so that the first node can try a third.
 func TestForwardToNodeThatDoesNotServe(t *testing.T) {
 	s := newSystem(t, "east")
 	s.runner("east")
--- a/io/jwnode/silent_test.go
+++ b/io/jwnode/silent_test.go
@@ -110,7 +110,7 @@
 			text := fmt.Sprintf("menu of %d", i)
 			r := s.send(n.CallersAddr(), "draft", workspace, prompt(text, 20, i%4 < 2), header{"Jujube-Request-Id": "same"})
 			if r.outcome == "notRun" {
-				return // the target has no room for all requests at once
+				return // the target has no capacity for all requests at once
 			}
 			for k := range 20 {
 				assert.Check(t, strings.Contains(r.body, jwstand.TokenOf(text, k+1)), "%d: %+v", i, r)
--- a/io/jwnode/sources.go
+++ b/io/jwnode/sources.go
@@ -18,8 +18,8 @@
 // maxChanges is the maximum number of catalogue changes in one answer of a peer.
 const maxChanges = 256
 
-// servingPeers tells the claim keeper which nodes of a region serve and were seen
-// recently.
+// servingPeers provides the claim keeper with the nodes of a region that serve
+// and were seen recently.
 type servingPeers struct{ table *jwpeer.Table }
 
 // Serving returns the names of the serving nodes of a region, this one included.
--- a/io/jwnode/system_test.go
+++ b/io/jwnode/system_test.go
@@ -73,7 +73,7 @@
 	return s
 }
 
-// standIn starts a stand-in program on a port of its own until the test ends.
+// standIn starts a stand-in program on a separate port until the test ends.
 func (s *system) standIn(kind string, p jwstand.Program) *jwstand.StandIn {
 	s.t.Helper()
 	standIn := &jwstand.StandIn{
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -46,7 +46,7 @@
 
 // targetConns holds the HTTP clients for one target.
 type targetConns struct {
-	pooledTransport *http.Transport // keeps connections, for calls that may be repeated
+	pooledTransport *http.Transport // keeps connections, for calls that may be retried
 	// The services are kept here, because otherwise each call would create a
 	// client and a service.
 	pooled    httpc.Service // over pooledTransport
@@ -110,7 +110,7 @@
 
 // request creates the HTTP request for a call.
 //
-// The transport repeats a request by itself when a reused connection breaks, if
+// The transport retries a request by itself when a reused connection breaks, if
 // it can read the body again and the request has an Idempotency-Key. A
 // confirmation could then run twice without this node noticing. Therefore the
 // request gets a body that can be read only once.
--- a/io/jwtargetclient/client_test.go
+++ b/io/jwtargetclient/client_test.go
@@ -55,7 +55,7 @@
 		"refused as overloaded": {handler: func(w http.ResponseWriter, _ *http.Request) {
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}, atCall: jwdispatch.Refused},
-		"connection cut before the answer": {handler: func(http.ResponseWriter, *http.Request) {
+		"connection closed before the answer": {handler: func(http.ResponseWriter, *http.Request) {
 			panic(http.ErrAbortHandler)
 		}, atCall: jwdispatch.BrokenOff},
 		"incomplete plain answer": {handler: func(w http.ResponseWriter, _ *http.Request) {
@@ -120,7 +120,7 @@
 }
 
 // Nothing listens at the target's address any more. The node must report that
-// the request was not run, so that the caller can repeat it at once.
+// the request was not run, so that the caller can retry it at once.
 func TestNoListener(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	assert.NilError(t, err)
@@ -171,7 +171,7 @@
 }
 
 // A caller disconnects in the middle of a long answer. The target must notice, or
-// it goes on generating tokens that nobody reads.
+// it goes on generating tokens that no caller reads.
 func TestCloseCancelsTheTarget(t *testing.T) {
 	targetCancelled := make(chan struct{})
 	s := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/io/jwtargetclient/load.go
+++ b/io/jwtargetclient/load.go
@@ -26,12 +26,13 @@
 	gaugeLeaving = "vllm:leaving"
 )
 
-// maxReport is the maximum size of a load report in bytes. The rest is not read.
+// maxReport is the maximum size of a load report in bytes. Anything beyond it
+// is not read.
 const maxReport = 256 << 10
 
 // Load reads the load of a target from its /metrics, in the Prometheus text
 // format. The load is zero for a target that has no such path; leaving reports
-// whether the target asks for no new work.
+// whether the target announces that it is leaving.
 func (c *Client) Load(ctx context.Context, addr netip.AddrPort) (load jwtarget.Load, leaving bool, err error) {
 	r, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr.String()+"/metrics", nil)
 	if err != nil {
