--- a/core/jwdispatch/failure.go
+++ b/core/jwdispatch/failure.go
@@ -15,23 +15,23 @@
 	if errors.Is(err, errCallerGone) || errors.Is(ctx.Err(), context.Canceled) {
 		// Without a head, a caller that is still connected would see an empty
 		// answer with status 200, as when the server cancels its calls.
-		j.sink.refuse(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonCaller, "caller gone"))
+		j.sink.reject(Refusal(http.StatusGatewayTimeout, jwrequest.Unknown, ReasonCaller, "caller gone"))
 		return
 	}
-	j.sink.refuse(j.failure(ctx, err))
+	j.sink.reject(j.failure(ctx, err))
 }
 
 // failure converts the last error into the refusal that the caller gets.
 func (j *job) failure(ctx context.Context, err error) AnswerHead {
-	var place *noPlacementError
+	var noPlacement *noPlacementError
 	var failed *CallError
 	outcome := jwrequest.NotRun
 	if j.mayHaveRun {
 		outcome = jwrequest.Unknown
 	}
 	switch {
-	case errors.As(err, &place):
-		h := unavailable(ReasonNoTarget, place.Error(), defaultRetryAfter)
+	case errors.As(err, &noPlacement):
+		h := unavailable(ReasonNoTarget, noPlacement.Error(), defaultRetryAfter)
 		h.Outcome = outcome
 		return h
 	case errors.As(err, &failed):
--- a/core/jwdispatch/relay_head_test.go
+++ b/core/jwdispatch/relay_head_test.go
@@ -47,13 +47,13 @@
 
 var errBroken = &CallError{Step: "read answer", Kind: BrokenOff, Err: errors.New("cut")}
 
-// brokenReader returns a body that breaks off after the text.
+// brokenReader returns a body that fails with errBroken after the text.
 func brokenReader(text string) io.Reader {
 	return io.MultiReader(strings.NewReader(text), iotest.ErrReader(errBroken))
 }
 
 // letterStream returns a stream with one event for each letter; if broken is
-// set, it breaks off after them.
+// set, it fails with errBroken after them.
 func letterStream(status int, letters string, broken bool) *Answer {
 	var r io.Reader = strings.NewReader(lettersAsEvents(letters))
 	if broken {
@@ -69,10 +69,10 @@
 
 func newAnswer(h AnswerHead, r io.Reader) *Answer { return &Answer{Head: h, Body: io.NopCloser(r)} }
 
-// A target fails while its answer is being sent, and the request is tried
-// again. The caller must get each byte once and the end of the same answer, or
-// be told that the answer broke off. Parts of two answers, or an error page in
-// place of the rest, would look to the caller like the draft it asked for.
+// A target fails while its answer is being sent, and the request is retried.
+// The caller must get each byte once and the end of the same answer, or an end
+// that marks the answer as incomplete. Parts of two answers, or an error page in
+// place of the remainder, would look to the caller like the draft it asked for.
 func TestRelayRetriesAnswer(t *testing.T) {
 	page := AnswerHead{Status: 500, ContentType: "text/plain", Length: 5}
 	tests := map[string]struct {
@@ -80,19 +80,19 @@
 		body   string
 		served bool // if false, the last try ends in an error
 	}{
-		"first try whole":                    {[]*Answer{letterStream(200, "abc", false)}, "abc", true},
-		"same text again":                    {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abcdef", false)}, "abcdef", true},
-		"cut three times":                    {[]*Answer{letterStream(200, "ab", true), letterStream(200, "a", true), letterStream(200, "abcd", true), letterStream(200, "abcdef", false)}, "abcdef", true},
-		"byte by byte":                       {[]*Answer{letterStream(200, "abc", true), byteByByte(letterStream(200, "abcdef", false))}, "abcdef", true},
-		"cut at the end":                     {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abc", false)}, "abc", true},
-		"another text":                       {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abxdef", false)}, "abc", false},
-		"shorter":                            {[]*Answer{letterStream(200, "abc", true), letterStream(200, "ab", false)}, "abc", false},
-		"error page after text":              {[]*Answer{letterStream(200, "abc", true), newAnswer(page, strings.NewReader("sorry"))}, "abc", false},
-		"error page before text":             {[]*Answer{letterStream(200, "", true), newAnswer(page, strings.NewReader("sorry"))}, "", false},
-		"plain text after a head":            {[]*Answer{letterStream(200, "", true), newAnswer(AnswerHead{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
-		"plain, cut, then whole":             {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
-		"plain of unknown length, cut":       {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
-		"refused by another node after text": {[]*Answer{letterStream(200, "abc", true), newAnswer(Refusal(504, jwrequest.Unknown, ReasonTarget, ""), strings.NewReader(""))}, "abc", false},
+		"first try complete":                  {[]*Answer{letterStream(200, "abc", false)}, "abc", true},
+		"same text again":                     {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abcdef", false)}, "abcdef", true},
+		"broken three times":                  {[]*Answer{letterStream(200, "ab", true), letterStream(200, "a", true), letterStream(200, "abcd", true), letterStream(200, "abcdef", false)}, "abcdef", true},
+		"byte by byte":                        {[]*Answer{letterStream(200, "abc", true), byteByByte(letterStream(200, "abcdef", false))}, "abcdef", true},
+		"broken at the end":                   {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abc", false)}, "abc", true},
+		"another text":                        {[]*Answer{letterStream(200, "abc", true), letterStream(200, "abxdef", false)}, "abc", false},
+		"shorter":                             {[]*Answer{letterStream(200, "abc", true), letterStream(200, "ab", false)}, "abc", false},
+		"error page after text":               {[]*Answer{letterStream(200, "abc", true), newAnswer(page, strings.NewReader("sorry"))}, "abc", false},
+		"error page before text":              {[]*Answer{letterStream(200, "", true), newAnswer(page, strings.NewReader("sorry"))}, "", false},
+		"plain text after a head":             {[]*Answer{letterStream(200, "", true), newAnswer(AnswerHead{Status: 200, ContentType: "text/plain", Length: 3}, strings.NewReader("abc"))}, "", false},
+		"plain, broken, then complete":        {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: 6}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 6}, strings.NewReader("uvwxyz"))}, "uvwxyz", true},
+		"plain of unknown length, broken":     {[]*Answer{newAnswer(AnswerHead{Status: 200, Length: UnknownLength}, brokenReader("abc")), newAnswer(AnswerHead{Status: 200, Length: 2}, strings.NewReader("uv"))}, "uv", true},
+		"rejected by another node after text": {[]*Answer{letterStream(200, "abc", true), newAnswer(Refusal(504, jwrequest.Unknown, ReasonTarget, ""), strings.NewReader(""))}, "abc", false},
 	}
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
--- a/core/jwdispatch/sink.go
+++ b/core/jwdispatch/sink.go
@@ -72,9 +72,9 @@
 	})
 }
 
-// refuse ends the request with a refusal, even if part of the answer was
+// reject ends the request with a refusal, even if part of the answer was
 // already sent.
-func (e *trackedSink) refuse(h AnswerHead) {
+func (e *trackedSink) reject(h AnswerHead) {
 	if h.Outcome != jwrequest.Served {
 		e.job.trace("refused", h.Detail)
 	}
@@ -87,8 +87,8 @@
 	_ = e.End(AnswerEnd{Outcome: h.Outcome, Length: e.bytesSent, Reason: h.Reason, Detail: h.Detail})
 }
 
-// sendWhole sends an answer whose whole body is available.
-func (e *trackedSink) sendWhole(h AnswerHead, body []byte) {
+// sendComplete sends an answer whose complete body is available.
+func (e *trackedSink) sendComplete(h AnswerHead, body []byte) {
 	h.Length = int64(len(body))
 	if h.Outcome == "" {
 		h.Outcome = jwrequest.Served
--- a/core/jwdispatch/suspicion.go
+++ b/core/jwdispatch/suspicion.go
@@ -11,7 +11,7 @@
 	"jujubewheel/core/jwtarget"
 )
 
-// quarantined refuses the request and returns true if requests like it crashed
+// quarantined rejects the request and returns true if requests like it crashed
 // targets.
 func (j *job) quarantined() bool {
 	state, left := j.Board.Suspects.Check(j.fingerprint(), j.Now())
@@ -20,12 +20,12 @@
 	}
 	h := Refusal(http.StatusUnprocessableEntity, jwrequest.NotRun, ReasonQuarantine, "requests with this body crashed targets")
 	h.RetryAfter = left
-	j.sink.refuse(h)
+	j.sink.reject(h)
 	return true
 }
 
 // fingerprint returns the fingerprint of entry and body. It is equal for all
-// tries of one request, whoever sends them.
+// tries of one request, whichever node or caller sends them.
 func (j *job) fingerprint() jwsuspect.Fingerprint {
 	if j.fp == (jwsuspect.Fingerprint{}) {
 		j.fp = jwsuspect.FingerprintOf(j.request.Entry, j.request.Body)
--- a/core/jwdispatch/target.go
+++ b/core/jwdispatch/target.go
@@ -90,13 +90,13 @@
 }
 
 // pick chooses a target. A suspected request avoids the targets that jwsuspect
-// keeps it apart from.
+// excludes for it.
 func (j *job) pick(fp jwsuspect.Fingerprint) (jwrouter.Choice, bool) {
 	tried := j.query.Exclude
 	defer func() { j.query.Exclude = tried }()
 	if state, _ := j.Board.Suspects.Check(fp, j.Now()); state == jwsuspect.Suspected {
-		apart := j.Board.Suspects.ExcludedTargets(fp, j.usableTargets(), j.Now())
-		j.query.Exclude = append(tried[:len(tried):len(tried)], apart...)
+		excluded := j.Board.Suspects.ExcludedTargets(fp, j.usableTargets(), j.Now())
+		j.query.Exclude = append(tried[:len(tried):len(tried)], excluded...)
 	}
 	return j.Router.Pick(&j.query)
 }
--- a/core/jwpeer/exchange_test.go
+++ b/core/jwpeer/exchange_test.go
@@ -20,7 +20,7 @@
 	nodes       map[string]*Exchange
 	down        map[string]bool // nodes that can't be reached
 	loseAnswers map[string]int  // for each node, how many of its next answers are lost
-	fullStates  int             // whole states that were sent
+	fullStates  int             // complete states that were sent
 	updates     int             // updates that were sent
 }
 
@@ -111,7 +111,7 @@
 		for name, x := range n.nodes {
 			for other := range n.nodes {
 				p, _ := x.Table.Get(other)
-				assert.Equal(t, p.Incarnation, "1", "%s lacks the state of %s", name, other)
+				assert.Equal(t, p.Incarnation, "1", "%s does not have the state of %s", name, other)
 			}
 		}
 		n.mu.Lock()
--- a/io/jwconn/pool.go
+++ b/io/jwconn/pool.go
@@ -30,7 +30,7 @@
 	// for three consecutive packet losses.
 	userTimeout = 1500 * time.Millisecond
 	// tcpUserTimeout is the Linux socket option TCP_USER_TIMEOUT, which package
-	// syscall lacks.
+	// syscall does not define.
 	tcpUserTimeout = 18
 	readBufferSize = 2 << 10 // small, because hundreds of streams of small events are open at once
 	restBufferSize = 16 << 10
@@ -102,7 +102,7 @@
 	Header http.Header
 	Body   []byte
 	// Rest, if set, is the part of the body after Body. It is read as fast as the
-	// peer reads it, and a call whose Rest was read in part can't be repeated.
+	// peer reads it, and a call whose Rest was read in part can't be retried.
 	// Length is the length of Body and Rest together, -1 if it isn't known; it is
 	// used only with Rest.
 	Rest   io.Reader
@@ -192,7 +192,7 @@
 func (e *BodyReadError) Unwrap() error { return e.Err }
 
 // writeBody writes the body of a call. If the body is incomplete, it closes the
-// connection, so that the peer doesn't take the part that it has for the whole.
+// connection, so that the peer doesn't process it as a complete one.
 func writeBody(cn *conn, c *Call) error {
 	if c.Rest == nil {
 		_, err := cn.Write(c.Body)
@@ -310,8 +310,8 @@
 // parseKeepAlive returns how long the peer keeps an unused connection according
 // to its Keep-Alive header, 0 if unknown.
 func parseKeepAlive(h http.Header) time.Duration {
-	for _, word := range strings.Split(h.Get("Keep-Alive"), ",") {
-		name, value, ok := strings.Cut(strings.TrimSpace(word), "=")
+	for _, param := range strings.Split(h.Get("Keep-Alive"), ",") {
+		name, value, ok := strings.Cut(strings.TrimSpace(param), "=")
 		if !ok || !strings.EqualFold(name, "timeout") {
 			continue
 		}
@@ -453,9 +453,9 @@
 	a.conn.Close()
 }
 
-// bodyWritten reports whether the whole request has been sent. If the peer
-// answered early, it may not be; the peer would then take the next request on the
-// connection for the rest of the body.
+// bodyWritten reports whether the complete request has been sent. If the peer
+// answered early, it may not be; the peer would then read the next request on the
+// connection as the remainder of the body.
 func (a *Answer) bodyWritten() bool {
 	if a.bodyResult == nil {
 		return true
--- a/io/jwforward/server.go
+++ b/io/jwforward/server.go
@@ -23,7 +23,7 @@
 	Serve(ctx context.Context, r *jwrequest.Request, sink jwdispatch.Sink)
 }
 
-// Gate counts the requests in flight and admits none once the node stops.
+// Gate counts the requests in flight and admits none once the node is stopping.
 type Gate interface {
 	// Enter admits a request, and done ends it; ok is false once the node
 	// admits no more.
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	// A node that stops still serves requests for the idempotency keys that it
+	// A stopping node still serves requests for the idempotency keys that it
 	// holds, as no other node can.
 	if reason != jwdispatch.ForwardHolder {
 		done, ok := s.Gate.Enter()
@@ -87,7 +87,7 @@
 	return sink.err
 }
 
-// receive reads the whole request, so that nothing is started before its last
+// receive reads the complete request, so that nothing is started before its last
 // byte has arrived.
 func (s *Server) receive(stream grpc.BidiStreamingServer[jwwire.ForwardFrame, jwwire.AnswerFrame]) (r *jwrequest.Request, reason string, err error) {
 	f, err := stream.Recv()
@@ -125,7 +125,7 @@
 	return r, head.GetReason(), nil
 }
 
-// checkLastHop refuses a request without a record of its hops, or whose last hop
+// checkLastHop rejects a request without a record of its hops, or whose last hop
 // is not the node that sent it. Without the record, the request would count as
 // one from a caller and could be forwarded to another region, and from there
 // again.
--- a/io/jwlisten/callers.go
+++ b/io/jwlisten/callers.go
@@ -21,9 +21,9 @@
 	"jujubewheel/io/jwrest"
 )
 
-// hostListMaxAge is how long a caller may use a list of hosts before it has to
+// maxHostListAge is how long a caller may use a list of hosts before it has to
 // request it again.
-const hostListMaxAge = 5 * time.Second
+const maxHostListAge = 5 * time.Second
 
 // bodyTimeout limits the time in which a caller sends the body of a request, so
 // that slow callers don't occupy memory without limit.
@@ -44,7 +44,7 @@
 	Hosts(workspace string) []netip.AddrPort
 }
 
-// Gate counts the requests in flight and admits none once the node stops.
+// Gate counts the requests in flight and admits none once the node is stopping.
 type Gate interface {
 	// Enter admits a request, and done ends it; ok is false once the node
 	// admits no more.
@@ -57,8 +57,8 @@
 	Mint() (string, error)
 }
 
-// Counter counts requests that this package refuses. The dispatcher counts those
-// that it refuses or serves.
+// Counter counts requests that this package rejects. The dispatcher counts those
+// that it rejects or serves.
 type Counter interface {
 	// RecordEnd counts one request. The entry is empty if its name has not been
 	// checked.
@@ -96,7 +96,7 @@
 
 func (c *Callers) hosts(w http.ResponseWriter, r *http.Request) {
 	workspace := r.URL.Query().Get("workspace")
-	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: hostListMaxAge.Milliseconds()}
+	list := hostList{Hosts: c.Dispatcher.Hosts(workspace), TrustMillis: maxHostListAge.Milliseconds()}
 	writeJSON(w, http.StatusOK, list)
 }
 
@@ -107,7 +107,7 @@
 func (c *Callers) ticket(w http.ResponseWriter, r *http.Request) {
 	workspace := r.Header.Get(headerWorkspace)
 	if len(r.Header.Values(headerWorkspace)) > 1 || !isShortPrintable(workspace, maxNameLength) {
-		c.refuseUnchecked(w, badHeader(headerWorkspace))
+		c.rejectUnchecked(w, badHeader(headerWorkspace))
 		return
 	}
 	if refusal, refused := c.Dispatcher.CheckTicket(workspace); refused {
@@ -136,7 +136,7 @@
 		w.Header().Set(headerRequestID, in.ID)
 	}
 	if refused {
-		c.refuseUnchecked(w, refusal.ForKey(in.Key))
+		c.rejectUnchecked(w, refusal.ForKey(in.Key))
 		return
 	}
 	done, ok := c.Gate.Enter()
@@ -144,7 +144,7 @@
 		if ok {
 			done()
 		}
-		c.refuseUnchecked(w, c.refusalWhenLeaving(in))
+		c.rejectUnchecked(w, c.refusalWhenNotReady(in))
 		return
 	}
 	defer done()
@@ -153,7 +153,7 @@
 		return
 	}
 	if refusal, refused := c.receiveBody(w, r, in); refused {
-		c.refuseBody(w, in, refusal.ForKey(in.Key))
+		c.rejectBody(w, in, refusal.ForKey(in.Key))
 		return
 	}
 	sink := &httpSink{w: w, control: http.NewResponseController(w)}
@@ -165,19 +165,19 @@
 	}
 }
 
-// refuseUnchecked refuses a request that the dispatcher has not checked. It
+// rejectUnchecked rejects a request that the dispatcher has not checked. It
 // records no trace: it is not known yet whether the data is bound to another
 // region, in which case no trace may be recorded here.
-func (c *Callers) refuseUnchecked(w http.ResponseWriter, h jwdispatch.AnswerHead) {
+func (c *Callers) rejectUnchecked(w http.ResponseWriter, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
 		c.Counter.RecordEnd("", h.Outcome, h.Reason)
 	}
 	writeRefusal(w, h)
 }
 
-// refuseBody refuses a request because of its body, after the dispatcher has
+// rejectBody rejects a request because of its body, after the dispatcher has
 // checked everything else.
-func (c *Callers) refuseBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.AnswerHead) {
+func (c *Callers) rejectBody(w http.ResponseWriter, in *jwrequest.Request, h jwdispatch.AnswerHead) {
 	if c.Counter != nil {
 		c.Counter.RecordEnd(in.Entry, h.Outcome, h.Reason)
 	}
@@ -188,9 +188,9 @@
 	writeRefusal(w, h)
 }
 
-// refusalWhenLeaving returns the refusal that directs callers to other nodes
+// refusalWhenNotReady returns the refusal that directs callers to other nodes
 // while this one starts or stops.
-func (c *Callers) refusalWhenLeaving(in *jwrequest.Request) jwdispatch.AnswerHead {
+func (c *Callers) refusalWhenNotReady(in *jwrequest.Request) jwdispatch.AnswerHead {
 	h := jwdispatch.Refusal(http.StatusServiceUnavailable, jwrequest.NotRun, jwdispatch.ReasonLeaving, "this node takes no requests now").ForKey(in.Key)
 	h.Hosts = c.Dispatcher.Hosts(in.Workspace)
 	h.RetryAfter = time.Second
@@ -198,7 +198,7 @@
 }
 
 // receiveBody reads the body into the request, or returns a refusal. A body whose
-// announced length is too long is refused without reading it.
+// announced length is too long is rejected without reading it.
 func (c *Callers) receiveBody(w http.ResponseWriter, r *http.Request, in *jwrequest.Request) (jwdispatch.AnswerHead, bool) {
 	limit := c.Dispatcher.MaxBody(in.Entry)
 	if r.ContentLength > limit {
--- a/io/jwnode/loops_test.go
+++ b/io/jwnode/loops_test.go
@@ -46,10 +46,10 @@
 }
 
 // The client directory or a catalogue change reaches the nodes at different times
-// while a workspace moves to another region, so that each node takes another
-// region for the home of a request. If every node forwarded it, the request would
-// loop until its deadline and load the links for nothing. Each request may be
-// forwarded at most once.
+// while a workspace moves to another region, so that each node assumes another home
+// region for a request. If every node forwarded it, the request would loop until
+// its deadline and load the links for nothing. Each request may be forwarded at
+// most once.
 func TestNodesDisagree(t *testing.T) {
 	s := newSystem(t, "east", "north", "west")
 	runner, _ := s.runner("east")
@@ -74,10 +74,10 @@
 		n.setHomeRegion("pair", map[string]string{"east": "west", "west": "east", "north": "north"}[region])
 	}
 	// At one node the confirmation is idempotent, at the others it is not.
-	repeated := confirmation()
-	repeated.Idempotent, repeated.KeyMemory, repeated.Regions = true, 0, []string{"*"}
+	idempotent := confirmation()
+	idempotent.Idempotent, idempotent.KeyMemory, idempotent.Regions = true, 0, []string{"*"}
 	assert.NilError(t, nodes["north"].board.Catalogue.Apply(jwcatalogue.Change{
-		N: 3, EditID: "only-north", Author: "test", Reason: "test", Time: time.Now(), Entry: "confirm", Before: ptr(confirmation()), After: &repeated,
+		N: 3, EditID: "only-north", Author: "test", Reason: "test", Time: time.Now(), Entry: "confirm", Before: ptr(confirmation()), After: &idempotent,
 	}))
 	for _, workspace := range []string{"lost", "pair"} {
 		for _, entry := range []string{"draft", "confirm"} {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -23,7 +23,7 @@
 	"jujubewheel/io/jwstand"
 )
 
-// refusalSystem is a system in which requests can be refused for each reason.
+// refusalSystem is a system in which requests can be rejected for each reason.
 type refusalSystem struct {
 	*system
 	home, away, leaving    *runningNode
@@ -42,11 +42,11 @@
 	s.away = s.node("w1", "west")
 	tight := draft()
 	tight.Name, tight.Limits = "tight", jwcatalogue.Limits{Rate: 0.0001, Burst: 1}
-	nobody := draft()
-	nobody.Name, nobody.Service = "nobody", "nobody"
+	noTarget := draft()
+	noTarget.Name, noTarget.Service = "nobody", "nobody"
 	bound := draft()
 	bound.Name, bound.Bound, bound.Regions = "kept", true, nil
-	for _, e := range []jwcatalogue.Entry{draft(), confirmation(), tight, nobody, bound} {
+	for _, e := range []jwcatalogue.Entry{draft(), confirmation(), tight, noTarget, bound} {
 		s.edit(s.home, e)
 	}
 	s.awaitRevision(5)
@@ -85,7 +85,7 @@
 
 // A caller that gets the outcome notRun sends the request again with a new key.
 // If the first one did run, the order is executed and paid twice. The test
-// refuses requests in each possible way and checks that no target has run them.
+// rejects requests in each possible way and checks that no target has run them.
 func TestNotRunIsTrue(t *testing.T) {
 	s := newRefusalSystem(t)
 	addr := s.home.CallersAddr()
@@ -264,7 +264,7 @@
 }
 
 // One target of each service keeps going down and coming back while callers send
-// requests. Each answer must be whole, each notRun must be true, and more drafts
+// requests. Each answer must be complete, each notRun must be true, and more drafts
 // must be served than end with an unknown outcome.
 func TestOutcomesWhileTargetsBreak(t *testing.T) {
 	s := newSystem(t, "east")
@@ -313,15 +313,15 @@
 					entry, body, h["Idempotency-Key"] = "confirm", id, id
 				}
 				r := s.send(a.CallersAddr(), entry, "free-east", body, h)
-				whole := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
+				complete := r.err == nil && (entry == "confirm" || strings.Contains(strings.ReplaceAll(r.body, `"},{`, ""), jwstand.TokenOf(id, 10)))
 				mu.Lock()
 				if r.outcome == "" {
-					r.outcome = "unknown" // the connection was cut off
+					r.outcome = "unknown" // the connection broke
 				}
 				outcomes[entry][r.outcome]++
 				reported[id] = r.outcome
 				if r.outcome == "served" {
-					assert.Check(t, whole, "%+v", r)
+					assert.Check(t, complete, "%+v", r)
 				}
 				mu.Unlock()
 			}
--- a/io/jwtargetclient/client.go
+++ b/io/jwtargetclient/client.go
@@ -46,7 +46,7 @@
 
 // targetConns holds the HTTP clients for one target.
 type targetConns struct {
-	pooledTransport *http.Transport // keeps connections, for calls that may be repeated
+	pooledTransport *http.Transport // keeps connections, for calls that may be retried
 	// The services are kept here, because otherwise each call would create a
 	// client and a service.
 	pooled    httpc.Service // over pooledTransport
@@ -58,7 +58,7 @@
 // too.
 func (c *Client) Call(ctx context.Context, addr netip.AddrPort, call jwdispatch.TargetCall) (*jwdispatch.Answer, error) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	progress := newProgressTimer(call.ProgressTimeout, func() { cancel(errSilent) })
+	progress := newProgressTimer(call.ProgressTimeout, func() { cancel(errNoProgress) })
 	var sent atomic.Bool
 	ctx = httptrace.WithClientTrace(ctx, &httptrace.ClientTrace{
 		GotConn: func(httptrace.GotConnInfo) { sent.Store(true) },
@@ -110,7 +110,7 @@
 
 // request creates the HTTP request for a call.
 //
-// The transport repeats a request by itself when a reused connection breaks, if
+// The transport retries a request by itself when a reused connection breaks, if
 // it can read the body again and the request has an Idempotency-Key. A
 // confirmation could then run twice without this node noticing. Therefore the
 // request gets a body that can be read only once.
@@ -222,9 +222,9 @@
 	switch {
 	case !sent:
 		out.Kind = jwdispatch.Unsent
-	case errors.Is(context.Cause(ctx), errSilent):
+	case errors.Is(context.Cause(ctx), errNoProgress):
 		out.Kind = jwdispatch.NoProgress
-		out.Err = errSilent
+		out.Err = errNoProgress
 		c.CloseIdle(addr)
 	case ctx.Err() == nil:
 		out.Crashed = crashed(err)
@@ -239,7 +239,7 @@
 }
 
 var (
-	errSilent      = errors.New("no progress")
+	errNoProgress  = errors.New("no progress")
 	errNoLength    = errors.New("answer has neither a length nor chunks, so its end is unknown")
 	errNoEndMarker = errors.New("stream ended without its end marker")
 )
