--- a/core/jwinstance/choose.go
+++ b/core/jwinstance/choose.go
@@ -38,8 +38,7 @@
 	// but needs a round trip between the regions.
 	remoteFetchCostRatio = 0.5
 	// maxFetchCost is the extra cost of a fetch while all of the time until the goal is left. With
-	// 100 ms and with 800 ms the yield is lower at every site: a lower cost moves prompts that
-	// could wait, a higher one makes requests wait that should fetch.
+	// 100 ms and with 800 ms callers were served worse.
 	maxFetchCost = 300 * time.Millisecond
 	// minFetchTokens is the number of tokens from which a fetch is worth its setup.
 	minFetchTokens = 256
