--- a/io/jwforward/news.go
+++ b/io/jwforward/news.go
@@ -81,8 +81,8 @@
 }
 
 // suspectFromWire accepts a notice without a target too: the notice that a
-// request was served has none, and without it the other nodes would keep a
-// harmless request quarantined.
+// request was served has none, and without it the other nodes would continue
+// to suspect a harmless request.
 func suspectFromWire(s *jwwire.Suspect) (jwpeer.Suspect, bool) {
 	out := jwpeer.Suspect{
 		Fingerprint: s.GetFingerprint(), Age: micros(s.GetAgeMicros()), Region: s.GetRegion(), State: s.GetState(),
