--- a/core/jwclaim/slot_test.go
+++ b/core/jwclaim/slot_test.go
@@ -126,7 +126,7 @@
 }
 
 // Segments must be deleted after their claims have expired, or the store fills
-// up and refuses every claim.
+// up and every claim fails.
 func TestSegmentsAreDeleted(t *testing.T) {
 	synctest.Test(t, func(t *testing.T) {
 		s := newFakeStore()
--- a/core/jwdispatch/sink.go
+++ b/core/jwdispatch/sink.go
@@ -72,8 +72,8 @@
 	})
 }
 
-// reject ends the request with a refusal, even if part of the answer was
-// already sent.
+// reject ends the request without the target's answer, or without the remainder
+// of it if part was already sent.
 func (e *trackedSink) reject(h AnswerHead) {
 	if h.Outcome != jwrequest.Served {
 		e.job.trace("refused", h.Detail)
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -34,9 +34,9 @@
 // its own callers.
 const maxForeignUse = 0.9
 
-// check makes the checks one after the other and returns the first refusal. The
-// refusals that cost the caller least come last: a request above a limit of the
-// entry is rejected for that reason even when the service is full as well.
+// check makes the checks one after the other until one rejects the request. The
+// rejections that cost the caller least come last: a request above a limit of
+// the entry is rejected for that reason even when the service is full as well.
 func (a *admission) check() (Refusal, bool) {
 	if a.Capacity.Targets == 0 && !a.Away {
 		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
@@ -257,8 +257,8 @@
 // rejected in their favour, and all callers would be served late, after several
 // tries.
 func (a *admission) staggeredRetryAfter(p *pool, minWait time.Duration) time.Duration {
-	pace := time.Duration(float64(a.slotInterval()) / retryCapacityShare)
-	p.lastRetryAt = p.lastRetryAt.Add(pace)
+	interval := time.Duration(float64(a.slotInterval()) / retryCapacityShare)
+	p.lastRetryAt = p.lastRetryAt.Add(interval)
 	if soonest := a.Now.Add(minWait); p.lastRetryAt.Before(soonest) {
 		p.lastRetryAt = soonest
 	}
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -11,7 +11,7 @@
 // Reason states why a request was rejected.
 type Reason string
 
-// The reasons for a refusal.
+// The reasons for a rejection.
 const (
 	EntryRate       Reason = "entryRate"       // the entry's limit on requests per second
 	EntryConcurrent Reason = "entryConcurrent" // the entry's limit on concurrent requests
--- a/io/jwlisten/unmatched.go
+++ b/io/jwlisten/unmatched.go
@@ -8,11 +8,11 @@
 	"jujubewheel/core/jwrequest"
 )
 
-// reasonPath is the reason in refusals of requests that match no route.
+// reasonPath is the reason for rejecting requests that match no route.
 const reasonPath jwdispatch.Reason = "path"
 
-// notFound rejects an unknown path. The refusal lets a caller that mistyped the
-// path distinguish this answer from a 404 of a target.
+// notFound rejects an unknown path. The outcome and reason let a caller that
+// mistyped the path distinguish this answer from a 404 of a target.
 func notFound(w http.ResponseWriter, _ *http.Request) {
 	writeRefusal(w, jwdispatch.Refusal(http.StatusNotFound, jwrequest.NotRun, reasonPath, "no such path"))
 }
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -23,8 +23,8 @@
 	"jujubewheel/io/jwstand"
 )
 
-// refusalSystem is a system in which requests can be rejected for each reason.
-type refusalSystem struct {
+// rejectionSystem is a system in which requests can be rejected for each reason.
+type rejectionSystem struct {
 	*system
 	home, away, leaving    *runningNode
 	runner                 *jwstand.Runner
@@ -33,8 +33,8 @@
 	directory              *jwdirectory.Snapshot
 }
 
-func newRefusalSystem(t *testing.T) *refusalSystem {
-	s := &refusalSystem{system: newSystem(t, "east", "west")}
+func newRejectionSystem(t *testing.T) *rejectionSystem {
+	s := &rejectionSystem{system: newSystem(t, "east", "west")}
 	s.runner, s.runnerStand = s.system.runner("east")
 	s.desk, s.deskStand = s.service("east")
 	s.home = s.node("e1", "east")
@@ -59,7 +59,7 @@
 
 // quarantine reports that two targets crashed with a body in flight, which puts
 // the body in quarantine.
-func (s *refusalSystem) quarantine(entry, body string) {
+func (s *rejectionSystem) quarantine(entry, body string) {
 	fingerprint := jwsuspect.FingerprintOf(entry, []byte(body))
 	for _, addr := range []string{"10.0.0.1:1", "10.0.0.2:1"} {
 		target := netip.MustParseAddrPort(addr)
@@ -70,7 +70,7 @@
 }
 
 // forward sends a request to the home node's port for other nodes.
-func (s *refusalSystem) forward(id string, hops jwrequest.Hops) reply {
+func (s *rejectionSystem) forward(id string, hops jwrequest.Hops) reply {
 	a, err := (&jwforward.Pool{}).Forward(s.t.Context(), s.home.board.Peers.Self(), &jwrequest.Request{
 		ID: id, Workspace: "free-east", Entry: "draft", Body: []byte(prompt("menu", 3, false)), ContentType: "application/json",
 		Deadline: time.Now().Add(testTimeout), Hops: hops,
@@ -87,7 +87,7 @@
 // If the first one did run, the order is executed and paid twice. The test
 // rejects requests in each possible way and checks that no target has run them.
 func TestNotRunIsTrue(t *testing.T) {
-	s := newRefusalSystem(t)
+	s := newRejectionSystem(t)
 	addr := s.home.CallersAddr()
 	body := prompt("menu", 3, false)
 	deposit := `{"deposit":1}`
@@ -183,7 +183,7 @@
 
 // keyOf returns a key for which a node is the preferred claim writer, so that the
 // node doesn't forward the request.
-func (s *refusalSystem) keyOf(n *runningNode, name string) string {
+func (s *rejectionSystem) keyOf(n *runningNode, name string) string {
 	for i := range 1000 {
 		key := fmt.Sprintf("%s-%d", name, i)
 		if n.keeper.Preferred(jwclaim.KeyedCall{Workspace: "free-east", Region: "east", Key: key}) == n.self.Node {
@@ -196,7 +196,7 @@
 
 // sendFunc returns a function that sends a request with the given pairs of header
 // names and values.
-func (s *refusalSystem) sendFunc(to netip.AddrPort, entry, workspace, body string, pairs ...string) func(id string) reply {
+func (s *rejectionSystem) sendFunc(to netip.AddrPort, entry, workspace, body string, pairs ...string) func(id string) reply {
 	return func(id string) reply {
 		h := header{"Jujube-Request-Id": id}
 		for i := 0; i < len(pairs); i += 2 {
@@ -207,7 +207,7 @@
 }
 
 // forgedTicket returns a valid ticket with the last character changed.
-func (s *refusalSystem) forgedTicket() string {
+func (s *rejectionSystem) forgedTicket() string {
 	s.t.Helper()
 	key, err := s.home.keeper.Mint()
 	assert.NilError(s.t, err)
@@ -222,7 +222,7 @@
 // The second call is rejected before its key is looked up. If it were answered
 // with notRun, the caller would order under another key and pay twice.
 func TestRepeatRejectedBeforeKeyLookup(t *testing.T) {
-	s := newRefusalSystem(t)
+	s := newRejectionSystem(t)
 	addr := s.home.CallersAddr()
 	key := header{"Idempotency-Key": "deposit"}
 	deposit := strings.Repeat("d", 1000)
@@ -251,7 +251,7 @@
 	assert.Equal(t, len(s.desk.Journal.Runs()), 1)
 }
 
-func (s *refusalSystem) setMaxBodySize(size int64, revision uint64) {
+func (s *rejectionSystem) setMaxBodySize(size int64, revision uint64) {
 	e := confirmation()
 	e.MaxBodySize = size
 	s.t.Helper()
--- a/io/jwrest/server.go
+++ b/io/jwrest/server.go
@@ -136,7 +136,7 @@
 	return &http.Server{
 		Handler:   s.closeWhenDraining(s.Handler),
 		TLSConfig: s.TLS,
-		// The limit of net/http is above MaxHeader, because its refusal has no
+		// The limit of net/http is above MaxHeader, because its answer has no
 		// outcome: handlers reject headers larger than MaxHeader, and net/http
 		// only those that are far larger.
 		MaxHeaderBytes:    maxHeaderFactor * intOr(s.MaxHeader, DefaultMaxHeader),
