--- a/core/jwmember/relay.go
+++ b/core/jwmember/relay.go
@@ -83,10 +83,10 @@
 func (t *Table) RecordStoreRoundTrip(d time.Duration) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
-	trip := (d.Truncate(roundTripStep) + roundTripStep).Milliseconds()
-	if t.Self.StoreRoundTrip == 0 || trip < t.Self.StoreRoundTrip {
+	roundTrip := (d.Truncate(roundTripStep) + roundTripStep).Milliseconds()
+	if t.Self.StoreRoundTrip == 0 || roundTrip < t.Self.StoreRoundTrip {
 		t.invalidateViews()
-		t.Self.StoreRoundTrip = trip
+		t.Self.StoreRoundTrip = roundTrip
 	}
 }
 
--- a/io/jwforward/wire_test.go
+++ b/io/jwforward/wire_test.go
@@ -36,7 +36,7 @@
 
 // A node with a wrong clock or another fault sends ages that are negative, or so
 // large that they overflow. If they were accepted, its load report would count
-// as the newest for ever, and all requests would be sent to the region it names.
+// as the newest forever, and all requests would be sent to the region it names.
 func TestMicrosOutOfRange(t *testing.T) {
 	tests := map[string]struct {
 		micros int64
--- a/io/jwgateway/system_test.go
+++ b/io/jwgateway/system_test.go
@@ -561,7 +561,7 @@
 }
 
 // A caller disconnects. Its request must be canceled at the target, which would otherwise
-// continue to run it in vain.
+// continue to generate an answer that no caller receives.
 func TestCallerGone(t *testing.T) {
 	t.Parallel()
 	var feed jwstore.MemoryFeed
