--- a/core/jwinstance/instance.go
+++ b/core/jwinstance/instance.go
@@ -9,18 +9,20 @@
 
 // Instance is one incarnation of a target as described by its registration.
 type Instance struct {
-	ID            string           `json:"id"` // unique name of the target
-	Service       string           `json:"service"`
-	Address       netip.AddrPort   `json:"address"`
-	DataCentre    string           `json:"dataCentre"`
-	Region        string           `json:"region"`
-	Slots         int              `json:"slots"` // number of requests that it runs at once
-	Draining      bool             `json:"draining"`
-	Leaving       bool             `json:"leaving,omitempty"` // the target announced in an answer that it is leaving; no registration resets this
-	Cold          time.Duration    `json:"cold"`              // how long it remains cold from the time of the registration
-	RemainingTime time.Duration    `json:"left"`              // time until the target is removed, 0 if not known
-	StartedAt     int64            `json:"born"`              // start of the incarnation in Unix milliseconds, 0 if not known
-	Revision      jwstore.Revision `json:"revision"`          // revision of the store at this registration
+	ID         string         `json:"id"` // unique name of the target
+	Service    string         `json:"service"`
+	Address    netip.AddrPort `json:"address"`
+	DataCentre string         `json:"dataCentre"`
+	Region     string         `json:"region"`
+	Slots      int            `json:"slots"` // number of requests that it runs at once
+	Draining   bool           `json:"draining"`
+	// Leaving is set when the target announced in an answer that it is leaving. No
+	// registration resets it.
+	Leaving       bool             `json:"leaving,omitempty"`
+	Cold          time.Duration    `json:"cold"`     // how long it remains cold from the time of the registration
+	RemainingTime time.Duration    `json:"left"`     // time until the target is removed, 0 if not known
+	StartedAt     int64            `json:"born"`     // start of the incarnation in Unix milliseconds, 0 if not known
+	Revision      jwstore.Revision `json:"revision"` // revision of the store at this registration
 }
 
 // Part is a contiguous part of a prompt.
--- a/core/jwinstance/limit_test.go
+++ b/core/jwinstance/limit_test.go
@@ -141,7 +141,8 @@
 				change()
 			}
 			report()
-			sender := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one") // negative: all nodes send at once, as the target looks idle to each
+			// A negative sender means that all nodes send at once, as the target looks idle to each.
+			sender := rapid.IntRange(-len(nodes), len(nodes)-1).Draw(t, "one")
 			for i := range nodes {
 				n := &nodes[i]
 				if n.live && (sender < 0 || sender == i) && bestTargetID(n.Table, now, Need{}) != "" {
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -16,10 +16,14 @@
 	EntryRate       Reason = "entryRate"       // the entry's limit on requests per second
 	EntryConcurrent Reason = "entryConcurrent" // the entry's limit on concurrent requests
 	OwnerShare      Reason = "ownerShare"      // the owner has more requests than its share, and the service is busy
-	TooLate         Reason = "tooLate"         // the request cannot end before its deadline, or begin in the time that its entry allows for the first token
-	QueueFull       Reason = "crowded"         // the queue is too long for the request's class, or the region too busy for other regions' requests
-	NodeFull        Reason = "nodeFull"        // this node runs as many requests as it can
-	NoTarget        Reason = "noTarget"        // no target may get the request
+	// TooLate: the request cannot end before its deadline, or begin in the time that its
+	// entry allows for the first token.
+	TooLate Reason = "tooLate"
+	// QueueFull: the queue is too long for the request's class, or the region too busy for
+	// other regions' requests.
+	QueueFull Reason = "crowded"
+	NodeFull  Reason = "nodeFull" // this node runs as many requests as it can
+	NoTarget  Reason = "noTarget" // no target may get the request
 )
 
 // LacksCapacity reports whether the request was rejected for lack of capacity in this
--- a/core/jwmember/table.go
+++ b/core/jwmember/table.go
@@ -37,11 +37,15 @@
 	DataCentre     string         `json:"dataCentre"`
 	Callers        netip.AddrPort `json:"callers"`
 	Nodes          netip.AddrPort `json:"nodes"`
-	Start          int64          `json:"start"`              // start of the process in Unix nanoseconds; a later one is a new process
-	ServingChanges int            `json:"change"`             // incremented whenever Serving changes
-	Serving        bool           `json:"serving"`            // false until a configuration is known and after a planned stop begins
-	StoreRoundTrip int64          `json:"trip,omitempty"`     // shortest round trip to the store in milliseconds, in steps of roundTripStep; 0 if unknown
-	Capacity       int            `json:"capacity,omitempty"` // capacity of its host, from its cores in hundredths of one or from its link, for choosing relays
+	Start          int64          `json:"start"`   // start of the process in Unix nanoseconds; a later one is a new process
+	ServingChanges int            `json:"change"`  // incremented whenever Serving changes
+	Serving        bool           `json:"serving"` // false until a configuration is known and after a planned stop begins
+	// StoreRoundTrip is the shortest round trip to the store in milliseconds, in steps of
+	// roundTripStep; 0 if unknown.
+	StoreRoundTrip int64 `json:"trip,omitempty"`
+	// Capacity is that of its host, from its cores in hundredths of one or from its link, for
+	// choosing relays.
+	Capacity int `json:"capacity,omitempty"`
 }
 
 // Table holds this node and what it knows of the others. Set the exported fields
--- a/io/jwgateway/exchange.go
+++ b/io/jwgateway/exchange.go
@@ -40,20 +40,22 @@
 
 // state is what a node reports about itself to another one.
 type state struct {
-	Member      jwmember.Member                   `json:"member"`
-	Version     uint64                            `json:"version"`            // of the configuration in force
-	Waits       map[string]int64                  `json:"waits,omitempty"`    // milliseconds until a first event by service, sent to other regions only
-	Gaps        map[string]int64                  `json:"gaps,omitempty"`     // milliseconds between two events by service, sent to other regions only
-	InSync      bool                              `json:"inSync"`             // the node reaches the store
-	Revision    jwstore.Revision                  `json:"revision"`           // store revision up to which the node has read
-	Cold        map[string]int64                  `json:"cold,omitempty"`     // milliseconds for which targets stay cold, sent within the region only
-	Limits      map[string]jwinstance.LimitReport `json:"limits,omitempty"`   // limits that targets announce, sent within the region only
-	Leaving     map[string]int64                  `json:"leaving,omitempty"`  // targets that announced leaving, with the start of their incarnation; sent within the region only
-	Suspects    []jwsuspect.Notice                `json:"suspects,omitempty"` // requests that were in flight when targets crashed
-	Placed      *jwinstance.PlacementColumns      `json:"placed,omitempty"`
-	LocalSeen   []string                          `json:"localSeen,omitempty"` // nodes of the region seen recently, sent to other regions only
-	Loads       *jwinstance.LoadColumns           `json:"loads,omitempty"`     // sent within the region only
-	RelayReport *relayReport                      `json:"through,omitempty"`   // set if state is exchanged through relays
+	Member   jwmember.Member                   `json:"member"`
+	Version  uint64                            `json:"version"`          // of the configuration in force
+	Waits    map[string]int64                  `json:"waits,omitempty"`  // milliseconds until a first event by service, sent to other regions only
+	Gaps     map[string]int64                  `json:"gaps,omitempty"`   // milliseconds between two events by service, sent to other regions only
+	InSync   bool                              `json:"inSync"`           // the node reaches the store
+	Revision jwstore.Revision                  `json:"revision"`         // store revision up to which the node has read
+	Cold     map[string]int64                  `json:"cold,omitempty"`   // milliseconds for which targets stay cold, sent within the region only
+	Limits   map[string]jwinstance.LimitReport `json:"limits,omitempty"` // limits that targets announce, sent within the region only
+	// Leaving holds targets that announced leaving, with the start of their incarnation; sent
+	// within the region only.
+	Leaving     map[string]int64             `json:"leaving,omitempty"`
+	Suspects    []jwsuspect.Notice           `json:"suspects,omitempty"` // requests that were in flight when targets crashed
+	Placed      *jwinstance.PlacementColumns `json:"placed,omitempty"`
+	LocalSeen   []string                     `json:"localSeen,omitempty"` // nodes of the region seen recently, sent to other regions only
+	Loads       *jwinstance.LoadColumns      `json:"loads,omitempty"`     // sent within the region only
+	RelayReport *relayReport                 `json:"through,omitempty"`   // set if state is exchanged through relays
 }
 
 // state returns the state to be reported to a node of a region.
