--- a/cmd/jujubewheel/isolated_test.go
+++ b/cmd/jujubewheel/isolated_test.go
@@ -105,8 +105,8 @@
 		first := send(n.Callers, "confirm", "bound-west", body, "Idempotency-Key", key)
 		assert.Assert(t, first.complete(), "%+v", first)
 		for _, at := range []*nodeProcess{w1, w2} {
-			again := send(at.Callers, "confirm", "bound-west", body, "Idempotency-Key", key)
-			assert.Equal(t, again.body, first.body, "%+v", again)
+			retry := send(at.Callers, "confirm", "bound-west", body, "Idempotency-Key", key)
+			assert.Equal(t, retry.body, first.body, "%+v", retry)
 		}
 	}
 	assert.Equal(t, len(f.readJournal(desk)), before+2)
--- a/core/jwcatalogue/editor_test.go
+++ b/core/jwcatalogue/editor_test.go
@@ -59,9 +59,9 @@
 			got, err := d.Put(t.Context(), newEdit("e1", "status", 0))
 			assert.NilError(t, err)
 			assert.Equal(t, got.Revision, uint64(1))
-			again, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
+			retried, err := newEditor(s).Put(t.Context(), newEdit("e1", "status", 0))
 			assert.NilError(t, err)
-			assert.Equal(t, again, got)
+			assert.Equal(t, retried, got)
 			assert.DeepEqual(t, s.keys(ChangesPrefix), []string{ChangeKey(1)})
 		})
 	}
--- a/core/jwcatalogue/fuzz_test.go
+++ b/core/jwcatalogue/fuzz_test.go
@@ -23,9 +23,9 @@
 			return
 		}
 		_ = e.Validate()
-		again, err := json.Marshal(e)
+		encoded, err := json.Marshal(e)
 		assert.NilError(t, err)
-		back, err := ParseEntry(again)
+		back, err := ParseEntry(encoded)
 		assert.NilError(t, err)
 		assert.Assert(t, back.equal(e))
 	})
@@ -43,9 +43,9 @@
 		if err != nil {
 			return
 		}
-		again, err := c.Encode()
+		encoded, err := c.Encode()
 		assert.NilError(t, err)
-		back, err := ParseChange(again)
+		back, err := ParseChange(encoded)
 		assert.NilError(t, err)
 		assert.Equal(t, back.EditID, c.EditID)
 		assert.Assert(t, back.Time.Equal(c.Time) && equalEntries(back.Before, c.Before) && equalEntries(back.After, c.After))
@@ -74,10 +74,10 @@
 		table := new(Table)
 		assert.NilError(t, table.Restore(c))
 		assert.Equal(t, table.Revision(), c.Revision)
-		again, err := table.Current().checkpoint().Encode()
+		encoded, err := table.Current().checkpoint().Encode()
 		assert.NilError(t, err)
-		assert.Assert(t, len(again) <= table.Current().size+checkpointOverhead, "%d bytes, expected at most %d and the overhead", len(again), table.Current().size)
-		_, err = ParseCheckpoint(again)
+		assert.Assert(t, len(encoded) <= table.Current().size+checkpointOverhead, "%d bytes, expected at most %d and the overhead", len(encoded), table.Current().size)
+		_, err = ParseCheckpoint(encoded)
 		assert.NilError(t, err)
 	})
 }
--- a/core/jwclaim/fuzz_test.go
+++ b/core/jwclaim/fuzz_test.go
@@ -57,9 +57,9 @@
 			assert.ErrorIs(t, err, ErrDocument)
 			return
 		}
-		again, err := encodeDocument(d)
+		encoded, err := encodeDocument(d)
 		assert.NilError(t, err)
-		d2, err := decodeDocument(again)
+		d2, err := decodeDocument(encoded)
 		assert.NilError(t, err)
 		assert.Equal(t, len(d2.Rows), len(d.Rows))
 		assert.Equal(t, d2.Sealed, d.Sealed)
@@ -92,9 +92,9 @@
 			assert.ErrorIs(t, err, ErrRecord)
 			return
 		}
-		again, err := json.Marshal(r)
+		encoded, err := json.Marshal(r)
 		assert.NilError(t, err)
-		r2, err := DecodeRecord(again)
+		r2, err := DecodeRecord(encoded)
 		assert.NilError(t, err)
 		assert.Equal(t, r2.Kind, r.Kind)
 		assert.Equal(t, r2.Minted, r.Minted)
--- a/core/jwinstance/era_test.go
+++ b/core/jwinstance/era_test.go
@@ -51,8 +51,8 @@
 				table.Put(after(ms), c.copy)
 				assert.Equal(t, bestTargetID(table, after(ms+1), Need{}), "")
 			}
-			again := at(2, 7, func(in *Instance) { in.StartedAt = 12 })
-			table.Put(after(6000), again)
+			restarted := at(2, 7, func(in *Instance) { in.StartedAt = 12 })
+			table.Put(after(6000), restarted)
 			assert.Equal(t, bestTargetID(table, after(6001), Need{}), "a", "registrations after the copy count")
 		})
 	}
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -189,10 +189,10 @@
 	table.Failed(address(0), start)
 	table.Failed(address(1), start)
 	assert.DeepEqual(t, table.Capacity("s", start), Capacity{Targets: 2, Slots: 2, CallTime: DefaultCallTime})
-	again := start.Add(DefaultMaxBackoff)
-	table.Failed(address(0), again)
-	table.Failed(address(1), again)
-	assert.DeepEqual(t, table.Capacity("s", again), Capacity{})
+	secondFailure := start.Add(DefaultMaxBackoff)
+	table.Failed(address(0), secondFailure)
+	table.Failed(address(1), secondFailure)
+	assert.DeepEqual(t, table.Capacity("s", secondFailure), Capacity{})
 }
 
 func TestSubsetFor(t *testing.T) {
--- a/io/jwconsul/keyvalue_test.go
+++ b/io/jwconsul/keyvalue_test.go
@@ -93,8 +93,8 @@
 			_, found, err := s.Get(ctx, "k")
 			assert.NilError(t, err)
 			assert.Check(t, !found)
-			again := mustSwap(t, s, "k", "two", 0)
-			assert.Check(t, again > first, "versions must increase across a delete")
+			second := mustSwap(t, s, "k", "two", 0)
+			assert.Check(t, second > first, "versions must increase across a delete")
 		},
 		"list is sorted and limited to the prefix": func(t *testing.T, ctx context.Context, s jwstore.Store) {
 			for _, key := range []string{"p/2", "p/10", "q/1", "p"} {
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -242,9 +242,9 @@
 	for name, tc := range tests {
 		t.Run(name, func(t *testing.T) {
 			tc.prepare()
-			again := s.send(addr, "confirm", "free-east", deposit, key)
+			retry := s.send(addr, "confirm", "free-east", deposit, key)
 			tc.restore()
-			assert.Equal(t, again.outcome, "unknown", "%+v", again)
+			assert.Equal(t, retry.outcome, "unknown", "%+v", retry)
 		})
 	}
 	assert.Equal(t, s.send(addr, "confirm", "free-east", deposit, key).outcome, "served")
