--- a/core/jwclaim/decision.go
+++ b/core/jwclaim/decision.go
@@ -18,7 +18,7 @@
 	Unknown          Verdict = "unknown"   // the call of the key may have run and is not run again
 	NotRun           Verdict = "notRun"    // neither this call nor an earlier one of the key ran
 	ClaimsUnreadable Verdict = "unread"    // this call was not run; an earlier one of the key may have
-	Refused          Verdict = "refused"   // the key looks like a ticket, but no node minted it
+	Rejected         Verdict = "refused"   // the key looks like a ticket, but no node minted it
 )
 
 // KeyedCall describes one call with a key.
--- a/core/jwclaim/keeper_test.go
+++ b/core/jwclaim/keeper_test.go
@@ -140,7 +140,7 @@
 			"not handed out": signTicket(a.ticketSecret, Ticket{Holder: a.self(), Serial: 2}),
 			"no serial":      signTicket(a.ticketSecret, Ticket{Holder: a.self()}),
 		} {
-			assert.Equal(t, begin(t, a, newKeyedCall(forged, "deposit")).Verdict, Refused, name)
+			assert.Equal(t, begin(t, a, newKeyedCall(forged, "deposit")).Verdict, Rejected, name)
 		}
 		other := newKeyedCall(ticket, "deposit")
 		other.Workspace = "other"
--- a/core/jwclaim/stateful_test.go
+++ b/core/jwclaim/stateful_test.go
@@ -223,7 +223,7 @@
 		if len(sim.bodies[key]) < 2 {
 			sim.fail("%s: mismatch without another body", key)
 		}
-	case Refused:
+	case Rejected:
 		sim.fail("%s: ticket rejected", key)
 	}
 }
--- a/core/jwclaim/ticket.go
+++ b/core/jwclaim/ticket.go
@@ -55,7 +55,7 @@
 func (k *Keeper) beginTicket(ctx context.Context, a KeyedCall) Decision {
 	t, err := k.ParseTicket(a.Key)
 	if err != nil {
-		return Decision{Verdict: Refused}
+		return Decision{Verdict: Rejected}
 	}
 	hash := k.bodyHash(a)
 	for {
@@ -84,7 +84,7 @@
 		return k.elsewhereDecision(t.Holder), nil
 	}
 	if t.Serial > s.minted {
-		return Decision{Verdict: Refused}, nil
+		return Decision{Verdict: Rejected}, nil
 	}
 	ref := callRef{incarnation: t.Incarnation, serial: t.Serial}
 	if c := k.calls[ref]; c != nil {
--- a/core/jwdispatch/dispatcher.go
+++ b/core/jwdispatch/dispatcher.go
@@ -231,7 +231,7 @@
 
 // admit asks the limiter for admission; away means that another region is to
 // run the request. The caller must call release when the request has ended.
-func (j *job) admit(away bool) (release func(), refused jwlimit.Refusal, admitted bool) {
+func (j *job) admit(away bool) (release func(), refused jwlimit.Rejection, admitted bool) {
 	now := j.Now()
 	capacity := j.Board.Targets.Capacity(j.entry.Service, now)
 	q := &jwlimit.Query{
@@ -251,5 +251,5 @@
 	if !ok {
 		return nil, refused, false
 	}
-	return func() { j.Board.Limiter.Release(token) }, jwlimit.Refusal{}, true
+	return func() { j.Board.Limiter.Release(token) }, jwlimit.Rejection{}, true
 }
--- a/core/jwdispatch/idempotent.go
+++ b/core/jwdispatch/idempotent.go
@@ -74,7 +74,7 @@
 // requests ran here without a check, they would lengthen the queue of a region
 // that has rejected others.
 func (j *job) admitLocally() (release func(), refusal AnswerHead, admitted bool) {
-	j.query.RefusedLocally = false
+	j.query.RejectedLocally = false
 	release, refused, admitted := j.admit(false)
 	if admitted {
 		return release, AnswerHead{}, true
@@ -97,7 +97,7 @@
 		return place, release, AnswerHead{}, true
 	}
 	if !away && refused.Reason.LacksCapacity() {
-		j.query.RefusedLocally = true
+		j.query.RejectedLocally = true
 		other := j.Router.Place(&j.query)
 		if other.Region != "" && other.Region != j.Self.Region {
 			release, _, admitted = j.admit(true)
--- a/core/jwdispatch/once.go
+++ b/core/jwdispatch/once.go
@@ -82,7 +82,7 @@
 		// This body did not run, but the key belongs to another request that
 		// did.
 		j.sink.reject(Refusal(http.StatusConflict, jwrequest.NotRun, ReasonKeyMismatch, "the key came with another body before"))
-	case jwclaim.Refused:
+	case jwclaim.Rejected:
 		j.sink.reject(Refusal(http.StatusBadRequest, jwrequest.NotRun, ReasonTicket, "no node of this system minted this ticket"))
 	case jwclaim.NotRun:
 		j.sink.reject(unavailable(ReasonClaim, "the key could not be claimed; it was not run", d.RetryAfter))
--- a/core/jwentry/entry.go
+++ b/core/jwentry/entry.go
@@ -40,8 +40,8 @@
 	Weight  float64
 }
 
-// Repeatable reports whether a request may run more than once.
-func (e *Entry) Repeatable() bool {
+// Retryable reports whether a request may run more than once.
+func (e *Entry) Retryable() bool {
 	return e.Kind == Idempotent || e.Kind == Stream && e.Resumable
 }
 
--- a/core/jwentry/entry_test.go
+++ b/core/jwentry/entry_test.go
@@ -51,7 +51,7 @@
 		"resumable, but no stream": {Entry{Kind: NonIdempotent, Resumable: true}, false},
 	}
 	for name, c := range cases {
-		t.Run(name, func(t *testing.T) { assert.Equal(t, c.entry.Repeatable(), c.want) })
+		t.Run(name, func(t *testing.T) { assert.Equal(t, c.entry.Retryable(), c.want) })
 	}
 }
 
--- a/core/jwlimit/admission.go
+++ b/core/jwlimit/admission.go
@@ -37,21 +37,21 @@
 // check makes the checks one after the other until one rejects the request. The
 // rejections that cost the caller least come last: a request above a limit of
 // the entry is rejected for that reason even when the service is full as well.
-func (a *admission) check() (Refusal, bool) {
+func (a *admission) check() (Rejection, bool) {
 	if a.Capacity.Targets == 0 && !a.Away {
-		return Refusal{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
+		return Rejection{Reason: NoTarget, RetryAfter: a.withJitter(noTargetRetryAfter)}, true
 	}
 	if a.nodeFull() {
-		return Refusal{Reason: NodeFull, RetryAfter: a.withJitter(a.slotInterval())}, true
+		return Rejection{Reason: NodeFull, RetryAfter: a.withJitter(a.slotInterval())}, true
 	}
 	if refusal, refused := a.checkEntryLimits(); refused {
 		return refusal, true
 	}
 	if a.Away {
-		return Refusal{}, false
+		return Rejection{}, false
 	}
 	if a.Foreign && float64(a.Capacity.Outstanding) >= maxForeignUse*float64(a.Capacity.Slots) {
-		return Refusal{Reason: QueueFull, RetryAfter: a.withJitter(a.slotInterval())}, true
+		return Rejection{Reason: QueueFull, RetryAfter: a.withJitter(a.slotInterval())}, true
 	}
 	return a.checkCapacity()
 }
@@ -68,22 +68,22 @@
 
 // checkEntryLimits checks this node's share of the entry's limits. A request
 // from another region was already counted there.
-func (a *admission) checkEntryLimits() (Refusal, bool) {
+func (a *admission) checkEntryLimits() (Rejection, bool) {
 	if a.Foreign {
-		return Refusal{}, false
+		return Rejection{}, false
 	}
 	limits := a.Query.Entry.Limits
 	share := a.limiter.share(a.Query.Entry.Name, a.entryMeter, limits.Concurrent, a.Now)
 	a.entryMeter.refill(limits, share, a.Now)
 	if limits.Concurrent > 0 && a.entryMeter.running >= share.concurrent {
-		return Refusal{Reason: EntryConcurrent, RetryAfter: a.withJitter(a.slotInterval())}, true
+		return Rejection{Reason: EntryConcurrent, RetryAfter: a.withJitter(a.slotInterval())}, true
 	}
 	if limits.Rate <= 0 {
-		return Refusal{}, false
+		return Rejection{}, false
 	}
 	interval := time.Duration(float64(time.Second) / (limits.Rate * share.fraction))
 	if a.mayTakeToken(&a.entryMeter.reservations, a.entryMeter.tokens, interval) {
-		return Refusal{}, false
+		return Rejection{}, false
 	}
 	return a.rejectWithReservation(EntryRate, &a.entryMeter.reservations, interval), true
 }
@@ -104,21 +104,21 @@
 }
 
 // checkCapacity checks whether the service can accept the request.
-func (a *admission) checkCapacity() (Refusal, bool) {
+func (a *admission) checkCapacity() (Rejection, bool) {
 	if a.Capacity.Wait == 0 {
-		return Refusal{}, false
+		return Rejection{}, false
 	}
 	limit := a.maxOutstandingPerSlot()
 	switch queue := a.outstandingPerSlot(); {
 	case queue >= limit:
-		return Refusal{Reason: QueueFull, RetryAfter: a.staggeredRetryAfter(a.service, a.Capacity.Wait)}, true
+		return Rejection{Reason: QueueFull, RetryAfter: a.staggeredRetryAfter(a.service, a.Capacity.Wait)}, true
 	case queue >= ownerQueueShare*limit && a.ownerOverShare():
-		return Refusal{Reason: OwnerShare, RetryAfter: a.staggeredRetryAfter(a.owner, a.Capacity.Wait)}, true
+		return Rejection{Reason: OwnerShare, RetryAfter: a.staggeredRetryAfter(a.owner, a.Capacity.Wait)}, true
 	}
 	if late := a.lateness(); late > 0 && !a.limiter.Policy.NoDeadline {
-		return Refusal{Reason: TooLate, RetryAfter: a.staggeredRetryAfter(a.service, late)}, true
+		return Rejection{Reason: TooLate, RetryAfter: a.staggeredRetryAfter(a.service, late)}, true
 	}
-	return Refusal{}, false
+	return Rejection{}, false
 }
 
 // outstandingPerSlot returns the number of outstanding requests per slot of the
@@ -229,15 +229,15 @@
 
 // rejectWithReservation rejects the request and reserves the next free place in
 // a queue for its caller.
-func (a *admission) rejectWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Refusal {
+func (a *admission) rejectWithReservation(reason Reason, q *reservationQueue, interval time.Duration) Rejection {
 	if a.limiter.Policy.NoReservations {
-		return Refusal{Reason: reason, RetryAfter: a.withJitter(interval)}
+		return Rejection{Reason: reason, RetryAfter: a.withJitter(interval)}
 	}
 	at, kept := q.reserve(a.Caller, a.Now, interval)
 	if !kept {
-		return Refusal{Reason: reason, RetryAfter: a.withJitter(maxRetryAfter / 2)}
+		return Rejection{Reason: reason, RetryAfter: a.withJitter(maxRetryAfter / 2)}
 	}
-	return Refusal{Reason: reason, RetryAfter: at.Sub(a.Now)}
+	return Rejection{Reason: reason, RetryAfter: at.Sub(a.Now)}
 }
 
 // Bounds of the Retry-After that a caller is given.
--- a/core/jwlimit/budget.go
+++ b/core/jwlimit/budget.go
@@ -23,9 +23,9 @@
 
 // BudgetCounts counts the tries and retries that a Budget has seen.
 type BudgetCounts struct {
-	Tries   uint64 // first tries
-	Retries uint64
-	Refused uint64 // retries that the budget did not allow
+	Tries    uint64 // first tries
+	Retries  uint64
+	Rejected uint64 // retries that the budget did not allow
 }
 
 // Counts returns the counts since the Budget was created.
@@ -50,7 +50,7 @@
 	defer b.mu.Unlock()
 	n := b.available(entry)
 	if n < 1 {
-		b.count.Refused++
+		b.count.Rejected++
 		return false
 	}
 	b.count.Retries++
--- a/core/jwlimit/limiter.go
+++ b/core/jwlimit/limiter.go
@@ -32,8 +32,8 @@
 	return r == OwnerShare || r == TooLate || r == QueueFull || r == NoTarget
 }
 
-// Refusal states why a request was not admitted and when to retry it.
-type Refusal struct {
+// Rejection states why a request was not admitted and when to retry it.
+type Rejection struct {
 	Reason     Reason
 	RetryAfter time.Duration
 }
@@ -99,7 +99,7 @@
 
 // Admit admits a request or rejects it. The Token of an admitted request must
 // be released.
-func (l *Limiter) Admit(q *Query) (t Token, refusal Refusal, admitted bool) {
+func (l *Limiter) Admit(q *Query) (t Token, refusal Rejection, admitted bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	key := poolKey{service: q.Entry.Service, owner: q.Owner}
@@ -122,7 +122,7 @@
 	if !q.Foreign {
 		a.entryMeter.tokens--
 	}
-	return t, Refusal{}, true
+	return t, Rejection{}, true
 }
 
 // Release returns the Token of a request that has ended.
--- a/core/jwquota/ledger.go
+++ b/core/jwquota/ledger.go
@@ -60,9 +60,9 @@
 
 // The possible outcomes.
 const (
-	Taken   Outcome = "taken"   // the request has its units
-	Waits   Outcome = "waits"   // units may arrive within moments
-	Refused Outcome = "refused" // the caller is to retry later
+	Taken    Outcome = "taken"   // the request has its units
+	Waits    Outcome = "waits"   // units may arrive within moments
+	Rejected Outcome = "refused" // the caller is to retry later
 )
 
 // Decision is an outcome with its details.
@@ -106,7 +106,7 @@
 		a.spendRate.add(now, cost)
 		d.Outcome = Taken
 	case now.Before(a.exhaustedUntil), cost > l.Bounds().maxRequest(q), a.root && a.noteShortage(now) && a.subtreeDemand(now) > q.Rate:
-		d.Outcome, d.RetryAfter = Refused, a.bookRetry(now, q, l.topology, cost)
+		d.Outcome, d.RetryAfter = Rejected, a.bookRetry(now, q, l.topology, cost)
 	default:
 		d.Outcome, d.Waiter = Waits, &Waiter{workspace: workspace, cost: cost, since: now, ready: make(chan struct{})}
 		a.waiting = append(a.waiting, d.Waiter)
@@ -116,7 +116,7 @@
 }
 
 // CancelWait ends the wait of a request. The outcome is Taken if the request has received its
-// units by now, and otherwise Refused with a Retry-After.
+// units by now, and otherwise Rejected with a Retry-After.
 func (l *Ledger) CancelWait(now time.Time, w *Waiter) Decision {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -126,7 +126,7 @@
 	a, q := l.account(now, w.workspace)
 	a.waiting = slices.DeleteFunc(a.waiting, func(x *Waiter) bool { return x == w })
 	a.serveWaiting(now) // the requests behind it may cost less
-	return Decision{Outcome: Refused, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
+	return Decision{Outcome: Rejected, RetryAfter: a.bookRetry(now, q, l.topology, w.cost), Level: a.level}
 }
 
 // Refund gives back the units of a request that no target has run or will run.
--- a/core/jwrouter/place.go
+++ b/core/jwrouter/place.go
@@ -37,7 +37,7 @@
 	}
 	capacity := r.Targets.Capacity(q.Entry.Service, q.Now)
 	here := Placement{Region: r.Region, Reason: AtHome, Wait: capacity.Wait}
-	if capacity.Targets == 0 || q.RefusedLocally {
+	if capacity.Targets == 0 || q.RejectedLocally {
 		here = Placement{Reason: Nowhere}
 	}
 	if reason, fixed := r.mustStay(q); fixed {
@@ -83,7 +83,7 @@
 			continue
 		}
 		wait := l.wait()
-		if q.RefusedLocally && wait > 0 {
+		if q.RejectedLocally && wait > 0 {
 			continue
 		}
 		cost := r.cost(q, l.Region, wait)
--- a/core/jwrouter/router.go
+++ b/core/jwrouter/router.go
@@ -24,19 +24,19 @@
 
 // Query holds what the router needs to know of one request.
 type Query struct {
-	Entry          *jwcatalogue.Entry
-	Home           string           // home region of the workspace
-	Bound          bool             // the data of the workspace must not leave Home
-	Forwarded      bool             // the request came from another node, whatever Hops says
-	RefusedLocally bool             // this region has rejected the request for lack of capacity
-	Hops           jwrequest.Hops   // the nodes that the request passed before this one
-	Prefix         uint64           // result of PrefixOf, 0 if the prompt shares nothing with others
-	Prefill        time.Duration    // time that a cached prefix saves
-	CallTime       time.Duration    // expected duration of the call on a typical target
-	Deadline       time.Time        // zero for none
-	Exclude        []netip.AddrPort // targets that must not get the request
-	Now            time.Time
-	Random         uint64 // uniformly distributed
+	Entry           *jwcatalogue.Entry
+	Home            string           // home region of the workspace
+	Bound           bool             // the data of the workspace must not leave Home
+	Forwarded       bool             // the request came from another node, whatever Hops says
+	RejectedLocally bool             // this region has rejected the request for lack of capacity
+	Hops            jwrequest.Hops   // the nodes that the request passed before this one
+	Prefix          uint64           // result of PrefixOf, 0 if the prompt shares nothing with others
+	Prefill         time.Duration    // time that a cached prefix saves
+	CallTime        time.Duration    // expected duration of the call on a typical target
+	Deadline        time.Time        // zero for none
+	Exclude         []netip.AddrPort // targets that must not get the request
+	Now             time.Time
+	Random          uint64 // uniformly distributed
 }
 
 // bound reports whether the request must stay in its home region.
--- a/core/jwrouter/router_test.go
+++ b/core/jwrouter/router_test.go
@@ -162,10 +162,10 @@
 		"bound entry":             {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.Entry.Bound = true }, "r", Bound},
 		"bound, no target":        {newRouter(0, -1, busy), func(q *Query, _ *Router) { q.Bound = true }, "", Nowhere},
 		"bound to another region": {newRouter(2, -1, idle), func(q *Query, _ *Router) { q.Bound, q.Home = true, "o" }, "", WrongRegion},
-		"full":                    {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RefusedLocally = true }, "o", NoCapacity},
-		"full and bound":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RefusedLocally, q.Bound = true, true }, "", Nowhere},
+		"full":                    {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RejectedLocally = true }, "o", NoCapacity},
+		"full and bound":          {newRouter(2, -1, busy), func(q *Query, _ *Router) { q.RejectedLocally, q.Bound = true, true }, "", Nowhere},
 		"full everywhere": {newRouter(2, -1, busy), func(q *Query, r *Router) {
-			q.RefusedLocally = true
+			q.RejectedLocally = true
 			for range 100 {
 				r.Regions.RecordSent("o", "s")
 			}
--- a/core/jwtarget/table_test.go
+++ b/core/jwtarget/table_test.go
@@ -147,7 +147,7 @@
 
 // If all nodes chose the same few targets, the others would be idle and their load
 // unknown. And when one target is removed, the subsets must not change otherwise.
-func TestSubsetsAreEvenAndStable(t *testing.T) {
+func TestSubsetsAreEqualAndStable(t *testing.T) {
 	const nodes, targets, size = 75, 250, 16
 	count := make(map[netip.AddrPort]int)
 	moved := 0
--- a/io/jwbench/path.go
+++ b/io/jwbench/path.go
@@ -92,7 +92,7 @@
 	away := p.Region != n.region
 	token, refusal, ok := n.limiter.Admit(n.admission(q, false, away))
 	if !ok && !away && refusal.Reason.LacksCapacity() && !n.sim.policy.noSecondPlacement {
-		rq.RefusedLocally = true
+		rq.RejectedLocally = true
 		if p = n.router.Place(rq); p.Region != "" {
 			away = true
 			token, refusal, ok = n.limiter.Admit(n.admission(q, false, away))
--- a/io/jwcommand/words.go
+++ b/io/jwcommand/words.go
@@ -58,7 +58,7 @@
 		string(jwclaim.Unknown):          "the key may have run and never runs again",
 		string(jwclaim.NotRun):           "neither this call nor an earlier one of the key ran",
 		string(jwclaim.ClaimsUnreadable): "the claims could not be read; an earlier call may have run",
-		string(jwclaim.Refused):          "no node minted the ticket",
+		string(jwclaim.Rejected):         "no node minted the ticket",
 	},
 }
 
--- a/io/jwgateway/send.go
+++ b/io/jwgateway/send.go
@@ -116,7 +116,7 @@
 // request may be sent to another target, so that a target that stopped responding does not use up
 // the caller's time.
 func (g *Gateway) withSendTimeout(ctx context.Context, q *request, c jwinstance.Choice) (context.Context, sendTimer) {
-	if !q.entry.Repeatable() || q.body.rest != nil || q.attempts+1 >= q.entry.Attempts() {
+	if !q.entry.Retryable() || q.body.rest != nil || q.attempts+1 >= q.entry.Attempts() {
 		return ctx, sendTimer{}
 	}
 	ctx, cancel := context.WithCancelCause(ctx)
@@ -207,7 +207,7 @@
 		Body: q.body.buffered, Rest: q.body.reader(), Length: q.body.length,
 		Match: func(h http.Header) bool { return g.Dialect.ID(h) == q.ID },
 	}
-	if !q.entry.Repeatable() {
+	if !q.entry.Retryable() {
 		call.MaxUnused = maxIdleForSingleSend
 	}
 	return call
--- a/io/jwgateway/serve.go
+++ b/io/jwgateway/serve.go
@@ -83,7 +83,7 @@
 // the budget if it has not been taken yet.
 func (g *Gateway) mayRetry(q *request, v Verdict) bool {
 	reason := jwretry.Decide(jwretry.Request{
-		Permanent: v == rejected, BodyStreamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Repeatable(),
+		Permanent: v == rejected, BodyStreamed: q.body.consumed(), NotRun: v == notRun || v == rejected, Repeatable: q.entry.Retryable(),
 		Attempts: q.attempts, MaxAttempts: q.entry.Attempts(), Sends: q.sends, BudgetTaken: q.budgetTaken.Load(),
 	}, func() bool { return g.retryBudget.Take(time.Now(), q.service) })
 	switch reason {
@@ -112,7 +112,7 @@
 		return q.reject(quarantined, quarantineRetryAfter)
 	}
 	p := g.chooseRegion(now, q)
-	if p.Reason == jwplacement.NoTarget && len(q.tried) > 0 && q.entry.Repeatable() {
+	if p.Reason == jwplacement.NoTarget && len(q.tried) > 0 && q.entry.Retryable() {
 		// All remaining targets were tried; one of them may answer on a new connection.
 		clear(q.tried)
 		p = g.chooseRegion(now, q)
--- a/io/jwnode/outcome_test.go
+++ b/io/jwnode/outcome_test.go
@@ -221,7 +221,7 @@
 // A confirmation ran, but the caller did not get the answer and sends it again.
 // The second call is rejected before its key is looked up. If it were answered
 // with notRun, the caller would order under another key and pay twice.
-func TestRepeatRejectedBeforeKeyLookup(t *testing.T) {
+func TestRetryRejectedBeforeKeyLookup(t *testing.T) {
 	s := newRejectionSystem(t)
 	addr := s.home.CallersAddr()
 	key := header{"Idempotency-Key": "deposit"}
@@ -367,7 +367,7 @@
 // Two calls with the same key arrive, the second waits for the first, and then
 // the target refuses. Both calls must get notRun, and a third one must be able to
 // run.
-func TestWaitingRepeatRefused(t *testing.T) {
+func TestWaitingRetryRejected(t *testing.T) {
 	s := newSystem(t, "east")
 	program := &slowRefuser{decide: make(chan struct{})}
 	refuserStandIn := s.standIn("refuser", program)
--- a/io/jwobserver/gauges.go
+++ b/io/jwobserver/gauges.go
@@ -47,7 +47,7 @@
 	budget := o.Board.Budget.Counts()
 	o.addIncrease("tries_total", "first", budget.Tries)
 	o.addIncrease("tries_total", "retry", budget.Retries)
-	o.addIncrease("tries_total", "overBudget", budget.Refused)
+	o.addIncrease("tries_total", "overBudget", budget.Rejected)
 	if o.Drain != nil {
 		c := o.Drain.Counts()
 		values[series{name: "requests_in_flight"}] = float64(c.InFlight)
