--- a/core/jwclaim/slot.go
+++ b/core/jwclaim/slot.go
@@ -17,7 +17,7 @@
 )
 
 var (
-	errContended = errors.New("lost every swap to other nodes")
+	errContended = errors.New("other nodes won every compare-and-swap")
 	errStaleView = errors.New("view of the log too old to trust the write")
 )
 
--- a/io/jwrest/server.go
+++ b/io/jwrest/server.go
@@ -163,7 +163,7 @@
 type logWriter struct{ log logr.Logger }
 
 func (l logWriter) Write(line []byte) (int, error) {
-	l.log.V(1).Info("connection", "detail", string(line))
+	l.log.V(1).Info("HTTP server error", "detail", string(line))
 	return len(line), nil
 }
 
