--- a/io/jwgateway/forward.go
+++ b/io/jwgateway/forward.go
@@ -51,7 +51,7 @@
 	return g.Placement.Choose(here, others)
 }
 
-// regionOption estimates what Look would return at a node of another region, plus the round trip to
+// regionOption estimates what Peek would return at a node of another region, plus the round trip to
 // that region.
 func (g *Gateway) regionOption(now time.Time, region string, n jwinstance.Need) jwplacement.Option {
 	w, known := g.regions.waitFor(now, region, n.Service)
